--- a/crates/cli/src/attach.rs
+++ b/crates/cli/src/attach.rs
@@ -294,7 +294,7 @@
             tracing::info!(event = "version_applied", version, digest);
         }
         Event::Rejected { version, reason } => {
-            tracing::warn!(event = "version_refused", version, why = reason, holds);
+            tracing::warn!(event = "version_rejected", version, why = reason, holds);
         }
         Event::Diverged { version, reason } => {
             tracing::error!(event = "version_diverged", version, why = %reason, holds);
--- a/crates/cli/src/control/events.rs
+++ b/crates/cli/src/control/events.rs
@@ -6,27 +6,27 @@
 /// Logs an event of the cluster. The names are those that nodes use for the same events.
 pub(super) fn log_group_event(event: &GroupEvent) {
     match event {
-        GroupEvent::Bootstrapped { members } => tracing::info!(event = "group_formed", members),
+        GroupEvent::Bootstrapped { members } => tracing::info!(event = "group_bootstrapped", members),
         GroupEvent::BecameLeader { shard, term } => {
-            tracing::info!(event = "group_leads", shard, term);
+            tracing::info!(event = "shard_leadership_gained", shard, term);
         }
         GroupEvent::LostLeadership { shard } => {
-            tracing::info!(event = "group_leads_no_more", shard);
+            tracing::info!(event = "shard_leadership_lost", shard);
         }
         GroupEvent::MembershipChanged { shard, membership } => {
-            tracing::info!(event = "group_members", shard, config = membership);
+            tracing::info!(event = "shard_membership_changed", shard, config = membership);
         }
         GroupEvent::CaughtUp { shard, index } => {
-            tracing::info!(event = "group_caught_up", shard, index);
+            tracing::info!(event = "shard_snapshot_installed", shard, index);
         }
         GroupEvent::StalePeer { name, reason, .. } => {
-            tracing::warn!(event = "group_old_peer", name, why = reason);
+            tracing::warn!(event = "peer_stale_disk", name, why = reason);
         }
-        GroupEvent::StaleDisk { reason } => tracing::warn!(event = "group_old_copy", why = reason),
-        GroupEvent::Diverged { shard, .. } => tracing::error!(event = "group_differs", shard),
-        GroupEvent::DiskStalled => tracing::error!(event = "group_disk_stands_still"),
+        GroupEvent::StaleDisk { reason } => tracing::warn!(event = "replica_quarantined", why = reason),
+        GroupEvent::Diverged { shard, .. } => tracing::error!(event = "replica_diverged", shard),
+        GroupEvent::DiskStalled => tracing::error!(event = "disk_stalled"),
         GroupEvent::DiskFailed { reason } => {
-            tracing::error!(event = "group_disk_failed", why = reason);
+            tracing::error!(event = "disk_failed", why = reason);
         }
     }
 }
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -106,8 +106,8 @@
 async fn reload_on_hangup(member: Rc<ClusterMember>, path: String, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match reload_members(&member, &path) {
-            Ok(()) => tracing::info!(event = "group_reload"),
-            Err(error) => tracing::warn!(event = "group_reload_refused", why = %error),
+            Ok(()) => tracing::info!(event = "group_members_applied"),
+            Err(error) => tracing::warn!(event = "group_members_rejected", why = %error),
         }
     }
 }
--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward.rs
@@ -121,7 +121,7 @@
         .as_ref()
         .and_then(attach::AttachmentPlan::stored_version)
     {
-        tracing::info!(event = "version_kept", version = stored.snapshot.version);
+        tracing::info!(event = "version_restored", version = stored.snapshot.version);
         (last, configuration) = (Some(stored.snapshot), stored.configuration);
         reduce(&mut configuration, options.number);
     }
@@ -160,7 +160,7 @@
                 // A bad one changes nothing.
                 if attached {
                     tracing::warn!(
-                        event = "version_refused",
+                        event = "version_rejected",
                         why = "control machines tell the versions"
                     );
                     continue;
@@ -173,7 +173,7 @@
                 };
                 match taken {
                     Ok(version) => tracing::info!(event = "version", version = version),
-                    Err(why) => tracing::warn!(event = "version_refused", why = %why),
+                    Err(why) => tracing::warn!(event = "version_rejected", why = %why),
                 }
             }
         });
--- a/crates/cli/tests/control_world/mod.rs
+++ b/crates/cli/tests/control_world/mod.rs
@@ -166,7 +166,7 @@
             world.machines.push(Some(machine));
         }
         for machine in world.machines.iter_mut().flatten() {
-            machine.says(&["group_formed"]);
+            machine.says(&["group_bootstrapped"]);
         }
         world
     }
--- a/crates/node/src/group_membership.rs
+++ b/crates/node/src/group_membership.rs
@@ -68,12 +68,12 @@
     match applied {
         Ok(count) => {
             context.reserved_descriptors.set(member_descriptors(count));
-            log_event!("group_reload", "members of the group", count = count);
+            log_event!("group_members_applied", "members of the group", count = count);
         }
         Err(error) => {
             log_event!(
-                "group_reload_refused",
-                "group refused, the old members stay",
+                "group_members_rejected",
+                "group rejected, the old members stay",
                 why = error.to_string().escape_debug()
             );
         }
@@ -110,8 +110,8 @@
             log_event!("shard_leadership_lost", "lost leadership", shard = shard);
         }
         GroupEvent::MembershipChanged { shard, membership } => log_event!(
-            "shard_members",
-            "members of a shard",
+            "shard_membership_changed",
+            "membership of a shard changed",
             shard = shard,
             what = membership
         ),
@@ -132,8 +132,8 @@
             why = reason
         ),
         GroupEvent::CaughtUp { shard, index } => log_event!(
-            "shard_caught_up",
-            "caught up by a snapshot",
+            "shard_snapshot_installed",
+            "snapshot of a shard installed",
             shard = shard,
             index = index
         ),
