--- a/crates/replicated-state/src/member.rs
+++ b/crates/replicated-state/src/member.rs
@@ -2,8 +2,8 @@
 //!
 //! The driver reports what happens with [`GroupMember::tick`], [`GroupMember::on_frame`],
 //! [`GroupMember::on_connected`], [`GroupMember::on_disconnected`], [`GroupMember::request`],
-//! [`GroupMember::confirm_read`] and [`GroupMember::on_persisted`], and after each call carries out the [`Effects`] that [`GroupMember::take_effects`]
-//! returns. Time, randomness and finished writes are passed in: the same calls give the same effects.
+//! [`GroupMember::confirm_read`] and [`GroupMember::on_persisted`], and after each call carries out the [`Effects`] that
+//! [`GroupMember::take_effects`] returns. Time, randomness and finished writes are passed in: the same calls give the same effects.
 //!
 //! Invariants: write batches are numbered without gaps and become durable in that order; a frame that promises
 //! something is handed out only after the writes that it depends on are durable; a stopped member sends nothing new.
@@ -18,6 +18,7 @@
 mod persistence;
 mod queries;
 mod reads;
+mod requester;
 mod requests;
 mod shards;
 
--- a/crates/replicated-state/src/member/apply.rs
+++ b/crates/replicated-state/src/member/apply.rs
@@ -1,6 +1,6 @@
 //! Applies committed commands to a shard's state, and answers those who proposed them or wait for their keys.
 
-use super::requests::Requester;
+use super::requester::Requester;
 use super::{GroupMember, Proposal};
 use crate::idempotency::{ClaimOutcome, Command, Operation};
 use bytes::Bytes;
--- a/crates/replicated-state/src/member/reads.rs
+++ b/crates/replicated-state/src/member/reads.rs
@@ -5,7 +5,7 @@
 //! of heartbeats that it still leads, and the read may be served once that index is applied here.
 
 use super::effects::{FinishedRead, ReadOutcome};
-use super::requests::{Requester, LEADER_RETRY_INTERVAL, NO_LEADER_RETRY_INTERVAL};
+use super::requester::{Requester, LEADER_RETRY_INTERVAL, NO_LEADER_RETRY_INTERVAL};
 use super::GroupMember;
 use crate::frames::{FrameBody, ReadRequest, ReadResponse};
 use rainstand_raft::ReadState;
@@ -18,10 +18,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     shard: u16,
+    /// When it ends unconfirmed, on the member's clock.
     deadline: Duration,
+    /// When it is sent again, unless it is confirmed by then.
     retry_at: Duration,
     attempts: u32,
-    /// What a leader confirmed.
+    /// The commit index that a leader confirmed: the read ends once that is applied here.
     index: Option<u64>,
 }
 
--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -4,6 +4,7 @@
 //! granted to a caller that left, and any other command is retried until it is recorded.
 
 use super::reads::PendingRead;
+use super::requester::{Requester, LEADER_RETRY_INTERVAL, NO_LEADER_RETRY_INTERVAL};
 use super::shards::Proposal;
 use super::GroupMember;
 use crate::frames::{CommandRequest, CommandResponse, FrameBody};
@@ -17,24 +18,11 @@
 const MAX_PENDING_REQUESTS: usize = 8_192;
 /// Commands that one shard's leader has proposed and not applied yet.
 const MAX_WAITING_PROPOSALS: usize = 32_768;
-/// Between two attempts of a request whose leader is known: several round trips and flushes.
-pub(super) const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Between two attempts of a request while no leader is known: part of an election.
-pub(super) const NO_LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// How long a request is retried in the background.
 const BACKGROUND_TIMEOUT: Duration = Duration::from_mins(1);
 /// The shard of registers and published versions.
 const SHARD_OF_REGISTERS: u16 = 0;
 
-/// Who waits for the outcome of a command that was proposed here.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Requester {
-    /// A request of this member, by its number.
-    Local(u64),
-    /// A request of another member.
-    Remote { member: String, id: u64 },
-}
-
 /// A request without a final outcome.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
--- a/crates/replicated-state/src/member/shards.rs
+++ b/crates/replicated-state/src/member/shards.rs
@@ -1,6 +1,6 @@
 //! The shards of this member: opens their replicas, steps them, and carries out what they ask for.
 
-use super::requests::Requester;
+use super::requester::Requester;
 use super::{GroupEvent, GroupMember, OutgoingFrame, PendingEntry, PersistentWrite};
 use crate::frames::{Frame, FrameBody, Raft};
 use crate::idempotency::IdempotencyTable;
