--- a/crates/cli/src/control/events.rs
+++ b/crates/cli/src/control/events.rs
@@ -6,7 +6,9 @@
 /// Logs an event of the cluster. The names are those that nodes use for the same events.
 pub(super) fn log_group_event(event: &GroupEvent) {
     match event {
-        GroupEvent::Bootstrapped { members } => tracing::info!(event = "group_bootstrapped", members),
+        GroupEvent::Bootstrapped { members } => {
+            tracing::info!(event = "group_bootstrapped", members)
+        }
         GroupEvent::BecameLeader { shard, term } => {
             tracing::info!(event = "shard_leadership_gained", shard, term);
         }
@@ -14,7 +16,11 @@
             tracing::info!(event = "shard_leadership_lost", shard);
         }
         GroupEvent::MembershipChanged { shard, membership } => {
-            tracing::info!(event = "shard_membership_changed", shard, config = membership);
+            tracing::info!(
+                event = "shard_membership_changed",
+                shard,
+                config = membership
+            );
         }
         GroupEvent::CaughtUp { shard, index } => {
             tracing::info!(event = "shard_snapshot_installed", shard, index);
@@ -22,7 +28,9 @@
         GroupEvent::StalePeer { name, reason, .. } => {
             tracing::warn!(event = "peer_stale_disk", name, why = reason);
         }
-        GroupEvent::StaleDisk { reason } => tracing::warn!(event = "replica_quarantined", why = reason),
+        GroupEvent::StaleDisk { reason } => {
+            tracing::warn!(event = "replica_quarantined", why = reason)
+        }
         GroupEvent::Diverged { shard, .. } => tracing::error!(event = "replica_diverged", shard),
         GroupEvent::DiskStalled => tracing::error!(event = "disk_stalled"),
         GroupEvent::DiskFailed { reason } => {
--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward.rs
@@ -121,7 +121,10 @@
         .as_ref()
         .and_then(attach::AttachmentPlan::stored_version)
     {
-        tracing::info!(event = "version_restored", version = stored.snapshot.version);
+        tracing::info!(
+            event = "version_restored",
+            version = stored.snapshot.version
+        );
         (last, configuration) = (Some(stored.snapshot), stored.configuration);
         reduce(&mut configuration, options.number);
     }
--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,6 +1,6 @@
 //! The checker: the state of each request, and the rules over it.
 
-use crate::{Answer, Kind, Step, Violation};
+use crate::{Answer, Kind, RecordedStep, Step, Violation};
 use foldhash::HashMap;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     unmarked_runs: u32,
     answer: Option<Answer>,
     caller_left: bool,
-    steps: Vec<(Duration, Step)>,
+    steps: Vec<RecordedStep>,
 }
 
 impl RequestState {
@@ -153,7 +153,7 @@
             };
         };
         if state.steps.len() < MAX_STEPS {
-            state.steps.push((at, step));
+            state.steps.push(RecordedStep { at, step });
         }
         match step {
             Step::Asked { .. } => Ok(()),
@@ -203,14 +203,14 @@
             unmarked_runs: 0,
             answer: None,
             caller_left: false,
-            steps: vec![(
+            steps: vec![RecordedStep {
                 at,
-                Step::Asked {
+                step: Step::Asked {
                     kind,
                     due: deadline,
                     front,
                 },
-            )],
+            }],
         };
         self.requests.insert(request, state);
         self.tally.asked += 1;
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -31,4 +31,4 @@
 
 pub use checker::{InvariantChecker, Tally, MAX_STEPS};
 pub use step::{Answer, Kind, Step};
-pub use violation::Violation;
+pub use violation::{RecordedStep, Violation};
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -15,8 +15,17 @@
     pub request: Option<u64>,
     /// How it was violated.
     pub reason: String,
-    /// The request's steps up to this one, with their times.
-    pub steps: Vec<(Duration, Step)>,
+    /// The request's steps up to this one.
+    pub steps: Vec<RecordedStep>,
+}
+
+/// A step of a request, and when it was recorded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedStep {
+    /// On the clock of all steps.
+    pub at: Duration,
+    /// What happened.
+    pub step: Step,
 }
 
 impl fmt::Display for Violation {
@@ -28,7 +37,7 @@
         write!(out, ": {}", self.reason)?;
         self.steps
             .iter()
-            .try_for_each(|(at, step)| write!(out, "\n  {at:>12?} {step:?}"))
+            .try_for_each(|RecordedStep { at, step }| write!(out, "\n  {at:>12?} {step:?}"))
     }
 }
 
--- a/crates/node/src/group_membership.rs
+++ b/crates/node/src/group_membership.rs
@@ -68,7 +68,11 @@
     match applied {
         Ok(count) => {
             context.reserved_descriptors.set(member_descriptors(count));
-            log_event!("group_members_applied", "members of the group", count = count);
+            log_event!(
+                "group_members_applied",
+                "members of the group",
+                count = count
+            );
         }
         Err(error) => {
             log_event!(
