--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,6 +1,6 @@
 //! `rainstand ask`: what a running forwarder tells of itself, as it stands or as a table.
 
-use crate::out::{bytes, line, Code};
+use crate::output::{bytes, line, Code};
 use crate::pcap::trouble;
 use clap::{Args, Subcommand};
 use serde_json::Value;
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! `rainstand config …`: each subcommand reads files, asks the libraries, and prints.
 
 use crate::config_file::{read, replace, tell_changes, unreadable};
-use crate::out::{self, Code};
+use crate::output::{self as out, Code};
 use clap::{Args, Subcommand};
 use rainstand_config::codes::Code as Finds;
 use rainstand_config::diff::diff;
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -1,6 +1,6 @@
 //! Configuration files: read in any of their forms, replaced in one step, and what a change of one says.
 
-use crate::out::{self, Code};
+use crate::output::{self as out, Code};
 use rainstand_config::codes::Code as Finds;
 use rainstand_config::diff::Change;
 use rainstand_config::load;
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use versions::{versions, Versions};
 
 use crate::config_file::read;
-use crate::out::Code;
+use crate::output::Code;
 use crate::pcap::trouble;
 use crate::signals::Signals;
 use clap::Args;
--- a/crates/cli/src/control/publish.rs
+++ b/crates/cli/src/control/publish.rs
@@ -3,7 +3,7 @@
 use super::client::{fetch_newest, QueryError};
 use crate::cluster_client::exchange;
 use crate::config_file::{read, tell_changes};
-use crate::out::{json as json_line, line, Code};
+use crate::output::{json as json_line, line, Code};
 use crate::pcap::trouble;
 use clap::Args;
 use rainstand_cluster::status;
--- a/crates/cli/src/control/versions.rs
+++ b/crates/cli/src/control/versions.rs
@@ -1,7 +1,7 @@
 //! `rainstand config versions`: how far the newest versions were rolled out, over all config servers.
 
 use super::client::{query_versions, QueryError, SlowestProcess, VersionsResponse};
-use crate::out::{json as json_line, line, Code};
+use crate::output::{json as json_line, line, Code};
 use crate::pcap::trouble;
 use clap::Args;
 use serde_json::{json, Value};
--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward.rs
@@ -2,7 +2,7 @@
 
 use crate::attach;
 use crate::config_file::read;
-use crate::out::Code;
+use crate::output::Code;
 use crate::pcap::trouble;
 use crate::signals::Signals;
 use clap::Args;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/lab/load.rs
@@ -4,7 +4,7 @@
 //! The load is open: tickets leave when they are due, whatever became of those before, and times count from when a
 //! ticket was due, not from when it could be sent. So a stall shows in all that it kept.
 
-use crate::out::{json, line, Code};
+use crate::output::{json, line, Code};
 use crate::pcap::trouble;
 use hdrhistogram::Histogram;
 use nanorand::{Rng, WyRand};
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab/mod.rs
@@ -1,7 +1,9 @@
 //! `rainstand lab`: experiments with the model, their comparison and their pictures.
 
+mod load;
+
 use crate::config_file::read;
-use crate::out::{json, line, Code};
+use crate::output::{json, line, Code};
 use crate::pcap::trouble;
 use clap::Subcommand;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -170,7 +172,7 @@
                 variant,
                 seed,
             ) {
-                Ok(plan) => crate::load::load(&file, &plan, to, json),
+                Ok(plan) => load::load(&file, &plan, to, json),
                 Err(code) => Ok(code),
             }
         }
@@ -191,7 +193,7 @@
                 variant,
                 1,
             ) {
-                Ok(plan) => crate::load::stand_ins(&file, &plan, port),
+                Ok(plan) => load::stand_ins(&file, &plan, port),
                 Err(code) => Ok(code),
             }
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,19 +13,16 @@
 mod config;
 mod config_file;
 mod control;
-mod export;
 mod forward;
 mod lab;
-mod load;
-mod out;
+mod output;
 mod pcap;
-mod replay;
 mod replica;
 mod signals;
 mod store;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use out::Code;
+use output::Code;
 use std::process::ExitCode;
 
 const EXAMPLES: &str = "\
@@ -91,7 +88,7 @@
         Command::Completions { shell } => {
             let mut script = Vec::new();
             clap_complete::generate(shell, &mut Arguments::command(), "rainstand", &mut script);
-            out::bytes(&script)
+            output::bytes(&script)
         }
     };
     code.unwrap_or_else(|error| {
--- a/crates/cli/src/pcap.rs
+++ b/crates/cli/src/pcap/mod.rs
@@ -1,7 +1,9 @@
 //! `rainstand pcap …`: recorded traffic looked at, cut, exported and replayed.
 
-use crate::out::{self, Code};
-use crate::{export, replay};
+mod export;
+mod replay;
+
+use crate::output::{self as out, Code};
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use rainstand_capture::packet::End;
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/pcap/replay/mod.rs
@@ -4,7 +4,7 @@
 //! not slow it. Each recorded connection is one here; a connection that breaks ends its open calls, and the
 //! next call opens it anew. Calls get a new `trace` and `born`, all else goes as it was recorded.
 
-use crate::out::{self, Code};
+use crate::output::{self as out, Code};
 use crate::pcap::{look, trouble, Stretch};
 use clap::Args;
 use hdrhistogram::Histogram;
--- a/crates/cli/src/replica.rs
+++ b/crates/cli/src/replica.rs
@@ -1,7 +1,7 @@
 //! `rainstand replica`: shows what a group's members report of their replicas, and recovers from the loss of a majority.
 
 use crate::cluster_client::exchange;
-use crate::out::{bytes, line, Code};
+use crate::output::{bytes, line, Code};
 use clap::{Args, Subcommand};
 use rainstand_cluster::recovery::{self, RecoveryReport};
 use rainstand_cluster::status;
@@ -154,7 +154,7 @@
 fn recover(folder: &Path, name: &str, accept_loss: bool, json: bool) -> io::Result<Code> {
     match recovery::recover(folder, name, accept_loss) {
         Ok(report) if json => {
-            crate::out::json(&report)?;
+            crate::output::json(&report)?;
             Ok(Code::Good)
         }
         Ok(report) => {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,6 +1,6 @@
 //! `rainstand store`: inspects, checks and repairs the files of a member's store.
 
-use crate::out::{json, line, Code};
+use crate::output::{json, line, Code};
 use clap::{Args, Subcommand};
 use rainstand_storage::record::{read_record, ReadOutcome, Record, RECORD_HEADER_BYTES};
 use rainstand_storage::recovery::StoreContents;
