--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,17 +1,21 @@
-//! `rainstand ask`: what a running forwarder tells of itself, as it stands or as a table.
+//! `rainstand ask`: what a running forwarder reports of itself, as it came or as a table.
 
-use crate::output::{bytes, line, Code};
-use crate::pcap::trouble;
+use crate::error::{CommandError, CommandResult};
+use crate::output::{bytes, line, ExitStatus};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A forwarder that answers does so within this.
-const WITHIN: Duration = Duration::from_secs(5);
-/// The longest answer read, bytes: decisions and metrics of a thousand members.
-const MOST: u64 = 64 << 20;
+/// For connecting, and for each read of the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes of the longest response that is read: decisions and metrics of a thousand members.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
+/// Columns of the table of members; the last one holds notes.
+const MEMBER_COLUMNS: [&str; 7] = ["pool", "member", "address", "standing", "open", "limit", ""];
+/// Columns of the table of decisions; the last one holds notes.
+const DECISION_COLUMNS: [&str; 7] = ["ago", "type", "tenant", "route", "pool", "went", ""];
 
 #[derive(Args)]
 #[command(after_help = "\
@@ -21,13 +25,13 @@
   rainstand ask metrics --at 127.0.0.1:6050 | grep member_out
 
 Exit codes: 0 answered, 2 nobody answers there.")]
-pub struct Options {
+pub(crate) struct Options {
     #[command(subcommand)]
-    what: What,
+    query: Query,
 }
 
 #[derive(Args)]
-struct At {
+struct Target {
     /// The forwarder's `--admin` address
     #[arg(long)]
     at: SocketAddr,
@@ -37,147 +41,179 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Query {
     /// How the forwarder is, and which published version is in force and how old
-    Status(At),
+    Status(Target),
     /// Members with their standing, what is open there and how much may be
-    Members(At),
+    Members(Target),
     /// The last decisions, newest first: which member, how, and who was passed over
     Decisions {
         #[command(flatten)]
-        at: At,
+        target: Target,
         /// So many
         #[arg(long, default_value_t = 20)]
         last: usize,
     },
     /// Counters and histograms in the OpenMetrics text format
-    Metrics(At),
+    Metrics(Target),
 }
 
-pub fn run(options: &Options) -> io::Result<Code> {
-    let (at, path) = match &options.what {
-        What::Status(at) => (at, "/status".to_owned()),
-        What::Members(at) => (at, "/members".to_owned()),
-        What::Decisions { at, last } => (at, format!("/decisions?last={last}")),
-        What::Metrics(at) => (at, "/metrics".to_owned()),
-    };
-    let body = match get(at.at, &path) {
-        Ok(body) => body,
-        Err(error) => return Ok(trouble(&at.at.to_string(), error)),
-    };
-    if at.json || matches!(options.what, What::Metrics(_)) {
-        return bytes(body.as_bytes());
+/// Runs one subcommand.
+///
+/// # Errors
+/// If nobody answers at the address, or standard output cannot be written.
+pub(crate) fn run(options: &Options) -> CommandResult {
+    match &options.query {
+        Query::Status(target) => show_status(target)?,
+        Query::Members(target) => {
+            show_table(target, "/members", &MEMBER_COLUMNS, member_row)?;
+        }
+        Query::Decisions { target, last } => {
+            let path = format!("/decisions?last={last}");
+            show_table(target, &path, &DECISION_COLUMNS, decision_row)?;
+        }
+        Query::Metrics(target) => bytes(fetch(target, "/metrics")?.as_bytes())?,
+    }
+    Ok(ExitStatus::Success)
+}
+
+fn show_status(target: &Target) -> Result<(), CommandError> {
+    let response = fetch(target, "/status")?;
+    if target.json {
+        return Ok(bytes(response.as_bytes())?);
     }
-    if matches!(options.what, What::Status(_)) {
-        let told: Value = serde_json::from_str(&body).map_err(io::Error::other)?;
-        return line(&serde_json::to_string_pretty(&told)?).map(|()| Code::Good);
+    let status: Value = serde_json::from_str(&response).map_err(io::Error::other)?;
+    let text = serde_json::to_string_pretty(&status).map_err(io::Error::from)?;
+    Ok(line(&text)?)
+}
+
+/// Prints a response of one JSON object a line as a table, or as it is.
+fn show_table(
+    target: &Target,
+    path: &str,
+    columns: &[&str],
+    row: fn(&Value) -> Vec<String>,
+) -> Result<(), CommandError> {
+    let response = fetch(target, path)?;
+    if target.json {
+        return Ok(bytes(response.as_bytes())?);
     }
-    let rows: Vec<Vec<String>> = body
+    let rows: Vec<Vec<String>> = response
         .lines()
         .filter_map(|line| serde_json::from_str(line).ok())
-        .map(|one: Value| match options.what {
-            What::Members(_) => member(&one),
-            _ => decision(&one),
-        })
+        .map(|object| row(&object))
         .collect();
-    let head: &[&str] = match options.what {
-        What::Members(_) => &["pool", "member", "address", "standing", "open", "limit", ""],
-        _ => &["ago", "type", "tenant", "route", "pool", "went", ""],
-    };
-    table(head, &rows)
+    Ok(print_table(columns, &rows)?)
 }
 
-/// A value as a cell; nothing for one that is not there.
-fn cell(of: &Value, key: &str) -> String {
-    match &of[key] {
+/// A value as a cell; a dash for one that is not there.
+fn cell(object: &Value, key: &str) -> String {
+    match &object[key] {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
         other => other.to_string(),
     }
 }
 
-fn member(one: &Value) -> Vec<String> {
+fn member_row(member: &Value) -> Vec<String> {
     let mut notes = Vec::new();
-    if let Some(why) = one["why"].as_str() {
-        notes.push(format!("{why}, back in {} ms", one["back_in_ms"]));
+    if let Some(reason) = member["why"].as_str() {
+        notes.push(format!("{reason}, back in {} ms", member["back_in_ms"]));
+    }
+    for note in ["near", "leaving"] {
+        if member[note] == true {
+            notes.push(note.to_owned());
+        }
     }
-    notes.extend((one["near"] == true).then(|| "near".to_owned()));
-    notes.extend((one["leaving"] == true).then(|| "leaving".to_owned()));
     let mut row: Vec<String> = ["pool", "member", "address", "standing", "open", "limit"]
-        .map(|key| cell(one, key))
+        .map(|key| cell(member, key))
         .into();
     row.push(notes.join(", "));
     row
 }
 
-fn decision(one: &Value) -> Vec<String> {
-    let mut row = vec![format!("{} ms", one["ago_ms"])];
-    row.extend(["type", "tenant", "route", "pool"].map(|key| cell(one, key)));
+fn decision_row(decision: &Value) -> Vec<String> {
+    let mut row = vec![format!("{} ms", decision["ago_ms"])];
+    row.extend(["type", "tenant", "route", "pool"].map(|key| cell(decision, key)));
     let mut notes = Vec::new();
-    if let Some(turned) = one["turned"].as_str() {
-        row.push(format!("dismissed: {turned}"));
-        notes.push(format!("told {} ms", one["told_ms"]));
+    if let Some(reason) = decision["turned"].as_str() {
+        row.push(format!("dismissed: {reason}"));
+        notes.push(format!("told {} ms", decision["told_ms"]));
     } else {
-        row.push(cell(one, "member"));
-        let tried = one["tried"].as_u64().unwrap_or(1);
-        notes.extend((tried > 1).then(|| format!("try {tried}")));
+        row.push(cell(decision, "member"));
+        let attempt = decision["tried"].as_u64().unwrap_or(1);
+        if attempt > 1 {
+            notes.push(format!("try {attempt}"));
+        }
         notes.push(format!(
             "{}, one of {}, {} in hand",
-            cell(one, "how"),
-            one["of"],
-            one["in_hand"]
+            cell(decision, "how"),
+            decision["of"],
+            decision["in_hand"]
         ));
     }
-    for passed in one["passed_over"].as_array().into_iter().flatten() {
-        if let (Some(member), Some(why)) = (passed[0].as_str(), passed[1].as_str()) {
-            notes.push(format!("not {member} ({why})"));
-        }
-    }
-    if let Some(more) = one["more_passed_over"].as_u64() {
-        notes.push(format!("nor {more} more"));
-    }
+    notes.extend(skipped_member_notes(decision));
     row.push(notes.join("; "));
     row
 }
 
+/// The members that were not selected, and why.
+fn skipped_member_notes(decision: &Value) -> Vec<String> {
+    let skipped = decision["passed_over"].as_array().into_iter().flatten();
+    let mut notes: Vec<String> = skipped
+        .filter_map(|skipped| {
+            let (member, reason) = (skipped[0].as_str()?, skipped[1].as_str()?);
+            Some(format!("not {member} ({reason})"))
+        })
+        .collect();
+    if let Some(more) = decision["more_passed_over"].as_u64() {
+        notes.push(format!("nor {more} more"));
+    }
+    notes
+}
+
 /// Columns as wide as their widest cell.
-fn table(head: &[&str], rows: &[Vec<String>]) -> io::Result<Code> {
-    let width = |k: usize| {
-        rows.iter()
-            .map(|row| row[k].chars().count())
-            .chain([head[k].len()])
-            .max()
-            .unwrap_or(0)
+fn print_table(header: &[&str], rows: &[Vec<String>]) -> io::Result<()> {
+    let width = |column: usize| {
+        let cells = rows.iter().map(|row| row[column].chars().count());
+        cells.chain([header[column].len()]).max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
-    let show = |cells: Vec<&str>| {
-        let cells = cells
+    let widths: Vec<usize> = (0..header.len()).map(width).collect();
+    let print_row = |cells: &[&str]| {
+        let cells: Vec<String> = cells
             .iter()
             .zip(&widths)
-            .map(|(cell, width)| format!("{cell:<width$}"));
-        line(cells.collect::<Vec<_>>().join("  ").trim_end())
+            .map(|(cell, width)| format!("{cell:<width$}"))
+            .collect();
+        line(cells.join("  ").trim_end())
     };
-    show(head.to_vec())?;
-    rows.iter()
-        .try_for_each(|row| show(row.iter().map(String::as_str).collect()))?;
-    Ok(Code::Good)
+    print_row(header)?;
+    for row in rows {
+        let cells: Vec<&str> = row.iter().map(String::as_str).collect();
+        print_row(&cells)?;
+    }
+    Ok(())
+}
+
+fn fetch(target: &Target, path: &str) -> Result<String, CommandError> {
+    get(target.at, path).map_err(|error| CommandError::unusable(target.at, error))
 }
 
-fn get(at: SocketAddr, path: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, WITHIN)?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n")?;
-    let mut all = String::new();
-    stream.take(MOST).read_to_string(&mut all)?;
-    let (head, body) = all
+/// The body of a response over HTTP.
+fn get(address: SocketAddr, path: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    write!(stream, "GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n")?;
+    let mut response = String::new();
+    stream
+        .take(MAX_RESPONSE_BYTES)
+        .read_to_string(&mut response)?;
+    let (head, body) = response
         .split_once("\r\n\r\n")
         .ok_or_else(|| io::Error::other("no answer over HTTP"))?;
-    match head.split(' ').nth(1) {
-        Some("200") => Ok(body.to_owned()),
-        _ => Err(io::Error::other(format!(
-            "{}: {}",
-            head.lines().next().unwrap_or(""),
-            body.trim()
-        ))),
+    if head.split(' ').nth(1) == Some("200") {
+        return Ok(body.to_owned());
     }
+    let status_line = head.lines().next().unwrap_or("");
+    Err(io::Error::other(format!("{status_line}: {}", body.trim())))
 }
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -1,141 +1,195 @@
 //! Configuration files: read in any of their forms, replaced in one step, and what a change of one says.
 
-use crate::output::{self as out, Code};
-use rainstand_config::codes::Code as Finds;
+use crate::error::CommandError;
+use crate::output::{self, ExitStatus};
+use rainstand_config::codes::Code as FindingCode;
 use rainstand_config::diff::Change;
-use rainstand_config::load;
 use rainstand_config::schema::{self, Configuration};
 use rainstand_config::source::{Disk, FileId, Sources};
+use rainstand_config::{load, Finding};
 use rainstand_routing::table::Table;
-use serde_json::json;
+use serde_json::{json, Value};
+use std::fs::{self, Permissions};
 use std::io::{self, Write};
+use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-pub type Read = Result<(Configuration, Sources, usize), Code>;
+/// Permissions of a file that was not there before: for whoever may read its folder.
+const NEW_FILE_MODE: u32 = 0o644;
 
-/// A configuration in any of its three forms, with its sources and the number of warnings. What is wrong
-/// is told here.
-pub fn read(file: &str, json: bool) -> io::Result<Read> {
-    let ending = Path::new(file).extension().and_then(|e| e.to_str());
-    if file != "-" && ending != Some("rain") {
-        return Ok(
-            read_compiled(file, ending == Some("pb")).map(|made| (made, Sources::default(), 0))
-        );
-    }
-    let outcome = load(&Disk, file);
-    out::findings(&outcome.sources, &outcome.findings, json)?;
-    let cannot_be_read = outcome.findings.iter().any(|finding| {
-        matches!(
-            finding.code,
-            Finds::Missing | Finds::Unreadable | Finds::TooLarge | Finds::NotUtf8
-        ) && finding.at.file == FileId(0)
-            && finding.at.end == 0
-    });
-    if cannot_be_read {
-        return Ok(Err(Code::Use));
-    }
-    match outcome.configuration {
-        Some(configuration) => Ok(Ok((configuration, outcome.sources, outcome.findings.len()))),
-        None => {
-            let errors = outcome
-                .findings
-                .iter()
-                .filter(|finding| finding.is_error())
-                .count();
-            if !json {
-                eprintln!(
-                    "{file}: {errors} error{}",
-                    if errors == 1 { "" } else { "s" }
-                );
-            }
-            Ok(Err(Code::Found))
+/// A configuration as it was read from a file.
+pub(crate) struct LoadedConfiguration {
+    pub(crate) configuration: Configuration,
+    /// The `.rain` files that it came from; empty for a compiled one.
+    pub(crate) sources: Sources,
+    /// Warnings that were printed.
+    pub(crate) warnings: usize,
+}
+
+/// A file's form, by its name.
+enum FileForm {
+    Rain,
+    CompiledText,
+    CompiledBinary,
+}
+
+impl FileForm {
+    fn of(path: &str) -> Self {
+        let extension = Path::new(path)
+            .extension()
+            .and_then(|extension| extension.to_str());
+        match extension {
+            _ if path == "-" => Self::Rain,
+            Some("rain") => Self::Rain,
+            Some("pb") => Self::CompiledBinary,
+            _ => Self::CompiledText,
         }
     }
 }
 
-fn read_compiled(file: &str, binary: bool) -> Result<Configuration, Code> {
-    let bytes = std::fs::read(file).map_err(|e| unreadable(file, e))?;
-    let made = if binary {
-        schema::from_binary(&bytes)
-    } else {
-        let text = std::str::from_utf8(&bytes).map_err(|e| unreadable(file, e))?;
-        schema::from_text(text)
+/// Reads a configuration in any of its three forms. Findings are printed.
+///
+/// # Errors
+/// If the file cannot be read, is no configuration, or has errors.
+pub(crate) fn read(path: &str, as_json: bool) -> Result<LoadedConfiguration, CommandError> {
+    let configuration = match FileForm::of(path) {
+        FileForm::Rain => return read_rain(path, as_json),
+        FileForm::CompiledText => read_compiled_text(path)?,
+        FileForm::CompiledBinary => read_compiled_binary(path)?,
     };
-    let made = made.and_then(|made| match Table::new(&made) {
-        Ok(_) => Ok(made),
-        Err(refused) => Err(schema::Refused {
+    Ok(LoadedConfiguration {
+        configuration,
+        sources: Sources::default(),
+        warnings: 0,
+    })
+}
+
+fn read_rain(path: &str, as_json: bool) -> Result<LoadedConfiguration, CommandError> {
+    let outcome = load(&Disk, path);
+    output::findings(&outcome.sources, &outcome.findings, as_json)?;
+    if outcome.findings.iter().any(is_unreadable_first_file) {
+        return Err(CommandError::Reported(ExitStatus::Unusable));
+    }
+    if let Some(configuration) = outcome.configuration {
+        return Ok(LoadedConfiguration {
+            configuration,
+            sources: outcome.sources,
+            warnings: outcome.findings.len(),
+        });
+    }
+    if !as_json {
+        let errors = outcome.findings.iter().filter(|finding| finding.is_error());
+        eprintln!("{path}: {}", count_of(errors.count(), "error"));
+    }
+    Err(CommandError::Reported(ExitStatus::Found))
+}
+
+/// Whether a finding is about the first file as such, and not about something in it.
+fn is_unreadable_first_file(finding: &Finding) -> bool {
+    let is_about_reading = matches!(
+        finding.code,
+        FindingCode::Missing
+            | FindingCode::Unreadable
+            | FindingCode::TooLarge
+            | FindingCode::NotUtf8
+    );
+    is_about_reading && finding.at.file == FileId(0) && finding.at.end == 0
+}
+
+/// A number with its noun, such as "2 errors".
+pub(crate) fn count_of(count: usize, noun: &str) -> String {
+    let plural = if count == 1 { "" } else { "s" };
+    format!("{count} {noun}{plural}")
+}
+
+fn read_compiled_binary(path: &str) -> Result<Configuration, CommandError> {
+    let bytes = fs::read(path).map_err(|error| CommandError::unusable(path, error))?;
+    checked(path, schema::from_binary(&bytes))
+}
+
+fn read_compiled_text(path: &str) -> Result<Configuration, CommandError> {
+    let bytes = fs::read(path).map_err(|error| CommandError::unusable(path, error))?;
+    let text = std::str::from_utf8(&bytes).map_err(|error| CommandError::unusable(path, error))?;
+    checked(path, schema::from_text(text))
+}
+
+/// A configuration that can be routed by.
+fn checked(
+    path: &str,
+    decoded: Result<Configuration, schema::Refused>,
+) -> Result<Configuration, CommandError> {
+    let routable = decoded.and_then(|configuration| match Table::new(&configuration) {
+        Ok(_) => Ok(configuration),
+        Err(error) => Err(schema::Refused {
             line: 0,
             column: 0,
-            why: refused.to_string(),
+            why: error.to_string(),
         }),
     });
-    made.map_err(|refused| {
-        eprintln!("rainstand: {file}:{refused}");
-        Code::Found
+    routable.map_err(|error| CommandError::MalformedConfiguration {
+        path: path.to_owned(),
+        error,
     })
 }
 
-/// Writes a file in one step: a reader sees the old one or the new one, whole. Links stay links, and the
+/// Replaces a file in one step: a reader sees the old one or the new one, complete. Links stay links, and the
 /// permissions stay.
-pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let path = std::fs::canonicalize(path).unwrap_or_else(|_| path.to_owned());
+///
+/// # Errors
+/// If a file cannot be written in the same folder, or cannot take the other's place.
+pub(crate) fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let path = fs::canonicalize(path).unwrap_or_else(|_| path.to_owned());
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let mut fresh = tempfile::NamedTempFile::new_in(folder)?;
-    fresh.write_all(bytes)?;
-    match std::fs::metadata(&path) {
-        Ok(before) => fresh.as_file().set_permissions(before.permissions())?,
-        Err(_) => {
-            // A new file is for whoever may read the folder, not for its writer alone.
-            use std::os::unix::fs::PermissionsExt;
-            fresh
-                .as_file()
-                .set_permissions(std::fs::Permissions::from_mode(0o644))?;
-        }
-    }
-    fresh.as_file().sync_all()?;
-    fresh.persist(&path).map_err(|e| e.error)?;
+    let permissions = match fs::metadata(&path) {
+        Ok(replaced) => replaced.permissions(),
+        Err(_) => Permissions::from_mode(NEW_FILE_MODE),
+    };
+    let mut file = tempfile::NamedTempFile::new_in(folder)?;
+    file.write_all(bytes)?;
+    file.as_file().set_permissions(permissions)?;
+    file.as_file().sync_all()?;
+    file.persist(&path).map_err(|error| error.error)?;
     Ok(())
 }
 
-/// What changed in meaning, a line each.
-pub fn tell_changes(changes: &[Change], json: bool) -> io::Result<()> {
+/// Prints what changed in meaning, one change a line.
+pub(crate) fn print_changes(changes: &[Change], as_json: bool) -> io::Result<()> {
     for change in changes {
-        if !json {
-            out::line(&change.to_string())?;
-            continue;
+        if as_json {
+            output::json(&change_json(change))?;
+        } else {
+            output::line(&change.to_string())?;
         }
-        out::json(&match change {
-            Change::Added { what } => json!({"change": "added", "what": what}),
-            Change::Removed { what } => json!({"change": "removed", "what": what}),
-            Change::Otherwise {
-                what,
-                key,
-                before,
-                after,
-            } => {
-                json!({"change": "otherwise", "what": what, "key": key, "before": before, "after": after})
-            }
-            Change::Elsewhere {
-                tickets,
-                before,
-                after,
-                pools,
-            } => json!({
-                "change": "elsewhere", "tickets": tickets, "before": before, "after": after,
-                "pools_before": pools.0, "pools_after": pools.1,
-            }),
-            Change::Order { before, after } => {
-                json!({"change": "order", "before": before, "after": after})
-            }
-        })?;
     }
     Ok(())
 }
 
-pub(crate) fn unreadable(path: &str, why: impl std::fmt::Display) -> Code {
-    eprintln!("rainstand: {path}: {why}");
-    Code::Use
+fn change_json(change: &Change) -> Value {
+    match change {
+        Change::Added { what } => json!({"change": "added", "what": what}),
+        Change::Removed { what } => json!({"change": "removed", "what": what}),
+        Change::Otherwise {
+            what,
+            key,
+            before,
+            after,
+        } => {
+            json!({"change": "otherwise", "what": what, "key": key, "before": before, "after": after})
+        }
+        Change::Elsewhere {
+            tickets,
+            before,
+            after,
+            pools,
+        } => json!({
+            "change": "elsewhere", "tickets": tickets, "before": before, "after": after,
+            "pools_before": pools.0, "pools_after": pools.1,
+        }),
+        Change::Order { before, after } => {
+            json!({"change": "order", "before": before, "after": after})
+        }
+    }
 }
--- a/crates/cli/src/control/events.rs
+++ b/crates/cli/src/control/events.rs
@@ -7,7 +7,7 @@
 pub(super) fn log_group_event(event: &GroupEvent) {
     match event {
         GroupEvent::Bootstrapped { members } => {
-            tracing::info!(event = "group_bootstrapped", members)
+            tracing::info!(event = "group_bootstrapped", members);
         }
         GroupEvent::BecameLeader { shard, term } => {
             tracing::info!(event = "shard_leadership_gained", shard, term);
@@ -29,7 +29,7 @@
             tracing::warn!(event = "peer_stale_disk", name, why = reason);
         }
         GroupEvent::StaleDisk { reason } => {
-            tracing::warn!(event = "replica_quarantined", why = reason)
+            tracing::warn!(event = "replica_quarantined", why = reason);
         }
         GroupEvent::Diverged { shard, .. } => tracing::error!(event = "replica_diverged", shard),
         GroupEvent::DiskStalled => tracing::error!(event = "disk_stalled"),
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -9,11 +9,11 @@
 pub(crate) use versions::{versions, Versions};
 
 use crate::config_file::read;
-use crate::output::Code;
-use crate::pcap::trouble;
+use crate::error::{CommandError, CommandResult};
+use crate::output::ExitStatus;
 use crate::signals::Signals;
 use clap::Args;
-use rainstand_cluster::{ClusterMember, MemberOptions};
+use rainstand_cluster::{ClusterError, ClusterMember, MemberOptions};
 use rainstand_config_distribution::publisher::PublisherLimits;
 use std::io;
 use std::rc::Rc;
@@ -40,22 +40,35 @@
     name: String,
 }
 
+/// Why the members of a configuration file are not in force after SIGHUP.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error("the configuration has errors")]
+    Findings,
+    #[error("no `group` block")]
+    NoGroup,
+    #[error(transparent)]
+    Rejected(#[from] ClusterError),
+    #[error(transparent)]
+    Io(io::Error),
+}
+
 /// Runs a config server until SIGTERM or SIGINT.
-pub(crate) fn run(options: &Options) -> io::Result<Code> {
+///
+/// # Errors
+/// If its configuration, folder or address cannot be used.
+pub(crate) fn run(options: &Options) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let signals = Signals::install(&runtime)?;
-    let configuration = match read(&options.config, false)? {
-        Ok((configuration, ..)) => configuration,
-        Err(code) => return Ok(code),
-    };
-    let Some(group) = configuration.groups.into_iter().next() else {
-        return Ok(trouble(
+    let configuration = read(&options.config, false)?.configuration;
+    let group = configuration.groups.into_iter().next().ok_or_else(|| {
+        CommandError::unusable(
             &options.config,
             "no `group` block names the control machines",
-        ));
-    };
+        )
+    })?;
     tracing_subscriber::fmt()
         .with_writer(io::stderr)
         .log_internal_errors(false)
@@ -74,11 +87,10 @@
     options: &Options,
     member_options: MemberOptions,
     mut signals: Signals,
-) -> io::Result<Code> {
-    let member = match rainstand_cluster::start(member_options).await {
-        Ok(member) => member,
-        Err(error) => return Ok(trouble(&options.config, error)),
-    };
+) -> CommandResult {
+    let member = rainstand_cluster::start(member_options)
+        .await
+        .map_err(|error| CommandError::unusable(&options.config, error))?;
     member.serve_configuration(
         PublisherLimits::default(),
         Box::new(events::log_publisher_event),
@@ -99,7 +111,7 @@
     }
     member.leave(SHUTDOWN_TIMEOUT).await;
     tracing::info!(event = "end");
-    Ok(Code::Good)
+    Ok(ExitStatus::Success)
 }
 
 /// Takes over the members from the configuration file at each SIGHUP.
@@ -112,11 +124,15 @@
     }
 }
 
-fn reload_members(member: &Rc<ClusterMember>, path: &str) -> Result<(), String> {
-    let read = read(path, false).map_err(|error| error.to_string())?;
-    let (configuration, ..) = read.map_err(|_| "the configuration has errors".to_owned())?;
-    match configuration.groups.first() {
-        Some(group) => member.set_members(group).map_err(|error| error.to_string()),
-        None => Err("no `group` block".to_owned()),
-    }
+fn reload_members(member: &Rc<ClusterMember>, path: &str) -> Result<(), ReloadError> {
+    let loaded = read(path, false).map_err(|error| match error {
+        CommandError::Io(error) => ReloadError::Io(error),
+        error => {
+            error.print();
+            ReloadError::Findings
+        }
+    })?;
+    let group = loaded.configuration.groups.first();
+    member.set_members(group.ok_or(ReloadError::NoGroup)?)?;
+    Ok(())
 }
--- a/crates/cli/src/control/publish.rs
+++ b/crates/cli/src/control/publish.rs
@@ -2,9 +2,9 @@
 
 use super::client::{fetch_newest, QueryError};
 use crate::cluster_client::exchange;
-use crate::config_file::{read, tell_changes};
-use crate::output::{json as json_line, line, Code};
-use crate::pcap::trouble;
+use crate::config_file::{print_changes, read};
+use crate::error::{CommandError, CommandResult};
+use crate::output::{json as json_line, line, ExitStatus};
 use clap::Args;
 use rainstand_cluster::status;
 use rainstand_config::diff::diff;
@@ -58,24 +58,24 @@
 }
 
 /// Publishes a configuration.
-pub(crate) fn publish(options: &Publishing) -> io::Result<Code> {
-    let configuration = match read(&options.file, options.json)? {
-        Ok((configuration, ..)) => configuration,
-        Err(code) => return Ok(code),
-    };
+///
+/// # Errors
+/// If it cannot be read, has errors, or the server cannot be reached.
+pub(crate) fn publish(options: &Publishing) -> CommandResult {
+    let configuration = read(&options.file, options.json)?.configuration;
     // A configuration that the attached processes would reject is rejected here.
     if let Err(error) = Table::new(&configuration) {
         eprintln!("rainstand: {}: {error}", options.file);
-        return Ok(Code::Found);
+        return Ok(ExitStatus::Found);
     }
     let outcome = match fetch_newest(options.at) {
         Ok(newest) => publish_onto(options, &newest, &configuration)?,
         Err(error @ QueryError::Unconfirmed) => {
             PublishOutcome::Unknown(format!("nothing was sent: {error}"))
         }
-        Err(error) => return Ok(trouble(&options.at.to_string(), error)),
+        Err(error) => return Err(CommandError::unusable(options.at, error)),
     };
-    print_outcome(&outcome, options.json)
+    Ok(print_outcome(&outcome, options.json)?)
 }
 
 fn publish_onto(
@@ -96,7 +96,7 @@
         ..before
     };
     let changes = diff(&before, configuration);
-    tell_changes(&changes, options.json)?;
+    print_changes(&changes, options.json)?;
     let request = match Publish::from_configuration(&newest.state, from, configuration) {
         Ok(request) => request,
         Err(error) => return Ok(PublishOutcome::Rejected(error.to_string())),
@@ -117,13 +117,13 @@
     serde_json::from_slice(&response).map_err(io::Error::other)
 }
 
-fn print_outcome(outcome: &PublishOutcome, json: bool) -> io::Result<Code> {
+fn print_outcome(outcome: &PublishOutcome, json: bool) -> io::Result<ExitStatus> {
     let code = match outcome {
-        PublishOutcome::Unknown(_) | PublishOutcome::Other(_) => Code::Unknown,
-        PublishOutcome::Conflict(_) | PublishOutcome::Rejected(_) => Code::Found,
+        PublishOutcome::Unknown(_) | PublishOutcome::Other(_) => ExitStatus::Unknown,
+        PublishOutcome::Conflict(_) | PublishOutcome::Rejected(_) => ExitStatus::Found,
         PublishOutcome::Committed(_)
         | PublishOutcome::Unchanged(_)
-        | PublishOutcome::WouldCommit(_) => Code::Good,
+        | PublishOutcome::WouldCommit(_) => ExitStatus::Success,
     };
     if json {
         json_line(outcome)?;
--- a/crates/cli/src/control/versions.rs
+++ b/crates/cli/src/control/versions.rs
@@ -1,8 +1,8 @@
 //! `rainstand config versions`: how far the newest versions were rolled out, over all config servers.
 
 use super::client::{query_versions, QueryError, SlowestProcess, VersionsResponse};
-use crate::output::{json as json_line, line, Code};
-use crate::pcap::trouble;
+use crate::error::{CommandError, CommandResult};
+use crate::output::{json as json_line, line, ExitStatus};
 use clap::Args;
 use serde_json::{json, Value};
 use std::io;
@@ -41,11 +41,12 @@
 }
 
 /// Prints the progress of the newest versions.
-pub(crate) fn versions(options: &Versions) -> io::Result<Code> {
-    let first = match query_versions(options.at, options.last) {
-        Ok(first) => first,
-        Err(error) => return Ok(trouble(&options.at.to_string(), error)),
-    };
+///
+/// # Errors
+/// If the server cannot be reached or does not say what it holds.
+pub(crate) fn versions(options: &Versions) -> CommandResult {
+    let first = query_versions(options.at, options.last)
+        .map_err(|error| CommandError::unusable(options.at, error))?;
     let reports = query_all(first, options.last);
     let newest = responses(&reports)
         .filter_map(|response| response.version)
@@ -66,13 +67,13 @@
 }
 
 /// One confirmed answer is enough to know the newest version.
-fn exit_code(reports: &[ServerReport], nobody_rejects: bool) -> Code {
+fn exit_code(reports: &[ServerReport], nobody_rejects: bool) -> ExitStatus {
     let newest_is_known = responses(reports).any(|response| response.current == Some(true));
     let all_answered = reports.iter().all(|report| report.response.is_ok());
     match (newest_is_known, all_answered && nobody_rejects) {
-        (false, _) => Code::Unknown,
-        (true, true) => Code::Good,
-        (true, false) => Code::Found,
+        (false, _) => ExitStatus::Unknown,
+        (true, true) => ExitStatus::Success,
+        (true, false) => ExitStatus::Found,
     }
 }
 
--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward.rs
@@ -2,8 +2,8 @@
 
 use crate::attach;
 use crate::config_file::read;
-use crate::output::Code;
-use crate::pcap::trouble;
+use crate::error::{CommandError, CommandResult};
+use crate::output::ExitStatus;
 use crate::signals::Signals;
 use clap::Args;
 use rainstand_config::schema::{self, Configuration};
@@ -27,7 +27,7 @@
 
 Signals: TERM and INT drain, HUP takes the configuration anew (not where control machines tell the versions),
 USR1 prints the counters.")]
-pub struct Options {
+pub(crate) struct Options {
     /// A `.rain` file, or a compiled one
     #[arg(long)]
     config: String,
@@ -54,7 +54,26 @@
 }
 
 /// A configuration's bytes, or the exit code of what was found in it.
-type ReadOutcome = io::Result<Result<Vec<u8>, Code>>;
+type ReadOutcome = Result<Vec<u8>, ReadError>;
+
+/// Why a configuration cannot be read. Sent between threads, so it holds no other error.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    /// The findings are printed already.
+    #[error("the configuration has errors")]
+    Findings(ExitStatus),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl From<CommandError> for ReadError {
+    fn from(error: CommandError) -> Self {
+        match error {
+            CommandError::Io(error) => Self::Io(error),
+            error => Self::Findings(error.print()),
+        }
+    }
+}
 
 /// Reads a configuration on a thread of its own: 154,000 lines take a third of a second, for which tickets would
 /// wait, and many times the memory of what they say, all of which goes back when nothing of that thread is left.
@@ -65,12 +84,12 @@
     std::thread::Builder::new()
         .name("read".into())
         .spawn(move || {
-            let made = read(&path, false).map(|made| {
-                made.map(|(mut configuration, ..)| {
-                    reduce(&mut configuration, number);
-                    schema::to_binary(&configuration)
-                })
+            let made = read(&path, false).map(|loaded| {
+                let mut configuration = loaded.configuration;
+                reduce(&mut configuration, number);
+                schema::to_binary(&configuration)
             });
+            let made = made.map_err(ReadError::from);
             // Nobody waits for it if the program leaves.
             let _ = done.send(made);
         })?;
@@ -83,22 +102,22 @@
     let bytes = read
         .map_err(|_| "reading it broke off".to_owned())?
         .map_err(|e| e.to_string())?;
-    let bytes = bytes.map_err(|_| "the configuration has errors".to_owned())?;
     schema::from_own_binary(&bytes).map_err(|e| e.to_string())
 }
 
-pub fn run(options: &Options) -> io::Result<Code> {
+#[expect(clippy::too_many_lines, reason = "to be split by concern")]
+pub(crate) fn run(options: &Options) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let signals = Signals::install(&runtime)?;
     let read = read_apart(&options.config, options.number)?.blocking_recv();
-    if let Ok(Ok(Err(code))) = read {
-        return Ok(code);
+    if let Ok(Err(ReadError::Findings(status))) = read {
+        return Ok(status);
     }
     let mut configuration = match made(read) {
         Ok(configuration) => configuration,
-        Err(why) => return Ok(trouble(&options.config, why)),
+        Err(why) => return Err(CommandError::unusable(&options.config, why)),
     };
     // Who reads our lines may go away: that is no reason to end, nor to complain where nobody reads.
     let lines = tracing_subscriber::fmt()
@@ -114,7 +133,7 @@
         .plan(block, &options.zone, options.number, seed)
     {
         Ok(plan) => plan,
-        Err(why) => return Ok(trouble(&options.config, why)),
+        Err(why) => return Err(CommandError::unusable(&options.config, why)),
     };
     let mut last = None;
     if let Some(stored) = plan
@@ -130,12 +149,12 @@
     }
     let hub = match Hub::of(configuration, &options.zone, seed) {
         Ok(hub) => hub,
-        Err(why) => return Ok(trouble(&options.config, why)),
+        Err(why) => return Err(CommandError::unusable(&options.config, why)),
     };
     LocalSet::new().block_on(&runtime, async {
         let listener = match TcpListener::bind(options.listen).await {
             Ok(listener) => listener,
-            Err(error) => return Ok(trouble(&options.listen.to_string(), error)),
+            Err(error) => return Err(CommandError::unusable(options.listen, error)),
         };
         if let Some(admin) = options.admin {
             match TcpListener::bind(admin).await {
@@ -143,7 +162,7 @@
                     tracing::info!(event = "admin", admin = %listener.local_addr()?);
                     spawn_local(rainstand_forwarder::admin::serve(hub.clone(), listener));
                 }
-                Err(error) => return Ok(trouble(&admin.to_string(), error)),
+                Err(error) => return Err(CommandError::unusable(admin, error)),
             }
         }
         let Signals {
@@ -193,6 +212,6 @@
             }
         };
         serve(hub, listener, Duration::from_millis(options.stop_ms), leave).await;
-        Ok(Code::Good)
+        Ok(ExitStatus::Success)
     })
 }
--- /dev/null
+++ b/crates/cli/src/lab/load/mod.rs
@@ -0,0 +1,83 @@
+//! `rainstand lab load`: an experiment's requests on sockets, against a forwarder or node that runs, or against a fleet
+//! that it starts itself on loopback; then the model's figures stand beside them.
+//!
+//! The load is open: requests leave when they are due, whatever became of those before, and times count from when a
+//! request was due, not from when it could be sent. So a stall shows in all that it delayed.
+
+mod client;
+mod generator;
+mod report;
+
+use super::loopback_fleet::LoopbackFleet;
+use super::selection::SelectedExperiment;
+use crate::error::{CommandError, CommandResult};
+use crate::output::ExitStatus;
+use clap::Args;
+use client::LoadClient;
+use rainstand_fleet_model::plan::Plan;
+use rainstand_fleet_model::world;
+use rainstand_test_servers::node::Node;
+use report::Figures;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::LocalSet;
+
+/// Runs of the model, each with another seed, whose mean is printed.
+const MODEL_RUNS: u64 = 5;
+
+#[derive(Args)]
+pub(crate) struct Options {
+    file: String,
+    #[arg(long)]
+    experiment: Option<String>,
+    /// Label of the variant; the first one if not said
+    #[arg(long)]
+    variant: Option<String>,
+    /// What is loaded
+    #[arg(long)]
+    to: Option<SocketAddr>,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    #[arg(long)]
+    json: bool,
+}
+
+pub(super) fn run(options: &Options) -> CommandResult {
+    let selected = SelectedExperiment::read(&options.file, options.experiment.as_deref())?;
+    let plan = selected.plan(options.variant.as_deref(), options.seed)?;
+    let fleet = match options.to {
+        Some(address) => LoopbackFleet::at(address),
+        None => LoopbackFleet::start(&plan)
+            .map_err(|error| CommandError::unusable(&options.file, error))?,
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let client = Rc::new(LoadClient::new(fleet.entry_points)?);
+    LocalSet::new().block_on(&runtime, generator::run(&plan, &client));
+    fleet.nodes.iter().for_each(Node::end);
+    let mut figures = vec![Figures::measured(&client)];
+    if options.to.is_none() {
+        let modelled =
+            model_figures(&plan).map_err(|reason| CommandError::unusable(&options.file, reason))?;
+        figures.push(modelled);
+    }
+    if options.json {
+        report::print_json(&figures, &client)?;
+    } else {
+        report::print_text(&figures, &client)?;
+    }
+    Ok(ExitStatus::Success)
+}
+
+/// The mean of some runs of the model, without retries by callers, as the generator makes none.
+fn model_figures(plan: &Plan) -> Result<Figures, String> {
+    let mut mean = Figures::new("model");
+    for run in 0..MODEL_RUNS {
+        let mut plan = plan.clone();
+        plan.seed += run;
+        plan.habits.tries = 1;
+        mean.add_part(&world::run(&plan)?, MODEL_RUNS as f64);
+    }
+    Ok(mean)
+}
--- /dev/null
+++ b/crates/cli/src/lab/run.rs
@@ -0,0 +1,179 @@
+//! `rainstand lab run`: plays every variant of an experiment with every seed.
+
+use super::selection::SelectedExperiment;
+use crate::error::{CommandError, CommandResult};
+use crate::output::{json, line, ExitStatus};
+use clap::Args;
+use indicatif::{ProgressBar, ProgressStyle};
+use rainstand_config::schema;
+use rainstand_experiments::jobs::{self, alone, mark, Played, Work, COMPILED};
+use rainstand_experiments::plans::variants;
+use rainstand_experiments::results::{self, Results};
+use rainstand_experiments::stats::{mean, Mean, MEASURES};
+use std::fs;
+use std::io;
+use std::num::NonZero;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread;
+
+/// Where results go, in a folder for each experiment, unless options say another place.
+const RESULTS_FOLDER: &str = "lab-out";
+/// The exit status of a shell's command that was interrupted.
+const INTERRUPTED: i32 = 130;
+/// Confidence level of the printed intervals.
+const CONFIDENCE_LEVEL: f64 = 0.95;
+
+#[derive(Args)]
+pub(crate) struct Options {
+    /// A `.rain` file, or a compiled one
+    file: String,
+    /// Which one, where the file holds several
+    #[arg(long)]
+    experiment: Option<String>,
+    /// Seeds 1 to this, in place of what the experiment says
+    #[arg(long)]
+    seeds: Option<u64>,
+    /// Runs at a time; one run is one thread
+    #[arg(long)]
+    jobs: Option<usize>,
+    /// Where results go; `lab-out/EXPERIMENT` if not said
+    #[arg(long)]
+    out: Option<PathBuf>,
+    #[arg(long)]
+    json: bool,
+}
+
+pub(super) fn run(options: &Options) -> CommandResult {
+    let selected = SelectedExperiment::read(&options.file, options.experiment.as_deref())?;
+    let folder = options
+        .out
+        .clone()
+        .unwrap_or_else(|| Path::new(RESULTS_FOLDER).join(&selected.experiment().name));
+    let mut played = play(options, &selected, &folder)?;
+    for failed in &played.failed {
+        eprintln!(
+            "{}: seed {} failed: {}",
+            failed.variant, failed.seed, failed.why
+        );
+    }
+    let unusable_folder = |reason| CommandError::unusable(folder.display(), reason);
+    results::write(&folder, &mut played.rows).map_err(unusable_folder)?;
+    let results = results::read(&folder).map_err(unusable_folder)?;
+    if options.json {
+        results.runs.iter().try_for_each(json)?;
+    } else {
+        print_table(&results)?;
+    }
+    if played.left > 0 {
+        eprintln!("stopped with {} runs left; ask again to go on", played.left);
+    }
+    let violations = report_violations(&results);
+    Ok(if violations == 0 && played.failed.is_empty() {
+        ExitStatus::Success
+    } else {
+        ExitStatus::Found
+    })
+}
+
+/// Plays the runs that the folder does not hold yet, until all are played or an interrupt comes.
+fn play(
+    options: &Options,
+    selected: &SelectedExperiment,
+    folder: &Path,
+) -> Result<Played, CommandError> {
+    let (configuration, experiment) = (&selected.configuration, selected.experiment());
+    let variants = variants(configuration, experiment)
+        .map_err(|reason| CommandError::unusable(&options.file, reason))?;
+    fs::create_dir_all(folder)?;
+    let compiled = schema::to_text(&alone(configuration, experiment));
+    fs::write(folder.join(COMPILED), compiled)?;
+    let available_threads = || thread::available_parallelism().map_or(1, NonZero::get);
+    let work = Work {
+        experiment: &experiment.name,
+        of: mark(configuration, experiment),
+        variants: &variants,
+        seeds: options.seeds.unwrap_or(experiment.seeds),
+        threads: options.jobs.unwrap_or_else(available_threads),
+    };
+    let stop = Arc::new(AtomicBool::new(false));
+    stop_at_interrupt(stop.clone())?;
+    let bar = progress_bar(work.seeds * variants.len() as u64);
+    let played = jobs::play(&work, folder, &stop, |rows| {
+        bar.inc(1);
+        if !rows.run.broken.is_empty() {
+            bar.set_message("a rule broke");
+        }
+    });
+    bar.finish_and_clear();
+    played.map_err(|reason| CommandError::unusable(folder.display(), reason))
+}
+
+fn progress_bar(runs: u64) -> ProgressBar {
+    let bar = ProgressBar::new(runs);
+    if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos}/{len} runs, {eta} left {msg}")
+    {
+        bar.set_style(style);
+    }
+    bar
+}
+
+/// A first interrupt ends the play after the runs that are under way; a second one ends the program.
+fn stop_at_interrupt(stop: Arc<AtomicBool>) -> io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    thread::spawn(move || {
+        runtime.block_on(async {
+            if tokio::signal::ctrl_c().await.is_ok() {
+                stop.store(true, Ordering::Relaxed);
+                eprintln!(
+                    "stopping when the runs under way have ended; interrupt again to end at once"
+                );
+            }
+            if tokio::signal::ctrl_c().await.is_ok() {
+                std::process::exit(INTERRUPTED);
+            }
+        });
+    });
+    Ok(())
+}
+
+/// Prints the runs in which a rule broke; how many they are.
+fn report_violations(results: &Results) -> usize {
+    let broken = results.runs.iter().filter(|run| !run.broken.is_empty());
+    broken
+        .inspect(|run| eprintln!("{}, seed {}: {}", run.variant, run.seed, run.broken))
+        .count()
+}
+
+/// A row for each variant, a column for each measure.
+fn print_table(results: &Results) -> io::Result<()> {
+    let variants = results.variants();
+    let label_width = variants
+        .iter()
+        .map(|(_, label)| label.len())
+        .max()
+        .unwrap_or(0);
+    let header = MEASURES.map(|(name, ..)| format!("{name:>20}")).concat();
+    line(&format!("{:<label_width$}{header}", ""))?;
+    for (number, label) in variants {
+        let cells = MEASURES.map(|(_, _, measure)| {
+            let values: Vec<f64> = results.of(number).map(measure).collect();
+            format!("{:>20}", mean_cell(&mean(&values, CONFIDENCE_LEVEL)))
+        });
+        line(&format!("{label:<label_width$}{}", cells.concat()))?;
+    }
+    Ok(())
+}
+
+fn mean_cell(mean: &Mean) -> String {
+    if !mean.half.is_finite() {
+        format!("{:.4}", mean.mean)
+    } else if mean.mean.abs() < 10.0 {
+        format!("{:.4} ± {:.4}", mean.mean, mean.half)
+    } else {
+        format!("{:.1} ± {:.1}", mean.mean, mean.half)
+    }
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,18 +1,12 @@
 //! `rainstand`, the operators' command line.
 
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
-
 mod ask;
 mod attach;
 mod cluster_client;
 mod config;
 mod config_file;
 mod control;
+mod error;
 mod forward;
 mod lab;
 mod output;
@@ -22,7 +16,8 @@
 mod store;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use output::Code;
+use error::CommandResult;
+use output::ExitStatus;
 use std::process::ExitCode;
 
 const EXAMPLES: &str = "\
@@ -76,28 +71,27 @@
 }
 
 fn main() -> ExitCode {
-    let code = match Arguments::parse().command {
-        Command::Config(command) => config::run(command),
+    let outcome = run(Arguments::parse().command);
+    outcome.unwrap_or_else(|error| error.print()).into()
+}
+
+fn run(command: Command) -> CommandResult {
+    match command {
+        Command::Config(command) => config::run(&command),
         Command::Control(options) => control::run(&options),
         Command::Ask(options) => ask::run(&options),
         Command::Forward(options) => forward::run(&options),
         Command::Lab(command) => lab::run(command),
-        Command::Pcap(command) => pcap::run(command),
-        Command::Replica(command) => replica::run(command),
-        Command::Store(command) => store::run(&command),
-        Command::Completions { shell } => {
-            let mut script = Vec::new();
-            clap_complete::generate(shell, &mut Arguments::command(), "rainstand", &mut script);
-            output::bytes(&script)
-        }
-    };
-    code.unwrap_or_else(|error| {
-        // Somebody closed our output, such as `head`: they have what they wanted.
-        if error.kind() == std::io::ErrorKind::BrokenPipe {
-            return Code::Good;
-        }
-        eprintln!("rainstand: {error}");
-        Code::Use
-    })
-    .into()
+        Command::Pcap(command) => pcap::run(&command),
+        Command::Replica(command) => Ok(replica::run(command)?),
+        Command::Store(command) => Ok(store::run(&command)?),
+        Command::Completions { shell } => print_completions(shell),
+    }
+}
+
+fn print_completions(shell: clap_complete::Shell) -> CommandResult {
+    let mut script = Vec::new();
+    clap_complete::generate(shell, &mut Arguments::command(), "rainstand", &mut script);
+    output::bytes(&script)?;
+    Ok(ExitStatus::Success)
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -8,96 +8,105 @@
 use std::process::ExitCode;
 use termcolor::{ColorChoice, StandardStream};
 
-/// The stated exit codes.
+/// The stated exit codes, the worst last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Code {
-    Good,
-    /// Errors in a configuration, differences, a file that is not in its form, a ticket without a way.
+pub(crate) enum ExitStatus {
+    /// All went well.
+    Success,
+    /// Errors in a configuration, differences, a file that is not in its form, a request without a route.
     Found,
     /// Wrong use, or a file that cannot be read.
-    Use,
+    Unusable,
     /// A machine answered, but cannot say what its group has committed.
     Unknown,
 }
 
-impl From<Code> for ExitCode {
-    fn from(code: Code) -> Self {
-        ExitCode::from(code as u8)
+impl From<ExitStatus> for ExitCode {
+    fn from(status: ExitStatus) -> Self {
+        ExitCode::from(status as u8)
     }
 }
 
+/// A place in a configuration's sources, as JSON.
 #[derive(Serialize)]
-struct Place<'a> {
+struct PlaceJson<'a> {
     file: &'a str,
     line: usize,
     column: usize,
     message: &'a str,
 }
 
+/// A finding as JSON.
 #[derive(Serialize)]
-struct Line<'a> {
+struct FindingJson<'a> {
     #[serde(flatten)]
-    place: Place<'a>,
+    place: PlaceJson<'a>,
     code: &'a str,
     severity: &'a str,
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    also: Vec<Place<'a>>,
+    also: Vec<PlaceJson<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     help: Option<&'a str>,
 }
 
-/// One object a line on standard output.
-pub fn json(value: &impl Serialize) -> io::Result<()> {
+/// Prints one object as a line.
+pub(crate) fn json(value: &impl Serialize) -> io::Result<()> {
     let mut line = serde_json::to_vec(value)?;
     line.push(b'\n');
-    bytes(&line).map(|_| ())
+    bytes(&line)
 }
 
-pub fn bytes(bytes: &[u8]) -> io::Result<Code> {
+/// Prints bytes as they are.
+pub(crate) fn bytes(bytes: &[u8]) -> io::Result<()> {
     let mut out = io::stdout().lock();
     out.write_all(bytes)?;
-    out.flush()?;
-    Ok(Code::Good)
+    out.flush()
 }
 
-pub fn line(text: &str) -> io::Result<()> {
-    bytes(format!("{text}\n").as_bytes()).map(|_| ())
+/// Prints a line.
+pub(crate) fn line(text: &str) -> io::Result<()> {
+    bytes(format!("{text}\n").as_bytes())
 }
 
-/// Findings with the lines they are about, in colour if a person looks.
-pub fn findings(sources: &Sources, found: &[Finding], as_json: bool) -> io::Result<()> {
-    if !as_json {
-        let colour = if io::stderr().is_terminal() {
-            ColorChoice::Auto
-        } else {
-            ColorChoice::Never
-        };
-        return report::show(&mut StandardStream::stderr(colour), sources, found);
+/// Prints findings with the lines they are about: in colour on a terminal's standard error, or as JSON on standard
+/// output.
+pub(crate) fn findings(sources: &Sources, findings: &[Finding], as_json: bool) -> io::Result<()> {
+    if as_json {
+        return findings
+            .iter()
+            .try_for_each(|finding| json(&finding_json(sources, finding)));
     }
-    for finding in found {
-        let place = |at, message| {
-            let (line, column) = sources.line_column(at);
-            Place {
-                file: sources.path(at.file),
-                line,
-                column,
-                message,
-            }
-        };
-        json(&Line {
-            place: place(finding.at, &finding.message),
-            code: finding.code.id(),
-            severity: match finding.code.severity() {
-                Severity::Error => "error",
-                Severity::Warning => "warning",
-            },
-            also: finding
-                .also
-                .iter()
-                .map(|(at, words)| place(*at, words))
-                .collect(),
-            help: finding.help.as_deref(),
-        })?;
+    let colour = if io::stderr().is_terminal() {
+        ColorChoice::Auto
+    } else {
+        ColorChoice::Never
+    };
+    report::show(&mut StandardStream::stderr(colour), sources, findings)
+}
+
+fn finding_json<'a>(sources: &'a Sources, finding: &'a Finding) -> FindingJson<'a> {
+    let place = |at, message| {
+        let (line, column) = sources.line_column(at);
+        PlaceJson {
+            file: sources.path(at.file),
+            line,
+            column,
+            message,
+        }
+    };
+    let severity = match finding.code.severity() {
+        Severity::Error => "error",
+        Severity::Warning => "warning",
+    };
+    FindingJson {
+        place: place(finding.at, &finding.message),
+        code: finding.code.id(),
+        severity,
+        also: finding
+            .also
+            .iter()
+            .map(|(at, message)| place(*at, message))
+            .collect(),
+        help: finding.help.as_deref(),
     }
-    Ok(())
 }
--- a/crates/cli/src/pcap/export.rs
+++ b/crates/cli/src/pcap/export.rs
@@ -1,17 +1,22 @@
-//! Tickets as columns: a Parquet file with a row a ticket, in the order in which they ended.
+//! `rainstand pcap export`: requests as columns: a Parquet file with a row a request, in the order in which they ended.
 
+use super::capture_file::{exit_status, read_capture};
+use crate::error::{CommandError, CommandResult};
+use clap::Args;
 use parquet::basic::Compression;
-use parquet::data_type::{ByteArray, ByteArrayType, Int32Type, Int64Type};
+use parquet::data_type::{ByteArray, ByteArrayType, DataType, Int32Type, Int64Type};
+use parquet::errors::ParquetError;
 use parquet::file::properties::WriterProperties;
-use parquet::file::writer::SerializedFileWriter;
+use parquet::file::writer::{SerializedFileWriter, SerializedRowGroupWriter};
 use parquet::schema::parser::parse_message_type;
-use rainstand_capture::tickets::{Outcome, Ticket};
+use rainstand_capture::tickets::{Event, Outcome, Ticket};
 use std::fs::File;
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 /// Rows of one group: some MB of memory, whatever the capture's size.
-const GROUP: usize = 1 << 16;
+const GROUP_ROWS: usize = 1 << 16;
 
 /// Columns in this order; a time that is not there is null.
 const SCHEMA: &str = "message tickets {
@@ -33,143 +38,197 @@
     optional int64 pause_ms;
 }";
 
+#[derive(Args)]
+pub(crate) struct Options {
+    file: String,
+    /// Where to write the Parquet file
+    #[arg(long)]
+    parquet: PathBuf,
+}
+
+pub(super) fn run(options: &Options) -> CommandResult {
+    let unusable_output =
+        |error: ExportError| CommandError::unusable(options.parquet.display(), error);
+    let mut writer = RequestWriter::create(&options.parquet).map_err(unusable_output)?;
+    let mut written = Ok(());
+    let summary = read_capture(&options.file, |event| {
+        if let (Event::Ticket(request), true) = (event, written.is_ok()) {
+            written = writer.write(&request);
+        }
+    })?;
+    let rows = written
+        .and_then(|()| writer.finish())
+        .map_err(unusable_output)?;
+    eprintln!("{}: {rows} tickets", options.parquet.display());
+    Ok(exit_status(&summary))
+}
+
+/// Why requests cannot be written.
+#[derive(Debug, thiserror::Error)]
+enum ExportError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Parquet(#[from] ParquetError),
+}
+
+/// The rows of one group, column by column.
 #[derive(Default)]
 struct Columns {
-    numbers: [Vec<i32>; 4],
-    longs: [Vec<i64>; 2],
-    texts: [Vec<ByteArray>; 6],
-    options: [Vec<Option<i64>>; 4],
+    at_us: Vec<i64>,
+    connection: Vec<i32>,
+    sequence_number: Vec<i32>,
+    trace: Vec<ByteArray>,
+    request_class: Vec<ByteArray>,
+    tenant: Vec<ByteArray>,
+    entity: Vec<ByteArray>,
+    client: Vec<ByteArray>,
+    is_retry: Vec<i32>,
+    body_bytes: Vec<i32>,
+    body_hash: Vec<i64>,
+    outcome: Vec<ByteArray>,
+    took_us: Vec<Option<i64>>,
+    left_us: Vec<Option<i64>>,
+    answer_hash: Vec<Option<i64>>,
+    retry_after_ms: Vec<Option<i64>>,
+}
+
+impl Columns {
+    fn len(&self) -> usize {
+        self.at_us.len()
+    }
+
+    fn push(&mut self, request: &Ticket) {
+        let call = &request.call;
+        let text = |key| ByteArray::from(call.field(key));
+        let since_call_us = |then: u64| (then.saturating_sub(call.at) / 1_000) as i64;
+        self.at_us.push((call.at / 1_000) as i64);
+        self.connection.push(call.connection as i32);
+        self.sequence_number.push(call.seq);
+        self.trace.push(text("trace"));
+        self.request_class.push(text("route"));
+        self.tenant.push(text("customer"));
+        self.entity.push(text("entity"));
+        self.client.push(text("client"));
+        self.is_retry.push(i32::from(call.field("redo") == "1"));
+        self.body_bytes.push(call.body_length as i32);
+        self.body_hash.push(call.body_hash as i64);
+        self.outcome.push(ByteArray::from(request.outcome.word()));
+        self.took_us.push(request.answered.map(since_call_us));
+        self.left_us.push(request.left.map(since_call_us));
+        self.answer_hash.push(answer_hash(&request.outcome));
+        self.retry_after_ms.push(retry_after_ms(&request.outcome));
+    }
+
+    /// Writes the columns in the order of [`SCHEMA`].
+    fn write(&self, group: &mut SerializedRowGroupWriter<'_, File>) -> Result<(), ParquetError> {
+        write_column::<Int64Type>(group, &self.at_us)?;
+        write_column::<Int32Type>(group, &self.connection)?;
+        write_column::<Int32Type>(group, &self.sequence_number)?;
+        write_column::<ByteArrayType>(group, &self.trace)?;
+        write_column::<ByteArrayType>(group, &self.request_class)?;
+        write_column::<ByteArrayType>(group, &self.tenant)?;
+        write_column::<ByteArrayType>(group, &self.entity)?;
+        write_column::<ByteArrayType>(group, &self.client)?;
+        write_column::<Int32Type>(group, &self.is_retry)?;
+        write_column::<Int32Type>(group, &self.body_bytes)?;
+        write_column::<Int64Type>(group, &self.body_hash)?;
+        write_column::<ByteArrayType>(group, &self.outcome)?;
+        write_optional_column(group, &self.took_us)?;
+        write_optional_column(group, &self.left_us)?;
+        write_optional_column(group, &self.answer_hash)?;
+        write_optional_column(group, &self.retry_after_ms)
+    }
+}
+
+fn answer_hash(outcome: &Outcome) -> Option<i64> {
+    match outcome {
+        Outcome::Honoured { body_hash, .. } => Some(*body_hash as i64),
+        _ => None,
+    }
+}
+
+fn retry_after_ms(outcome: &Outcome) -> Option<i64> {
+    let Outcome::Dismissed { fields } = outcome else {
+        return None;
+    };
+    let (_, value) = fields.iter().find(|(key, _)| key == "pause")?;
+    value.parse().ok()
 }
 
-pub struct Sink {
+fn write_column<T: DataType>(
+    group: &mut SerializedRowGroupWriter<'_, File>,
+    values: &[T::T],
+) -> Result<(), ParquetError> {
+    if let Some(mut column) = group.next_column()? {
+        column.typed::<T>().write_batch(values, None, None)?;
+        column.close()?;
+    }
+    Ok(())
+}
+
+fn write_optional_column(
+    group: &mut SerializedRowGroupWriter<'_, File>,
+    values: &[Option<i64>],
+) -> Result<(), ParquetError> {
+    let present: Vec<i16> = values
+        .iter()
+        .map(|value| i16::from(value.is_some()))
+        .collect();
+    let values: Vec<i64> = values.iter().flatten().copied().collect();
+    if let Some(mut column) = group.next_column()? {
+        let writer = column.typed::<Int64Type>();
+        writer.write_batch(&values, Some(&present), None)?;
+        column.close()?;
+    }
+    Ok(())
+}
+
+/// Writes requests to a Parquet file, a group of rows at a time.
+struct RequestWriter {
     writer: SerializedFileWriter<File>,
     columns: Columns,
-    rows: u64,
+    row_count: u64,
 }
 
-impl Sink {
-    pub fn create(path: &Path) -> Result<Self, String> {
-        let words = |e: &dyn std::fmt::Display| e.to_string();
-        let schema = parse_message_type(SCHEMA).map_err(|e| words(&e))?;
+impl RequestWriter {
+    fn create(path: &Path) -> Result<Self, ExportError> {
+        let schema = parse_message_type(SCHEMA)?;
         let properties = WriterProperties::builder()
             .set_compression(Compression::SNAPPY)
             .build();
-        let file = File::create(path).map_err(|e| words(&e))?;
-        let writer = SerializedFileWriter::new(file, Arc::new(schema), Arc::new(properties));
+        let file = File::create(path)?;
+        let writer = SerializedFileWriter::new(file, Arc::new(schema), Arc::new(properties))?;
         Ok(Self {
-            writer: writer.map_err(|e| words(&e))?,
+            writer,
             columns: Columns::default(),
-            rows: 0,
+            row_count: 0,
         })
     }
 
-    pub fn ticket(&mut self, ticket: &Ticket) -> Result<(), String> {
-        let call = &ticket.call;
-        let Columns {
-            numbers,
-            longs,
-            texts,
-            options,
-        } = &mut self.columns;
-        let again = i32::from(call.field("redo") == "1");
-        for (column, value) in numbers.iter_mut().zip([
-            call.connection as i32,
-            call.seq,
-            again,
-            call.body_length as i32,
-        ]) {
-            column.push(value);
-        }
-        for (column, value) in longs
-            .iter_mut()
-            .zip([(call.at / 1_000) as i64, call.body_hash as i64])
-        {
-            column.push(value);
-        }
-        let fields = ["trace", "route", "customer", "entity", "client"].map(|key| call.field(key));
-        for (column, value) in texts
-            .iter_mut()
-            .zip(fields.into_iter().chain([ticket.outcome.word()]))
-        {
-            column.push(ByteArray::from(value));
-        }
-        let since = |then: u64| (then.saturating_sub(call.at) / 1_000) as i64;
-        let (hash, pause) = match &ticket.outcome {
-            Outcome::Honoured { body_hash, .. } => (Some(*body_hash as i64), None),
-            Outcome::Dismissed { fields } => {
-                let pause = fields.iter().find(|(key, _)| key == "pause");
-                (None, pause.and_then(|(_, value)| value.parse().ok()))
-            }
-            _ => (None, None),
-        };
-        let values = [
-            ticket.answered.map(since),
-            ticket.left.map(since),
-            hash,
-            pause,
-        ];
-        for (column, value) in options.iter_mut().zip(values) {
-            column.push(value);
-        }
-        self.rows += 1;
-        if self.columns.longs[0].len() >= GROUP {
-            return self.group();
+    fn write(&mut self, request: &Ticket) -> Result<(), ExportError> {
+        self.columns.push(request);
+        self.row_count += 1;
+        if self.columns.len() >= GROUP_ROWS {
+            self.write_group()?;
         }
         Ok(())
     }
 
-    /// Writes the rows that are held as one group.
-    fn group(&mut self) -> Result<(), String> {
-        let Columns {
-            numbers,
-            longs,
-            texts,
-            options,
-        } = std::mem::take(&mut self.columns);
-        let [connection, seq, again, length] = numbers;
-        let [at, body_hash] = longs;
-        let [trace, traffic, tenant, entity, client, end] = texts;
-        let [took, left, answer_hash, pause] = options;
-        let mut write = || -> Result<(), parquet::errors::ParquetError> {
-            let mut group = self.writer.next_row_group()?;
-            macro_rules! column {
-                ($kind:ty, $values:expr, $there:expr) => {
-                    if let Some(mut column) = group.next_column()? {
-                        column.typed::<$kind>().write_batch($values, $there, None)?;
-                        column.close()?;
-                    }
-                };
-            }
-            column!(Int64Type, &at, None);
-            column!(Int32Type, &connection, None);
-            column!(Int32Type, &seq, None);
-            for texts in [&trace, &traffic, &tenant, &entity, &client] {
-                column!(ByteArrayType, texts, None);
-            }
-            column!(Int32Type, &again, None);
-            column!(Int32Type, &length, None);
-            column!(Int64Type, &body_hash, None);
-            column!(ByteArrayType, &end, None);
-            for values in [&took, &left, &answer_hash, &pause] {
-                let there: Vec<i16> = values
-                    .iter()
-                    .map(|value| i16::from(value.is_some()))
-                    .collect();
-                let values: Vec<i64> = values.iter().flatten().copied().collect();
-                column!(Int64Type, &values, Some(&there[..]));
-            }
-            group.close()?;
-            Ok(())
-        };
-        write().map_err(|e| e.to_string())
+    fn write_group(&mut self) -> Result<(), ExportError> {
+        let columns = std::mem::take(&mut self.columns);
+        let mut group = self.writer.next_row_group()?;
+        columns.write(&mut group)?;
+        group.close()?;
+        Ok(())
     }
 
-    /// Rows written.
-    pub fn finish(mut self) -> Result<u64, String> {
-        if !self.columns.longs[0].is_empty() {
-            self.group()?;
+    /// Writes what is left; how many requests were written in all.
+    fn finish(mut self) -> Result<u64, ExportError> {
+        if self.columns.len() > 0 {
+            self.write_group()?;
         }
-        self.writer.close().map_err(|e| e.to_string())?;
-        Ok(self.rows)
+        self.writer.close()?;
+        Ok(self.row_count)
     }
 }
--- a/crates/cli/src/replica.rs
+++ b/crates/cli/src/replica.rs
@@ -1,7 +1,7 @@
 //! `rainstand replica`: shows what a group's members report of their replicas, and recovers from the loss of a majority.
 
 use crate::cluster_client::exchange;
-use crate::output::{bytes, line, Code};
+use crate::output::{bytes, line, ExitStatus};
 use clap::{Args, Subcommand};
 use rainstand_cluster::recovery::{self, RecoveryReport};
 use rainstand_cluster::status;
@@ -65,7 +65,7 @@
 /// # Errors
 ///
 /// If standard output cannot be written, or a member responds with something other than JSON.
-pub(crate) fn run(command: Command) -> io::Result<Code> {
+pub(crate) fn run(command: Command) -> io::Result<ExitStatus> {
     match command {
         Command::Status(target) => show_status(&target),
         Command::Members(target) => show_members(&target),
@@ -108,62 +108,65 @@
     Ok(value)
 }
 
-fn show_status(target: &Target) -> io::Result<Code> {
+fn show_status(target: &Target) -> io::Result<ExitStatus> {
     let Some(response) = query(target, "status") else {
-        return Ok(Code::Use);
+        return Ok(ExitStatus::Unusable);
     };
     let status = show(target, &response, print_status)?;
     let is_stopped = status["stopped"] == true;
     let all_have_leaders = status["shards_with_leader"] == status["shards_in_all"];
     Ok(if is_stopped || !all_have_leaders {
-        Code::Found
+        ExitStatus::Found
     } else {
-        Code::Good
+        ExitStatus::Success
     })
 }
 
-fn show_members(target: &Target) -> io::Result<Code> {
+fn show_members(target: &Target) -> io::Result<ExitStatus> {
     let Some(response) = query(target, "members") else {
-        return Ok(Code::Use);
+        return Ok(ExitStatus::Unusable);
     };
     show(target, &response, print_members)?;
-    Ok(Code::Good)
+    Ok(ExitStatus::Success)
 }
 
-fn show_key(target: &Target, key: &str) -> io::Result<Code> {
+fn show_key(target: &Target, key: &str) -> io::Result<ExitStatus> {
     let Some(response) = query(target, &format!("why {key}")) else {
-        return Ok(Code::Use);
+        return Ok(ExitStatus::Unusable);
     };
     let report = show(target, &response, |value| {
         line(&serde_json::to_string_pretty(value)?)
     })?;
     Ok(if report["confirmed"] == false {
-        Code::Unknown
+        ExitStatus::Unknown
     } else {
-        Code::Good
+        ExitStatus::Success
     })
 }
 
-fn show_metrics(target: &Target) -> io::Result<Code> {
+fn show_metrics(target: &Target) -> io::Result<ExitStatus> {
     match query(target, "metrics") {
-        Some(response) => bytes(response.as_bytes()),
-        None => Ok(Code::Use),
+        Some(response) => {
+            bytes(response.as_bytes())?;
+            Ok(ExitStatus::Success)
+        }
+        None => Ok(ExitStatus::Unusable),
     }
 }
 
-fn recover(folder: &Path, name: &str, accept_loss: bool, json: bool) -> io::Result<Code> {
+fn recover(folder: &Path, name: &str, accept_loss: bool, json: bool) -> io::Result<ExitStatus> {
     match recovery::recover(folder, name, accept_loss) {
         Ok(report) if json => {
             crate::output::json(&report)?;
-            Ok(Code::Good)
+            Ok(ExitStatus::Success)
         }
         Ok(report) => {
             print_recovery_report(&report, accept_loss)?;
-            Ok(Code::Good)
+            Ok(ExitStatus::Success)
         }
         Err(error) => {
             eprintln!("{}: {error}", folder.display());
-            Ok(Code::Use)
+            Ok(ExitStatus::Unusable)
         }
     }
 }
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,6 +1,6 @@
 //! `rainstand store`: inspects, checks and repairs the files of a member's store.
 
-use crate::output::{json, line, Code};
+use crate::output::{json, line, ExitStatus};
 use clap::{Args, Subcommand};
 use rainstand_storage::record::{read_record, ReadOutcome, Record, RECORD_HEADER_BYTES};
 use rainstand_storage::recovery::StoreContents;
@@ -15,7 +15,7 @@
 
 /// The store that a command is about, and the form of its output.
 #[derive(Args)]
-pub struct StoreArgs {
+pub(crate) struct StoreArgs {
     /// The folder of the disk; its node must be stopped
     folder: PathBuf,
     #[arg(long)]
@@ -31,7 +31,7 @@
   rainstand store mend /var/lib/rainstand/n1
 
 Exit codes: 0 good, 1 damage was found, 2 wrong use or a folder that cannot be read or is in use.")]
-pub enum Command {
+pub(crate) enum Command {
     /// Which disk it is, and what it holds
     Info(StoreArgs),
     /// Whether all of it can be believed
@@ -64,13 +64,13 @@
 ///
 /// # Errors
 /// If standard output cannot be written, or a file cannot be read in the middle of a dump.
-pub fn run(command: &Command) -> io::Result<Code> {
+pub(crate) fn run(command: &Command) -> io::Result<ExitStatus> {
     let args = command.store();
     let mut disk = match open_folder(args) {
         Ok(disk) => disk,
         Err(error) => {
             eprintln!("{error}");
-            return Ok(Code::Use);
+            return Ok(ExitStatus::Unusable);
         }
     };
     match command {
@@ -92,15 +92,15 @@
 }
 
 /// Reports on standard error what is wrong with the folder.
-fn wrong_use(args: &StoreArgs, reason: &dyn std::fmt::Display) -> Code {
+fn wrong_use(args: &StoreArgs, reason: &dyn std::fmt::Display) -> ExitStatus {
     eprintln!("{}: {reason}", args.folder.display());
-    Code::Use
+    ExitStatus::Unusable
 }
 
-fn run_repair(disk: &mut FolderDisk, args: &StoreArgs) -> io::Result<Code> {
+fn run_repair(disk: &mut FolderDisk, args: &StoreArgs) -> io::Result<ExitStatus> {
     match repair(disk) {
-        Ok(None) => line("nothing to mend").map(|()| Code::Good),
-        Ok(Some(damage)) => report_repair(args, &damage).map(|()| Code::Found),
+        Ok(None) => line("nothing to mend").map(|()| ExitStatus::Success),
+        Ok(Some(damage)) => report_repair(args, &damage).map(|()| ExitStatus::Found),
         Err(error) => Ok(wrong_use(args, &error)),
     }
 }
@@ -122,11 +122,11 @@
     Shards,
 }
 
-fn inspect(disk: &mut FolderDisk, args: &StoreArgs, detail: Detail) -> io::Result<Code> {
+fn inspect(disk: &mut FolderDisk, args: &StoreArgs, detail: Detail) -> io::Result<ExitStatus> {
     let contents = match recover(disk) {
         Ok(contents) => contents,
         Err(OpenError::Damaged(damage)) => {
-            return report_damage(args, &damage).map(|()| Code::Found)
+            return report_damage(args, &damage).map(|()| ExitStatus::Found)
         }
         Err(OpenError::Io(error)) => return Ok(wrong_use(args, &error)),
     };
@@ -142,7 +142,7 @@
     } else {
         print_contents(&identity, &recovered, detail)?;
     }
-    Ok(Code::Good)
+    Ok(ExitStatus::Success)
 }
 
 fn report_damage(args: &StoreArgs, damage: &Damage) -> io::Result<()> {
@@ -211,14 +211,14 @@
 }
 
 /// Prints the last records of the log, and what cannot be read of it.
-fn dump(disk: &mut FolderDisk, args: &StoreArgs, last: usize) -> io::Result<Code> {
+fn dump(disk: &mut FolderDisk, args: &StoreArgs, last: usize) -> io::Result<ExitStatus> {
     let mut rows = VecDeque::new();
-    let mut code = Code::Good;
+    let mut code = ExitStatus::Success;
     let names = disk.list()?;
     for name in names.iter().filter(|name| name.starts_with("log-")) {
         let bytes = disk.read(name)?;
         if dump_segment(name, &bytes, last, &mut rows) == SegmentState::Unreadable {
-            code = Code::Found;
+            code = ExitStatus::Found;
         }
     }
     for row in rows {
