--- a/crates/cli/src/attach.rs
+++ b/crates/cli/src/attach.rs
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::task::{spawn_blocking, spawn_local};
+use tokio::task::{spawn_blocking, spawn_local, JoinError};
 
 /// File in the version folder that holds the last version.
 const SNAPSHOT_FILE: &str = "version.packed";
@@ -64,6 +64,31 @@
     pub(crate) configuration: Configuration,
 }
 
+/// An attachment was asked for by options that do not say enough.
+#[derive(Debug, thiserror::Error)]
+#[error("with control machines, `--name` says which process this is")]
+pub(crate) struct MissingName;
+
+/// Why the configuration that an update leads to is not known.
+#[derive(Debug, thiserror::Error)]
+enum PendingError {
+    #[error("nothing is pending")]
+    NothingPending,
+    #[error(transparent)]
+    Update(#[from] UpdateError),
+}
+
+/// Why a version is not on the disk.
+#[derive(Debug, thiserror::Error)]
+enum StoreError {
+    #[error(transparent)]
+    Encode(#[from] UpdateError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Thread(#[from] JoinError),
+}
+
 impl Options {
     /// The attachment that the options and the `control` block ask for; `None` if neither names a config server.
     ///
@@ -75,7 +100,7 @@
         zone: &str,
         forwarder_number: usize,
         seed: u64,
-    ) -> Result<Option<AttachmentPlan>, String> {
+    ) -> Result<Option<AttachmentPlan>, MissingName> {
         let by_address = |address: &SocketAddr| ControlMember {
             name: address.to_string(),
             address: address.to_string(),
@@ -87,7 +112,7 @@
             None => return Ok(None),
         };
         if self.name.is_empty() {
-            return Err("with control machines, `--name` says which process this is".to_owned());
+            return Err(MissingName);
         }
         let configured_folder = block
             .map(|block| &block.folder)
@@ -198,16 +223,16 @@
 }
 
 /// The full configuration that the pending update leads to.
-fn pending_configuration(subscriber: &Subscriber) -> Result<Configuration, String> {
+fn pending_configuration(subscriber: &Subscriber) -> Result<Configuration, PendingError> {
     let configuration = match subscriber.pending() {
         Some(PendingUpdate::Snapshot { state, .. }) => state.configuration(),
         Some(PendingUpdate::Delta(delta)) => {
             let mut state = subscriber.state().clone();
             state.apply(delta).and_then(|()| state.configuration())
         }
-        None => return Err("nothing is pending".to_owned()),
+        None => return Err(PendingError::NothingPending),
     };
-    configuration.map_err(|error| error.to_string())
+    Ok(configuration?)
 }
 
 /// Writes the version in force to `folder`, at most once in [`SNAPSHOT_INTERVAL`] and when the attachment ends. One write
@@ -235,16 +260,17 @@
         spawn_local(async move {
             let written = spawn_blocking(move || write_snapshot(&path, version, &state)).await;
             is_writing.set(false);
-            if let Err(error) = written.unwrap_or_else(|error| Err(error.to_string())) {
+            if let Err(error) = written.unwrap_or_else(|error| Err(error.into())) {
                 tracing::warn!(event = "version_write_failed", version, why = %error);
             }
         });
     })
 }
 
-fn write_snapshot(path: &Path, version: u64, state: &ConfigState) -> Result<(), String> {
-    let bytes = snapshot::encode(version, state).map_err(|error| error.to_string())?;
-    replace(path, &bytes).map_err(|error| error.to_string())
+fn write_snapshot(path: &Path, version: u64, state: &ConfigState) -> Result<(), StoreError> {
+    let bytes = snapshot::encode(version, state)?;
+    replace(path, &bytes)?;
+    Ok(())
 }
 
 fn status_line(status: &AttachmentStatus, started: Instant) -> ControlLine {
--- a/crates/cli/src/lab/selection.rs
+++ b/crates/cli/src/lab/selection.rs
@@ -64,18 +64,32 @@
     }
 }
 
+/// Why no experiment of a file is selected.
+#[derive(Debug, thiserror::Error)]
+enum SelectionError {
+    #[error("there is no experiment in it")]
+    NoExperiments,
+    #[error("there is no experiment `{name}`; there are {known}")]
+    Unknown { name: String, known: String },
+    #[error("say which with --experiment: {known}")]
+    Ambiguous { known: String },
+}
+
 /// Position of the experiment with this name, or of the only one.
-fn position(names: &[&str], name: Option<&str>) -> Result<usize, String> {
+fn position(names: &[&str], name: Option<&str>) -> Result<usize, SelectionError> {
     if names.is_empty() {
-        return Err("there is no experiment in it".to_owned());
+        return Err(SelectionError::NoExperiments);
     }
-    let all = names.join(", ");
+    let known = || names.join(", ");
     match name {
         Some(name) => names
             .iter()
             .position(|known| *known == name)
-            .ok_or_else(|| format!("there is no experiment `{name}`; there are {all}")),
+            .ok_or_else(|| SelectionError::Unknown {
+                name: name.to_owned(),
+                known: known(),
+            }),
         None if names.len() == 1 => Ok(0),
-        None => Err(format!("say which with --experiment: {all}")),
+        None => Err(SelectionError::Ambiguous { known: known() }),
     }
 }
