--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -7,32 +7,10 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use std::io::Write;
-use std::path::Path;
-use std::process::{Command, Output, Stdio};
+mod program;
 
-fn run(folder: &Path, arguments: &[&str], input: &str) -> (i32, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand"))
-        .args(arguments)
-        .current_dir(folder)
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .unwrap();
-    // A command that does not read its input may be gone already.
-    let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
-    let Output {
-        status,
-        stdout,
-        stderr,
-    } = child.wait_with_output().unwrap();
-    (
-        status.code().unwrap(),
-        String::from_utf8(stdout).unwrap(),
-        String::from_utf8(stderr).unwrap(),
-    )
-}
+use program::run_with_input as run;
+use std::process::{Command, Stdio};
 
 const GOOD: &str = "rain 1
 
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -10,6 +10,7 @@
 )]
 
 mod control_world;
+mod program;
 
 use control_world::{World, HANGS};
 use rainstand_cluster::status;
--- a/crates/cli/tests/control_world/mod.rs
+++ b/crates/cli/tests/control_world/mod.rs
@@ -8,6 +8,8 @@
     reason = "shared by test targets, each of which uses a part of it"
 )]
 
+pub use crate::program::run_lines as run;
+use crate::program::PROGRAM;
 use rainstand_cluster::framing::with_length_prefix;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,7 +20,6 @@
 use std::time::{Duration, Instant};
 
 pub const HANGS: Duration = Duration::from_secs(60);
-const PROGRAM: &str = env!("CARGO_BIN_EXE_rainstand");
 
 /// A process, and the lines that it wrote so far. It ends with this.
 pub struct Process {
@@ -85,25 +86,6 @@
     }
 }
 
-/// Exit code, standard output as JSON lines, standard error.
-pub fn run(folder: &Path, arguments: &[&str]) -> (i32, Vec<Value>, String) {
-    let ended = Command::new(PROGRAM)
-        .args(arguments)
-        .current_dir(folder)
-        .output()
-        .unwrap();
-    let text = String::from_utf8(ended.stdout).unwrap();
-    let lines = text
-        .lines()
-        .map(|line| serde_json::from_str(line).unwrap_or(Value::from(line)))
-        .collect();
-    (
-        ended.status.code().unwrap(),
-        lines,
-        String::from_utf8(ended.stderr).unwrap(),
-    )
-}
-
 /// Addresses that nobody listens on just now.
 pub fn addresses<const N: usize>() -> [String; N] {
     let listeners: [TcpListener; N] =
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -8,8 +8,10 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
+mod program;
 mod stand_ins;
 
+use program::{run, PROGRAM};
 use rainstand_golden_files::assert_text;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -22,23 +24,8 @@
 
 /// Only what hangs is caught by this; nothing is timed.
 const HANGS: Duration = Duration::from_secs(60);
-const PROGRAM: &str = env!("CARGO_BIN_EXE_rainstand");
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
 
-fn run(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
-    let ended = Command::new(PROGRAM)
-        .args(arguments)
-        .current_dir(folder)
-        .output()
-        .unwrap();
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (
-        ended.status.code().unwrap(),
-        text(ended.stdout),
-        text(ended.stderr),
-    )
-}
-
 fn golden(name: &str) -> String {
     format!("{FOLDER}/{name}")
 }
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -7,9 +7,12 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
+mod program;
+
+use program::run as rainstand;
 use std::io::{BufRead, BufReader};
-use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+use std::path::PathBuf;
+use std::process::{Command, Stdio};
 
 const EXPERIMENT: &str = "rain 1
 type check { repeat: rerunnable; goal: 500 ms; outer-limit: 2 s }
@@ -27,23 +30,6 @@
 }
 ";
 
-fn rainstand(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
-    let ran = Command::new(env!("CARGO_BIN_EXE_rainstand"))
-        .args(arguments)
-        .current_dir(folder)
-        .output();
-    let Output {
-        status,
-        stdout,
-        stderr,
-    } = ran.unwrap();
-    (
-        status.code().unwrap(),
-        String::from_utf8(stdout).unwrap(),
-        String::from_utf8(stderr).unwrap(),
-    )
-}
-
 #[test]
 fn an_experiment_is_played_compared_and_drawn() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/cli/tests/publish.rs
+++ b/crates/cli/tests/publish.rs
@@ -18,6 +18,7 @@
 )]
 
 mod control_world;
+mod program;
 
 use control_world::{run, Process, World, HANGS};
 use rainstand_cluster::framing::with_length_prefix;
--- a/crates/cli/tests/traffic.rs
+++ b/crates/cli/tests/traffic.rs
@@ -7,32 +7,15 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
+mod program;
 mod stand_ins;
 
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
+use program::run_lines as run;
 use serde_json::Value;
 use stand_ins::{capture, node, Manners};
 use std::path::Path;
-use std::process::Command;
-
-fn run(folder: &Path, arguments: &[&str]) -> (i32, Vec<Value>, String) {
-    let ended = Command::new(env!("CARGO_BIN_EXE_rainstand"))
-        .args(arguments)
-        .current_dir(folder)
-        .output()
-        .unwrap();
-    let stdout = String::from_utf8(ended.stdout).unwrap();
-    let lines = stdout
-        .lines()
-        .map(|line| serde_json::from_str(line).unwrap_or(Value::from(line)))
-        .collect();
-    (
-        ended.status.code().unwrap(),
-        lines,
-        String::from_utf8(ended.stderr).unwrap(),
-    )
-}
 
 /// Every kind of answer, on three connections within 60 ms.
 const CALLS: [(u64, usize, &str, &str); 12] = [
@@ -56,6 +39,14 @@
     folder
 }
 
+/// A replay of that capture to an address.
+fn replay(folder: &Path, to: &str, more: &[&str]) -> (i32, Vec<Value>, String) {
+    run(
+        folder,
+        &[&["pcap", "replay", "a.pcapng", "--to", to], more].concat(),
+    )
+}
+
 #[test]
 fn tickets_are_told_a_line_each_and_then_the_summary() {
     let folder = folder();
@@ -222,12 +213,7 @@
     let folder = folder();
     let node = node(Manners::default());
     let to = node.addr.to_string();
-    let arguments = [
-        "pcap",
-        "replay",
-        "a.pcapng",
-        "--to",
-        &to,
+    let more = [
         "--compare",
         "--json",
         "--wait",
@@ -235,7 +221,7 @@
         "--mapping",
         "map.jsonl",
     ];
-    let (code, lines, told) = run(folder.path(), &arguments);
+    let (code, lines, told) = replay(folder.path(), &to, &more);
     // What is never answered is waited for in vain: its caller left it, and it is told as unanswered.
     let summary = &lines[lines.len() - 1]["summary"];
     assert_eq!(
@@ -295,36 +281,14 @@
         ..Manners::default()
     });
     let to = node.addr.to_string();
-    let (code, lines, _) = run(
-        folder.path(),
-        &[
-            "pcap",
-            "replay",
-            "a.pcapng",
-            "--to",
-            &to,
-            "--compare",
-            "--json",
-        ],
-    );
+    let (code, lines, _) = replay(folder.path(), &to, &["--compare", "--json"]);
     assert_eq!((code, lines.len()), (1, 2));
     assert_eq!(
         (&lines[0]["trace"], &lines[0]["now"]),
         (&"0000000000000007".into(), &"honoured".into())
     );
     // By kinds alone it is the same.
-    let (code, ..) = run(
-        folder.path(),
-        &[
-            "pcap",
-            "replay",
-            "a.pcapng",
-            "--to",
-            &to,
-            "--compare",
-            "--kinds",
-        ],
-    );
+    let (code, ..) = replay(folder.path(), &to, &["--compare", "--kinds"]);
     assert_eq!(code, 0);
 }
 
@@ -336,12 +300,7 @@
         ..Manners::default()
     });
     let to = breaking.addr.to_string();
-    let (code, lines, _) = run(
-        folder.path(),
-        &[
-            "pcap", "replay", "a.pcapng", "--to", &to, "--json", "--wait", "2",
-        ],
-    );
+    let (code, lines, _) = replay(folder.path(), &to, &["--json", "--wait", "2"]);
     let summary = &lines[0]["summary"];
     assert_eq!(code, 0);
     assert!(
@@ -355,19 +314,10 @@
         .local_addr()
         .unwrap()
         .to_string();
-    let (code, lines, _) = run(
+    let (code, lines, _) = replay(
         folder.path(),
-        &[
-            "pcap",
-            "replay",
-            "a.pcapng",
-            "--to",
-            &gone,
-            "--json",
-            "--compare",
-            "--wait",
-            "2",
-        ],
+        &gone,
+        &["--json", "--compare", "--wait", "2"],
     );
     assert_eq!(
         (
@@ -381,20 +331,7 @@
         ..Manners::default()
     });
     let to = shutting.addr.to_string();
-    let (code, lines, _) = run(
-        folder.path(),
-        &[
-            "pcap",
-            "replay",
-            "a.pcapng",
-            "--to",
-            &to,
-            "--json",
-            "--wait",
-            "2",
-            "--compare",
-        ],
-    );
+    let (code, lines, _) = replay(folder.path(), &to, &["--json", "--wait", "2", "--compare"]);
     let summary = &lines[lines.len() - 1]["summary"];
     assert!(
         code == 0 && summary["connections"].as_u64().unwrap() > 3,
