--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -6,8 +6,8 @@
 use crate::counters::count;
 use crate::socket_buffer::{ReadOutcome, Ring, SocketIo};
 use crate::ticker::start_policy;
-use crate::traffic_recording::SERVER_SIDE;
 use crate::{completion, descriptors, dispatch, log_event};
+use rainstand_traffic_recorder::Side;
 use serde_json::Value;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -156,8 +156,8 @@
     let bytes = incoming.bytes();
     while let Some(len) = bytes[used..].iter().position(|&byte| byte == b'\n') {
         let line = &bytes[used..used + len];
-        if let Some(tape) = &*link.recording.borrow() {
-            tape.said(SERVER_SIDE, &bytes[used..=used + len]);
+        if let Some(recording) = &*link.recording.borrow() {
+            recording.record(Side::Server, &bytes[used..=used + len]);
         }
         used += len + 1;
         if line.trim_ascii().is_empty() {
--- a/crates/node/src/agent_link.rs
+++ b/crates/node/src/agent_link.rs
@@ -3,9 +3,9 @@
 
 use crate::counters::Counts;
 use crate::socket_buffer::Ring;
-use crate::traffic_recording::CLIENT_SIDE;
+
 use rainstand::Gauges;
-use rainstand_traffic_recorder::Tape;
+use rainstand_traffic_recorder::{ConnectionRecorder, Side};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -22,7 +22,7 @@
     /// Commands that are not written yet.
     pub(crate) outgoing: RefCell<Ring>,
     /// Where this link is recorded, if it is.
-    pub(crate) recording: RefCell<Option<Tape>>,
+    pub(crate) recording: RefCell<Option<ConnectionRecorder>>,
     /// Wakes the task that serves the link.
     pub(crate) wakeup: Notify,
     /// The replay was read: commands go out as they come. Before, they are only noted in the table.
@@ -56,8 +56,8 @@
         let mut text = Vec::with_capacity(COMMAND_CAPACITY);
         if text.write_fmt(line).is_ok() {
             self.outgoing.borrow_mut().put(&text);
-            if let Some(tape) = &*self.recording.borrow() {
-                tape.said(CLIENT_SIDE, &text);
+            if let Some(recording) = &*self.recording.borrow() {
+                recording.record(Side::Client, &text);
             }
             self.wakeup.notify_one();
         }
@@ -81,7 +81,11 @@
     }
 
     /// A connection to the agent is open: subscribes to the notices that were not read yet.
-    pub(crate) fn on_connected(&self, recording: Option<Tape>, greeting_timeout: Duration) {
+    pub(crate) fn on_connected(
+        &self,
+        recording: Option<ConnectionRecorder>,
+        greeting_timeout: Duration,
+    ) {
         self.outgoing.borrow_mut().clear();
         *self.recording.borrow_mut() = recording;
         self.write(format_args!(
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -3,8 +3,8 @@
 
 use crate::socket_buffer::Ring;
 use crate::thrift;
-use crate::traffic_recording::SERVER_SIDE;
-use rainstand_traffic_recorder::Tape;
+
+use rainstand_traffic_recorder::{ConnectionRecorder, Side};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
     /// Read and written by the task that serves it only.
     pub stream: TcpStream,
     /// Where its traffic is recorded, if it is.
-    pub recording: Option<Tape>,
+    pub recording: Option<ConnectionRecorder>,
     /// Answers that are not written yet.
     pub outgoing: RefCell<Ring>,
     /// Wakes the task that serves it.
@@ -81,7 +81,12 @@
 impl Connection {
     /// A connection that was just accepted.
     #[must_use]
-    pub fn new(id: u64, peer: SocketAddr, stream: TcpStream, recording: Option<Tape>) -> Self {
+    pub fn new(
+        id: u64,
+        peer: SocketAddr,
+        stream: TcpStream,
+        recording: Option<ConnectionRecorder>,
+    ) -> Self {
         Self {
             id,
             peer,
@@ -101,8 +106,8 @@
 
     /// Queues a frame; the task that serves the connection writes it.
     pub fn send(&self, frame: &[u8]) {
-        if let Some(tape) = &self.recording {
-            tape.said(SERVER_SIDE, frame);
+        if let Some(recording) = &self.recording {
+            recording.record(Side::Server, frame);
         }
         self.outgoing.borrow_mut().put(frame);
         self.wakeup.notify_one();
--- a/crates/node/src/connections/accept.rs
+++ b/crates/node/src/connections/accept.rs
@@ -110,11 +110,11 @@
         log_frequent!("connection_end", "end", conn = id, peer = peer, code = code);
         return;
     }
-    let tape = context
+    let recording = context
         .record
         .get()
-        .map(|record| record.recorder.tape(peer, context.config.listen));
-    let conn = Rc::new(Connection::new(id, peer, stream, tape));
+        .map(|record| record.recorder.connection(peer, context.config.listen));
+    let conn = Rc::new(Connection::new(id, peer, stream, recording));
     context.connections.borrow_mut().insert(id, conn.clone());
     tokio::task::spawn_local(serve(context.clone(), conn));
 }
--- a/crates/node/src/connections/exchange.rs
+++ b/crates/node/src/connections/exchange.rs
@@ -6,8 +6,8 @@
 use crate::context::NodeContext;
 use crate::counters::count;
 use crate::socket_buffer::{ReadOutcome, Ring, SocketIo};
-use crate::traffic_recording::CLIENT_SIDE;
 use crate::{ingress, log_frequent, thrift};
+use rainstand_traffic_recorder::Side;
 use socket2::SockRef;
 use std::io;
 use std::rc::Rc;
@@ -328,8 +328,8 @@
     incoming: &mut Ring,
 ) -> Result<usize, thrift::Flaw> {
     let record = |bytes: &[u8]| {
-        if let Some(tape) = &conn.recording {
-            tape.said(CLIENT_SIDE, bytes);
+        if let Some(recording) = &conn.recording {
+            recording.record(Side::Client, bytes);
         }
     };
     let mut frames = 0;
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -176,7 +176,7 @@
             let _ = write!(ends, " {code}={count}");
         }
         let record = self.record.get().map_or(String::new(), |record| {
-            format!(" record[{}]", record.recorder.counts().line())
+            format!(" record[{}]", record.recorder.counters().line())
         });
         log::ignore_write_panic(|| {
             let line = format!(
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -6,10 +6,10 @@
 use crate::context::NodeContext;
 use crate::request_table::CallOrder;
 use crate::socket_buffer::{ReadOutcome, Ring, SocketIo};
-use crate::traffic_recording::{CLIENT_SIDE, SERVER_SIDE};
+
 use crate::{connections, descriptors, http};
 use rainstand::Outcome;
-use rainstand_traffic_recorder::Tape;
+use rainstand_traffic_recorder::{ConnectionRecorder, Side};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -50,9 +50,9 @@
     };
     let _ = stream.set_nodelay(true);
     let time_left = deadline.saturating_duration_since(Instant::now());
-    let tape = pool.record.get().and_then(|record| record.link(&stream));
+    let recording = pool.record.get().and_then(|record| record.link(&stream));
     let request = encode_request(&order.trace, time_left, address, &order.body);
-    let exchange = exchange(&stream, &request, tape.as_ref());
+    let exchange = exchange(&stream, &request, recording.as_ref());
     match timeout(time_left + REPLY_GRACE, exchange).await {
         Err(_) => CallReply::without_body(Outcome::TimedOut),
         Ok(Err(_)) => CallReply::without_body(Outcome::Disconnected),
@@ -91,14 +91,14 @@
 pub async fn exchange(
     stream: &TcpStream,
     request: &[u8],
-    tape: Option<&Tape>,
+    recording: Option<&ConnectionRecorder>,
 ) -> io::Result<HttpReply> {
     let record = |side, bytes: &[u8]| {
-        if let Some(tape) = tape {
-            tape.said(side, bytes);
+        if let Some(recording) = recording {
+            recording.record(side, bytes);
         }
     };
-    record(CLIENT_SIDE, request);
+    record(Side::Client, request);
     let mut outgoing = Ring::default();
     outgoing.put(request);
     while !outgoing.flush(stream)? {
@@ -113,7 +113,7 @@
         let bytes = incoming.bytes();
         if let Some(mut head) = http::reply(bytes).map_err(io::Error::other)? {
             let (start, end) = head.body;
-            record(SERVER_SIDE, bytes);
+            record(Side::Server, bytes);
             let body = bytes[start..end].to_vec();
             // Surplus bytes would answer the next request.
             head.closes |= bytes.len() > end;
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -4,7 +4,7 @@
 use crate::context::NodeContext;
 use crate::traffic_recording::TrafficRecording;
 use rainstand_config::schema::Recording;
-use rainstand_traffic_recorder::disk::{Disk, Folder};
+use rainstand_traffic_recorder::file_store::{Directory, FileStore};
 use rainstand_traffic_recorder::{Limits, Recorder};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    let disk = Folder {
-        folder: PathBuf::from(&recording.folder),
+    let store = Directory {
+        path: PathBuf::from(&recording.folder),
         name: context.config.name.clone(),
         start,
     };
@@ -36,20 +36,20 @@
         file_bytes: recording.file_bytes,
         files: recording.files,
     };
-    start_on(context, disk, limits, recording.links)
+    start_on(context, store, limits, recording.links)
 }
 
-/// As [`start`], on any disk. `includes_links`: whether the links to the agent and to the tier below are recorded, too.
+/// As [`start`], on any store of files. `includes_links`: whether the links to the agent and to the tier below are recorded, too.
 ///
 /// # Errors
 /// No thread could be started for it.
 pub fn start_on(
     context: &NodeContext,
-    disk: impl Disk + Send + 'static,
+    store: impl FileStore + Send + 'static,
     limits: Limits,
     includes_links: bool,
 ) -> Result<(), RecordingError> {
-    let recorder = Recorder::start(disk, limits, PROGRAM)?;
+    let recorder = Recorder::start(store, limits, PROGRAM)?;
     let record = Rc::new(TrafficRecording {
         recorder,
         includes_links,
--- a/crates/node/src/traffic_recording.rs
+++ b/crates/node/src/traffic_recording.rs
@@ -1,15 +1,9 @@
 //! The node's traffic recording, where its settings ask for one: the recorder, and whether links are recorded, too.
 
-use rainstand_traffic_recorder::{Recorder, Tape};
+use rainstand_traffic_recorder::{ConnectionRecorder, Recorder};
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// The side of a recorded connection that opened it, as [`Tape::said`] counts them.
-pub const CLIENT_SIDE: usize = 0;
-
-/// The side of a recorded connection that accepted it.
-pub const SERVER_SIDE: usize = 1;
-
 /// A recording of the node's traffic.
 pub struct TrafficRecording {
     /// Where dispatchers' connections are recorded.
@@ -19,10 +13,11 @@
 }
 
 impl TrafficRecording {
-    /// The tape of a link that the node opened, if links are recorded.
-    pub fn link(&self, stream: &TcpStream) -> Option<Tape> {
+    /// The recording of a link that the node opened, if links are recorded.
+    pub fn link(&self, stream: &TcpStream) -> Option<ConnectionRecorder> {
         let own = stream.local_addr().ok()?;
         let other = stream.peer_addr().ok()?;
-        self.includes_links.then(|| self.recorder.tape(own, other))
+        self.includes_links
+            .then(|| self.recorder.connection(own, other))
     }
 }
--- a/crates/node/tests/recording.rs
+++ b/crates/node/tests/recording.rs
@@ -15,7 +15,7 @@
 use rainstand_node::log::LogFormat;
 use rainstand_node::settings::Settings;
 use rainstand_node::{config::Config, recording, run, NodeContext};
-use rainstand_traffic_recorder::disk::Disk;
+use rainstand_traffic_recorder::file_store::FileStore;
 use rainstand_traffic_recorder::Limits;
 use serde_json::{json, Value};
 use stand_ins::{Agent, Caller, Http, Said};
@@ -238,7 +238,7 @@
     }
 }
 
-impl Disk for Bad {
+impl FileStore for Bad {
     fn create(&mut self, _: u64) -> std::io::Result<Box<dyn Write>> {
         Ok(Box::new(BadFile(self.hangs.clone())))
     }
--- a/crates/traffic-recorder/tests/recording.rs
+++ b/crates/traffic-recorder/tests/recording.rs
@@ -11,9 +11,9 @@
 use rainstand_capture::read;
 use rainstand_capture::tickets::{Event, Outcome};
 use rainstand_protocol::thrift;
-use rainstand_traffic_recorder::disk::{Disk, Folder};
-use rainstand_traffic_recorder::pages::{Do, Line, Page, Pages};
-use rainstand_traffic_recorder::{Limits, Recorder};
+use rainstand_traffic_recorder::file_store::{Directory, FileStore};
+use rainstand_traffic_recorder::rotation::{FileAction, FileNumber, RecordedMessage, Rotation};
+use rainstand_traffic_recorder::{Limits, Recorder, Side};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -23,46 +23,52 @@
     ([127, 0, 0, 1], port).into()
 }
 
-fn line(connection: u64, side: usize, offset: u64, bytes: &[u8], over: bool) -> Line {
+fn message(
+    connection: u64,
+    side: Side,
+    offset: u64,
+    bytes: &[u8],
+    is_end: bool,
+) -> RecordedMessage {
     let end = |port| rainstand_capture::packet::End::new([127, 0, 0, 1].into(), port);
     let ends = [end(40_000 + connection as u16), end(5050)];
-    Line {
-        at: 1_700_000_000_000_000_000 + offset,
+    RecordedMessage {
+        at_ns: 1_700_000_000_000_000_000 + offset,
         connection,
         ends,
         side,
         offset,
         bytes: bytes.into(),
-        over,
+        is_end,
     }
 }
 
-/// Runs lines through the pages into files in memory.
-fn files(limits: Limits, lines: &[Line]) -> Vec<(u64, Vec<u8>)> {
-    let mut pages = Pages::new(limits, rainstand_capture::write::head("test"));
+/// Runs messages through the rotation into files in memory.
+fn files(limits: Limits, messages: &[RecordedMessage]) -> Vec<(u64, Vec<u8>)> {
+    let mut rotation = Rotation::new(limits, rainstand_capture::write::head("test"));
     let mut kept: Vec<(u64, Vec<u8>)> = Vec::new();
-    for line in lines {
-        for step in pages.line(line) {
-            match step {
-                Do::Open(Page(number)) => kept.push((number, Vec::new())),
-                Do::Remove(Page(number)) => kept.retain(|(one, _)| *one != number),
-                Do::Write(bytes) => kept.last_mut().unwrap().1.extend(bytes),
+    for message in messages {
+        for action in rotation.on_message(message) {
+            match action {
+                FileAction::Open(FileNumber(number)) => kept.push((number, Vec::new())),
+                FileAction::Remove(FileNumber(number)) => kept.retain(|(one, _)| *one != number),
+                FileAction::Write(bytes) => kept.last_mut().unwrap().1.extend(bytes),
             }
         }
     }
     kept
 }
 
-/// Calls and answers on some connections: `lost` leaves lines out.
+/// Calls and answers on some connections: `lost` leaves messages out.
 fn talk(
     seed: u64,
     connections: u64,
     calls: i32,
     lost: impl Fn(&mut WyRand) -> bool,
-) -> (Vec<Line>, usize) {
+) -> (Vec<RecordedMessage>, usize) {
     let mut chance = WyRand::new_seed(seed);
     let mut said = vec![[0u64; 2]; connections as usize];
-    let (mut lines, mut kept_calls) = (Vec::new(), 0);
+    let (mut messages, mut kept_calls) = (Vec::new(), 0);
     for seq in 1..=calls {
         for connection in 0..connections {
             let body: Vec<u8> = (0..chance.generate_range(0..3_000usize))
@@ -72,32 +78,37 @@
                 thrift::process(seq, &[("route", "check")], &body),
                 thrift::answer(b"process", seq, &body, true),
             ];
-            for (side, frame) in frames.iter().enumerate() {
-                let offset = &mut said[connection as usize][side];
+            for (side, frame) in [Side::Client, Side::Server].into_iter().zip(&frames) {
+                let offset = &mut said[connection as usize][side as usize];
                 if !lost(&mut chance) {
-                    lines.push(line(connection, side, *offset, frame, false));
-                    kept_calls += usize::from(side == 0);
+                    messages.push(message(connection, side, *offset, frame, false));
+                    kept_calls += usize::from(side == Side::Client);
                 }
                 *offset += frame.len() as u64;
             }
         }
     }
-    lines.extend(
-        (0..connections)
-            .map(|connection| line(connection, 0, said[connection as usize][0], b"", true)),
-    );
-    (lines, kept_calls)
+    messages.extend((0..connections).map(|connection| {
+        message(
+            connection,
+            Side::Client,
+            said[connection as usize][0],
+            b"",
+            true,
+        )
+    }));
+    (messages, kept_calls)
 }
 
 #[test]
 fn every_file_can_be_read_alone() {
-    let (lines, calls) = talk(1, 7, 60, |_| false);
+    let (messages, calls) = talk(1, 7, 60, |_| false);
     let all = files(
         Limits {
             file_bytes: 60_000,
             files: 1_000,
         },
-        &lines,
+        &messages,
     );
     assert!(all.len() > 10, "{} files", all.len());
     let (mut found, mut alone, mut honoured) = (0, 0, 0);
@@ -124,21 +135,21 @@
             file_bytes: 60_000,
             files: 3,
         },
-        &lines,
+        &messages,
     );
     assert_eq!(few, all[all.len() - 3..]);
 }
 
 #[test]
-fn lost_lines_cost_their_own_tickets_only() {
+fn lost_messages_cost_their_own_requests_only() {
     for seed in 0..40 {
-        let (lines, calls) = talk(seed, 3, 40, |chance| chance.generate_range(0..6u8) == 0);
+        let (messages, calls) = talk(seed, 3, 40, |chance| chance.generate_range(0..6u8) == 0);
         let all = files(
             Limits {
                 file_bytes: u64::MAX,
                 files: 1,
             },
-            &lines,
+            &messages,
         );
         let mut gone = 0;
         let summary = read(&all[0].1[..], |event| {
@@ -161,13 +172,13 @@
 
 #[test]
 fn a_file_that_ends_anywhere_reads_up_to_its_last_whole_block() {
-    let (lines, _) = talk(3, 2, 3, |_| false);
+    let (messages, _) = talk(3, 2, 3, |_| false);
     let (_, file) = files(
         Limits {
             file_bytes: u64::MAX,
             files: 1,
         },
-        &lines,
+        &messages,
     )
     .remove(0);
     let mut before = 0;
@@ -211,7 +222,7 @@
     }
 }
 
-impl Disk for Faulty {
+impl FileStore for Faulty {
     fn create(&mut self, _: u64) -> io::Result<Box<dyn Write>> {
         if self.no_file.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::NotFound.into());
@@ -237,32 +248,32 @@
     disk.room.store(5_000, Ordering::Relaxed);
     let recorder = Recorder::start(disk.clone(), WIDE, "test").unwrap();
     let frame = thrift::process(1, &[("route", "check")], &[7; 700]);
-    let tape = recorder.tape(address(40_000), address(5050));
+    let connection = recorder.connection(address(40_000), address(5050));
     let of = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
     let (mut handed, mut round) = (0u64, 0);
     // Full after some messages; then there is room again, and later ones are in a file of their own.
-    while of(&recorder.counts().files) < 2 || of(&recorder.counts().errors) < 1 {
-        tape.said(0, &frame);
+    while of(&recorder.counters().files) < 2 || of(&recorder.counters().errors) < 1 {
+        connection.record(Side::Client, &frame);
         handed += 1;
         round += 1;
-        if of(&recorder.counts().errors) > 0 {
+        if of(&recorder.counters().errors) > 0 {
             disk.room.store(1 << 30, Ordering::Relaxed);
         }
         std::thread::sleep(Duration::from_millis(5));
         assert!(
             round < 4_000,
             "it is not tried again: {}",
-            recorder.counts().line()
+            recorder.counters().line()
         );
     }
-    drop(tape);
-    let counts = recorder.counts();
+    drop(connection);
+    let counters = recorder.counters();
     assert!(
-        of(&counts.lost_disk) > 0 && of(&counts.lost_queue) == 0,
+        of(&counters.lost_disk) > 0 && of(&counters.lost_queue) == 0,
         "{}",
-        counts.line()
+        counters.line()
     );
-    let lost = of(&counts.lost_disk);
+    let lost = of(&counters.lost_disk);
     drop(recorder);
     let files = disk.files.lock().unwrap();
     let found: u64 = files
@@ -282,16 +293,16 @@
     disk.room.store(1 << 30, Ordering::Relaxed);
     disk.hangs.store(true, Ordering::Relaxed);
     let recorder = Recorder::start(disk.clone(), WIDE, "test").unwrap();
-    let tape = recorder.tape(address(40_000), address(5050));
+    let connection = recorder.connection(address(40_000), address(5050));
     let frame = thrift::process(1, &[("route", "check")], &[7; 700]);
     // Far more than the queue holds; with a disk that never answers this would never end if it waited.
     for _ in 0..50_000 {
-        tape.said(0, &frame);
+        connection.record(Side::Client, &frame);
     }
-    let lost = recorder.counts().lost_queue.load(Ordering::Relaxed);
-    assert!(lost > 40_000, "{}", recorder.counts().line());
+    let lost = recorder.counters().lost_queue.load(Ordering::Relaxed);
+    assert!(lost > 40_000, "{}", recorder.counters().line());
     disk.hangs.store(false, Ordering::Relaxed);
-    drop(tape);
+    drop(connection);
     drop(recorder);
     let files = disk.files.lock().unwrap();
     assert_eq!(read(&files[0][..], |_| {}).tickets.calls, 50_000 - lost);
@@ -302,13 +313,13 @@
     let folder = tempfile::tempdir().unwrap();
     let inner = folder.path().join("records");
     std::fs::create_dir(&inner).unwrap();
-    let disk = Folder {
-        folder: inner.clone(),
+    let directory = Directory {
+        path: inner.clone(),
         name: "n1".into(),
         start: 9,
     };
     let recorder = Recorder::start(
-        disk,
+        directory,
         Limits {
             file_bytes: 4_000,
             files: 2,
@@ -316,11 +327,14 @@
         "test",
     )
     .unwrap();
-    let tape = recorder.tape(address(40_000), address(5050));
+    let connection = recorder.connection(address(40_000), address(5050));
     for seq in 1..=40 {
-        tape.said(0, &thrift::process(seq, &[("route", "check")], &[7; 700]));
+        connection.record(
+            Side::Client,
+            &thrift::process(seq, &[("route", "check")], &[7; 700]),
+        );
     }
-    drop(tape);
+    drop(connection);
     drop(recorder);
     let mut names: Vec<_> = std::fs::read_dir(&inner)
         .unwrap()
@@ -335,18 +349,18 @@
         "{names:?}"
     );
     std::fs::remove_dir_all(&inner).unwrap();
-    let disk = Folder {
-        folder: inner,
+    let directory = Directory {
+        path: inner,
         name: "n1".into(),
         start: 10,
     };
-    let recorder = Recorder::start(disk, WIDE, "test").unwrap();
-    let tape = recorder.tape(address(40_000), address(5050));
-    tape.said(0, b"lost");
-    drop(tape);
-    let counts = recorder.counts();
-    while counts.errors.load(Ordering::Relaxed) == 0 {
+    let recorder = Recorder::start(directory, WIDE, "test").unwrap();
+    let connection = recorder.connection(address(40_000), address(5050));
+    connection.record(Side::Client, b"lost");
+    drop(connection);
+    let counters = recorder.counters();
+    while counters.errors.load(Ordering::Relaxed) == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(counts.files.load(Ordering::Relaxed), 0);
+    assert_eq!(counters.files.load(Ordering::Relaxed), 0);
 }
