--- a/crates/config/src/lex.rs
+++ b/crates/config/src/lex.rs
@@ -63,3 +63,22 @@
     }
     all
 }
+
+/// What a text in quotes says: `\"` and `\\` are the only escapes ([`crate::ast`] tells of others).
+pub fn unquote(quoted: &str) -> String {
+    let inner = quoted.strip_prefix('"').unwrap_or(quoted);
+    let inner = inner.strip_suffix('"').unwrap_or(inner);
+    if !inner.contains('\\') {
+        return inner.to_owned();
+    }
+    let mut said = String::with_capacity(inner.len());
+    let mut chars = inner.chars();
+    while let Some(c) = chars.next() {
+        said.push(if c == '\\' {
+            chars.next().unwrap_or('\\')
+        } else {
+            c
+        });
+    }
+    said
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,7 +4,8 @@
 //!
 //! | layer | job |
 //! | --- | --- |
-//! | [`source`] | files, includes, places |
+//! | [`source`] | files and places in them |
+//! | [`include`] | the includes between files |
 //! | [`lex`] | bytes to tokens |
 //! | [`tree`] | the lossless tree: every byte is in it |
 //! | [`parse`] | tokens to the tree; goes on after an error |
@@ -40,6 +41,7 @@
 pub mod codes;
 pub mod diff;
 pub mod form;
+pub mod include;
 pub mod lex;
 pub mod parse;
 pub mod report;
@@ -192,7 +194,7 @@
 /// they need not be mended one at a time, but never on names or values that could not be read.
 pub fn load(files: &dyn Files, first: &str) -> Outcome {
     let mut findings = Findings::default();
-    let (sources, parsed) = source::gather(files, first, &mut findings);
+    let (sources, parsed) = include::gather(files, first, &mut findings);
     let blocks: Vec<_> = parsed
         .iter()
         .map(|file| ast::read(&sources, file, &mut findings))
