--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -122,15 +122,3 @@
 pub type Node = rowan::SyntaxNode<Rain>;
 pub type Leaf = rowan::SyntaxToken<Rain>;
 pub type Element = rowan::SyntaxElement<Rain>;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn kinds_and_their_numbers_agree() {
-        for raw in 0..=LAST {
-            assert_eq!(Rain::kind_from_raw(rowan::SyntaxKind(raw)) as u16, raw);
-        }
-    }
-}
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -84,7 +84,8 @@
     pub per: u64,
 }
 
-fn unit(name: &str) -> Option<(Dimension, u64)> {
+/// A unit's dimension and its size in that dimension's smallest step. Public for the tests of [`exact`].
+pub fn unit(name: &str) -> Option<(Dimension, u64)> {
     UNITS
         .iter()
         .find(|known| known.0 == name)
@@ -115,8 +116,8 @@
     })
 }
 
-/// Digits with an optional point, times `scale`, as a whole number.
-fn exact(digits: &str, scale: u64) -> Result<u64, Code> {
+/// Digits with an optional point, times `scale`, as a whole number. Public for the tests of its edges.
+pub fn exact(digits: &str, scale: u64) -> Result<u64, Code> {
     let plain: String = digits.chars().filter(|c| *c != '_').collect();
     let (whole, part) = plain.split_once('.').unwrap_or((&plain, ""));
     let part = part.trim_end_matches('0');
@@ -373,47 +374,3 @@
     let words = format!("{want}; `{shown}` is {}", found.dimension.called());
     Err(Finding::new(Code::WrongUnit, at, words))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::RngSeed;
-
-    #[test]
-    fn digits_are_kept_or_refused() {
-        let table = [
-            ("3.1", SECOND, Ok(3_100_000_000)),
-            ("1_000", 1, Ok(1_000)),
-            ("0.000000001", SECOND, Ok(1)),
-            ("0.0000000001", SECOND, Err(Code::Digits)),
-            ("1.50", 2, Ok(3)),
-            ("1.5", 1, Err(Code::Digits)),
-            ("18446744073709551615", 1, Ok(u64::MAX)),
-            ("18446744073709551616", 1, Err(Code::Overflow)),
-            (
-                "99999999999999999999999999999999999999999",
-                1,
-                Err(Code::Overflow),
-            ),
-            ("0.1234567890123456789012345678901", 1, Err(Code::Digits)),
-            ("000.0000", 7, Ok(0)),
-        ];
-        for (digits, scale, wanted) in table {
-            assert_eq!(exact(digits, scale), wanted, "{digits}");
-        }
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..ProptestConfig::default() })]
-
-        #[test]
-        fn written_amounts_are_read_back(steps in 0u64..u64::MAX / 2) {
-            let (digits, unit_name) = time(steps).split_once(' ').map(|(a, b)| (a.to_owned(), b.to_owned())).unwrap();
-            prop_assert_eq!(exact(&digits, unit(&unit_name).unwrap().1), Ok(steps));
-            prop_assert_eq!(exact(&factor(steps), ONE), Ok(steps));
-            let percent = share(steps);
-            prop_assert_eq!(exact(percent.trim_end_matches(" %"), PERCENT), Ok(steps));
-        }
-    }
-}
