--- a/crates/config/src/resolve/control.rs
+++ b/crates/config/src/resolve/control.rs
@@ -1,6 +1,7 @@
 //! `control` blocks: the machines of which a process hears new versions of its configuration.
 
-use super::{address, shorten, Reader, Sort};
+use super::pool::address;
+use super::{shorten, Reader, Sort};
 use crate::codes::Code;
 use crate::schema;
 use crate::source::Span;
--- a/crates/config/src/resolve/group.rs
+++ b/crates/config/src/resolve/group.rs
@@ -1,6 +1,7 @@
 //! `group` blocks: nodes that keep copies of what matters among them.
 
-use super::{address, or, shorten, Bounds, Reader, Sort, LONGEST, SECOND};
+use super::pool::address;
+use super::{or, shorten, Bounds, Reader, Sort, LONGEST, SECOND};
 use crate::codes::Code;
 use crate::schema;
 use crate::source::Span;
