--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -2,8 +2,9 @@
 //! the text. What has a wrong shape at this level is told here and left out.
 
 use crate::codes::Code;
+use crate::finding::shorten;
 use crate::lex::unquote;
-use crate::parse::{shorten, Parsed};
+use crate::parse::Parsed;
 use crate::source::{Sources, Span};
 use crate::tree::{Element, Kind, Node};
 use crate::{Finding, Findings};
--- a/crates/config/src/check/policies.rs
+++ b/crates/config/src/check/policies.rs
@@ -3,7 +3,7 @@
 use super::Checker;
 use crate::ast::Block;
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::resolve::Sort;
 use crate::units::{self, ONE};
 
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -2,7 +2,7 @@
 
 use super::Checker;
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::resolve::Sort;
 
 impl Checker<'_, '_, '_> {
--- a/crates/config/src/check/reachability.rs
+++ b/crates/config/src/check/reachability.rs
@@ -2,7 +2,7 @@
 
 use super::Checker;
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::resolve::Sort;
 use crate::space::{covers, first_match, miss, Earlier, Point, Points};
 
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -5,6 +5,7 @@
 //! tokens, since every step takes at least one.
 
 use crate::codes::Code;
+use crate::finding::shorten;
 use crate::lex::{lex, Lexed, Token};
 use crate::source::{FileId, Span};
 use crate::tree::{Kind, Node, Rain};
@@ -502,17 +503,3 @@
         }
     }
 }
-
-/// At most 40 characters of what stood there, spaces not counted: enough to know it again, and the same text
-/// however it is spaced.
-pub fn shorten(text: &str) -> String {
-    const MOST: usize = 40;
-    match text
-        .char_indices()
-        .filter(|(_, c)| !c.is_whitespace())
-        .nth(MOST)
-    {
-        Some((cut, _)) => format!("{}…", &text[..cut]),
-        None => text.to_owned(),
-    }
-}
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -20,7 +20,7 @@
 
 use crate::ast::{Block, Name};
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::schema;
 use crate::source::Sources;
 use crate::units::ONE;
--- a/crates/config/src/resolve/experiment.rs
+++ b/crates/config/src/resolve/experiment.rs
@@ -9,7 +9,7 @@
 use super::{Sort, LONGEST, MOST_TRIES, SECOND};
 use crate::ast::Block;
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
 use crate::tree::Kind as Leaf;
--- a/crates/config/src/resolve/experiment/vary.rs
+++ b/crates/config/src/resolve/experiment/vary.rs
@@ -2,7 +2,7 @@
 
 use super::MOST_PARTS;
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::resolve::reader::{Bounds, Reader};
 use crate::resolve::{nearest, LONGEST};
 use crate::schema::{self, Varied};
--- a/crates/config/src/resolve/pool.rs
+++ b/crates/config/src/resolve/pool.rs
@@ -2,7 +2,7 @@
 
 use super::{or, Bounds, Reader, Sort, LONGEST, MOST_FACTOR, MOST_THINGS};
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
 use crate::units::{Dimension, ONE};
--- a/crates/config/src/resolve/reader.rs
+++ b/crates/config/src/resolve/reader.rs
@@ -3,7 +3,7 @@
 use super::{nearest, Blocks, Maker, Sort, MOST_FACTOR, SECOND};
 use crate::ast::{Atom, Block, Entry, Name, Value};
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
 use crate::tree::Kind as Leaf;
--- a/crates/config/src/resolve/route.rs
+++ b/crates/config/src/resolve/route.rs
@@ -2,7 +2,7 @@
 
 use super::{must, Bounds, Reader, Sort, LONGEST_PATTERN};
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::schema::{self, Again, SplitBy};
 use crate::source::Span;
 use crate::units::{self, Dimension, ONE};
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -12,7 +12,7 @@
 
 use crate::ast::{Atom, Value};
 use crate::codes::Code;
-use crate::parse::shorten;
+use crate::finding::shorten;
 use crate::source::Span;
 use crate::tree::Kind;
 use crate::Finding;
