--- a/src/choice.rs
+++ b/src/choice.rs
@@ -17,7 +17,9 @@
 use crate::host::{Arrival, Gauges, Host, Outcome, Repeatability, RequestClass, RetryOf};
 use crate::in_flight::{DownstreamCall, InFlightRequests, Request, Stage};
 use crate::options::{AdvertiserOptions, ColdStart, DownstreamShare};
-use crate::state::{ClassQueue, CoreUse, LearningRound, RunStart, Shutdown, TargetScale, TenantUsage};
+use crate::state::{
+    ClassQueue, CoreUse, LearningRound, RunStart, Shutdown, TargetScale, TenantUsage,
+};
 use nanorand::{Rng, WyRand};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -122,9 +124,18 @@
     /// `quotas`: requests a second over all `servers`; the last account is for requests of no tenant.
     pub fn new(quotas: &[f64], servers: usize) -> Self {
         let n = quotas.len() + 1;
-        let rates = quotas.iter().map(|quota| quota / servers.max(1) as f64).collect();
+        let rates = quotas
+            .iter()
+            .map(|quota| quota / servers.max(1) as f64)
+            .collect();
         let (spent, requested) = (vec![Decaying::default(); n], vec![Decaying::default(); n]);
-        Self { rates, spent, requested, rejected_until: vec![Duration::ZERO; n], charge: Mean::default() }
+        Self {
+            rates,
+            spent,
+            requested,
+            rejected_until: vec![Duration::ZERO; n],
+            charge: Mean::default(),
+        }
     }
 
     /// The mean charge, and what all tenants together spent for each unit of quota: one pass for all of them.
@@ -132,19 +143,28 @@
         let mean_charge = self.charge.known(now, MEAN_SPAN, MIN_SAMPLES)?;
         let all: f64 = self.spent.iter().map(|spent| spent.read(now, WINDOW)).sum();
         let charge_per_rate = all / self.rates.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-        Some(TargetScale { mean_charge, charge_per_rate })
+        Some(TargetScale {
+            mean_charge,
+            charge_per_rate,
+        })
     }
 
     /// T is the quota times the mean charge; while the tenants together spend more than their quotas, the
     /// capacity is lent in proportion, so that T never binds below what is there. Guards against thin quotas
     /// too: two charges that come together prove nothing.
     fn usage(&self, now: Duration, account: usize, scale: Option<TargetScale>) -> TenantUsage {
-        let Some((rate, scale)) = self.rates.get(account).zip(scale) else { return TenantUsage::default() };
+        let Some((rate, scale)) = self.rates.get(account).zip(scale) else {
+            return TenantUsage::default();
+        };
         let mean = scale.mean_charge;
-        let target = rate * scale.charge_per_rate.max(mean * WINDOW.as_secs_f64()) + BURST_CHARGES * mean;
+        let target =
+            rate * scale.charge_per_rate.max(mean * WINDOW.as_secs_f64()) + BURST_CHARGES * mean;
         let target_or_tiny = target.max(f64::MIN_POSITIVE);
         let requested = self.requested[account].read(now, WINDOW) * mean / target_or_tiny;
-        TenantUsage { spent: self.spent[account].read(now, WINDOW) / target_or_tiny, requested }
+        TenantUsage {
+            spent: self.spent[account].read(now, WINDOW) / target_or_tiny,
+            requested,
+        }
     }
 
     /// At the end of a run: X = (O - T) / T * W, at most W.
@@ -171,7 +191,12 @@
 
 impl ConcurrencyLimiter {
     /// `seed`: of the exploration; `overload_factor`: requests a core that a warm node survives.
-    pub fn new(seed: u64, cores: usize, overload_factor: f64, cold_start: Option<ColdStart>) -> Self {
+    pub fn new(
+        seed: u64,
+        cores: usize,
+        overload_factor: f64,
+        cold_start: Option<ColdStart>,
+    ) -> Self {
         Self {
             cores,
             overload_factor,
@@ -188,10 +213,12 @@
     /// Guards against dying of overload; while cold the slowest warm-up allowed is assumed.
     fn ceiling(&self, now: Duration) -> usize {
         let warm = self.cold_start.map_or(1.0, |cold| {
-            let age = now.saturating_sub(cold.began).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
+            let age =
+                now.saturating_sub(cold.began).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
             (cold.initial_speed + (1.0 - cold.initial_speed) * age).clamp(0.0, 1.0)
         });
-        ((self.cores as f64 * (1.0 + (self.overload_factor - 1.0) * warm) * SAFETY_SHARE) as usize).max(1)
+        ((self.cores as f64 * (1.0 + (self.overload_factor - 1.0) * warm) * SAFETY_SHARE) as usize)
+            .max(1)
     }
 
     /// How many requests may run now: reading takes cores from runs, disk waits leave cores to them.
@@ -203,17 +230,26 @@
     }
 
     fn on_tick(&mut self, now: Duration, gauges: Gauges, running: usize, any_queued: bool) {
-        let on_cores = gauges.runnable.map_or(running, |runnable| runnable as usize);
+        let on_cores = gauges
+            .runnable
+            .map_or(running, |runnable| runnable as usize);
         self.core_use.reading = on_cores.saturating_sub(running);
         let disk_waits = running.saturating_sub(on_cores);
-        self.core_use.mean_disk_waits.add(now, disk_waits as f64, RECENT_SPAN);
+        self.core_use
+            .mean_disk_waits
+            .add(now, disk_waits as f64, RECENT_SPAN);
         let is_habit = self.core_use.mean_disk_waits.read() > Some(MIN_DISK_WAITS);
         self.core_use.disk_waits = if is_habit { disk_waits } else { 0 };
         let full = running >= self.limit(now);
         self.round.saturated &= full && any_queued;
         let idle = gauges.cores_busy.is_some_and(|busy| busy < CORES_BUSY);
         let highest = (self.highest_proven + 1).min(LIMIT_STEPS.len() - 1);
-        if idle && full && any_queued && self.step < highest && now >= self.round.started + CLIMB_INTERVAL {
+        if idle
+            && full
+            && any_queued
+            && self.step < highest
+            && now >= self.round.started + CLIMB_INTERVAL
+        {
             self.step += 1;
             self.start_round(now);
         } else if now >= self.round.started + LEARNING_ROUND {
@@ -232,18 +268,34 @@
     }
 
     fn start_round(&mut self, now: Duration) {
-        self.round = LearningRound { started: now, completions: 0, saturated: true };
+        self.round = LearningRound {
+            started: now,
+            completions: 0,
+            saturated: true,
+        };
     }
 
     /// Explores a neighbouring step now and then, else takes the one with the highest throughput.
     fn choose_step(&mut self, now: Duration, highest: usize) {
         if self.rng.generate_range(0..EXPLORE_ONE_IN) == 0 {
             let up = self.rng.generate_range(0..2u32) == 1;
-            self.step = if up { (self.step + 1).min(highest) } else { self.step.saturating_sub(1) };
+            self.step = if up {
+                (self.step + 1).min(highest)
+            } else {
+                self.step.saturating_sub(1)
+            };
             return;
         }
-        let known = self.throughput.map(|mean| mean.known(now, THROUGHPUT_SPAN, MIN_WEIGHT).unwrap_or(0.0));
-        let better = |best: usize, step| if known[step] > known[best] * MIN_GAIN { step } else { best };
+        let known = self
+            .throughput
+            .map(|mean| mean.known(now, THROUGHPUT_SPAN, MIN_WEIGHT).unwrap_or(0.0));
+        let better = |best: usize, step| {
+            if known[step] > known[best] * MIN_GAIN {
+                step
+            } else {
+                best
+            }
+        };
         self.step = (0..=highest).reduce(better).unwrap_or(0);
     }
 }
@@ -269,7 +321,13 @@
     /// `share`: this node's share of the tier, where nodes share it.
     pub fn new(share: Option<DownstreamShare>) -> Self {
         let head_start = (1.0 - SAFETY_SHARE) / SAFETY_SHARE;
-        Self { share, rate: INITIAL_CALL_RATE, tokens: MIN_CALL_RATE, head_start, ..Self::default() }
+        Self {
+            share,
+            rate: INITIAL_CALL_RATE,
+            tokens: MIN_CALL_RATE,
+            head_start,
+            ..Self::default()
+        }
     }
 
     /// How long a call made now may take, if one may. Guards against nodes that together load what they share
@@ -283,16 +341,31 @@
             self.used.expire(now, share.window);
             let budget = share.window.mul_f64(share.concurrency * SAFETY_SHARE);
             // A restarted node knows nothing of what the one before held; that leaves the window as it ages.
-            let age = now.saturating_sub(*self.began.get_or_insert(now)).as_secs_f64();
+            let age = now
+                .saturating_sub(*self.began.get_or_insert(now))
+                .as_secs_f64();
             let grown = (self.head_start + age / share.window.as_secs_f64()).min(1.0);
             let held = self.used.read() + self.reserved;
-            let left = budget.mul_f64(grown).saturating_sub(held).checked_sub(share.linger)?;
+            let left = budget
+                .mul_f64(grown)
+                .saturating_sub(held)
+                .checked_sub(share.linger)?;
             // One call takes no more than half of the budget, unless calls are that slow.
-            let likely = Duration::from_secs_f64(self.recent_time.read().unwrap_or(0.0) * SLOWDOWN_RATIO);
-            let most = likely.max(budget / 2).min(budget).saturating_sub(share.linger);
+            let likely =
+                Duration::from_secs_f64(self.recent_time.read().unwrap_or(0.0) * SLOWDOWN_RATIO);
+            let most = likely
+                .max(budget / 2)
+                .min(budget)
+                .saturating_sub(share.linger);
             // Until one succeeds while the node is young, a call that its age cuts short would only fail.
-            let least = if grown < 1.0 && likely.is_zero() { most / 2 } else { likely.min(most) };
-            (left >= least).then_some(left.min(most)).filter(|limit| !limit.is_zero())
+            let least = if grown < 1.0 && likely.is_zero() {
+                most / 2
+            } else {
+                likely.min(most)
+            };
+            (left >= least)
+                .then_some(left.min(most))
+                .filter(|limit| !limit.is_zero())
         });
         longest.filter(|_| self.tokens >= 1.0 && (self.reserved.is_zero() || self.is_uncontended()))
     }
@@ -300,21 +373,31 @@
     /// Whether at most a quarter of this node's share is in use: the tier slows down well before it fails.
     fn is_uncontended(&self) -> bool {
         let Some(share) = self.share else { return true };
-        let bound = share.window.mul_f64(share.concurrency * SAFETY_SHARE * UNCONTENDED_SHARE);
+        let bound = share
+            .window
+            .mul_f64(share.concurrency * SAFETY_SHARE * UNCONTENDED_SHARE);
         self.used.read() + self.reserved <= bound
     }
 
     fn on_call_started(&mut self, call: DownstreamCall) {
         self.tokens -= 1.0;
-        self.reserved += self.share.map_or(Duration::ZERO, |share| call.time_limit() + share.linger);
+        self.reserved += self
+            .share
+            .map_or(Duration::ZERO, |share| call.time_limit() + share.linger);
     }
 
     /// A call returned, or was cancelled and may linger downstream.
     fn on_call_ended(&mut self, now: Duration, call: DownstreamCall, outcome: Outcome) {
         let took = now.saturating_sub(call.started);
         if let Some(share) = self.share {
-            self.reserved = self.reserved.saturating_sub(call.time_limit() + share.linger);
-            let linger = if outcome.may_still_run() { share.linger } else { Duration::ZERO };
+            self.reserved = self
+                .reserved
+                .saturating_sub(call.time_limit() + share.linger);
+            let linger = if outcome.may_still_run() {
+                share.linger
+            } else {
+                Duration::ZERO
+            };
             self.used.add(now + linger, took + linger);
         }
         let took = took.as_secs_f64();
@@ -335,15 +418,25 @@
     fn adapt_rate(&mut self, now: Duration, outcome: Outcome, usual_time: f64) {
         let slowed = self.recent_time.read().unwrap_or(0.0) > SLOWDOWN_RATIO * usual_time;
         let good = outcome == Outcome::Succeeded && !slowed;
-        let factor = if good { CALL_RATE_INCREASE } else { CALL_RATE_DECREASE };
+        let factor = if good {
+            CALL_RATE_INCREASE
+        } else {
+            CALL_RATE_DECREASE
+        };
         let span = RECENT_SPAN.as_secs_f64();
         let succeeding = self.successes.read(now, RECENT_SPAN) / span * CALL_RATE_DECREASE;
         // Hundreds of nodes at one call a second each may be far more than a slow tier can do.
-        let min = self.share.map_or(MIN_CALL_RATE, |s| MIN_CALL_RATE.min(s.window.as_secs_f64().recip()));
+        let min = self.share.map_or(MIN_CALL_RATE, |s| {
+            MIN_CALL_RATE.min(s.window.as_secs_f64().recip())
+        });
         // A rate that never bound is no measure of the tier: failures lower what was really made.
         let made = self.completions.read(now, RECENT_SPAN);
         let binds = factor < 1.0 && made >= MIN_SAMPLES / 2.0;
-        let rate = if binds { self.rate.min(made / span * SLOWDOWN_RATIO) } else { self.rate };
+        let rate = if binds {
+            self.rate.min(made / span * SLOWDOWN_RATIO)
+        } else {
+            self.rate
+        };
         self.rate = (rate * factor).clamp(succeeding.clamp(min, MAX_CALL_RATE), MAX_CALL_RATE);
     }
 }
@@ -362,7 +455,11 @@
 impl LoadAdvertiser {
     /// An advertiser that has sent nothing yet.
     pub fn new(options: AdvertiserOptions) -> Self {
-        Self { options, idle_timeout: options.clients.idle_timeout, ..Self::default() }
+        Self {
+            options,
+            idle_timeout: options.clients.idle_timeout,
+            ..Self::default()
+        }
     }
 
     /// Guards against a table full of connections that nobody uses again: it slows all work, and refuses
@@ -372,9 +469,18 @@
             return;
         }
         let (clients, cores) = (self.options.clients, cores as f64);
-        let few = open < CONNECTIONS_PER_CORE * cores || clients.callers as f64 <= CALLERS_PER_CORE * cores;
-        let factor = if few { IDLE_TIMEOUT_INCREASE } else { IDLE_TIMEOUT_DECREASE };
-        let timeout = self.idle_timeout.mul_f64(factor).max(TICK_INTERVAL).min(clients.idle_timeout);
+        let few = open < CONNECTIONS_PER_CORE * cores
+            || clients.callers as f64 <= CALLERS_PER_CORE * cores;
+        let factor = if few {
+            IDLE_TIMEOUT_INCREASE
+        } else {
+            IDLE_TIMEOUT_DECREASE
+        };
+        let timeout = self
+            .idle_timeout
+            .mul_f64(factor)
+            .max(TICK_INTERVAL)
+            .min(clients.idle_timeout);
         self.trimmed = now;
         if std::mem::replace(&mut self.idle_timeout, timeout) != timeout {
             host.close_idle_after(timeout);
@@ -407,9 +513,13 @@
         if !any_running {
             self.last_completion = now;
         }
-        let hung = now.saturating_sub(self.last_completion) > usual_run.mul_f64(HUNG_RUNS).max(MIN_HUNG_TIME);
-        let (min_samples, bound) =
-            if self.unhealthy { (0.0, HEALTHY_BELOW) } else { (MIN_SAMPLES, UNHEALTHY_ABOVE) };
+        let hung = now.saturating_sub(self.last_completion)
+            > usual_run.mul_f64(HUNG_RUNS).max(MIN_HUNG_TIME);
+        let (min_samples, bound) = if self.unhealthy {
+            (0.0, HEALTHY_BELOW)
+        } else {
+            (MIN_SAMPLES, UNHEALTHY_ABOVE)
+        };
         self.unhealthy = hung || self.failures.known(now, RECENT_SPAN, min_samples) > Some(bound);
     }
 
@@ -443,13 +553,18 @@
     pub fn reconfigure(&mut self, new: AdmissionController) {
         let same_classes = new.classes.len() == self.classes.len();
         if same_classes && new.quotas.rates.len() == self.quotas.rates.len() {
-            (self.classes, self.by_work, self.quotas.rates) = (new.classes, new.by_work, new.quotas.rates);
+            (self.classes, self.by_work, self.quotas.rates) =
+                (new.classes, new.by_work, new.quotas.rates);
         }
         self.limiter.overload_factor = new.limiter.overload_factor;
         self.downstream.share = new.downstream.share;
         // Guards against reservations that stay, or are missing, where the tier becomes shared or unshared.
-        let linger = new.downstream.share.map(|share| share.linger * self.in_flight.calling() as u32);
-        self.downstream.reserved = linger.map_or(Duration::ZERO, |all| self.in_flight.reserved() + all);
+        let linger = new
+            .downstream
+            .share
+            .map(|share| share.linger * self.in_flight.calling() as u32);
+        self.downstream.reserved =
+            linger.map_or(Duration::ZERO, |all| self.in_flight.reserved() + all);
         self.advertiser.options = new.advertiser.options;
         let idle_timeout = new.advertiser.options.clients.idle_timeout;
         self.advertiser.idle_timeout = self.advertiser.idle_timeout.min(idle_timeout);
@@ -469,18 +584,29 @@
         let class = self.classes[arrival.class];
         let (repeatability, objective) = (class.repeatability, class.latency_objective);
         let arrived = now.saturating_sub(arrival.waited);
-        let deadline = arrival.caller_timeout.map_or((arrived + class.deadline).max(now), |left| now + left);
+        let deadline = arrival
+            .caller_timeout
+            .map_or((arrived + class.deadline).max(now), |left| now + left);
         let shutdown = self.advertiser.shutdown;
-        let deadline = shutdown.map_or(deadline, |s| deadline.min(s.deadline)).saturating_sub(TIME_MARGIN);
-        let account = arrival.tenant.unwrap_or(usize::MAX).min(self.quotas.rates.len());
+        let deadline = shutdown
+            .map_or(deadline, |s| deadline.min(s.deadline))
+            .saturating_sub(TIME_MARGIN);
+        let account = arrival
+            .tenant
+            .unwrap_or(usize::MAX)
+            .min(self.quotas.rates.len());
         // Guards against shedding that feeds on itself: retries of what was shed are no new demand.
         self.quotas.requested[account].add(now, if arrival.is_retry { 0.0 } else { 1.0 }, WINDOW);
-        self.advertiser.retry_share.add(now, if arrival.is_retry { 1.0 } else { 0.0 }, RECENT_SPAN);
-        self.in_flight.insert(ix, Request::new(arrival, class, account, arrived, deadline));
+        self.advertiser
+            .retry_share
+            .add(now, if arrival.is_retry { 1.0 } else { 0.0 }, RECENT_SPAN);
+        self.in_flight
+            .insert(ix, Request::new(arrival, class, account, arrived, deadline));
         if repeatability != Repeatability::Idempotent && arrival.retry_of != RetryOf::No {
             // Guards against a second effect: a repeat takes the first attempt's result, never a run.
             self.in_flight.set_stage(ix, Stage::AwaitingResult);
-            let after_reply = |node: &mut Self, _, host: &mut dyn Host, ix, _| node.release(host, ix);
+            let after_reply =
+                |node: &mut Self, _, host: &mut dyn Host, ix, _| node.release(host, ix);
             self.in_flight.expect(ix).after_run = Some(Box::new(after_reply));
             host.reply_from_cache(ix);
             return self.expire_deadlines(now, host);
@@ -490,10 +616,14 @@
             host.cache_result(ix, span);
             self.in_flight.cache_result(ix, now + span);
         }
-        let too_late = shutdown.is_some_and(|s| arrived > s.noticed + self.advertiser.options.drain_grace);
+        let too_late =
+            shutdown.is_some_and(|s| arrived > s.noticed + self.advertiser.options.drain_grace);
         // Guards against runs cut off undone, and against working off a backlog that piled up unread: on full
         // cores nothing is started that has no time for its usual run, or waited half its objective.
-        let usual = self.usual_run(arrival.class, arrival.size_hint).as_secs_f64() * RUN_TIME_HEADROOM;
+        let usual = self
+            .usual_run(arrival.class, arrival.size_hint)
+            .as_secs_f64()
+            * RUN_TIME_HEADROOM;
         let run_time = Duration::try_from_secs_f64(usual).unwrap_or(Duration::MAX);
         let last_start = deadline.min(arrived + objective).saturating_sub(run_time);
         let start_by = last_start.min(arrived + objective.mul_f64(MAX_WAIT_SHARE));
@@ -509,14 +639,25 @@
             return self.reject(now, host, ix, delay);
         }
         self.queues[arrival.class].by_account[account].push_back(ix);
-        self.in_flight.set_timer(ix, Some(start_by.max(now + TICK_INTERVAL).min(deadline)));
+        self.in_flight
+            .set_timer(ix, Some(start_by.max(now + TICK_INTERVAL).min(deadline)));
         self.shed_load(now, host);
         self.dispatch(now, host);
     }
 
     /// A run or a cached reply is over.
-    pub fn on_run_finished(&mut self, now: Duration, host: &mut dyn Host, ix: usize, outcome: Outcome) {
-        if let Some(next) = self.in_flight.get(ix).and_then(|request| request.after_run.take()) {
+    pub fn on_run_finished(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        ix: usize,
+        outcome: Outcome,
+    ) {
+        if let Some(next) = self
+            .in_flight
+            .get(ix)
+            .and_then(|request| request.after_run.take())
+        {
             next(self, now, host, ix, outcome);
         }
         self.dispatch(now, host);
@@ -524,7 +665,11 @@
 
     /// A run has come to a downstream call, and waits for [`Host::call_downstream`] or its skipping.
     pub fn on_downstream_call(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
-        if let Some(request) = self.in_flight.get(ix).filter(|r| r.stage == Stage::Running && !r.answered) {
+        if let Some(request) = self
+            .in_flight
+            .get(ix)
+            .filter(|r| r.stage == Stage::Running && !r.answered)
+        {
             (request.call_requested, request.call_attempts) = (now, 0);
             self.await_call(ix);
         }
@@ -532,8 +677,18 @@
     }
 
     /// An attempt of a downstream call is over.
-    pub fn on_call_finished(&mut self, now: Duration, host: &mut dyn Host, ix: usize, outcome: Outcome) {
-        if let Some(next) = self.in_flight.get(ix).and_then(|request| request.after_call.take()) {
+    pub fn on_call_finished(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        ix: usize,
+        outcome: Outcome,
+    ) {
+        if let Some(next) = self
+            .in_flight
+            .get(ix)
+            .and_then(|request| request.after_call.take())
+        {
             next(self, now, host, ix, outcome);
         }
         self.dispatch(now, host);
@@ -548,9 +703,13 @@
     /// The process will be stopped after `kill_in`: all is answered before.
     pub fn on_shutdown_notice(&mut self, now: Duration, host: &mut dyn Host, kill_in: Duration) {
         let deadline = now + kill_in.saturating_sub(TIME_MARGIN);
-        self.advertiser.shutdown = Some(Shutdown { noticed: now, deadline });
+        self.advertiser.shutdown = Some(Shutdown {
+            noticed: now,
+            deadline,
+        });
         self.advertiser.set_unavailable(host, true);
-        self.in_flight.cap_deadlines(deadline.saturating_sub(TIME_MARGIN));
+        self.in_flight
+            .cap_deadlines(deadline.saturating_sub(TIME_MARGIN));
         self.expire_deadlines(now, host);
     }
 
@@ -566,11 +725,21 @@
         host.wake(TICK_INTERVAL);
         self.cores_busy = gauges.cores_busy.is_none_or(|busy| busy >= CORES_BUSY);
         let running = self.in_flight.running();
-        self.limiter.on_tick(now, gauges, running, self.in_flight.queued() > 0);
+        self.limiter
+            .on_tick(now, gauges, running, self.in_flight.queued() > 0);
         let usual_runs = (0..self.queues.len()).map(|class| self.usual_run(class, None));
-        self.health.update(now, running > 0, usual_runs.max().unwrap_or_default());
-        self.advertiser.trim_connections(now, host, gauges.connections.unwrap_or(0.0), self.limiter.cores);
-        self.advertiser.set_unavailable(host, self.health.unhealthy || self.advertiser.shutdown.is_some());
+        self.health
+            .update(now, running > 0, usual_runs.max().unwrap_or_default());
+        self.advertiser.trim_connections(
+            now,
+            host,
+            gauges.connections.unwrap_or(0.0),
+            self.limiter.cores,
+        );
+        self.advertiser.set_unavailable(
+            host,
+            self.health.unhealthy || self.advertiser.shutdown.is_some(),
+        );
         self.expire_deadlines(now, host);
         self.dispatch(now, host);
     }
@@ -580,13 +749,16 @@
         let queue = &self.queues[class];
         let hints = size_hint.zip(queue.size_hint.read());
         let size = hints.map_or(1.0, |(hint, mean)| hint.as_secs_f64() / mean);
-        Duration::try_from_secs_f64(queue.run_time.read().unwrap_or(0.0) * size).unwrap_or(Duration::MAX)
+        Duration::try_from_secs_f64(queue.run_time.read().unwrap_or(0.0) * size)
+            .unwrap_or(Duration::MAX)
     }
 
     /// How long until the cores have worked off the queues.
     fn queue_wait(&self) -> Duration {
         let charge = self.quotas.charge.read().unwrap_or(0.0);
-        Duration::from_secs_f64(self.in_flight.queued() as f64 * charge / self.limiter.cores.max(1) as f64)
+        Duration::from_secs_f64(
+            self.in_flight.queued() as f64 * charge / self.limiter.cores.max(1) as f64,
+        )
     }
 
     /// Answers or moves on every request whose timer has expired.
@@ -596,7 +768,9 @@
             let (stage, in_time) = (request.stage, now < request.deadline);
             let degradable = request.class.is_degradable();
             if stage == Stage::AwaitingCall {
-                self.queues[request.class_index].call_loss.add(now, 1.0, MEAN_SPAN);
+                self.queues[request.class_index]
+                    .call_loss
+                    .add(now, 1.0, MEAN_SPAN);
             }
             match stage {
                 Stage::Queued => self.reject(now, host, ix, self.queue_wait()),
@@ -616,7 +790,9 @@
     /// Nobody waits for the request any more: frees what can be freed now, the rest when its run ends.
     fn abandon(&mut self, host: &mut dyn Host, ix: usize) {
         self.in_flight.set_timer(ix, None);
-        let Some(request) = self.in_flight.get(ix) else { return };
+        let Some(request) = self.in_flight.get(ix) else {
+            return;
+        };
         request.answered = true;
         match request.stage {
             Stage::Queued | Stage::AwaitingResult => self.release(host, ix),
@@ -631,18 +807,28 @@
         let advertiser = &self.advertiser;
         // Many retries show that other nodes are overloaded too; where none are marked, that is assumed.
         let many_retries = advertiser.retry_share.read() > Some(FLEET_OVERLOAD_RETRIES);
-        let fleet_overloaded = self.cores_busy && (!advertiser.options.retries_marked || many_retries);
-        let terminal = (self.in_flight.expect(ix).is_retry || fleet_overloaded) && !advertiser.unavailable;
+        let fleet_overloaded =
+            self.cores_busy && (!advertiser.options.retries_marked || many_retries);
+        let terminal =
+            (self.in_flight.expect(ix).is_retry || fleet_overloaded) && !advertiser.unavailable;
         if self.in_flight.discard_result(now, ix) {
             host.discard_result(ix);
         }
-        host.reject(ix, retry_after.min(advertiser.options.max_retry_after).min(WINDOW), terminal);
+        host.reject(
+            ix,
+            retry_after
+                .min(advertiser.options.max_retry_after)
+                .min(WINDOW),
+            terminal,
+        );
         self.release(host, ix);
     }
 
     /// Removes a request from all tables; its index is free again.
     fn release(&mut self, host: &mut dyn Host, ix: usize) {
-        let Some(request) = self.in_flight.remove(ix) else { return };
+        let Some(request) = self.in_flight.remove(ix) else {
+            return;
+        };
         let queues = &mut self.queues[request.class_index].by_account;
         match request.stage {
             Stage::Queued => queues[request.account].retain(|&other| other != ix),
@@ -655,19 +841,31 @@
     /// Guards against dying of memory, and against a flood that takes the capacity of others: the newest goes
     /// of who requests most over T, since its quota is met where nodes are faster than this one.
     fn shed_load(&mut self, now: Duration, host: &mut dyn Host) {
-        let objective = self.classes.iter().map(|class| class.latency_objective).min().unwrap_or_default();
+        let objective = self
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or_default();
         loop {
             let no_memory = self.in_flight.memory_with(now, None) > SAFETY_SHARE;
-            let overloaded = self.cores_busy && self.queue_wait() > objective.mul_f64(OVERLOAD_SHARE);
+            let overloaded =
+                self.cores_busy && self.queue_wait() > objective.mul_f64(OVERLOAD_SHARE);
             if !no_memory && !overloaded {
                 return;
             }
             let scale = self.quotas.target_scale(now);
-            let queues = self.queues.iter().flat_map(|queue| queue.by_account.iter().enumerate());
+            let queues = self
+                .queues
+                .iter()
+                .flat_map(|queue| queue.by_account.iter().enumerate());
             let newest = queues.filter_map(|(account, queue)| Some((account, *queue.back()?)));
-            let demand = newest.map(|(account, ix)| (self.quotas.usage(now, account, scale).requested, ix));
+            let demand =
+                newest.map(|(account, ix)| (self.quotas.usage(now, account, scale).requested, ix));
             let worst = demand.max_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((_, ix)) = worst.filter(|w| no_memory || w.0 > SHED_DEMAND_RATIO) else { return };
+            let Some((_, ix)) = worst.filter(|w| no_memory || w.0 > SHED_DEMAND_RATIO) else {
+                return;
+            };
             self.reject(now, host, ix, self.queue_wait());
         }
     }
@@ -681,38 +879,66 @@
             }
             let scale = self.quotas.target_scale(now);
             let heads = self.queues.iter().enumerate().filter_map(|(class, queue)| {
-                let waiting = queue.by_account.iter().enumerate().filter(|(_, queue)| !queue.is_empty());
+                let waiting = queue
+                    .by_account
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, queue)| !queue.is_empty());
                 let spent = waiting.map(|(a, _)| (self.quotas.usage(now, a, scale).spent, a));
                 let (spent, account) = spent.min_by(|a, b| a.0.total_cmp(&b.0))?;
                 Some((spent > 1.0, queue.virtual_time, class, account))
             });
             let next = heads.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-            let Some((_, virtual_time, class, account)) = next else { return };
-            let Some(&ix) = self.queues[class].by_account[account].front() else { return };
+            let Some((_, virtual_time, class, account)) = next else {
+                return;
+            };
+            let Some(&ix) = self.queues[class].by_account[account].front() else {
+                return;
+            };
             if self.in_flight.memory_with(now, Some(ix)) > SAFETY_SHARE {
                 return;
             }
-            self.queues.iter_mut().for_each(|q| q.virtual_time = q.virtual_time.max(virtual_time - 1.0));
+            self.queues
+                .iter_mut()
+                .for_each(|q| q.virtual_time = q.virtual_time.max(virtual_time - 1.0));
             self.start_run(now, host, ix);
         }
     }
 
     fn start_run(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
-        let start = RunStart { at: now, stalled: self.stalled };
+        let start = RunStart {
+            at: now,
+            stalled: self.stalled,
+        };
         self.in_flight.set_stage(ix, Stage::Running);
         let request = self.in_flight.expect(ix);
-        request.after_run =
-            Some(Box::new(move |node, at, host, ix, end| node.end_run(at, host, ix, end, start)));
+        request.after_run = Some(Box::new(move |node, at, host, ix, end| {
+            node.end_run(at, host, ix, end, start)
+        }));
         let queue = &mut self.queues[request.class_index];
         queue.by_account[request.account].retain(|&other| other != ix);
-        let size = request.size_hint.map_or(queue.run_time.read().unwrap_or(1.0), |hint| hint.as_secs_f64());
+        let size = request
+            .size_hint
+            .map_or(queue.run_time.read().unwrap_or(1.0), |hint| {
+                hint.as_secs_f64()
+            });
         let work = if self.by_work { size } else { 1.0 };
-        queue.virtual_time += work / self.classes[request.class_index].value.max(f64::MIN_POSITIVE);
+        queue.virtual_time += work
+            / self.classes[request.class_index]
+                .value
+                .max(f64::MIN_POSITIVE);
         self.in_flight.set_timer_to_deadline(ix);
         host.run(ix);
     }
 
-    fn end_run(&mut self, now: Duration, host: &mut dyn Host, ix: usize, outcome: Outcome, start: RunStart) {
+    fn end_run(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        ix: usize,
+        outcome: Outcome,
+        start: RunStart,
+    ) {
         let (running, request) = (self.in_flight.running().max(1), self.in_flight.expect(ix));
         let last_call = now.saturating_sub(request.call_requested);
         let calls = request.call_wait + last_call * u32::from(request.stage != Stage::Running);
@@ -721,7 +947,8 @@
             host.fail(ix);
         }
         if request.stage == Stage::Calling {
-            self.downstream.on_call_ended(now, request.call, Outcome::Cancelled);
+            self.downstream
+                .on_call_ended(now, request.call, Outcome::Cancelled);
         }
         if outcome == Outcome::NeverStarted {
             // Against made-up requests: what could not run is no tenant's demand, and shows no run time.
@@ -731,11 +958,14 @@
         let stalled = self.stalled.saturating_sub(start.stalled);
         let spent = now.saturating_sub(start.at + calls + stalled).as_secs_f64();
         let cores_per_run = (self.limiter.cores as f64 / running as f64).min(1.0);
-        self.quotas.charge_run(now, request.account, spent * cores_per_run);
+        self.quotas
+            .charge_run(now, request.account, spent * cores_per_run);
         let succeeded = outcome == Outcome::Succeeded;
         if matches!(outcome, Outcome::Succeeded | Outcome::Failed) {
             self.health.last_completion = now;
-            self.health.failures.add(now, if succeeded { 0.0 } else { 1.0 }, RECENT_SPAN);
+            self.health
+                .failures
+                .add(now, if succeeded { 0.0 } else { 1.0 }, RECENT_SPAN);
         }
         let run_time = now.saturating_sub(start.at).as_secs_f64();
         let queue = &mut self.queues[request.class_index];
@@ -744,7 +974,9 @@
         if succeeded || Some(run_time) > queue.run_time.read() {
             queue.run_time.add(now, run_time, MEAN_SPAN);
             if let Some(hint) = request.size_hint {
-                queue.size_hint.add(now, hint.as_secs_f64().max(f64::MIN_POSITIVE), MEAN_SPAN);
+                queue
+                    .size_hint
+                    .add(now, hint.as_secs_f64().max(f64::MIN_POSITIVE), MEAN_SPAN);
             }
         }
         self.release(host, ix);
@@ -757,8 +989,13 @@
         if class.degraded_share == 0.0 {
             return deadline;
         }
-        let (objective, class_index) = (request.arrived + class.latency_objective, request.class_index);
-        let rest = self.usual_run(class_index, None).mul_f64(RUN_SHARE_AFTER_CALL);
+        let (objective, class_index) = (
+            request.arrived + class.latency_objective,
+            request.class_index,
+        );
+        let rest = self
+            .usual_run(class_index, None)
+            .mul_f64(RUN_SHARE_AFTER_CALL);
         objective.saturating_sub(rest).min(deadline)
     }
 
@@ -780,21 +1017,34 @@
     fn make_calls(&mut self, now: Duration, host: &mut dyn Host) {
         while let Some(limit) = self.downstream.time_limit(now) {
             // Guards against an overloaded tier: first where most value is lost without, then the newest.
-            let values = self.awaiting_call.iter().map(|&ix| self.in_flight.expect(ix).class.call_value());
+            let values = self
+                .awaiting_call
+                .iter()
+                .map(|&ix| self.in_flight.expect(ix).class.call_value());
             let best = values.enumerate().max_by(|a, b| a.1.total_cmp(&b.1));
             // Guards requests that lose most without their call: while they are short, others go without.
             let more_valuable_is_short = |value| {
                 let classes = self.classes.iter().zip(&self.queues);
                 let mut more_valuable = classes.filter(|(class, _)| class.call_value() > value);
-                more_valuable
-                    .any(|(_, q)| q.call_loss.known(now, MEAN_SPAN, MIN_WEIGHT) > Some(CALL_SHORTAGE))
+                more_valuable.any(|(_, q)| {
+                    q.call_loss.known(now, MEAN_SPAN, MIN_WEIGHT) > Some(CALL_SHORTAGE)
+                })
             };
-            let best = best.filter(|b| self.downstream.is_uncontended() || !more_valuable_is_short(b.1));
-            let Some(ix) = best.and_then(|(at, _)| self.awaiting_call.remove(at)) else { return };
-            let deadline = self.call_deadline(ix).max(now + TICK_INTERVAL).min(now.saturating_add(limit));
+            let best =
+                best.filter(|b| self.downstream.is_uncontended() || !more_valuable_is_short(b.1));
+            let Some(ix) = best.and_then(|(at, _)| self.awaiting_call.remove(at)) else {
+                return;
+            };
+            let deadline = self
+                .call_deadline(ix)
+                .max(now + TICK_INTERVAL)
+                .min(now.saturating_add(limit));
             self.in_flight.set_stage(ix, Stage::Calling);
             let request = self.in_flight.expect(ix);
-            let call = DownstreamCall { started: now, deadline: deadline.min(request.deadline) };
+            let call = DownstreamCall {
+                started: now,
+                deadline: deadline.min(request.deadline),
+            };
             request.call = call;
             request.call_attempts += 1;
             request.after_call = Some(Box::new(Self::end_call));
@@ -809,7 +1059,11 @@
         let request = self.in_flight.expect(ix);
         let succeeded = outcome == Outcome::Succeeded;
         self.downstream.on_call_ended(now, request.call, outcome);
-        self.queues[request.class_index].call_loss.add(now, if succeeded { 0.0 } else { 1.0 }, MEAN_SPAN);
+        self.queues[request.class_index].call_loss.add(
+            now,
+            if succeeded { 0.0 } else { 1.0 },
+            MEAN_SPAN,
+        );
         if succeeded {
             request.call_wait += now.saturating_sub(request.call_requested);
             return self.in_flight.set_stage(ix, Stage::Running);
--- a/src/choice/parts.rs
+++ b/src/choice/parts.rs
@@ -1,8 +1,8 @@
 //! How an [`AdmissionController`] is put together from its parts.
 
 use super::{
-    AdmissionController, ClassQueue, ConcurrencyLimiter, DownstreamLimiter, HealthMonitor, LoadAdvertiser,
-    TenantQuotas,
+    AdmissionController, ClassQueue, ConcurrencyLimiter, DownstreamLimiter, HealthMonitor,
+    LoadAdvertiser, TenantQuotas,
 };
 use crate::host::RequestClass;
 use crate::in_flight::InFlightRequests;
@@ -28,7 +28,10 @@
     /// Of the first node on its machine: nothing that this one does not know of is held downstream, so it has its whole
     /// share at once. `share` as in [`DownstreamLimiter::new`].
     pub fn without_predecessor(share: Option<DownstreamShare>) -> Self {
-        Self { head_start: 1.0, ..Self::new(share) }
+        Self {
+            head_start: 1.0,
+            ..Self::new(share)
+        }
     }
 }
 
@@ -37,7 +40,13 @@
     /// request.
     pub fn new(classes: Vec<RequestClass>, by_work: bool, parts: Parts) -> Self {
         let by_account = vec![VecDeque::new(); parts.quotas.spent.len()];
-        let queues = vec![ClassQueue { by_account, ..ClassQueue::default() }; classes.len()];
+        let queues = vec![
+            ClassQueue {
+                by_account,
+                ..ClassQueue::default()
+            };
+            classes.len()
+        ];
         Self {
             classes,
             by_work,
--- a/src/host.rs
+++ b/src/host.rs
@@ -99,7 +99,10 @@
 impl Outcome {
     /// Whether it is certain that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Rejected | Self::Unreachable | Self::NeverStarted)
+        matches!(
+            self,
+            Self::Rejected | Self::Unreachable | Self::NeverStarted
+        )
     }
 
     /// Whether a call that ended so may still occupy the downstream tier.
@@ -142,7 +145,11 @@
             Self::Nothing => None,
             Self::Level => Some(if unavailable { 1.0 } else { 0.0 }),
             Self::Weight => Some(if unavailable { 0.0 } else { 1.0 }),
-            Self::Credit => Some(if unavailable { 0.0 } else { f64::from(u32::MAX) }),
+            Self::Credit => Some(if unavailable {
+                0.0
+            } else {
+                f64::from(u32::MAX)
+            }),
         }
     }
 }
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -109,7 +109,10 @@
             call_requested: arrived,
             call_wait: Duration::ZERO,
             call_attempts: 0,
-            call: DownstreamCall { started: arrived, deadline: arrived },
+            call: DownstreamCall {
+                started: arrived,
+                deadline: arrived,
+            },
             after_run: None,
             after_call: None,
             timer: None,
@@ -136,7 +139,16 @@
     /// request; `entry_kb`: memory of a cached result.
     pub fn new(memory_kb: f64, run_factor: f64, entry_kb: f64) -> Self {
         let (requests, timers, cached) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
-        Self { requests, timers, cached, counts: [0; STAGES], used_kb: 0.0, memory_kb, run_factor, entry_kb }
+        Self {
+            requests,
+            timers,
+            cached,
+            counts: [0; STAGES],
+            used_kb: 0.0,
+            memory_kb,
+            run_factor,
+            entry_kb,
+        }
     }
 
     /// Adds a request under a free index, with its timer at its deadline.
@@ -234,14 +246,20 @@
 
     /// The longest that all calls in progress may occupy the downstream tier together, linger not counted.
     pub fn reserved(&self) -> Duration {
-        let calling = self.requests.iter().flatten().filter(|request| request.stage == Stage::Calling);
+        let calling = self
+            .requests
+            .iter()
+            .flatten()
+            .filter(|request| request.stage == Stage::Calling);
         calling.map(|request| request.call.time_limit()).sum()
     }
 
     /// Brings deadlines and timers of all unanswered requests forward to `latest` where they are later.
     pub fn cap_deadlines(&mut self, latest: Duration) {
         for ix in 0..self.requests.len() {
-            let Some(request) = self.get(ix).filter(|request| !request.answered) else { continue };
+            let Some(request) = self.get(ix).filter(|request| !request.answered) else {
+                continue;
+            };
             request.deadline = request.deadline.min(latest);
             if request.timer.is_none_or(|at| at > latest) {
                 self.set_timer(ix, Some(latest));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,9 @@
 mod state;
 
 pub use choice::parts::Parts;
-pub use choice::{AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas};
+pub use choice::{
+    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
+};
 pub use host::{Arrival, Gauges, Host, LoadSignal, Outcome, Repeatability, RequestClass, RetryOf};
 pub use in_flight::InFlightRequests;
 pub use options::{AdvertiserOptions, ClientConnections, ColdStart, DownstreamShare};
