--- a/src/choice/parts.rs
+++ b/src/choice/assembly.rs
@@ -1,8 +1,9 @@
 //! How an [`AdmissionController`] is put together from its parts.
 
+use super::health::HealthMonitor;
+use super::scheduling::ClassQueue;
 use super::{
-    AdmissionController, ClassQueue, ConcurrencyLimiter, DownstreamLimiter, HealthMonitor,
-    LoadAdvertiser, TenantQuotas,
+    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
 };
 use crate::host::RequestClass;
 use crate::in_flight::InFlightRequests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,11 +11,9 @@
 pub mod host;
 pub mod in_flight;
 pub mod options;
-mod state;
 
-pub use choice::parts::Parts;
 pub use choice::{
-    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
+    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, Parts, TenantQuotas,
 };
 pub use host::{Arrival, Gauges, Host, LoadSignal, Outcome, Repeatability, RequestClass, RetryOf};
 pub use in_flight::InFlightRequests;
