--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -6,11 +6,11 @@
 use clap::Subcommand;
 use indicatif::{ProgressBar, ProgressStyle};
 use rainstand_config::schema::{self, Configuration, Experiment};
-use rainstand_experiments::jobs::{self, alone, mark, Work};
+use rainstand_experiments::jobs::{self, fingerprint, isolated, Work};
 use rainstand_experiments::plans::variants;
 use rainstand_experiments::results::{self, Results};
 use rainstand_experiments::stats::{self, compare, mean, MEASURES};
-use rainstand_experiments::{jobs::COMPILED, plot};
+use rainstand_experiments::{jobs::COMPILED, page, plot};
 use rainstand_fleet_model::plan::Plan;
 use rainstand_fleet_model::shrink;
 use std::io;
@@ -269,16 +269,16 @@
     std::fs::create_dir_all(&folder)?;
     std::fs::write(
         folder.join(COMPILED),
-        schema::to_text(&alone(configuration, experiment)),
+        schema::to_text(&isolated(configuration, experiment)),
     )?;
     let threads = asked
         .jobs
         .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()));
     let seeds = asked.seeds.unwrap_or(experiment.seeds);
-    let of = mark(configuration, experiment);
+    let fingerprint = fingerprint(configuration, experiment);
     let work = Work {
         experiment: &experiment.name,
-        of,
+        fingerprint,
         variants: &all,
         seeds,
         threads,
@@ -304,7 +304,7 @@
     for failed in &played.failed {
         eprintln!(
             "{}: seed {} failed: {}",
-            failed.variant, failed.seed, failed.why
+            failed.variant, failed.seed, failed.reason
         );
     }
     if let Err(why) = results::write(&folder, &mut played.rows) {
@@ -315,8 +315,11 @@
         Err(why) => return Ok(trouble(&folder.display().to_string(), why)),
     };
     told(&read, asked.json)?;
-    if played.left > 0 {
-        eprintln!("stopped with {} runs left; ask again to go on", played.left);
+    if played.remaining > 0 {
+        eprintln!(
+            "stopped with {} runs left; ask again to go on",
+            played.remaining
+        );
     }
     let broken: Vec<_> = read
         .runs
@@ -359,15 +362,18 @@
     let variants = all.variants();
     let wide = variants
         .iter()
-        .map(|(_, label)| label.len())
+        .map(|variant| variant.label.len())
         .max()
         .unwrap_or(0);
-    let names = MEASURES.map(|(name, ..)| format!("{name:>20}")).concat();
+    let names = MEASURES
+        .map(|measure| format!("{:>20}", measure.name))
+        .concat();
     line(&format!("{:<wide$}{names}", ""))?;
-    for (number, label) in variants {
-        let mut text = format!("{label:<wide$}");
-        for (_, _, read) in MEASURES {
-            let values: Vec<f64> = all.of(number).map(read).collect();
+    for variant in variants {
+        let mut text = format!("{:<wide$}", variant.label);
+        for measure in MEASURES {
+            let runs = all.runs_of(variant.number);
+            let values: Vec<f64> = runs.map(measure.read).collect();
             let one = mean(&values, 0.95);
             let cell = match (one.half.is_finite(), one.mean.abs() < 10.0) {
                 (true, true) => format!("{:.4} ± {:.4}", one.mean, one.half),
@@ -400,26 +406,30 @@
     let pick = |all: &Results, label: &Option<String>, last: bool| {
         let variants = all.variants();
         match label {
-            Some(label) => variants.into_iter().find(|(_, known)| known == label),
+            Some(label) => variants.into_iter().find(|known| known.label == *label),
             None if last => variants.into_iter().next_back(),
             None => variants.into_iter().next(),
         }
     };
-    let (Some((a, first)), Some((b, second))) = (
+    let (Some(first), Some(second)) = (
         pick(&read[0], &before, false),
         pick(&read[1], &after, folder == other),
     ) else {
         let labels: Vec<String> = read[0]
             .variants()
             .into_iter()
-            .map(|(_, label)| label)
+            .map(|variant| variant.label)
             .collect();
         return Ok(trouble(
             "--before or --after",
             format!("no such variant; there are: {}", labels.join("; ")),
         ));
     };
-    let found = match compare(read[0].of(a), read[1].of(b), level) {
+    let found = match compare(
+        read[0].runs_of(first.number),
+        read[1].runs_of(second.number),
+        level,
+    ) {
         Ok(found) => found,
         Err(why) => return Ok(trouble(&folder.display().to_string(), why)),
     };
@@ -433,7 +443,9 @@
         return Ok(Code::Good);
     }
     line(&format!(
-        "{second}  against  {first}, {} pairs of one seed, {:.0} %",
+        "{}  against  {}, {} pairs of one seed, {:.0} %",
+        second.label,
+        first.label,
         found[0].change.count,
         level * 100.0
     ))?;
@@ -462,14 +474,15 @@
     };
     let compiled = std::fs::read_to_string(folder.join(COMPILED)).unwrap_or_default();
     let drawn =
-        plot::pictures(&all).and_then(|pictures| Ok((pictures, plot::page(&all, &compiled)?)));
+        plot::pictures(&all).and_then(|pictures| Ok((pictures, page::page(&all, &compiled)?)));
     let (pictures, page) = match drawn {
         Ok(drawn) => drawn,
         Err(why) => return Ok(trouble(&name, why)),
     };
-    for (file, svg) in pictures {
-        std::fs::write(folder.join(file), svg)?;
-        line(&folder.join(file).display().to_string())?;
+    for picture in pictures {
+        let path = folder.join(picture.file);
+        std::fs::write(&path, picture.svg)?;
+        line(&path.display().to_string())?;
     }
     std::fs::write(folder.join("index.html"), page)?;
     line(&folder.join("index.html").display().to_string())?;
--- a/crates/experiments/src/jobs.rs
+++ b/crates/experiments/src/jobs.rs
@@ -1,35 +1,36 @@
-//! Plays an experiment's variants and seeds side by side, each run on one thread. What is done is kept at once, so a
-//! stopped experiment goes on where it was; a run that fails does not take the others with it.
+//! Plays an experiment's variants and seeds side by side, each run on one thread.
+//!
+//! Each finished run is stored at once, so a stopped experiment resumes where it was; a run that fails or panics does not
+//! take the others with it.
 
+use crate::error::ExperimentError;
 use crate::plans::Variant;
-use crate::results::{rows, Rows, Run};
+use crate::results::{Rows, Run};
 use rainstand_config::schema::{self, Configuration, Experiment};
 use rainstand_fleet_model::world;
 use std::collections::{HashSet, VecDeque};
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead, BufReader, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::channel;
-use std::sync::Mutex;
+use std::sync::mpsc::{channel, Sender};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Finished runs, a line each.
+/// File name of the finished runs, a line each.
 pub const DONE: &str = "done.jsonl";
-/// The experiment itself, as it was compiled.
+/// File name of the experiment itself, as it was compiled.
 pub const COMPILED: &str = "experiment.txtpb";
 
-/// What tells one experiment from another: all that it is compiled from.
-pub fn mark(configuration: &Configuration, experiment: &Experiment) -> String {
-    format!(
-        "{:016x}",
-        xxh3_64(&schema::to_binary(&alone(configuration, experiment)))
-    )
+/// A hash of all that an experiment is compiled from, in hexadecimal: it tells one experiment from another.
+pub fn fingerprint(configuration: &Configuration, experiment: &Experiment) -> String {
+    let compiled = schema::to_binary(&isolated(configuration, experiment));
+    format!("{:016x}", xxh3_64(&compiled))
 }
 
 /// The configuration with this experiment alone, and without what experiments do not use.
-pub fn alone(configuration: &Configuration, experiment: &Experiment) -> Configuration {
+pub fn isolated(configuration: &Configuration, experiment: &Experiment) -> Configuration {
     Configuration {
         version: configuration.version,
         types: configuration.types.clone(),
@@ -41,148 +42,196 @@
 
 /// What is to be played.
 pub struct Work<'w> {
+    /// Name of the experiment.
     pub experiment: &'w str,
-    pub of: String,
+    /// Its [`fingerprint`].
+    pub fingerprint: String,
+    /// Its variants, see [`crate::plans::variants`].
     pub variants: &'w [Variant],
-    /// Seeds 1 to this.
+    /// Seeds 1 to this are played.
     pub seeds: u64,
+    /// Runs at a time; 0 counts as 1.
     pub threads: usize,
 }
 
-/// A run that came to nothing.
+/// A run that ended without a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct FailedRun {
+    /// Label of its variant.
     pub variant: String,
+    /// Its seed.
     pub seed: u64,
-    pub why: String,
+    /// Why, in words.
+    pub reason: String,
 }
 
-/// What came of it all.
+/// What came of all runs.
 #[derive(Debug, Default)]
 pub struct Played {
+    /// Finished runs, earlier ones included, in the order in which they ended.
     pub rows: Vec<Rows>,
-    /// Taken over from a stopped run.
-    pub before: usize,
-    pub failed: Vec<Failed>,
-    /// Not played, since somebody asked to stop.
-    pub left: usize,
+    /// How many of them an earlier, stopped play had finished.
+    pub resumed: usize,
+    /// Runs without a result.
+    pub failed: Vec<FailedRun>,
+    /// Runs that were not begun before the stop.
+    pub remaining: usize,
 }
 
-/// Runs that a folder holds already, of this very experiment. A line that a crash cut off is passed over.
+/// A run that is to be played.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct RunId {
+    variant: usize,
+    seed: u64,
+}
+
+/// What a thread reports of a run.
+struct FinishedRun {
+    id: RunId,
+    outcome: Result<Rows, String>,
+}
+
+/// Finished runs that a folder holds of this very experiment. A line that a crash cut off is skipped.
 ///
 /// # Errors
 /// If the folder cannot be read.
-pub fn done(folder: &Path, of: &str) -> Result<Vec<Rows>, String> {
+pub fn finished_runs(folder: &Path, fingerprint: &str) -> Result<Vec<Rows>, ExperimentError> {
     let path = folder.join(DONE);
     let file = match File::open(&path) {
         Ok(file) => file,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
-        Err(error) => return Err(format!("{}: {error}", path.display())),
+        Err(error) => return Err(ExperimentError::file(&path, error)),
     };
     let lines = BufReader::new(file).lines().map_while(Result::ok);
     let rows = lines.filter_map(|line| serde_json::from_str::<Rows>(&line).ok());
-    Ok(rows.filter(|rows| rows.run.of == of).collect())
+    Ok(rows.filter(|rows| rows.run.of == fingerprint).collect())
 }
 
-/// Plays what the folder does not hold yet. `told`: of each run as it ends, on the calling thread; `stop`: no further
-/// run begins once it is set.
+/// Plays what the folder does not hold yet. `on_finished` gets each run as it ends, on the calling thread; once `stop` is
+/// set no further run begins.
 ///
 /// # Errors
-/// If what was played cannot be kept.
+/// If the folder cannot be read, or what was played cannot be stored.
 pub fn play(
     work: &Work<'_>,
     folder: &Path,
     stop: &AtomicBool,
-    mut told: impl FnMut(&Rows),
-) -> Result<Played, String> {
+    mut on_finished: impl FnMut(&Rows),
+) -> Result<Played, ExperimentError> {
+    let rows = finished_runs(folder, &work.fingerprint)?;
+    let mut store = RunStore::open(folder.join(DONE))?;
+    let queue = Mutex::new(pending_runs(work, &rows));
     let mut played = Played {
-        rows: done(folder, &work.of)?,
+        resumed: rows.len(),
+        rows,
         ..Played::default()
     };
-    played.before = played.rows.len();
-    let known: HashSet<(i64, i64)> = played
-        .rows
-        .iter()
-        .map(|rows| (rows.run.variant_number, rows.run.seed))
-        .collect();
-    // Seeds go round the variants, so that a stopped experiment has pairs.
-    let all = (1..=work.seeds)
-        .flat_map(|seed| (0..work.variants.len()).map(move |variant| (variant, seed)));
-    let todo: VecDeque<(usize, u64)> = all
-        .filter(|(variant, seed)| !known.contains(&(*variant as i64, *seed as i64)))
-        .collect();
-    let todo = Mutex::new(todo);
-    let path = folder.join(DONE);
-    let mut file = OpenOptions::new()
-        .create(true)
-        .append(true)
-        .open(&path)
-        .map_err(|e| format!("{}: {e}", path.display()))?;
-    let (tell, hear) = channel();
-    let mut trouble = None;
+    let mut store_error = None;
+    let (sender, receiver) = channel();
     std::thread::scope(|scope| {
         for _ in 0..work.threads.max(1) {
-            let (tell, todo) = (tell.clone(), &todo);
-            scope.spawn(move || loop {
-                let next = if stop.load(Ordering::Relaxed) {
-                    None
-                } else {
-                    todo.lock()
-                        .unwrap_or_else(std::sync::PoisonError::into_inner)
-                        .pop_front()
-                };
-                let Some((variant, seed)) = next else { return };
-                let found = catch_unwind(AssertUnwindSafe(|| one(work, variant, seed)));
-                let found =
-                    found.unwrap_or_else(|_| Err("it ended in a panic; see standard error".into()));
-                if tell.send((variant, seed, found)).is_err() {
-                    return;
-                }
-            });
+            let (sender, queue) = (sender.clone(), &queue);
+            scope.spawn(move || play_queue(work, queue, stop, &sender));
         }
-        drop(tell);
-        for (variant, seed, found) in hear {
-            match found {
+        // The receiver ends with the last thread.
+        drop(sender);
+        for FinishedRun { id, outcome } in receiver {
+            match outcome {
                 Ok(rows) => {
-                    told(&rows);
-                    let line = serde_json::to_string(&rows).map_err(|e| e.to_string());
-                    let kept =
-                        line.and_then(|line| writeln!(file, "{line}").map_err(|e| e.to_string()));
-                    if let Err(why) = kept {
+                    on_finished(&rows);
+                    if let Err(error) = store.append(&rows) {
                         stop.store(true, Ordering::Relaxed);
-                        trouble.get_or_insert(format!("{}: {why}", path.display()));
+                        store_error.get_or_insert(error);
                     }
                     played.rows.push(rows);
                 }
-                Err(why) => {
-                    let variant = work.variants[variant].label.clone();
-                    played.failed.push(Failed { variant, seed, why });
-                }
+                Err(reason) => played.failed.push(FailedRun {
+                    variant: work.variants[id.variant].label.clone(),
+                    seed: id.seed,
+                    reason,
+                }),
             }
         }
     });
-    played.left = todo
-        .into_inner()
-        .unwrap_or_else(std::sync::PoisonError::into_inner)
-        .len();
-    trouble.map_or(Ok(played), Err)
+    played.remaining = lock(&queue).len();
+    store_error.map_or(Ok(played), Err)
+}
+
+/// The file of finished runs.
+struct RunStore {
+    path: PathBuf,
+    file: File,
+}
+
+impl RunStore {
+    fn open(path: PathBuf) -> Result<Self, ExperimentError> {
+        let file = OpenOptions::new().create(true).append(true).open(&path);
+        let file = file.map_err(|error| ExperimentError::file(&path, error))?;
+        Ok(Self { path, file })
+    }
+
+    fn append(&mut self, rows: &Rows) -> Result<(), ExperimentError> {
+        let line = serde_json::to_string(rows).map_err(|source| ExperimentError::Json {
+            path: self.path.clone(),
+            source,
+        })?;
+        writeln!(self.file, "{line}").map_err(|error| ExperimentError::file(&self.path, error))
+    }
+}
+
+/// Runs that are not finished yet. Seeds go round the variants, so that a stopped experiment has pairs to compare.
+fn pending_runs(work: &Work<'_>, finished: &[Rows]) -> VecDeque<RunId> {
+    let finished: HashSet<RunId> = finished
+        .iter()
+        .map(|rows| RunId {
+            variant: rows.run.variant_number as usize,
+            seed: rows.run.seed as u64,
+        })
+        .collect();
+    (1..=work.seeds)
+        .flat_map(|seed| (0..work.variants.len()).map(move |variant| RunId { variant, seed }))
+        .filter(|id| !finished.contains(id))
+        .collect()
+}
+
+fn lock(queue: &Mutex<VecDeque<RunId>>) -> MutexGuard<'_, VecDeque<RunId>> {
+    queue.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// One thread's work: plays runs of the queue until it is empty or the play is stopped.
+fn play_queue(
+    work: &Work<'_>,
+    queue: &Mutex<VecDeque<RunId>>,
+    stop: &AtomicBool,
+    finished: &Sender<FinishedRun>,
+) {
+    while !stop.load(Ordering::Relaxed) {
+        let Some(id) = lock(queue).pop_front() else {
+            return;
+        };
+        let outcome = catch_unwind(AssertUnwindSafe(|| play_one(work, id)))
+            .unwrap_or_else(|_| Err("it ended in a panic; see standard error".into()));
+        if finished.send(FinishedRun { id, outcome }).is_err() {
+            return;
+        }
+    }
 }
 
-fn one(work: &Work<'_>, at: usize, seed: u64) -> Result<Rows, String> {
-    let variant = &work.variants[at];
+fn play_one(work: &Work<'_>, id: RunId) -> Result<Rows, String> {
+    let variant = &work.variants[id.variant];
     let mut plan = variant.plan.clone();
-    plan.seed = seed;
+    plan.seed = id.seed;
     let measured = world::run(&plan)?;
     let head = Run {
         experiment: work.experiment.to_owned(),
-        of: work.of.clone(),
+        of: work.fingerprint.clone(),
         version: env!("CARGO_PKG_VERSION").to_owned(),
         variant: variant.label.clone(),
-        variant_number: at as i64,
-        seed: seed as i64,
+        variant_number: id.variant as i64,
+        seed: id.seed as i64,
         ..Run::default()
     };
-    let types = plan.types.iter().map(|one| one.name.clone());
-    let tenants = plan.tenants.iter().map(|one| one.name.clone());
-    Ok(rows(&measured, head, types, tenants))
+    let classes = plan.types.iter().map(|class| class.name.clone());
+    let tenants = plan.tenants.iter().map(|tenant| tenant.name.clone());
+    Ok(Rows::new(&measured, head, classes, tenants))
 }
--- a/crates/experiments/src/plot.rs
+++ b/crates/experiments/src/plot.rs
@@ -1,19 +1,25 @@
-//! Pictures of an experiment, and a page that shows it whole. Everything is drawn from a folder's results alone.
+//! Pictures of an experiment as SVG, drawn from a folder's results alone.
 
-use crate::results::{Results, Second};
-use crate::stats::{compare, mean, MEASURES};
+use crate::error::ExperimentError;
+use crate::results::{Results, Run, Second};
+use crate::stats::mean;
+use plotters::coord::ranged1d::{Ranged, ValueFormatter};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Of one picture, in pixels.
+/// Width and height of a picture, in pixels.
 const SIZE: (u32, u32) = (760, 340);
 /// Lines of one picture that can still be told apart.
-const MOST_LINES: usize = 12;
-/// Intervals on the page.
-const LEVEL: f64 = 0.95;
+const MAX_LINES: usize = 12;
+/// Confidence of the intervals in pictures and on the page.
+pub(crate) const CONFIDENCE: f64 = 0.95;
+/// Lowest value on a logarithmic axis.
+const MIN_LOG_VALUE: f64 = 1e-3;
+/// Least height of an axis.
+const MIN_HEIGHT: f64 = 1e-6;
 
-const COLOURS: [RGBColor; 12] = [
+const COLOURS: [RGBColor; MAX_LINES] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 95, 14),
     RGBColor(44, 140, 60),
@@ -28,333 +34,324 @@
     RGBColor(60, 60, 130),
 ];
 
-/// A line: its name, and its points in order of x.
-pub type Line = (String, Vec<(f64, f64)>);
+/// A point of a line.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// To the right.
+    pub x: f64,
+    /// Upwards.
+    pub y: f64,
+}
+
+/// A line of a picture.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Line {
+    /// Its name in the legend.
+    pub name: String,
+    /// Its points, in order of x.
+    pub points: Vec<Point>,
+}
 
 /// How a picture is labelled, and how its values lie.
 #[derive(Clone, Copy, Debug)]
 pub struct Labels<'a> {
+    /// Above the picture.
     pub title: &'a str,
+    /// Below the horizontal axis.
     pub x: &'a str,
+    /// Beside the vertical axis.
     pub y: &'a str,
-    /// Values from below 1 to thousands: each step up is ten times.
+    /// Whether y is logarithmic, for values from below 1 to thousands.
     pub log: bool,
-    /// The least range that y covers.
-    pub least: (f64, f64),
+    /// The range that y covers at least.
+    pub min_range: Span,
+}
+
+/// A range of values.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Span {
+    /// Its lower end.
+    pub low: f64,
+    /// Its upper end.
+    pub high: f64,
+}
+
+impl Span {
+    /// Contains nothing.
+    const EMPTY: Self = Self::new(f64::INFINITY, f64::NEG_INFINITY);
+
+    const fn new(low: f64, high: f64) -> Self {
+        Self { low, high }
+    }
+
+    /// The least span that holds all values.
+    fn holding(values: impl Iterator<Item = f64>) -> Self {
+        values.fold(Self::EMPTY, |span, value| {
+            Self::new(span.low.min(value), span.high.max(value))
+        })
+    }
+}
+
+/// A picture: its file name, and its SVG.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Picture {
+    /// File name within the folder.
+    pub file: &'static str,
+    /// The SVG document.
+    pub svg: String,
+}
+
+fn drawing_error(error: impl std::fmt::Display) -> ExperimentError {
+    ExperimentError::Drawing(error.to_string())
 }
 
-/// Lines over one axis as SVG; more than can be told apart are left out, and the title says so.
+/// Lines over one axis as SVG; of more than 12 the first 12 are drawn, and the title says so.
 ///
 /// # Errors
-/// Why nothing could be drawn.
-pub fn lines(labels: Labels<'_>, lines: &[Line]) -> Result<String, String> {
-    let shown = &lines[..lines.len().min(MOST_LINES)];
-    let mut title = labels.title.to_owned();
-    if shown.len() < lines.len() {
-        let _ = write!(title, " (the first {} of {})", shown.len(), lines.len());
-    }
-    let points = || shown.iter().flat_map(|(_, points)| points);
-    let ends = |read: fn(&(f64, f64)) -> f64| {
-        points()
-            .map(read)
-            .fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), one| {
-                (a.min(one), b.max(one))
-            })
-    };
-    let (x, y) = (ends(|point| point.0), ends(|point| point.1));
-    if !x.0.is_finite() || !y.0.is_finite() {
-        return Err("there is nothing to draw".into());
+/// If there is no point, or the backend fails.
+pub fn draw_lines(labels: Labels<'_>, lines: &[Line]) -> Result<String, ExperimentError> {
+    let shown = &lines[..lines.len().min(MAX_LINES)];
+    let points = || shown.iter().flat_map(|line| &line.points);
+    let x = Span::holding(points().map(|point| point.x));
+    let y = Span::holding(points().map(|point| point.y));
+    if !x.low.is_finite() || !y.low.is_finite() {
+        return Err(ExperimentError::NothingToDraw);
     }
-    let x = (x.0, if x.1 > x.0 { x.1 } else { x.0 + 1.0 });
-    let y = (
-        y.0.min(labels.least.0),
-        y.1.max(labels.least.1).max(y.0 + 1e-6),
-    );
+    let x_high = if x.high > x.low { x.high } else { x.low + 1.0 };
+    let y_low = y.low.min(labels.min_range.low);
+    let y_high = y.high.max(labels.min_range.high).max(y.low + MIN_HEIGHT);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let words = |error: &dyn std::fmt::Display| error.to_string();
-        area.fill(&WHITE).map_err(|e| words(&e))?;
+        area.fill(&WHITE).map_err(drawing_error)?;
         let mut builder = ChartBuilder::on(&area);
         builder
-            .caption(&title, ("sans-serif", 16))
+            .caption(title(labels, lines), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(36)
             .y_label_area_size(58);
-        macro_rules! draw {
-            ($chart:expr) => {{
-                let mut chart = $chart.map_err(|e| words(&e))?;
-                chart
-                    .configure_mesh()
-                    .x_desc(labels.x)
-                    .y_desc(labels.y)
-                    .light_line_style(RGBColor(240, 240, 240))
-                    .draw()
-                    .map_err(|e| words(&e))?;
-                for (k, (name, points)) in shown.iter().enumerate() {
-                    let colour = COLOURS[k % COLOURS.len()];
-                    let series = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
-                    chart
-                        .draw_series(series)
-                        .map_err(|e| words(&e))?
-                        .label(name.clone())
-                        .legend(move |(x, y)| {
-                            PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
-                        });
-                }
-                chart
-                    .configure_series_labels()
-                    .background_style(WHITE.mix(0.8))
-                    .position(SeriesLabelPosition::LowerRight)
-                    .draw()
-                    .map_err(|e| words(&e))?;
-            }};
-        }
         if labels.log {
-            let from = y.0.max(1e-3);
-            draw!(builder.build_cartesian_2d(x.0..x.1, (from..y.1.max(from * 2.0)).log_scale()));
+            let low = y_low.max(MIN_LOG_VALUE);
+            let y_axis = (low..y_high.max(low * 2.0)).log_scale();
+            let chart = builder.build_cartesian_2d(x.low..x_high, y_axis);
+            draw_chart(chart.map_err(drawing_error)?, labels, shown)?;
         } else {
-            draw!(builder.build_cartesian_2d(x.0..x.1, y.0..y.1));
+            let chart = builder.build_cartesian_2d(x.low..x_high, y_low..y_high);
+            draw_chart(chart.map_err(drawing_error)?, labels, shown)?;
         }
-        area.present().map_err(|e| words(&e))?;
+        area.present().map_err(drawing_error)?;
     }
     Ok(svg)
 }
 
-/// Over time, the mean of all seeds of a variant.
+fn title(labels: Labels<'_>, lines: &[Line]) -> String {
+    let mut title = labels.title.to_owned();
+    if lines.len() > MAX_LINES {
+        let _ = write!(title, " (the first {MAX_LINES} of {})", lines.len());
+    }
+    title
+}
+
+/// Draws mesh, lines and legend on a chart with any vertical axis.
+fn draw_chart<'a, Y>(
+    mut chart: ChartContext<
+        'a,
+        SVGBackend<'a>,
+        Cartesian2d<plotters::coord::types::RangedCoordf64, Y>,
+    >,
+    labels: Labels<'_>,
+    lines: &[Line],
+) -> Result<(), ExperimentError>
+where
+    Y: Ranged<ValueType = f64> + ValueFormatter<f64>,
+{
+    chart
+        .configure_mesh()
+        .x_desc(labels.x)
+        .y_desc(labels.y)
+        .light_line_style(RGBColor(240, 240, 240))
+        .draw()
+        .map_err(drawing_error)?;
+    for (line, colour) in lines.iter().zip(COLOURS) {
+        let points = line.points.iter().map(|point| (point.x, point.y));
+        let series = LineSeries::new(points, colour.stroke_width(2));
+        chart
+            .draw_series(series)
+            .map_err(drawing_error)?
+            .label(line.name.clone())
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
+    }
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .position(SeriesLabelPosition::LowerRight)
+        .draw()
+        .map_err(drawing_error)
+}
+
+/// A value of each second, as the mean over the seeds of a variant.
 fn over_time(results: &Results, read: impl Fn(&Second) -> Option<f64>) -> Vec<Line> {
-    let mut all = Vec::new();
-    for (number, label) in results.variants() {
-        let mut by_second: BTreeMap<i64, (f64, u32)> = BTreeMap::new();
-        for second in results
-            .seconds
-            .iter()
-            .filter(|one| one.variant_number == number)
-        {
+    let line = |variant: crate::results::VariantLabel| {
+        let mut by_second: BTreeMap<i64, Vec<f64>> = BTreeMap::new();
+        let seconds = results.seconds.iter();
+        for second in seconds.filter(|second| second.variant_number == variant.number) {
             if let Some(value) = read(second) {
-                let one = by_second.entry(second.second).or_default();
-                (one.0, one.1) = (one.0 + value, one.1 + 1);
+                by_second.entry(second.second).or_default().push(value);
             }
         }
-        let points = by_second
-            .into_iter()
-            .map(|(at, (sum, n))| (at as f64, sum / f64::from(n)))
-            .collect();
-        all.push((label, points));
-    }
-    all
+        let point = |(second, values): (i64, Vec<f64>)| Point {
+            x: second as f64,
+            y: values.iter().fold(0.0, |sum, value| sum + value) / values.len() as f64,
+        };
+        Line {
+            name: variant.label,
+            points: by_second.into_iter().map(point).collect(),
+        }
+    };
+    results.variants().into_iter().map(line).collect()
 }
 
-/// All pictures of a folder: file name and SVG.
-///
-/// # Errors
-/// Why one could not be drawn.
-pub fn pictures(results: &Results) -> Result<Vec<(&'static str, String)>, String> {
-    let share = |part: i64, of: i64| (of > 0).then(|| part as f64 / of as f64);
-    let mut all = Vec::new();
-    let labels = |title, x, y| Labels {
+/// A part of the jobs of a second; `None` where there were none.
+fn share_of_jobs(part: i64, second: &Second) -> Option<f64> {
+    (second.asked > 0).then(|| part as f64 / second.asked as f64)
+}
+
+fn labels<'a>(title: &'a str, x: &'a str, y: &'a str, min_range: Span) -> Labels<'a> {
+    Labels {
         title,
         x,
         y,
         log: false,
-        least: (f64::INFINITY, f64::NEG_INFINITY),
-    };
-    let good = Labels {
-        least: (1.0, 1.0),
-        ..labels("Honoured within the goal time", "s", "share of jobs")
-    };
-    all.push((
-        "good.svg",
-        lines(good, &over_time(results, |one| share(one.good, one.asked)))?,
-    ));
-    let tries = Labels {
-        least: (1.0, 1.1),
-        ..labels("Tries at the nodes", "s", "tries a job asked")
-    };
-    all.push((
-        "tries.svg",
-        lines(
-            tries,
-            &over_time(results, |one| share(one.tries, one.asked)),
-        )?,
-    ));
-    let away = Labels {
-        least: (0.0, 0.01),
-        ..labels("Dismissed", "s", "share of jobs")
-    };
-    all.push((
-        "dismissed.svg",
-        lines(
-            away,
-            &over_time(results, |one| share(one.dismissed, one.asked)),
-        )?,
-    ));
-    if results.seconds.iter().any(|one| one.calls > 0) {
-        let calls = Labels {
-            least: (0.0, 1.0),
-            ..labels("Calls below that came back", "s", "calls a second")
-        };
-        all.push((
-            "calls.svg",
-            lines(
-                calls,
-                &over_time(results, |one| Some(one.calls_done as f64)),
-            )?,
-        ));
-    }
-    // Percentiles lie on an axis of nines: 0.9 is 1, 0.99 is 2, 0.999 is 3.
-    let mut times = Vec::new();
-    for (number, label) in results.variants() {
-        let of = |read: fn(&crate::results::Run) -> f64| {
-            let values: Vec<f64> = results.of(number).map(read).collect();
-            mean(&values, LEVEL).mean.max(1e-3)
-        };
-        let points = [
-            (0.3, of(|run| run.p50_ms)),
-            (1.0, of(|run| run.p90_ms)),
-            (2.0, of(|run| run.p99_ms)),
-            (3.0, of(|run| run.p999_ms)),
-        ];
-        times.push((label, points.to_vec()));
-    }
-    let nines = Labels {
-        log: true,
-        ..labels("Time to the result", "nines of jobs (0.3: half)", "ms")
-    };
-    all.push(("times.svg", lines(nines, &times)?));
-    let mut loads = Vec::new();
-    for (number, label) in results.variants() {
-        let mut runs: Vec<f64> = results
-            .nodes
-            .iter()
-            .filter(|one| one.variant_number == number)
-            .map(|one| one.runs as f64)
-            .collect();
-        runs.sort_by(f64::total_cmp);
-        let middle = runs.iter().sum::<f64>() / runs.len().max(1) as f64;
-        let last = runs.len().max(2) as f64 - 1.0;
-        let points = runs
-            .iter()
-            .enumerate()
-            .map(|(k, runs)| (k as f64 / last, runs / middle.max(1e-9)));
-        loads.push((label, points.collect()));
+        min_range,
     }
-    let load = Labels {
-        least: (0.9, 1.1),
-        ..labels("Runs by node", "nodes, least first", "runs over the mean")
-    };
-    all.push(("nodes.svg", lines(load, &loads)?));
-    Ok(all)
 }
 
-fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;")
-        .replace('<', "&lt;")
-        .replace('>', "&gt;")
-}
-
-/// The page: what was asked, all figures with their intervals, comparisons with the first variant, all pictures.
+/// All pictures of a folder.
 ///
 /// # Errors
-/// As [`pictures`].
-pub fn page(results: &Results, compiled: &str) -> Result<String, String> {
-    let variants = results.variants();
-    let name = results
-        .runs
-        .first()
-        .map_or("nothing", |run| &run.experiment);
-    let mut out = format!(
-        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>\
-         body{{font:15px/1.45 system-ui,sans-serif;max-width:1580px;margin:2em auto;padding:0 1em;color:#222}}\
-         table{{border-collapse:collapse;margin:1em 0}}td,th{{padding:3px 10px;border-bottom:1px solid #ddd;\
-         text-align:right}}td:first-child,th:first-child{{text-align:left}}.worse{{color:#b00020}}.better{{color:#1b6e2b}}\
-         .noise,.same{{color:#888}}pre{{background:#f6f6f6;padding:1em;overflow:auto}}figure{{display:inline-block;margin:4px}}\
-         </style><h1>{0}</h1>",
-        escaped(name)
+/// Why one could not be drawn.
+pub fn pictures(results: &Results) -> Result<Vec<Picture>, ExperimentError> {
+    let served = labels(
+        "Honoured within the goal time",
+        "s",
+        "share of jobs",
+        Span::new(1.0, 1.0),
     );
-    let seeds = variants
-        .first()
-        .map_or(0, |(number, _)| results.of(*number).count());
-    let _ = write!(
-        out,
-        "<p>{} variants, {} seeds each at most; simulated. Intervals hold the mean at {:.0} %.</p>",
-        variants.len(),
-        seeds,
-        LEVEL * 100.0
+    let served_lines = over_time(results, |second| share_of_jobs(second.good, second));
+    let attempts = labels(
+        "Tries at the nodes",
+        "s",
+        "tries a job asked",
+        Span::new(1.0, 1.1),
     );
-    let broken: Vec<_> = results
-        .runs
-        .iter()
-        .filter(|run| !run.broken.is_empty())
-        .collect();
-    for run in &broken {
-        let _ = write!(
-            out,
-            "<p class=\"worse\">A rule broke: {}, seed {}.</p><pre>{}</pre>",
-            escaped(&run.variant),
-            run.seed,
-            escaped(&run.broken)
+    let attempt_lines = over_time(results, |second| share_of_jobs(second.tries, second));
+    let rejected = labels("Dismissed", "s", "share of jobs", Span::new(0.0, 0.01));
+    let rejected_lines = over_time(results, |second| share_of_jobs(second.dismissed, second));
+    let mut all = vec![
+        picture("good.svg", served, &served_lines)?,
+        picture("tries.svg", attempts, &attempt_lines)?,
+        picture("dismissed.svg", rejected, &rejected_lines)?,
+    ];
+    if results.seconds.iter().any(|second| second.calls > 0) {
+        let calls = labels(
+            "Calls below that came back",
+            "s",
+            "calls a second",
+            Span::new(0.0, 1.0),
         );
+        let lines = over_time(results, |second| Some(second.calls_done as f64));
+        all.push(picture("calls.svg", calls, &lines)?);
     }
-    out.push_str("<table><tr><th>variant</th>");
-    for (name, ..) in MEASURES {
-        let _ = write!(out, "<th>{name}</th>");
-    }
-    out.push_str("</tr>");
-    for (number, label) in &variants {
-        let _ = write!(out, "<tr><td>{}</td>", escaped(label));
-        for (_, _, read) in &MEASURES {
-            let values: Vec<f64> = results.of(*number).map(read).collect();
-            let one = mean(&values, LEVEL);
-            let half = if one.half.is_finite() {
-                format!(" ± {:.2}", one.half)
-            } else {
-                String::new()
-            };
-            let _ = match one.mean.abs() < 10.0 {
-                true if one.half.is_finite() => {
-                    write!(out, "<td>{:.4} ± {:.4}</td>", one.mean, one.half)
-                }
-                true => write!(out, "<td>{:.4}</td>", one.mean),
-                false => write!(out, "<td>{:.1}{half}</td>", one.mean),
-            };
-        }
-        out.push_str("</tr>");
+    all.push(percentiles(results)?);
+    all.push(runs_by_node(results)?);
+    Ok(all)
+}
+
+fn picture(
+    file: &'static str,
+    labels: Labels<'_>,
+    lines: &[Line],
+) -> Result<Picture, ExperimentError> {
+    Ok(Picture {
+        file,
+        svg: draw_lines(labels, lines)?,
+    })
+}
+
+/// A percentile of the time of jobs.
+struct Percentile {
+    /// Its place on an axis of nines: 0.9 is 1, 0.99 is 2, 0.999 is 3.
+    nines: f64,
+    read_ms: fn(&Run) -> f64,
+}
+
+impl Percentile {
+    fn new(nines: f64, read_ms: fn(&Run) -> f64) -> Self {
+        Self { nines, read_ms }
     }
-    out.push_str("</table>");
-    if let Some(((first, base), others)) = variants.split_first() {
-        for (number, label) in others {
-            let Ok(found) = compare(results.of(*first), results.of(*number), LEVEL) else {
-                continue;
-            };
-            let _ = write!(
-                out,
-                "<h3>{} against {}</h3><table>",
-                escaped(label),
-                escaped(base)
-            );
-            for one in found {
-                let _ = write!(
-                    out,
-                    "<tr class=\"{4}\"><td>{0}</td><td>{1:.4}</td><td>{2:.4}</td><td>{3:+.4} ± {5:.4}</td><td>{4}</td></tr>",
-                    one.measure,
-                    one.before,
-                    one.after,
-                    one.change.mean,
-                    one.verdict.word(),
-                    one.change.half
-                );
+}
+
+/// Percentiles of the time of jobs, by variant.
+fn percentiles(results: &Results) -> Result<Picture, ExperimentError> {
+    let percentiles = [
+        Percentile::new(0.3, |run| run.p50_ms),
+        Percentile::new(1.0, |run| run.p90_ms),
+        Percentile::new(2.0, |run| run.p99_ms),
+        Percentile::new(3.0, |run| run.p999_ms),
+    ];
+    let line = |variant: crate::results::VariantLabel| {
+        let point = |percentile: &Percentile| {
+            let runs = results.runs_of(variant.number);
+            let values: Vec<f64> = runs.map(percentile.read_ms).collect();
+            Point {
+                x: percentile.nines,
+                y: mean(&values, CONFIDENCE).mean.max(MIN_LOG_VALUE),
             }
-            out.push_str("</table>");
+        };
+        Line {
+            points: percentiles.iter().map(point).collect(),
+            name: variant.label,
         }
-    }
-    for (_, svg) in pictures(results)? {
-        let _ = write!(out, "<figure>{svg}</figure>");
-    }
-    let _ = write!(
-        out,
-        "<h2>As it was compiled</h2><pre>{}</pre></html>",
-        escaped(compiled)
+    };
+    let lines: Vec<Line> = results.variants().into_iter().map(line).collect();
+    let labels = Labels {
+        log: true,
+        ..labels(
+            "Time to the result",
+            "nines of jobs (0.3: half)",
+            "ms",
+            Span::EMPTY,
+        )
+    };
+    picture("times.svg", labels, &lines)
+}
+
+/// How even the runs are among the nodes of a variant.
+fn runs_by_node(results: &Results) -> Result<Picture, ExperimentError> {
+    let line = |variant: crate::results::VariantLabel| {
+        let nodes = results.nodes.iter();
+        let mut runs: Vec<f64> = nodes
+            .filter(|node| node.variant_number == variant.number)
+            .map(|node| node.runs as f64)
+            .collect();
+        runs.sort_by(f64::total_cmp);
+        let mean = runs.iter().sum::<f64>() / runs.len().max(1) as f64;
+        let last = runs.len().max(2) as f64 - 1.0;
+        let point = |(index, runs): (usize, &f64)| Point {
+            x: index as f64 / last,
+            y: runs / mean.max(1e-9),
+        };
+        Line {
+            name: variant.label,
+            points: runs.iter().enumerate().map(point).collect(),
+        }
+    };
+    let lines: Vec<Line> = results.variants().into_iter().map(line).collect();
+    let labels = labels(
+        "Runs by node",
+        "nodes, least first",
+        "runs over the mean",
+        Span::new(0.9, 1.1),
     );
-    Ok(out)
+    picture("nodes.svg", labels, &lines)
 }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,12 +1,15 @@
-//! What runs came to, as rows and as columns.
+//! Results of runs: as rows of finished runs, and as Parquet files of a folder.
+//!
+//! Field names of the rows are the column names of the files and the keys of `done.jsonl`, and keep their words.
 
+use crate::error::ExperimentError;
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::file::writer::SerializedFileWriter;
 use parquet::record::{RecordReader, RecordWriter};
 use parquet_derive::{ParquetRecordReader, ParquetRecordWriter};
-use rainstand_fleet_model::measure::Measured;
+use rainstand_fleet_model::measure::{self, Measured};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::path::Path;
@@ -24,32 +27,51 @@
     ParquetRecordReader,
 )]
 pub struct Run {
+    /// Name of the experiment.
     pub experiment: String,
     /// A hash of the experiment and all it refers to: runs of another are not compared by mistake.
     pub of: String,
     /// The program's version.
     pub version: String,
+    /// Label of the variant.
     pub variant: String,
+    /// Its place among the variants, from 0.
     pub variant_number: i64,
+    /// Seed of the run, from 1.
     pub seed: i64,
+    /// Jobs that callers had.
     pub asked: i64,
-    /// Within the goal time, and past it.
+    /// Jobs served within the latency objective.
     pub good: i64,
+    /// Jobs served later than that.
     pub late: i64,
+    /// Jobs whose last attempt was rejected.
     pub dismissed: i64,
+    /// Jobs that failed.
     pub given_up: i64,
+    /// `good` over `asked`.
     pub good_share: f64,
+    /// `good` and `late` over `asked`.
     pub honoured_share: f64,
+    /// Attempts that forwarders sent over `asked`.
     pub tries_per_job: f64,
+    /// Requests that callers sent, retries and hedged ones included, over `asked`.
     pub tickets_per_job: f64,
+    /// Median time of a job.
     pub p50_ms: f64,
+    /// 90th percentile of the time of a job.
     pub p90_ms: f64,
+    /// 99th percentile of the time of a job.
     pub p99_ms: f64,
+    /// 99.9th percentile of the time of a job.
     pub p999_ms: f64,
+    /// 99th percentile of the time from reaching a node to the start of the run.
     pub wait_p99_ms: f64,
     /// The most runs of a node over the mean.
     pub unevenness: f64,
+    /// Runs whose result nobody waited for.
     pub wasted_runs: i64,
+    /// Events that the model played.
     pub events: i64,
     /// The first rule that broke, with the steps that led to it; empty if none did.
     pub broken: String,
@@ -67,19 +89,31 @@
     ParquetRecordReader,
 )]
 pub struct Second {
+    /// The run's variant, see [`Run::variant_number`].
     pub variant_number: i64,
+    /// The run's seed.
     pub seed: i64,
+    /// The second, from 0.
     pub second: i64,
+    /// See [`Run::asked`]; jobs count in the second in which they began.
     pub asked: i64,
+    /// See [`Run::good`].
     pub good: i64,
+    /// See [`Run::late`].
     pub late: i64,
+    /// See [`Run::dismissed`].
     pub dismissed: i64,
+    /// See [`Run::given_up`].
     pub given_up: i64,
+    /// Attempts that forwarders sent.
     pub tries: i64,
+    /// Runs that began.
     pub runs: i64,
-    /// To the tier below: made, come back with a result, the most out at a time.
+    /// Downstream calls that were made.
     pub calls: i64,
+    /// Downstream calls that returned a result.
     pub calls_done: i64,
+    /// The most downstream calls in progress at a time.
     pub most_calls: i64,
 }
 
@@ -95,14 +129,19 @@
     ParquetRecordReader,
 )]
 pub struct NodeRow {
+    /// The run's variant, see [`Run::variant_number`].
     pub variant_number: i64,
+    /// The run's seed.
     pub seed: i64,
+    /// The node, from 0.
     pub node: i64,
+    /// Runs that it began.
     pub runs: i64,
+    /// Core time that it used, in milliseconds.
     pub busy_ms: i64,
 }
 
-/// Jobs of one type or tenant in one run.
+/// Jobs of one request class or tenant in one run.
 #[derive(
     Clone,
     Debug,
@@ -114,46 +153,90 @@
     ParquetRecordReader,
 )]
 pub struct Group {
+    /// The run's variant, see [`Run::variant_number`].
     pub variant_number: i64,
+    /// The run's seed.
     pub seed: i64,
-    /// `type` or `tenant`.
+    /// `type` (a request class) or `tenant`.
     pub what: String,
+    /// Its name.
     pub name: String,
+    /// See [`Run::asked`].
     pub asked: i64,
+    /// See [`Run::good`].
     pub good: i64,
+    /// See [`Run::late`].
     pub late: i64,
+    /// See [`Run::dismissed`].
     pub dismissed: i64,
+    /// See [`Run::given_up`].
     pub given_up: i64,
 }
 
-/// All that is kept of one run.
+/// All that is stored of one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rows {
+    /// The run.
     pub run: Run,
+    /// Its seconds.
     pub seconds: Vec<Second>,
+    /// Its nodes, or an even sample of at most 1,000 of them.
     pub nodes: Vec<NodeRow>,
+    /// Its request classes, then its tenants.
     pub groups: Vec<Group>,
 }
 
-/// Nodes that are kept one by one; of more, every so-manieth.
-const NODES: usize = 1_000;
+/// Nodes of a run that are stored.
+const MAX_NODE_ROWS: usize = 1_000;
 
-/// The rows of a run.
-pub fn rows(
-    measured: &Measured,
-    head: Run,
-    types: impl Iterator<Item = String>,
-    tenants: impl Iterator<Item = String>,
-) -> Rows {
+impl Rows {
+    /// The rows of a run. `head` has what identifies it; `classes` and `tenants` are the names of the measured groups.
+    pub fn new(
+        measured: &Measured,
+        head: Run,
+        classes: impl Iterator<Item = String>,
+        tenants: impl Iterator<Item = String>,
+    ) -> Self {
+        let (variant_number, seed) = (head.variant_number, head.seed);
+        let group = |what: &str, (name, jobs): (String, &measure::Jobs)| Group {
+            variant_number,
+            seed,
+            what: what.to_owned(),
+            name,
+            asked: signed(jobs.asked),
+            good: signed(jobs.good),
+            late: signed(jobs.late),
+            dismissed: signed(jobs.dismissed),
+            given_up: signed(jobs.given_up),
+        };
+        let classes = classes.zip(&measured.by_type);
+        let tenants = tenants.zip(&measured.by_tenant);
+        let groups = classes
+            .map(|one| group("type", one))
+            .chain(tenants.map(|one| group("tenant", one)));
+        Self {
+            seconds: second_rows(measured, variant_number, seed),
+            nodes: node_rows(measured, variant_number, seed),
+            groups: groups.collect(),
+            run: run_row(measured, head),
+        }
+    }
+}
+
+/// Counts as Parquet has them.
+fn signed(count: u64) -> i64 {
+    i64::try_from(count).unwrap_or(i64::MAX)
+}
+
+fn run_row(measured: &Measured, head: Run) -> Run {
     let jobs = measured.jobs();
-    let (variant_number, seed) = (head.variant_number, head.seed);
-    let long = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
-    let run = Run {
-        asked: long(jobs.asked),
-        good: long(jobs.good),
-        late: long(jobs.late),
-        dismissed: long(jobs.dismissed),
-        given_up: long(jobs.given_up),
+    let broken = measured.broken.as_ref();
+    Run {
+        asked: signed(jobs.asked),
+        good: signed(jobs.good),
+        late: signed(jobs.late),
+        dismissed: signed(jobs.dismissed),
+        given_up: signed(jobs.given_up),
         good_share: measured.good_share(),
         honoured_share: measured.honoured_share(),
         tries_per_job: measured.tries_per_job(),
@@ -164,167 +247,150 @@
         p999_ms: measured.time_ms(0.999),
         wait_p99_ms: measured.waits.value_at_quantile(0.99) as f64 / 1e3,
         unevenness: measured.unevenness(),
-        wasted_runs: long(measured.wasted_runs),
-        events: long(measured.events),
-        broken: measured
-            .broken
-            .as_ref()
-            .map_or(String::new(), ToString::to_string),
+        wasted_runs: signed(measured.wasted_runs),
+        events: signed(measured.events),
+        broken: broken.map_or(String::new(), ToString::to_string),
         ..head
-    };
-    let second = |(at, one): (usize, &rainstand_fleet_model::measure::Second)| Second {
-        variant_number,
-        seed,
-        second: at as i64,
-        asked: long(one.jobs.asked),
-        good: long(one.jobs.good),
-        late: long(one.jobs.late),
-        dismissed: long(one.jobs.dismissed),
-        given_up: long(one.jobs.given_up),
-        tries: long(one.tries),
-        runs: long(one.runs),
-        calls: long(one.calls),
-        calls_done: long(one.calls_done),
-        most_calls: long(one.most_calls),
-    };
-    let step = measured.node_runs.len().div_ceil(NODES).max(1);
-    let node = |k: usize| NodeRow {
+    }
+}
+
+fn second_rows(measured: &Measured, variant_number: i64, seed: i64) -> Vec<Second> {
+    let row = |(second, one): (usize, &measure::Second)| Second {
         variant_number,
         seed,
-        node: k as i64,
-        runs: long(measured.node_runs[k]),
-        busy_ms: long(measured.node_busy_ms[k]),
+        second: second as i64,
+        asked: signed(one.jobs.asked),
+        good: signed(one.jobs.good),
+        late: signed(one.jobs.late),
+        dismissed: signed(one.jobs.dismissed),
+        given_up: signed(one.jobs.given_up),
+        tries: signed(one.tries),
+        runs: signed(one.runs),
+        calls: signed(one.calls),
+        calls_done: signed(one.calls_done),
+        most_calls: signed(one.most_calls),
     };
-    let group = |what: &str, (name, jobs): (String, &rainstand_fleet_model::measure::Jobs)| Group {
+    measured.seconds.iter().enumerate().map(row).collect()
+}
+
+fn node_rows(measured: &Measured, variant_number: i64, seed: i64) -> Vec<NodeRow> {
+    let count = measured.node_runs.len();
+    let step = count.div_ceil(MAX_NODE_ROWS).max(1);
+    let row = |node: usize| NodeRow {
         variant_number,
         seed,
-        what: what.to_owned(),
-        name,
-        asked: long(jobs.asked),
-        good: long(jobs.good),
-        late: long(jobs.late),
-        dismissed: long(jobs.dismissed),
-        given_up: long(jobs.given_up),
+        node: node as i64,
+        runs: signed(measured.node_runs[node]),
+        busy_ms: signed(measured.node_busy_ms[node]),
     };
-    let by_type = types.zip(&measured.by_type).map(|one| group("type", one));
-    let by_tenant = tenants
-        .zip(&measured.by_tenant)
-        .map(|one| group("tenant", one));
-    Rows {
-        run,
-        seconds: measured.seconds.iter().enumerate().map(second).collect(),
-        nodes: (0..measured.node_runs.len())
-            .step_by(step)
-            .map(node)
-            .collect(),
-        groups: by_type.chain(by_tenant).collect(),
-    }
-}
-
-fn words(error: impl std::fmt::Display) -> String {
-    error.to_string()
+    (0..count).step_by(step).map(row).collect()
 }
 
-/// One Parquet file.
-fn put<T>(path: &Path, rows: &[T]) -> Result<(), String>
+/// Writes one Parquet file, atomically: whoever reads it meanwhile sees the old one.
+fn write_file<T>(path: &Path, rows: &[T]) -> Result<(), ExperimentError>
 where
     for<'r> &'r [T]: RecordWriter<T>,
 {
-    let schema = rows.schema().map_err(words)?;
+    let schema = rows.schema()?;
     let properties = WriterProperties::builder()
         .set_compression(Compression::SNAPPY)
         .build();
-    // In one step: whoever reads it meanwhile sees the old one whole.
     let draft = path.with_extension("draft");
-    let file = File::create(&draft).map_err(|e| format!("{}: {e}", draft.display()))?;
-    let mut writer =
-        SerializedFileWriter::new(file, schema, Arc::new(properties)).map_err(words)?;
-    let mut group = writer.next_row_group().map_err(words)?;
-    rows.write_to_row_group(&mut group).map_err(words)?;
-    group.close().map_err(words)?;
-    writer.close().map_err(words)?;
-    std::fs::rename(&draft, path).map_err(|e| format!("{}: {e}", path.display()))
+    let file = File::create(&draft).map_err(|error| ExperimentError::file(&draft, error))?;
+    let mut writer = SerializedFileWriter::new(file, schema, Arc::new(properties))?;
+    let mut group = writer.next_row_group()?;
+    rows.write_to_row_group(&mut group)?;
+    group.close()?;
+    writer.close()?;
+    std::fs::rename(&draft, path).map_err(|error| ExperimentError::file(path, error))
 }
 
-fn get<T>(path: &Path) -> Result<Vec<T>, String>
+/// Reads one Parquet file.
+fn read_file<T>(path: &Path) -> Result<Vec<T>, ExperimentError>
 where
     Vec<T>: RecordReader<T>,
 {
-    let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let reader = SerializedFileReader::new(file).map_err(words)?;
-    let mut all = Vec::new();
-    for at in 0..reader.num_row_groups() {
-        let mut group = reader.get_row_group(at).map_err(words)?;
+    let file = File::open(path).map_err(|error| ExperimentError::file(path, error))?;
+    let reader = SerializedFileReader::new(file)?;
+    let mut rows = Vec::new();
+    for index in 0..reader.num_row_groups() {
+        let mut group = reader.get_row_group(index)?;
         let count = group.metadata().num_rows() as usize;
-        let mut some: Vec<T> = Vec::new();
-        some.read_from_row_group(&mut *group, count)
-            .map_err(words)?;
-        all.append(&mut some);
+        let mut group_rows: Vec<T> = Vec::new();
+        group_rows.read_from_row_group(&mut *group, count)?;
+        rows.append(&mut group_rows);
     }
-    Ok(all)
+    Ok(rows)
 }
 
 /// Writes a folder's Parquet files, in order of variant and seed whatever the order in which runs ended.
 ///
 /// # Errors
 /// Which file could not be written, and why.
-pub fn write(folder: &Path, all: &mut [Rows]) -> Result<(), String> {
-    all.sort_by_key(|one| (one.run.variant_number, one.run.seed));
-    let runs: Vec<Run> = all.iter().map(|one| one.run.clone()).collect();
-    let seconds: Vec<Second> = all
-        .iter()
-        .flat_map(|one| one.seconds.iter().cloned())
-        .collect();
-    let nodes: Vec<NodeRow> = all
-        .iter()
-        .flat_map(|one| one.nodes.iter().cloned())
-        .collect();
-    let groups: Vec<Group> = all
-        .iter()
-        .flat_map(|one| one.groups.iter().cloned())
-        .collect();
-    put(&folder.join("runs.parquet"), &runs)?;
-    put(&folder.join("seconds.parquet"), &seconds)?;
-    put(&folder.join("nodes.parquet"), &nodes)?;
-    put(&folder.join("groups.parquet"), &groups)
+pub fn write(folder: &Path, all: &mut [Rows]) -> Result<(), ExperimentError> {
+    all.sort_by_key(|rows| (rows.run.variant_number, rows.run.seed));
+    let runs: Vec<Run> = all.iter().map(|rows| rows.run.clone()).collect();
+    let seconds: Vec<Second> = all.iter().flat_map(|rows| rows.seconds.clone()).collect();
+    let nodes: Vec<NodeRow> = all.iter().flat_map(|rows| rows.nodes.clone()).collect();
+    let groups: Vec<Group> = all.iter().flat_map(|rows| rows.groups.clone()).collect();
+    write_file(&folder.join("runs.parquet"), &runs)?;
+    write_file(&folder.join("seconds.parquet"), &seconds)?;
+    write_file(&folder.join("nodes.parquet"), &nodes)?;
+    write_file(&folder.join("groups.parquet"), &groups)
+}
+
+/// A variant of a folder's results.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct VariantLabel {
+    /// See [`Run::variant_number`].
+    pub number: i64,
+    /// See [`Run::variant`].
+    pub label: String,
 }
 
 /// A folder's results as they were written.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
+    /// All runs, by variant and seed.
     pub runs: Vec<Run>,
+    /// Their seconds, in the same order.
     pub seconds: Vec<Second>,
+    /// Their nodes, in the same order.
     pub nodes: Vec<NodeRow>,
+    /// Their request classes and tenants, in the same order.
     pub groups: Vec<Group>,
 }
 
 impl Results {
-    /// Labels of the variants in their order.
-    pub fn variants(&self) -> Vec<(i64, String)> {
-        let mut all: Vec<(i64, String)> = self
-            .runs
-            .iter()
-            .map(|run| (run.variant_number, run.variant.clone()))
-            .collect();
+    /// The variants, in their order.
+    pub fn variants(&self) -> Vec<VariantLabel> {
+        let label = |run: &Run| VariantLabel {
+            number: run.variant_number,
+            label: run.variant.clone(),
+        };
+        let mut all: Vec<VariantLabel> = self.runs.iter().map(label).collect();
         all.sort();
         all.dedup();
         all
     }
 
-    pub fn of(&self, variant: i64) -> impl Iterator<Item = &Run> + Clone {
+    /// The runs of one variant.
+    pub fn runs_of(&self, variant_number: i64) -> impl Iterator<Item = &Run> + Clone {
         self.runs
             .iter()
-            .filter(move |run| run.variant_number == variant)
+            .filter(move |run| run.variant_number == variant_number)
     }
 }
 
+/// Reads a folder's Parquet files.
+///
 /// # Errors
 /// Which file could not be read, and why.
-pub fn read(folder: &Path) -> Result<Results, String> {
+pub fn read(folder: &Path) -> Result<Results, ExperimentError> {
     Ok(Results {
-        runs: get(&folder.join("runs.parquet"))?,
-        seconds: get(&folder.join("seconds.parquet"))?,
-        nodes: get(&folder.join("nodes.parquet"))?,
-        groups: get(&folder.join("groups.parquet"))?,
+        runs: read_file(&folder.join("runs.parquet"))?,
+        seconds: read_file(&folder.join("seconds.parquet"))?,
+        nodes: read_file(&folder.join("nodes.parquet"))?,
+        groups: read_file(&folder.join("groups.parquet"))?,
     })
 }
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -1,33 +1,68 @@
-//! Two variants compared by pairs of one seed: both had the same jobs, so what differs is the variant. A difference is
-//! told with its interval; one whose interval holds nothing is called noise.
+//! Compares two variants by pairs of one seed: both had the same jobs, so what differs is the variant.
+//!
+//! A difference is reported with its confidence interval; one whose interval contains zero is called noise.
 
+use crate::error::ExperimentError;
 use crate::results::Run;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// What is compared: a name, whether more is better, and how it is read.
-pub type Measure = (&'static str, bool, fn(&Run) -> f64);
+/// Quantile of Student's t that is used where it cannot be computed.
+const FALLBACK_QUANTILE: f64 = 2.0;
 
+/// What is compared between variants.
+#[derive(Clone, Copy, Debug)]
+pub struct Measure {
+    /// Its name in tables and JSON.
+    pub name: &'static str,
+    /// Whether a higher value is better.
+    pub higher_is_better: bool,
+    /// Reads it from a run.
+    pub read: fn(&Run) -> f64,
+}
+
+impl Measure {
+    const fn higher_is_better(name: &'static str, read: fn(&Run) -> f64) -> Self {
+        Self {
+            name,
+            higher_is_better: true,
+            read,
+        }
+    }
+
+    const fn lower_is_better(name: &'static str, read: fn(&Run) -> f64) -> Self {
+        Self {
+            name,
+            higher_is_better: false,
+            read,
+        }
+    }
+}
+
+/// All measures, in the order of tables.
 pub const MEASURES: [Measure; 9] = [
-    ("good", true, |run| run.good_share),
-    ("honoured", true, |run| run.honoured_share),
-    ("p50 ms", false, |run| run.p50_ms),
-    ("p99 ms", false, |run| run.p99_ms),
-    ("p999 ms", false, |run| run.p999_ms),
-    ("wait p99 ms", false, |run| run.wait_p99_ms),
-    ("tries a job", false, |run| run.tries_per_job),
-    ("unevenness", false, |run| run.unevenness),
-    ("wasted runs", false, |run| run.wasted_runs as f64),
+    Measure::higher_is_better("good", |run| run.good_share),
+    Measure::higher_is_better("honoured", |run| run.honoured_share),
+    Measure::lower_is_better("p50 ms", |run| run.p50_ms),
+    Measure::lower_is_better("p99 ms", |run| run.p99_ms),
+    Measure::lower_is_better("p999 ms", |run| run.p999_ms),
+    Measure::lower_is_better("wait p99 ms", |run| run.wait_p99_ms),
+    Measure::lower_is_better("tries a job", |run| run.tries_per_job),
+    Measure::lower_is_better("unevenness", |run| run.unevenness),
+    Measure::lower_is_better("wasted runs", |run| run.wasted_runs as f64),
 ];
 
-/// A mean with the half of its interval.
+/// A mean with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
+    /// The mean.
     pub mean: f64,
+    /// Half of the interval's width; infinite for fewer than two values.
     pub half: f64,
+    /// Number of values.
     pub count: usize,
 }
 
-/// Mean and interval by Student's t; an infinite half for fewer than two values.
+/// Mean and interval by Student's t; `level` is the confidence, between 0 and 1.
 ///
 /// ```
 /// use rainstand_experiments::stats::mean;
@@ -45,31 +80,34 @@
             count,
         };
     }
-    let spread = values
-        .iter()
-        .map(|value| (value - mean).powi(2))
-        .sum::<f64>()
-        / (count - 1) as f64;
-    let t = StudentsT::new(0.0, 1.0, (count - 1) as f64)
-        .map_or(2.0, |t| t.inverse_cdf((1.0 + level) / 2.0));
+    let degrees_of_freedom = (count - 1) as f64;
+    let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
+    let variance = squares / degrees_of_freedom;
+    let quantile = StudentsT::new(0.0, 1.0, degrees_of_freedom).map_or(FALLBACK_QUANTILE, |t| {
+        t.inverse_cdf(f64::midpoint(1.0, level))
+    });
     Mean {
         mean,
-        half: t * (spread / count as f64).sqrt(),
+        half: quantile * (variance / count as f64).sqrt(),
         count,
     }
 }
 
+/// What a difference between two variants says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The variant after is better.
     Better,
+    /// The variant after is worse.
     Worse,
-    /// The interval of the difference holds nothing at all.
+    /// The interval of the difference contains zero.
     Noise,
     /// Every pair is the same.
     Same,
 }
 
 impl Verdict {
+    /// The word in tables, JSON and the page's style classes.
     pub fn word(self) -> &'static str {
         match self {
             Verdict::Better => "better",
@@ -83,97 +121,74 @@
 /// One measure of two variants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Compared {
+    /// Name of the measure.
     pub measure: &'static str,
+    /// Mean of the variant before, over the seeds that both have.
     pub before: f64,
+    /// Mean of the variant after, over the same seeds.
     pub after: f64,
     /// After less before, by pairs.
     pub change: Mean,
+    /// What the change says.
     pub verdict: Verdict,
 }
 
+/// Two runs with the same seed.
+struct Pair<'r> {
+    before: &'r Run,
+    after: &'r Run,
+}
+
 /// Compares runs of two variants that have seeds in common.
 ///
 /// # Errors
 /// If fewer than two seeds are in both.
 pub fn compare<'r>(
     before: impl Iterator<Item = &'r Run>,
-    after: impl Iterator<Item = &'r Run> + Clone,
+    after: impl Iterator<Item = &'r Run>,
     level: f64,
-) -> Result<Vec<Compared>, String> {
-    let pairs: Vec<(&Run, &Run)> = before
-        .filter_map(|one| Some((one, after.clone().find(|other| other.seed == one.seed)?)))
+) -> Result<Vec<Compared>, ExperimentError> {
+    let after: Vec<&Run> = after.collect();
+    let pairs: Vec<Pair<'_>> = before
+        .filter_map(|before| {
+            let after = after.iter().find(|run| run.seed == before.seed)?;
+            Some(Pair { before, after })
+        })
         .collect();
     if pairs.len() < 2 {
-        return Err(format!(
-            "{} seeds are in both; a comparison takes at least two",
-            pairs.len()
-        ));
+        return Err(ExperimentError::TooFewPairs(pairs.len()));
     }
-    let compared = |(measure, more, read): &Measure| {
-        let changes: Vec<f64> = pairs.iter().map(|(a, b)| read(b) - read(a)).collect();
-        let change = mean(&changes, level);
-        let of = |pick: &dyn Fn(&(&Run, &Run)) -> f64| {
-            pairs.iter().map(pick).sum::<f64>() / pairs.len() as f64
-        };
-        let verdict = if changes.iter().all(|change| *change == 0.0) {
-            Verdict::Same
-        } else if change.mean.abs() <= change.half {
-            Verdict::Noise
-        } else if (change.mean > 0.0) == *more {
-            Verdict::Better
-        } else {
-            Verdict::Worse
-        };
-        Compared {
-            measure,
-            before: of(&|pair| read(pair.0)),
-            after: of(&|pair| read(pair.1)),
-            change,
-            verdict,
-        }
-    };
+    let compared = |measure| compare_measure(measure, &pairs, level);
     Ok(MEASURES.iter().map(compared).collect())
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn runs(values: &[f64]) -> Vec<Run> {
-        let run = |(k, good): (usize, &f64)| Run {
-            seed: k as i64,
-            good_share: *good,
-            ..Run::default()
-        };
-        values.iter().enumerate().map(run).collect()
+fn compare_measure(measure: &Measure, pairs: &[Pair<'_>], level: f64) -> Compared {
+    let read = measure.read;
+    let changes: Vec<f64> = pairs
+        .iter()
+        .map(|pair| read(pair.after) - read(pair.before))
+        .collect();
+    let change = mean(&changes, level);
+    let count = pairs.len() as f64;
+    let before: f64 = pairs.iter().map(|pair| read(pair.before)).sum();
+    let after: f64 = pairs.iter().map(|pair| read(pair.after)).sum();
+    Compared {
+        measure: measure.name,
+        before: before / count,
+        after: after / count,
+        change,
+        verdict: verdict(measure, &changes, change),
     }
+}
 
-    #[test]
-    fn pairs_show_what_means_would_hide() {
-        // Seeds differ by far more than the variants do, but each pair says the same.
-        let before = runs(&[0.90, 0.70, 0.80, 0.60, 0.95]);
-        let after = runs(&[0.91, 0.712, 0.809, 0.611, 0.96]);
-        let found = compare(before.iter(), after.iter(), 0.95).unwrap();
-        assert_eq!(
-            (found[0].measure, found[0].verdict),
-            ("good", Verdict::Better)
-        );
-        assert!(
-            (found[0].change.mean - 0.0104).abs() < 1e-9,
-            "{:?}",
-            found[0]
-        );
-        assert_eq!(found[1].verdict, Verdict::Same);
-        // The other way round it is worse, and without a pattern it is noise.
-        assert_eq!(
-            compare(after.iter(), before.iter(), 0.95).unwrap()[0].verdict,
-            Verdict::Worse
-        );
-        let other = runs(&[0.95, 0.60, 0.90, 0.55, 0.97]);
-        assert_eq!(
-            compare(before.iter(), other.iter(), 0.95).unwrap()[0].verdict,
-            Verdict::Noise
-        );
-        assert!(compare(before[..1].iter(), after.iter(), 0.95).is_err());
+fn verdict(measure: &Measure, changes: &[f64], change: Mean) -> Verdict {
+    if changes.iter().all(|change| *change == 0.0) {
+        Verdict::Same
+    } else if change.mean.abs() <= change.half {
+        Verdict::Noise
+    } else if (change.mean > 0.0) == measure.higher_is_better {
+        Verdict::Better
+    } else {
+        Verdict::Worse
     }
 }
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -9,10 +9,10 @@
 )]
 
 use rainstand_config::{load, schema::Configuration, source::Memory};
-use rainstand_experiments::jobs::{alone, done, mark, play, Work, DONE};
+use rainstand_experiments::jobs::{fingerprint, finished_runs, isolated, play, Work, DONE};
 use rainstand_experiments::plans::variants;
 use rainstand_experiments::stats::{compare, Verdict};
-use rainstand_experiments::{plot, results};
+use rainstand_experiments::{page, plot, results};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -44,10 +44,10 @@
 fn played(folder: &Path, threads: usize, stop_after: Option<usize>) -> (usize, usize) {
     let c = configuration();
     let all = variants(&c, &c.experiments[0]).unwrap();
-    let of = mark(&c, &c.experiments[0]);
+    let fingerprint = fingerprint(&c, &c.experiments[0]);
     let work = Work {
         experiment: "dead",
-        of,
+        fingerprint,
         variants: &all,
         seeds: 4,
         threads,
@@ -62,7 +62,7 @@
     .unwrap();
     assert_eq!(played.failed, []);
     results::write(folder, &mut played.rows).unwrap();
-    (played.before, played.left)
+    (played.resumed, played.remaining)
 }
 
 const FILES: [&str; 4] = [
@@ -97,7 +97,7 @@
         }
     }
     // Runs of another experiment in the same folder are not taken for this one's.
-    assert_eq!(done(folders[0].path(), "0123").unwrap().len(), 0);
+    assert_eq!(finished_runs(folders[0].path(), "0123").unwrap().len(), 0);
 }
 
 #[test]
@@ -121,12 +121,12 @@
         jobs
     );
     // Further tries help while three of ten fail at once.
-    let found = compare(all.of(0), all.of(1), 0.95).unwrap();
+    let found = compare(all.runs_of(0), all.runs_of(1), 0.95).unwrap();
     let good = found.iter().find(|one| one.measure == "good").unwrap();
     assert_eq!(good.verdict, Verdict::Better, "{good:?}");
     let c = configuration();
-    let compiled = rainstand_config::schema::to_text(&alone(&c, &c.experiments[0]));
-    let page = plot::page(&all, &compiled).unwrap();
+    let compiled = rainstand_config::schema::to_text(&isolated(&c, &c.experiments[0]));
+    let page = page::page(&all, &compiled).unwrap();
     for part in [
         "tries=1",
         "tries=3",
@@ -149,7 +149,7 @@
     let folder = tempfile::tempdir().unwrap();
     let work = Work {
         experiment: "dead",
-        of: "x".into(),
+        fingerprint: "x".into(),
         variants: &all,
         seeds: 2,
         threads: 2,
@@ -157,7 +157,7 @@
     let played = play(&work, folder.path(), &AtomicBool::new(false), |_| {}).unwrap();
     assert_eq!((played.rows.len(), played.failed.len()), (2, 2));
     assert!(
-        played.failed[0].why.contains("types"),
+        played.failed[0].reason.contains("types"),
         "{:?}",
         played.failed
     );
