--- a/crates/forwarder/src/admin.rs
+++ b/crates/forwarder/src/admin.rs
@@ -1,7 +1,7 @@
 //! What a forwarder tells operators on request, over HTTP on an address of its own: status, metrics, members, the last
 //! decisions. Read only. Bounded: few connections, short requests, one answer each.
 
-use crate::{room, Hub};
+use crate::{connection_limits, Hub};
 use rainstand_routing::decision_log::{Decision, DecisionOutcome};
 use rainstand_routing::fleet::MemberSnapshot;
 use rainstand_routing::health::MemberStatus;
@@ -241,7 +241,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                if !room::after(&hub, &error).await {
+                if !connection_limits::after(&hub, &error).await {
                     sleep(ACCEPT_AGAIN).await;
                 }
                 continue;
--- a/crates/forwarder/src/room.rs
+++ b/crates/forwarder/src/connection_limits.rs
@@ -4,7 +4,7 @@
 //! last (the clock, or second chance, algorithm: each step costs the same, however many rest). Nobody who is owed an
 //! answer goes.
 
-use crate::front::{Conn, MOST_CONNECTIONS};
+use crate::listener::{Conn, MOST_CONNECTIONS};
 use crate::{count, Hub};
 use rustix::process::{getrlimit, Resource};
 use std::cell::{Cell, RefCell};
@@ -34,7 +34,7 @@
 /// How many connections may stand in front beside so many links, of all descriptors.
 ///
 /// ```
-/// use rainstand_forwarder::room::most;
+/// use rainstand_forwarder::connection_limits::most;
 /// assert_eq!([most(128, 0), most(128, 60), most(1 << 20, 60)], [80, 64, 12_000]);
 /// ```
 pub fn most(descriptors: usize, links: usize) -> usize {
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -3,16 +3,16 @@
 //!
 //! | unit | job |
 //! | --- | --- |
-//! | [`front`] | dispatchers' connections: frames in, answers out |
-//! | [`room`] | who in front makes room where descriptors run out |
-//! | [`back`] | connections to members: tries out, what came of them in |
+//! | [`listener`] | dispatchers' connections: frames in, answers out |
+//! | [`connection_limits`] | who in front makes room where descriptors run out |
+//! | [`upstream`] | connections to members: tries out, what came of them in |
 //! | [`config_updates`] | a delta from the config servers as changes of the routing table |
-//! | [`seen`] | counters and times of what went on, on a metrics library |
+//! | [`observability`] | counters and times of what went on, on a metrics library |
 //! | [`admin`] | metrics, members and the last decisions, on request |
 //! | here | tickets in hand, the steps of the [`Fleet`], the drain |
 //!
 //! All of it runs on one thread; the books are never borrowed across an await. Bounds: [`MOST_TICKETS`] in hand,
-//! [`room::most`] connections in front, [`back::MOST_LINKS`] a member behind; each refusal has a counter.
+//! [`connection_limits::most`] connections in front, [`upstream::MOST_LINKS`] a member behind; each refusal has a counter.
 
 #![allow(
     missing_docs,
@@ -22,15 +22,15 @@
 )]
 
 pub mod admin;
-pub mod back;
 pub mod config_updates;
-pub mod front;
-pub mod room;
-pub mod seen;
+pub mod connection_limits;
+pub mod listener;
+pub mod observability;
+pub mod upstream;
 
-use back::Backs;
 use foldhash::{HashMap, HashMapExt};
-use front::Conn;
+use listener::Conn;
+use observability::Metrics;
 use rainstand_config::schema::Configuration;
 use rainstand_protocol::ring::Ring;
 use rainstand_protocol::thrift;
@@ -42,7 +42,6 @@
 use rainstand_routing::table_update::TableChange;
 use rainstand_routing::weighted_split::name_hash;
 use rainstand_routing::ConfigurationError;
-use seen::Metrics;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -54,6 +53,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
+use upstream::Backs;
 
 /// Tickets in hand, some KB each: past it a ticket is dismissed at once.
 pub const MOST_TICKETS: usize = 20_000;
@@ -125,7 +125,7 @@
     pub backs: Backs,
     pub counts: Counts,
     pub conns: RefCell<HashMap<u64, Rc<Conn>>>,
-    pub room: room::Room,
+    pub room: connection_limits::Room,
     started: Instant,
     next: Cell<u64>,
     pub leaving: Cell<bool>,
@@ -187,7 +187,7 @@
             backs: Backs::new(seed),
             counts: Counts::default(),
             conns: RefCell::new(HashMap::new()),
-            room: room::Room::default(),
+            room: connection_limits::Room::default(),
             started: Instant::now(),
             next: Cell::new(0),
             leaving: Cell::new(false),
@@ -337,7 +337,7 @@
                     again: send.again,
                     tried: send.attempt_number,
                 };
-                back::send(self, &address, call);
+                upstream::send(self, &address, call);
             }
             NextAction::Backoff(trip, wait) => {
                 let attempt = self.number();
@@ -395,7 +395,7 @@
         if let Some(Out { address, since, .. }) = at {
             if self.came(number, attempt, AttemptOutcome::TimedOut) {
                 // Nobody waits for it there any more.
-                back::leave(self, &address, attempt, since);
+                upstream::leave(self, &address, attempt, since);
             }
         } else if let Some(trip) = self.claim(number, attempt) {
             let step = self.fleet.borrow_mut().on_retry_due(self.now(), trip);
@@ -476,7 +476,7 @@
             return;
         };
         if self.came(number, attempt, AttemptOutcome::CallerLeft) {
-            back::leave_everywhere(self, attempt);
+            upstream::leave_everywhere(self, attempt);
         }
     }
 
@@ -556,7 +556,7 @@
     stop: Duration,
     leave: impl std::future::Future<Output = ()>,
 ) {
-    spawn_local(front::accept(hub.clone(), listener));
+    spawn_local(listener::accept(hub.clone(), listener));
     spawn_local(keep_time(hub.clone()));
     let looking = hub.clone();
     spawn_local(async move {
--- a/crates/forwarder/src/front.rs
+++ b/crates/forwarder/src/listener.rs
@@ -1,6 +1,6 @@
 //! Dispatchers' connections: frames are cut and taken, answers go out as the socket takes them.
 
-use crate::{count, room, Hub};
+use crate::{connection_limits, count, Hub};
 use foldhash::{HashMap, HashMapExt};
 use rainstand_protocol::ring::Ring;
 use rainstand_protocol::thrift;
@@ -36,7 +36,7 @@
     pub open: RefCell<HashMap<i32, u64>>,
     used: Cell<bool>,
     pub came: Instant,
-    /// It asked something since [`crate::room`] looked at it last.
+    /// It asked something since [`crate::connection_limits`] looked at it last.
     pub asked: Cell<bool>,
     /// Its descriptor is wanted.
     pub told_to_go: Cell<bool>,
@@ -105,7 +105,7 @@
         match accepted {
             Ok((stream, peer)) => {
                 count(&hub.counts.accepted);
-                if !room::for_one_more(&hub) {
+                if !connection_limits::for_one_more(&hub) {
                     count(&hub.counts.refused_connections);
                     continue;
                 }
@@ -126,7 +126,7 @@
                 tokio::task::yield_now().await;
             }
             // An error for which a connection makes room is none of those in a row: there are only so many of them.
-            Err(error) if room::after(&hub, &error).await => errors = 0,
+            Err(error) if connection_limits::after(&hub, &error).await => errors = 0,
             Err(_) => sleep(ACCEPT_AGAIN).await,
         }
     }
--- a/crates/forwarder/src/back.rs
+++ b/crates/forwarder/src/upstream.rs
@@ -11,8 +11,8 @@
 //! Invariant of a [`Link`]: `left` + what is in `out` = all bytes that were put; a call whose `until` is past `left`
 //! has not left whole.
 
-use crate::front::flush;
-use crate::{count, room, Call, Hub};
+use crate::listener::flush;
+use crate::{connection_limits, count, Call, Hub};
 use foldhash::{HashMap, HashMapExt};
 use nanorand::{Rng, WyRand};
 use rainstand_protocol::ring::Ring;
@@ -286,7 +286,7 @@
 /// The last four of the sixteen digits change.
 ///
 /// ```
-/// use rainstand_forwarder::back::trace;
+/// use rainstand_forwarder::upstream::trace;
 /// assert_eq!(trace("9b1f03aa5c7e2d41", 1), "9b1f03aa5c7e2d41");
 /// assert_eq!(trace("9b1f03aa5c7e2d41", 2), "9b1f03aa5c7eb2f8");
 /// assert_eq!(trace("odd", 2), "odd");
@@ -364,7 +364,7 @@
 
 /// A link's whole life.
 async fn follow(hub: Rc<Hub>, member: Rc<Member>, link: Rc<Link>, address: Rc<str>) {
-    let opening = room::have(&hub, || TcpStream::connect(&*address));
+    let opening = connection_limits::have(&hub, || TcpStream::connect(&*address));
     match timeout(OPENING, opening).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
@@ -381,7 +381,7 @@
             }
         }
         // The want is ours, whoever is asked for.
-        Ok(Err(error)) if room::none_left(&error) => {}
+        Ok(Err(error)) if connection_limits::none_left(&error) => {}
         _ => member.away.set(Some(Instant::now())),
     }
     link.retired.set(true);
