--- a/crates/cli/src/attach.rs
+++ b/crates/cli/src/attach.rs
@@ -12,9 +12,9 @@
 use rainstand_config_distribution::snapshot::{self, DecodedSnapshot};
 use rainstand_config_distribution::subscriber::{Event, PendingUpdate, Subscriber};
 use rainstand_config_distribution::UpdateError;
-use rainstand_forwarder::admin::ControlLine;
+use rainstand_forwarder::admin::{ConfigSourceLine, RejectedVersion};
 use rainstand_forwarder::config_updates::table_changes;
-use rainstand_forwarder::Hub;
+use rainstand_forwarder::ForwarderContext;
 use rainstand_routing::subset::reduce;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -132,7 +132,7 @@
     }
 
     /// Starts the attachment in the background, from the `stored` version on if there is one.
-    pub(crate) fn start(self, hub: &Rc<Hub>, stored: Option<DecodedSnapshot>) {
+    pub(crate) fn start(self, context: &Rc<ForwarderContext>, stored: Option<DecodedSnapshot>) {
         let identity = self.identity.clone();
         let subscriber = match stored {
             Some(DecodedSnapshot { version, state }) => {
@@ -146,14 +146,14 @@
             ..AttachmentStatus::default()
         }));
         let (reported_status, started) = (status.clone(), Instant::now());
-        hub.control.replace(Some(Box::new(move || {
+        context.config_source.replace(Some(Box::new(move || {
             status_line(&reported_status.borrow(), started)
         })));
         let options = AttachmentOptions {
             identity: self.identity,
             machines: self.servers,
             seed: self.seed,
-            apply: apply_callback(hub.clone(), self.forwarder_number),
+            apply: apply_callback(context.clone(), self.forwarder_number),
             on_event: Box::new(log_event),
             on_status: store_callback(self.folder, subscriber.version()),
             status,
@@ -174,14 +174,14 @@
 
 /// Applies the pending update to the forwarder: a delta by its own cost where that is possible, and the full
 /// configuration otherwise.
-fn apply_callback(hub: Rc<Hub>, forwarder_number: usize) -> ApplyCallback {
+fn apply_callback(context: Rc<ForwarderContext>, forwarder_number: usize) -> ApplyCallback {
     Box::new(move |subscriber| {
         if let Some(PendingUpdate::Delta(delta)) = subscriber.pending() {
             // The first version is a full configuration, whatever it is sent as.
             if subscriber.version() > 0 {
                 let changes = table_changes(subscriber.state(), delta, forwarder_number)
                     .map_err(ApplyError::new)?;
-                match hub.apply(&changes) {
+                match context.apply_changes(&changes) {
                     Ok(_) => return Ok(()),
                     Err(error) => {
                         tracing::warn!(event = "delta_not_applied", version = delta.to, why = %error);
@@ -191,7 +191,8 @@
         }
         let mut configuration = pending_configuration(subscriber).map_err(ApplyError::new)?;
         reduce(&mut configuration, forwarder_number);
-        hub.replace(configuration)
+        context
+            .install_configuration(configuration)
             .map(drop)
             .map_err(ApplyError::new)
     })
@@ -247,23 +248,23 @@
     replace(path, &bytes).map_err(|error| error.to_string())
 }
 
-fn status_line(status: &AttachmentStatus, started: Instant) -> ControlLine {
+fn status_line(status: &AttachmentStatus, started: Instant) -> ConfigSourceLine {
     let age = status.known_newest_at.unwrap_or(started).elapsed();
-    ControlLine {
+    ConfigSourceLine {
         version: status.version,
         digest: format!("{:016x}", status.digest),
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        machine: status.machine.clone(),
-        refused: status
-            .rejected
-            .clone()
-            .map(|rejected| (rejected.version, rejected.reason)),
+        server: status.machine.clone(),
+        last_rejected: status.rejected.clone().map(|rejected| RejectedVersion {
+            version: rejected.version,
+            reason: rejected.reason,
+        }),
         attachments: status.attachments,
-        lost: status.lost_attachments,
-        dials: status.connection_attempts,
-        in_force: status.counters.applied,
-        refusals: status.counters.nacks,
-        differs: status.counters.divergences,
+        lost_attachments: status.lost_attachments,
+        connection_attempts: status.connection_attempts,
+        applied_versions: status.counters.applied,
+        rejected_versions: status.counters.nacks,
+        divergences: status.counters.divergences,
         bytes_in: status.counters.bytes_in,
         bytes_out: status.counters.bytes_out,
     }
--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::signals::Signals;
 use clap::Args;
 use rainstand_config::schema::{self, Configuration};
-use rainstand_forwarder::{run as serve, Hub};
+use rainstand_forwarder::{run as serve, ForwarderContext};
 use rainstand_routing::subset::reduce;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
@@ -125,8 +125,8 @@
         (last, configuration) = (Some(stored.snapshot), stored.configuration);
         reduce(&mut configuration, options.number);
     }
-    let hub = match Hub::of(configuration, &options.zone, seed) {
-        Ok(hub) => hub,
+    let context = match ForwarderContext::new(configuration, &options.zone, seed) {
+        Ok(context) => context,
         Err(why) => return Ok(trouble(&options.config, why)),
     };
     LocalSet::new().block_on(&runtime, async {
@@ -138,7 +138,7 @@
             match TcpListener::bind(admin).await {
                 Ok(listener) => {
                     tracing::info!(event = "admin", admin = %listener.local_addr()?);
-                    spawn_local(rainstand_forwarder::admin::serve(hub.clone(), listener));
+                    spawn_local(rainstand_forwarder::admin::serve(context.clone(), listener));
                 }
                 Err(error) => return Ok(trouble(&admin.to_string(), error)),
             }
@@ -152,9 +152,9 @@
         tracing::info!(event = "start", listen = %listener.local_addr()?, config = %options.config);
         let attached = plan.is_some();
         if let Some(plan) = plan {
-            plan.start(&hub, last);
+            plan.start(&context, last);
         }
-        let (again, path, number) = (hub.clone(), options.config.clone(), options.number);
+        let (reloaded, path, number) = (context.clone(), options.config.clone(), options.number);
         spawn_local(async move {
             while hangup.recv().await.is_some() {
                 // A bad one changes nothing.
@@ -166,9 +166,11 @@
                     continue;
                 }
                 let taken = match read_apart(&path, number) {
-                    Ok(read) => {
-                        made(read.await).and_then(|configuration| again.replace(configuration))
-                    }
+                    Ok(read) => made(read.await).and_then(|configuration| {
+                        reloaded
+                            .install_configuration(configuration)
+                            .map_err(|error| error.to_string())
+                    }),
                     Err(error) => Err(error.to_string()),
                 };
                 match taken {
@@ -177,10 +179,10 @@
                 }
             }
         });
-        let counted = hub.clone();
+        let counted = context.clone();
         spawn_local(async move {
             while print_counts.recv().await.is_some() {
-                tracing::info!(event = "counts", what = %counted.line());
+                tracing::info!(event = "counts", what = %counted.counters_line());
             }
         });
         let leave = async move {
@@ -189,7 +191,13 @@
                 _ = interrupt.recv() => {}
             }
         };
-        serve(hub, listener, Duration::from_millis(options.stop_ms), leave).await;
+        serve(
+            context,
+            listener,
+            Duration::from_millis(options.stop_ms),
+            leave,
+        )
+        .await;
         Ok(Code::Good)
     })
 }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -10,7 +10,7 @@
 use nanorand::{Rng, WyRand};
 use rainstand_fleet_model::plan::{NodeKind, Plan, Trouble, Work};
 use rainstand_fleet_model::world::{configuration, meets, run as model};
-use rainstand_forwarder::{run as serve, Hub};
+use rainstand_forwarder::{run as serve, ForwarderContext};
 use rainstand_protocol::thrift::{self, What};
 use rainstand_routing::subset::in_rounds;
 use rainstand_test_servers::node::{Make, Node};
@@ -146,12 +146,12 @@
                 return;
             };
             LocalSet::new().block_on(&runtime, async move {
-                let hub = Hub::new(&made, "", u64::from(me));
+                let context = ForwarderContext::new(made, "", u64::from(me));
                 let listener = TcpListener::bind("127.0.0.1:0").await;
-                if let (Ok(hub), Ok(listener)) = (hub, listener) {
+                if let (Ok(context), Ok(listener)) = (context, listener) {
                     let _ = told.send(listener.local_addr());
                     serve(
-                        hub,
+                        context,
                         listener,
                         Duration::from_secs(1),
                         std::future::pending(),
--- a/crates/forwarder/benches/days.rs
+++ b/crates/forwarder/benches/days.rs
@@ -14,7 +14,7 @@
 
 use hdrhistogram::Histogram;
 use rainstand_config::{load, source::Memory};
-use rainstand_forwarder::{run, Hub};
+use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_invariants::Kind;
 use rainstand_test_servers::caller::{Ask, Caller, Told};
 use rainstand_test_servers::node::{Make, Node};
@@ -207,11 +207,11 @@
     let nodes = nodes(scripts, Some(&watch));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let to = listener.local_addr().expect("it");
-    let hub = Hub::new(&configuration(&nodes), "", 1).expect("good");
-    spawn_local(run(hub.clone(), listener, GOAL, std::future::pending()));
+    let context = ForwarderContext::new(configuration(&nodes), "", 1).expect("good");
+    spawn_local(run(context.clone(), listener, GOAL, std::future::pending()));
     let day = Day::new();
     lane(vec![to], 0, 1, day.clone(), Some(watch.clone())).await;
-    let counts = hub.fleet.borrow().counts();
+    let counts = context.fleet.borrow().counts();
     let now = watch.now();
     let _ = watch
         .rules()
--- a/crates/forwarder/benches/throughput.rs
+++ b/crates/forwarder/benches/throughput.rs
@@ -12,7 +12,7 @@
 
 use hdrhistogram::Histogram;
 use rainstand_config::{load, source::Memory};
-use rainstand_forwarder::{run, Hub};
+use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_protocol::thrift;
 use rainstand_test_servers::node::Make;
 use std::io::{Read, Write};
@@ -75,17 +75,17 @@
     thread(move || async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         told.send(listener.local_addr().unwrap()).unwrap();
-        let hub = Hub::new(&made, "", 1).unwrap();
+        let context = ForwarderContext::new(made, "", 1).unwrap();
         if std::env::var_os("COUNTS").is_some() {
-            let counted = hub.clone();
+            let counted = context.clone();
             spawn_local(async move {
                 loop {
                     tokio::time::sleep(Duration::from_secs(3)).await;
-                    println!("{}", counted.line());
+                    println!("{}", counted.counters_line());
                 }
             });
         }
-        run(hub, listener, FOR, std::future::pending()).await;
+        run(context, listener, FOR, std::future::pending()).await;
     });
     address.recv().unwrap()
 }
--- /dev/null
+++ b/crates/forwarder/src/server.rs
@@ -0,0 +1,57 @@
+//! Runs a forwarder from its start to the end of its drain.
+
+use crate::drain::drain;
+use crate::request_table::run_timers;
+use crate::{listener, ForwarderContext};
+use rainstand_routing::fleet::MemberRef;
+use rainstand_routing::health::MemberStatus;
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Between two evaluations of the members' health.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Serves until `shutdown` completes, then drains: everything is answered at most `grace` later, see [`crate::drain`].
+///
+/// # Panics
+/// Outside of a [`tokio::task::LocalSet`].
+pub async fn run(
+    context: Rc<ForwarderContext>,
+    listener: TcpListener,
+    grace: Duration,
+    shutdown: impl Future<Output = ()>,
+) {
+    spawn_local(listener::accept(context.clone(), listener));
+    spawn_local(run_timers(context.clone()));
+    spawn_local(evaluate_health(context.clone()));
+    shutdown.await;
+    drain(&context, grace).await;
+    tracing::info!(event = "counts", words = "counts", what = %context.counters_line());
+}
+
+/// Evaluates the members' health for as long as the forwarder runs.
+async fn evaluate_health(context: Rc<ForwarderContext>) {
+    loop {
+        sleep(HEALTH_CHECK_INTERVAL).await;
+        let changes = context.fleet.borrow_mut().tick(context.now());
+        for (member, status) in changes {
+            log_member_status(&context, member, status);
+        }
+    }
+}
+
+fn log_member_status(context: &ForwarderContext, member: MemberRef, status: MemberStatus) {
+    let fleet = context.fleet.borrow();
+    let address = fleet.address(member);
+    let pool = fleet.table().pool_name(member.pool);
+    let why = match status {
+        MemberStatus::Ejected(ejection) => ejection.reason.as_str(),
+        MemberStatus::Healthy | MemberStatus::Probing => "",
+    };
+    let to = status.as_str();
+    tracing::info!(event = "member", words = "member", pool, address = %address, to, why);
+}
--- a/crates/forwarder/src/upstream.rs
+++ b/crates/forwarder/src/upstream.rs
@@ -1,516 +1,312 @@
-//! Connections to members: opened as they are needed, one at a time while a member cannot be reached, closed
-//! when unused or old, never over 32 tickets each.
+//! Connections to members: opened as they are needed, one at a time while a member cannot be reached, closed when idle
+//! or old, and never with more attempts open than the protocol allows.
 //!
-//! When a connection breaks, what had not left whole is told apart from what may have run: bytes that no
-//! system call took cannot have reached anybody.
+//! When a connection breaks, attempts of which some bytes were never taken by the system are told apart from those that
+//! may have run: they cannot have reached anybody.
 //!
-//! A member is known to be the same one as long as links to it overlap. A link that we close ourselves proves nothing
-//! against it; after one that ended otherwise it is as old as the oldest link that still stands, and with none left
-//! nothing is known ([`rainstand_routing::warm_up`]). The last link is therefore not closed for its age, only when unused.
-//!
-//! Invariant of a [`Link`]: `left` + what is in `out` = all bytes that were put; a call whose `until` is past `left`
-//! has not left whole.
+//! A member is taken for the same process as long as connections to it overlap. A connection that we close ourselves
+//! proves nothing against it; after one that ended otherwise it is as old as the oldest connection that is still open,
+//! and with none left nothing is known ([`rainstand_routing::warm_up`]). The last connection is therefore not closed for
+//! its age, only when idle.
+
+mod connection;
+mod frames;
+mod replies;
+
+pub use frames::retry_trace;
 
-use crate::listener::flush;
-use crate::{connection_limits, count, Call, Hub};
+use crate::observability::increment;
+use crate::request_table::AttemptId;
+use crate::ForwarderContext;
+use connection::{run_connection, ConnectionEnd, UpstreamConnection};
 use foldhash::{HashMap, HashMapExt};
 use nanorand::{Rng, WyRand};
-use rainstand_protocol::ring::Ring;
-use rainstand_protocol::thrift::{self, What};
+use rainstand_protocol::thrift;
 use rainstand_routing::fleet::AttemptOutcome;
-use std::cell::{Cell, OnceCell, RefCell};
-use std::io;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::net::TcpStream;
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::timeout;
 
-/// Tickets that the protocol allows open on a connection.
-const TOGETHER: usize = 32;
-/// Bytes that wait for a member to read them: past it the link is broken, however open it looks.
-const UNREAD: usize = 512 << 10;
 /// Connections to one member.
-pub const MOST_LINKS: usize = 64;
-/// Unused for this long a link is closed: sooner than nodes close theirs.
-const IDLE: Duration = Duration::from_secs(8);
-/// No link gets new tickets when it is this old, or up to half as old again by chance: members behind one address
-/// that is shared change, and not all links at once.
-const AGE: Duration = Duration::from_secs(300);
-/// Opening takes no longer on a network that works.
-const OPENING: Duration = Duration::from_millis(500);
-/// After an opening failed tries there fail at once for this long: nobody thunders at a member that starts.
-const AWAY: Duration = Duration::from_millis(200);
+pub const MAX_UPSTREAM_CONNECTIONS: usize = 64;
+/// A connection gets no new attempts when it is this old, or up to [`CONNECTION_AGE_JITTER`] older: the members behind
+/// one shared address change.
+const MAX_CONNECTION_AGE: Duration = Duration::from_mins(5);
+/// A connection's age is extended at random by up to this part, so that not all are replaced at once.
+const CONNECTION_AGE_JITTER: f64 = 0.5;
+/// After a connect failed, attempts there fail at once for this long, so that a member that starts is not flooded.
+const CONNECT_BACKOFF: Duration = Duration::from_millis(200);
+/// Distinguishes the random sequence of connection ages from the others of the same seed.
+const CONNECTION_AGE_SEED: u64 = 0x6261_636b;
+
+/// One attempt of a request, to be sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OutgoingAttempt {
+    pub(crate) id: AttemptId,
+    /// It carries the mark of a retry.
+    pub(crate) is_retry: bool,
+    /// Number of the attempt in its request, from 1.
+    pub(crate) attempt_number: u32,
+}
 
-pub struct Backs {
-    members: RefCell<HashMap<Rc<str>, Rc<Member>>>,
-    chance: RefCell<WyRand>,
+/// Connections to all members, by address.
+pub struct UpstreamPool {
+    upstreams: RefCell<HashMap<Rc<str>, Rc<Upstream>>>,
+    random: RefCell<WyRand>,
 }
 
+/// A member, as its connections show it.
 #[derive(Default)]
-struct Member {
-    links: RefCell<Vec<Rc<Link>>>,
-    /// The last opening failed then.
-    away: Cell<Option<Instant>>,
-    /// It said on its last link that it leaves.
-    left: Cell<bool>,
-    /// Links have stood without a gap since then, by the hub's clock; none while none stands.
-    since: Cell<Option<Duration>>,
+struct Upstream {
+    connections: RefCell<Vec<Rc<UpstreamConnection>>>,
+    /// When the last connect failed; none once one succeeded.
+    connect_failed_at: Cell<Option<Instant>>,
+    /// It announced its shutdown on its last connection.
+    is_leaving: Cell<bool>,
+    /// Since when there was always a connection, by the context's clock; none while there is none.
+    connected_since: Cell<Option<Duration>>,
 }
 
-impl Member {
-    /// Whether any link stands but this one.
-    fn others_stand(&self, but: &Rc<Link>) -> bool {
-        self.links
-            .borrow()
+impl Upstream {
+    fn has_other_connections(&self, connection: &Rc<UpstreamConnection>) -> bool {
+        let connections = self.connections.borrow();
+        connections
             .iter()
-            .any(|link| !Rc::ptr_eq(link, but) && link.stream.get().is_some())
+            .any(|other| !Rc::ptr_eq(other, connection) && other.is_connected())
     }
 
-    /// A link stands: the first one may be to a new member.
-    fn stands(&self, hub: &Hub, link: &Rc<Link>, address: &str) {
-        let now = hub.now();
-        link.opened.set(now);
-        if !self.others_stand(link) || self.since.get().is_none() {
-            self.known_since(hub, address, Some(now));
+    /// A connection is established; the first one may be to a new process.
+    fn on_connected(
+        &self,
+        context: &ForwarderContext,
+        connection: &Rc<UpstreamConnection>,
+        address: &str,
+    ) {
+        let now = context.now();
+        connection.set_connected_at(now);
+        if !self.has_other_connections(connection) || self.connected_since.get().is_none() {
+            self.set_connected_since(context, address, Some(now));
         }
     }
 
-    /// A link is gone, and out of the list; `by_us`: because we closed it.
-    fn fell(&self, hub: &Hub, address: &str, by_us: bool) {
-        let standing = |link: &&Rc<Link>| link.stream.get().is_some();
+    /// A connection ended and is out of the list.
+    fn on_disconnected(&self, context: &ForwarderContext, address: &str, end: ConnectionEnd) {
         let oldest = self
-            .links
+            .connections
             .borrow()
             .iter()
-            .filter(standing)
-            .map(|link| link.opened.get())
+            .filter(|connection| connection.is_connected())
+            .map(|connection| connection.connected_at())
             .min();
-        match (oldest, self.since.get()) {
-            (Some(oldest), Some(since)) if by_us || oldest <= since => {}
-            (oldest, since) if oldest != since => self.known_since(hub, address, oldest),
+        match (oldest, self.connected_since.get()) {
+            (Some(oldest), Some(since)) if end == ConnectionEnd::ClosedByUs || oldest <= since => {}
+            (oldest, since) if oldest != since => {
+                self.set_connected_since(context, address, oldest);
+            }
             _ => {}
         }
     }
 
-    fn known_since(&self, hub: &Hub, address: &str, since: Option<Duration>) {
-        self.since.set(since);
-        let mut fleet = hub.fleet.borrow_mut();
+    fn set_connected_since(
+        &self,
+        context: &ForwarderContext,
+        address: &str,
+        since: Option<Duration>,
+    ) {
+        self.connected_since.set(since);
+        let mut fleet = context.fleet.borrow_mut();
         match since {
             _ if !fleet.has_warm_up() => {}
-            Some(since) => fleet.on_connected(address, since, hub.now()),
-            None => fleet.on_disconnected(address, hub.now()),
+            Some(since) => fleet.on_connected(address, since, context.now()),
+            None => fleet.on_disconnected(address, context.now()),
         }
     }
-}
-
-struct Link {
-    stream: OnceCell<TcpStream>,
-    out: RefCell<Ring>,
-    /// Bytes that were put into `out`, and those of them that the system took.
-    put: Cell<u64>,
-    left: Cell<u64>,
-    /// Tries by the number that they have here, each with where its bytes end.
-    open: RefCell<HashMap<i32, (Call, u64)>>,
-    next: Cell<i32>,
-    /// From then on nothing new goes here.
-    old_at: Instant,
-    /// Nothing new goes here.
-    retired: Cell<bool>,
-    /// When the member last said anything on it, by the hub's clock.
-    heard: Cell<Duration>,
-    /// Since when it stands, by the hub's clock.
-    opened: Cell<Duration>,
-    /// We closed it, in peace.
-    by_us: Cell<bool>,
-    wake: Notify,
-}
 
-impl Link {
-    /// Bytes to be written; where they end in all that was.
-    fn put(&self, frame: &[u8]) -> u64 {
-        self.out.borrow_mut().put(frame);
-        self.put.set(self.put.get() + frame.len() as u64);
-        // Written by the link's task, so that tries that come together leave together.
-        self.wake.notify_one();
-        self.put.get()
+    /// Whether another connection may be opened now: while the member cannot be reached, one at a time.
+    fn may_connect(&self) -> bool {
+        let connections = self.connections.borrow();
+        if connections.len() >= MAX_UPSTREAM_CONNECTIONS {
+            return false;
+        }
+        let Some(failed_at) = self.connect_failed_at.get() else {
+            return true;
+        };
+        failed_at.elapsed() >= CONNECT_BACKOFF
+            && connections
+                .iter()
+                .all(|connection| connection.is_connected())
     }
 
-    /// Writes what the system takes without waiting.
-    fn flush(&self, stream: &TcpStream) -> io::Result<()> {
-        let done = flush(&self.out, stream);
-        self.left
-            .set(self.put.get() - self.out.borrow().len() as u64);
-        done
+    /// The fullest connection that has capacity, so that others become idle and close.
+    fn connection_with_capacity(&self) -> Option<Rc<UpstreamConnection>> {
+        let connections = self.connections.borrow();
+        connections
+            .iter()
+            .filter(|connection| connection.has_capacity())
+            .max_by_key(|connection| connection.open_attempts())
+            .cloned()
     }
 
-    fn takes_more(&self) -> bool {
-        !self.retired.get() && self.open.borrow().len() < TOGETHER && Instant::now() < self.old_at
+    /// Tells the member that nobody waits for an attempt, on the connection that has it, which is returned.
+    fn cancel(&self, id: AttemptId) -> Option<Rc<UpstreamConnection>> {
+        let connections = self.connections.borrow();
+        connections
+            .iter()
+            .find(|connection| connection.cancel(id))
+            .cloned()
     }
 }
 
-impl Backs {
-    pub fn new(seed: u64) -> Self {
+impl UpstreamPool {
+    pub(crate) fn new(seed: u64) -> Self {
         Self {
-            members: RefCell::new(HashMap::new()),
-            chance: RefCell::new(WyRand::new_seed(seed ^ 0x6261_636b)),
+            upstreams: RefCell::new(HashMap::new()),
+            random: RefCell::new(WyRand::new_seed(seed ^ CONNECTION_AGE_SEED)),
         }
     }
 
-    /// Links there are to all members.
-    pub fn links(&self) -> usize {
-        self.members
+    /// Connections to all members, those that are being opened included.
+    pub fn connection_count(&self) -> usize {
+        self.upstreams
             .borrow()
             .values()
-            .map(|member| member.links.borrow().len())
+            .map(|upstream| upstream.connections.borrow().len())
             .sum()
     }
 
     /// Bytes that wait to be written to members.
-    pub fn unwritten(&self) -> usize {
-        let of = |member: &Rc<Member>| -> usize {
-            member
-                .links
-                .borrow()
+    pub fn unwritten_bytes(&self) -> usize {
+        let of_upstream = |upstream: &Rc<Upstream>| -> usize {
+            let connections = upstream.connections.borrow();
+            connections
                 .iter()
-                .map(|link| link.out.borrow().len())
+                .map(|connection| connection.unwritten_bytes())
                 .sum()
         };
-        self.members.borrow().values().map(of).sum()
+        self.upstreams.borrow().values().map(of_upstream).sum()
     }
 
-    /// Tells the decisions since when each member is known: those of a new version may not know it.
-    pub fn tell_known(&self, hub: &Hub) {
-        let (mut fleet, now) = (hub.fleet.borrow_mut(), hub.now());
+    /// Reports to the decisions since when each member is connected: those of a new version may not know it.
+    pub(crate) fn report_connected(&self, context: &ForwarderContext) {
+        let (mut fleet, now) = (context.fleet.borrow_mut(), context.now());
         if !fleet.has_warm_up() {
             return;
         }
-        for (address, member) in self.members.borrow().iter() {
-            if let Some(since) = member.since.get() {
+        for (address, upstream) in self.upstreams.borrow().iter() {
+            if let Some(since) = upstream.connected_since.get() {
                 fleet.on_connected(address, since, now);
             }
         }
     }
 
-    /// Forgets members without a link: those of versions that are gone.
-    pub fn tidy(&self) {
-        self.members
+    /// Removes members without a connection: those of earlier versions.
+    pub(crate) fn remove_unconnected(&self) {
+        self.upstreams
             .borrow_mut()
-            .retain(|_, member| !member.links.borrow().is_empty());
+            .retain(|_, upstream| !upstream.connections.borrow().is_empty());
     }
-}
 
-/// Sends a try to a member; what came of it is told to the hub, also if it could not be sent.
-pub fn send(hub: &Rc<Hub>, address: &Rc<str>, call: Call) {
-    let member = hub
-        .backs
-        .members
-        .borrow_mut()
-        .entry(address.clone())
-        .or_default()
-        .clone();
-    let opening = |link: &&Rc<Link>| link.stream.get().is_none();
-    let away = member
-        .away
-        .get()
-        .is_some_and(|since| since.elapsed() < AWAY);
-    let link = {
-        let mut links = member.links.borrow_mut();
-        let room = links.iter().filter(|link| link.takes_more());
-        // The fullest that has room, so that others become idle and close.
-        let found = room.max_by_key(|link| link.open.borrow().len()).cloned();
-        match found {
-            Some(link) => Some(link),
-            // One opening at a time toward a member that was away.
-            None if links.len() >= MOST_LINKS
-                || away
-                || (member.away.get().is_some() && links.iter().any(|l| opening(&l))) =>
-            {
-                None
-            }
-            None => {
-                let half = f64::from(hub.backs.chance.borrow_mut().generate::<u32>())
-                    / f64::from(u32::MAX)
-                    / 2.0;
-                let link = Rc::new(Link {
-                    stream: OnceCell::new(),
-                    out: RefCell::default(),
-                    put: Cell::new(0),
-                    left: Cell::new(0),
-                    open: RefCell::new(HashMap::new()),
-                    next: Cell::new(1),
-                    old_at: Instant::now() + AGE.mul_f64(1.0 + half),
-                    retired: Cell::new(false),
-                    heard: Cell::new(Duration::ZERO),
-                    opened: Cell::new(Duration::ZERO),
-                    by_us: Cell::new(false),
-                    wake: Notify::new(),
-                });
-                links.push(link.clone());
-                spawn_local(follow(
-                    hub.clone(),
-                    member.clone(),
-                    link.clone(),
-                    address.clone(),
-                ));
-                Some(link)
-            }
-        }
-    };
-    let Some(link) = link else {
-        // Not within this call: the caller is in the middle of a step.
-        let hub = hub.clone();
-        spawn_local(async move {
-            hub.came(call.number, call.attempt, AttemptOutcome::Unreachable);
-        });
-        return;
-    };
-    let seq = link.next.replace(link.next.get() + 1);
-    let frame = {
-        let tickets = hub.tickets.borrow();
-        let Some(ticket) = tickets.get(&call.number) else {
-            return;
-        };
-        if call.again {
-            marked(seq, &ticket.args, call.tried)
-        } else {
-            thrift::process_again(seq, &ticket.args)
-        }
-    };
-    let until = link.put(&frame);
-    link.open.borrow_mut().insert(seq, (call, until));
-}
-
-/// The trace of a further try: the protocol wants a new one for each, and who reads logs wants to find the first.
-/// The last four of the sixteen digits change.
-///
-/// ```
-/// use rainstand_forwarder::upstream::trace;
-/// assert_eq!(trace("9b1f03aa5c7e2d41", 1), "9b1f03aa5c7e2d41");
-/// assert_eq!(trace("9b1f03aa5c7e2d41", 2), "9b1f03aa5c7eb2f8");
-/// assert_eq!(trace("odd", 2), "odd");
-/// ```
-pub fn trace(first: &str, tried: u32) -> String {
-    match (u64::from_str_radix(first, 16), first.len()) {
-        (Ok(n), 16) => {
-            let other = u64::from((tried.wrapping_sub(1)).wrapping_mul(0x9fb9) & 0xffff);
-            format!("{:016x}", n ^ other)
-        }
-        _ => first.to_owned(),
+    fn get(&self, address: &str) -> Option<Rc<Upstream>> {
+        self.upstreams.borrow().get(address).cloned()
     }
-}
 
-/// A call with the mark of a further try.
-fn marked(seq: i32, args: &[u8], tried: u32) -> Vec<u8> {
-    let text = |bytes| std::str::from_utf8(bytes).ok();
-    // They were read before, and every field was text.
-    let (fields, body) = thrift::process_args(args).unwrap_or_default();
-    let fields = fields.unwrap_or_default();
-    let mut fields: Vec<(&str, &str)> = fields
-        .into_iter()
-        .filter_map(|(key, value)| Some((text(key)?, text(value)?)))
-        .collect();
-    let place = fields.iter().position(|(key, _)| *key == "trace");
-    let new = place.map(|at| trace(fields[at].1, tried));
-    if let (Some(at), Some(new)) = (place, &new) {
-        fields[at].1 = new;
-    }
-    if !fields.iter().any(|(key, _)| *key == "redo") {
-        fields.push(("redo", "1"));
+    fn get_or_insert(&self, address: &Rc<str>) -> Rc<Upstream> {
+        self.upstreams
+            .borrow_mut()
+            .entry(address.clone())
+            .or_default()
+            .clone()
     }
-    thrift::process(seq, &fields, body.unwrap_or_default())
-}
 
-/// Tells a member that nobody waits for a try any more, which was sent then and took too long.
-pub fn leave(hub: &Hub, address: &str, attempt: u64, since: Duration) {
-    let member = hub.backs.members.borrow().get(address).cloned();
-    if let Some(link) = member.and_then(|member| leave_on(&member, attempt)) {
-        // Guards against a link that was lost without a word: no try after this one goes where nothing was heard for
-        // the whole of it, or the member would stay out for as long as the link stands.
-        if link.heard.get() <= since && !link.retired.replace(true) {
-            count(&hub.counts.quiet_links);
-        }
+    /// When a connection that is opened now gets no new attempts any more.
+    fn draw_retire_at(&self) -> Instant {
+        let draw = self.random.borrow_mut().generate::<u32>();
+        let fraction = f64::from(draw) / f64::from(u32::MAX);
+        Instant::now() + MAX_CONNECTION_AGE.mul_f64(1.0 + CONNECTION_AGE_JITTER * fraction)
     }
 }
 
-/// As [`leave`], for a caller that left: its try is at one of the members.
-pub fn leave_everywhere(hub: &Hub, attempt: u64) {
-    hub.backs
-        .members
-        .borrow()
-        .values()
-        .any(|member| leave_on(member, attempt).is_some());
-}
-
-fn leave_on(member: &Member, attempt: u64) -> Option<Rc<Link>> {
-    let links = member.links.borrow();
-    for link in links.iter() {
-        let seq = link
-            .open
-            .borrow()
-            .iter()
-            .find(|(_, (call, _))| call.attempt == attempt)
-            .map(|(seq, _)| *seq);
-        if let Some(seq) = seq {
-            // Nothing is owed on it any more: it takes no place, and an answer to it is late.
-            link.open.borrow_mut().remove(&seq);
-            link.put(&thrift::give_up(seq));
-            return Some(link.clone());
+/// Sends an attempt to a member. What came of it is reported to the request, also if it could not be sent.
+pub(crate) fn send_attempt(
+    context: &Rc<ForwarderContext>,
+    address: &Rc<str>,
+    attempt: OutgoingAttempt,
+) {
+    let upstream = context.upstreams.get_or_insert(address);
+    let connection = match upstream.connection_with_capacity() {
+        Some(connection) => connection,
+        None if upstream.may_connect() => open_connection(context, &upstream, address),
+        None => {
+            report_unreachable(context, attempt.id);
+            return;
         }
+    };
+    let sequence_number = connection.next_sequence_number();
+    let frame = context
+        .requests
+        .with_request(attempt.id.request, |request| {
+            if attempt.is_retry {
+                frames::retry_call(
+                    sequence_number,
+                    &request.call_arguments,
+                    attempt.attempt_number,
+                )
+            } else {
+                thrift::process_again(sequence_number, &request.call_arguments)
+            }
+        });
+    if let Some(frame) = frame {
+        connection.send(sequence_number, attempt.id, &frame);
     }
-    None
 }
 
-/// A link's whole life.
-async fn follow(hub: Rc<Hub>, member: Rc<Member>, link: Rc<Link>, address: Rc<str>) {
-    let opening = connection_limits::have(&hub, || TcpStream::connect(&*address));
-    match timeout(OPENING, opening).await {
-        Ok(Ok(stream)) => {
-            let _ = stream.set_nodelay(true);
-            count(&hub.counts.links);
-            // It was gone and is there again: a new one, whatever its address.
-            if member.away.take().is_some() | member.left.take() {
-                hub.fleet.borrow_mut().on_restarted(&address, hub.now());
-                member.since.set(None);
-            }
-            let _ = link.stream.set(stream);
-            member.stands(&hub, &link, &address);
-            if !serve(&hub, &member, &link, &address).await {
-                count(&hub.counts.broken_links);
-            }
-        }
-        // The want is ours, whoever is asked for.
-        Ok(Err(error)) if connection_limits::none_left(&error) => {}
-        _ => member.away.set(Some(Instant::now())),
-    }
-    link.retired.set(true);
-    member
-        .links
-        .borrow_mut()
-        .retain(|one| !Rc::ptr_eq(one, &link));
-    member.fell(&hub, &address, link.by_us.get());
-    let mut open: Vec<(Call, u64)> = link
-        .open
-        .borrow_mut()
-        .drain()
-        .map(|(_, call)| call)
-        .collect();
-    // In the order in which they were sent, whatever the map's.
-    open.sort_by_key(|(_, until)| *until);
-    let left = link.left.get();
-    for (call, until) in open {
-        // What did not leave whole cannot have been read whole.
-        let ran = if until <= left {
-            AttemptOutcome::Broken
-        } else {
-            AttemptOutcome::Unreachable
-        };
-        if ran == AttemptOutcome::Unreachable && link.stream.get().is_some() {
-            count(&hub.counts.unsent);
-        }
-        hub.came(call.number, call.attempt, ran);
-    }
+fn open_connection(
+    context: &Rc<ForwarderContext>,
+    upstream: &Rc<Upstream>,
+    address: &Rc<str>,
+) -> Rc<UpstreamConnection> {
+    let retire_at = context.upstreams.draw_retire_at();
+    let connection = Rc::new(UpstreamConnection::new(retire_at));
+    upstream.connections.borrow_mut().push(connection.clone());
+    spawn_local(run_connection(
+        context.clone(),
+        upstream.clone(),
+        connection.clone(),
+        address.clone(),
+    ));
+    connection
 }
 
-/// Reads what comes back until the link ends; whether that was its proper end.
-async fn serve(hub: &Rc<Hub>, member: &Member, link: &Rc<Link>, address: &str) -> bool {
-    let Some(stream) = link.stream.get() else {
-        return false;
-    };
-    let mut back = Ring::default();
-    loop {
-        if link.flush(stream).is_err() {
-            return false;
-        }
-        if link.out.borrow().len() > UNREAD {
-            return false;
-        }
-        let idle = link.open.borrow().is_empty();
-        if idle
-            && (link.retired.get() || (Instant::now() >= link.old_at && member.others_stand(link)))
-        {
-            link.by_us.set(true);
-            return true;
-        }
-        let more = !link.out.borrow().is_empty();
-        tokio::select! {
-            ready = timeout(IDLE, stream.readable()) => {
-                let Ok(ready) = ready else {
-                    if idle && link.open.borrow().is_empty() {
-                        link.by_us.set(true);
-                        return true;
-                    }
-                    continue;
-                };
-                match ready.and_then(|()| hub.read(stream, &mut back)) {
-                    Ok(0) => return link.open.borrow().is_empty(),
-                    Ok(_) => link.heard.set(hub.now()),
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-                    Err(_) => return false,
-                }
-                while let Ok(Some(length)) = thrift::frame(back.bytes()) {
-                    told(hub, member, link, address, &back.bytes()[4..4 + length]);
-                    back.drop_front(4 + length);
-                }
-                if thrift::frame(back.bytes()).is_err() {
-                    count(&hub.counts.unreadable);
-                    return false;
-                }
-            }
-            _ = stream.writable(), if more => {}
-            () = link.wake.notified() => {}
-        }
-    }
+/// Reports from a task of its own, as the caller is in the middle of a step of the same request.
+fn report_unreachable(context: &Rc<ForwarderContext>, id: AttemptId) {
+    let context = context.clone();
+    spawn_local(async move {
+        context.on_attempt_outcome(id, AttemptOutcome::Unreachable);
+    });
 }
 
-fn told(hub: &Rc<Hub>, member: &Member, link: &Link, address: &str, frame: &[u8]) {
-    if thrift::kind(frame) == Some(thrift::ONEWAY) {
-        link.retired.set(true);
-        // One link may be closed for many reasons; a member that wants none of them leaves.
-        if member.links.borrow().iter().all(|link| link.retired.get()) {
-            member.left.set(true);
-            hub.fleet.borrow_mut().on_leaving(address, hub.now());
-        }
-        return;
-    }
-    let Ok(answered) = thrift::answered(frame) else {
-        count(&hub.counts.unreadable);
-        return;
-    };
-    let Some((call, _)) = link.open.borrow_mut().remove(&answered.seq) else {
-        // A second answer, or to nothing that was asked.
-        count(&hub.counts.late_answers);
+/// Tells a member that nobody waits any more for an attempt that took too long.
+pub(crate) fn cancel_timed_out(
+    context: &ForwarderContext,
+    address: &str,
+    id: AttemptId,
+    sent_at: Duration,
+) {
+    let upstream = context.upstreams.get(address);
+    let Some(connection) = upstream.and_then(|upstream| upstream.cancel(id)) else {
         return;
     };
-    let taken = match answered.what {
-        What::Answer { body, .. } => hub.honoured(call.number, call.attempt, body),
-        What::Backoff(texts) => {
-            let text = |key: &[u8]| {
-                texts
-                    .iter()
-                    .find(|(name, _)| *name == key)
-                    .map(|(_, value)| *value)
-            };
-            let ms =
-                text(b"pause").and_then(|ms| std::str::from_utf8(ms).ok()?.parse::<u64>().ok());
-            // More than a minute is no honest time to come back.
-            let pause = Duration::from_millis(ms.unwrap_or(0).min(60_000));
-            let nowhere_else = text(b"terminal") == Some(b"1");
-            hub.came(
-                call.number,
-                call.attempt,
-                AttemptOutcome::Rejected {
-                    pause,
-                    nowhere_else,
-                },
-            )
-        }
-        What::Lost | What::Exception { .. } => {
-            hub.came(call.number, call.attempt, AttemptOutcome::Failed)
-        }
-    };
-    if !taken {
-        count(&hub.counts.late_answers);
+    // A connection that was lost without a sign would otherwise time out every attempt for as long as it stays open.
+    if connection.last_read_at() <= sent_at && connection.retire() {
+        increment(&context.counters.silent_upstream_connections);
     }
 }
+
+/// Tells the member that has it, whichever that is, that nobody waits any more for an attempt.
+pub(crate) fn cancel_anywhere(context: &ForwarderContext, id: AttemptId) {
+    let upstreams = context.upstreams.upstreams.borrow();
+    upstreams
+        .values()
+        .any(|upstream| upstream.cancel(id).is_some());
+}
--- /dev/null
+++ b/crates/forwarder/src/upstream/connection.rs
@@ -0,0 +1,346 @@
+//! One connection to a member, from its opening to the report of what it leaves unanswered.
+//!
+//! Invariant: `bytes_sent` and the bytes in `outbound` together are `bytes_queued`; an attempt whose bytes end past
+//! `bytes_sent` was not sent completely, so it cannot have run.
+
+use super::replies::on_frame;
+use super::Upstream;
+use crate::connection_limits;
+use crate::observability::increment;
+use crate::request_table::AttemptId;
+use crate::socket::{flush, FRAME_HEADER_BYTES, MAX_PIPELINED_REQUESTS};
+use crate::ForwarderContext;
+use foldhash::{HashMap, HashMapExt};
+use rainstand_protocol::ring::Ring;
+use rainstand_protocol::thrift;
+use rainstand_routing::fleet::AttemptOutcome;
+use std::cell::{Cell, OnceCell, RefCell};
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// Bytes that wait for a member to read them: past it the connection is broken, however open it looks.
+const MAX_WRITE_BUFFER_BYTES: usize = 512 << 10;
+/// A connection on which nothing happens for this long is closed: sooner than nodes close theirs.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Opening takes no longer on a network that works.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// How a connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionEnd {
+    /// It was never established.
+    NotConnected,
+    /// It was idle, or too old, and we closed it.
+    ClosedByUs,
+    /// The member closed it while no attempt was open on it.
+    ClosedByUpstream,
+    /// It broke, or the member closed it while attempts were open, or sent what is no frame.
+    Broken,
+}
+
+/// An attempt that was sent and not answered.
+struct OpenAttempt {
+    id: AttemptId,
+    /// Where its bytes end, in all that were queued on the connection.
+    end: u64,
+}
+
+/// A connection to a member. Its task writes what is queued, so that attempts that come together leave together.
+pub(super) struct UpstreamConnection {
+    /// Absent while it is being opened.
+    stream: OnceCell<TcpStream>,
+    outbound: RefCell<Ring>,
+    /// Bytes that were put into `outbound` since the opening.
+    bytes_queued: Cell<u64>,
+    /// Bytes of these that the system took.
+    bytes_sent: Cell<u64>,
+    /// By their sequence number here.
+    open_attempts: RefCell<HashMap<i32, OpenAttempt>>,
+    next_sequence_number: Cell<i32>,
+    /// From then on it gets no new attempts.
+    retire_at: Instant,
+    /// It gets no new attempts.
+    is_retired: Cell<bool>,
+    /// When the member last sent anything on it, by the context's clock.
+    last_read_at: Cell<Duration>,
+    /// By the context's clock.
+    connected_at: Cell<Duration>,
+    wake: Notify,
+}
+
+impl UpstreamConnection {
+    pub(super) fn new(retire_at: Instant) -> Self {
+        Self {
+            stream: OnceCell::new(),
+            outbound: RefCell::default(),
+            bytes_queued: Cell::new(0),
+            bytes_sent: Cell::new(0),
+            open_attempts: RefCell::new(HashMap::new()),
+            next_sequence_number: Cell::new(1),
+            retire_at,
+            is_retired: Cell::new(false),
+            last_read_at: Cell::new(Duration::ZERO),
+            connected_at: Cell::new(Duration::ZERO),
+            wake: Notify::new(),
+        }
+    }
+
+    pub(super) fn is_connected(&self) -> bool {
+        self.stream.get().is_some()
+    }
+
+    pub(super) fn connected_at(&self) -> Duration {
+        self.connected_at.get()
+    }
+
+    pub(super) fn set_connected_at(&self, now: Duration) {
+        self.connected_at.set(now);
+    }
+
+    pub(super) fn last_read_at(&self) -> Duration {
+        self.last_read_at.get()
+    }
+
+    pub(super) fn unwritten_bytes(&self) -> usize {
+        self.outbound.borrow().len()
+    }
+
+    pub(super) fn open_attempts(&self) -> usize {
+        self.open_attempts.borrow().len()
+    }
+
+    pub(super) fn has_capacity(&self) -> bool {
+        !self.is_retired()
+            && self.open_attempts() < MAX_PIPELINED_REQUESTS
+            && Instant::now() < self.retire_at
+    }
+
+    pub(super) fn is_retired(&self) -> bool {
+        self.is_retired.get()
+    }
+
+    /// Has it get no new attempts; whether it got some until now.
+    pub(super) fn retire(&self) -> bool {
+        !self.is_retired.replace(true)
+    }
+
+    pub(super) fn next_sequence_number(&self) -> i32 {
+        let next = self.next_sequence_number.get();
+        self.next_sequence_number.replace(next + 1)
+    }
+
+    /// Queues the call of an attempt.
+    pub(super) fn send(&self, sequence_number: i32, id: AttemptId, frame: &[u8]) {
+        let end = self.queue(frame);
+        self.open_attempts
+            .borrow_mut()
+            .insert(sequence_number, OpenAttempt { id, end });
+    }
+
+    /// Queues a cancellation if the attempt is open here; whether it is. It takes no place from then on, and an answer
+    /// to it is late.
+    pub(super) fn cancel(&self, id: AttemptId) -> bool {
+        let open = self.open_attempts.borrow();
+        let found = open
+            .iter()
+            .find(|(_, attempt)| attempt.id.attempt == id.attempt);
+        let Some(sequence_number) = found.map(|(sequence_number, _)| *sequence_number) else {
+            return false;
+        };
+        drop(open);
+        self.open_attempts.borrow_mut().remove(&sequence_number);
+        self.queue(&thrift::give_up(sequence_number));
+        true
+    }
+
+    /// Takes the attempt out that an answer is for.
+    pub(super) fn take_answered(&self, sequence_number: i32) -> Option<AttemptId> {
+        let answered = self.open_attempts.borrow_mut().remove(&sequence_number)?;
+        Some(answered.id)
+    }
+
+    /// Queues bytes to be written; where they end in all that were queued.
+    fn queue(&self, frame: &[u8]) -> u64 {
+        self.outbound.borrow_mut().put(frame);
+        self.bytes_queued
+            .set(self.bytes_queued.get() + frame.len() as u64);
+        self.wake.notify_one();
+        self.bytes_queued.get()
+    }
+
+    /// Writes what the system takes without waiting.
+    fn flush(&self, stream: &TcpStream) -> io::Result<()> {
+        let result = flush(&self.outbound, stream);
+        let unwritten = self.unwritten_bytes() as u64;
+        self.bytes_sent.set(self.bytes_queued.get() - unwritten);
+        result
+    }
+
+    /// The attempts without an answer, in the order in which they were sent.
+    fn drain_open_attempts(&self) -> Vec<OpenAttempt> {
+        let mut open_attempts = self.open_attempts.borrow_mut();
+        let mut open: Vec<OpenAttempt> = open_attempts.drain().map(|(_, open)| open).collect();
+        open.sort_by_key(|attempt| attempt.end);
+        open
+    }
+}
+
+/// Opens a connection, serves it, and reports what it leaves unanswered.
+pub(super) async fn run_connection(
+    context: Rc<ForwarderContext>,
+    upstream: Rc<Upstream>,
+    connection: Rc<UpstreamConnection>,
+    address: Rc<str>,
+) {
+    let end = if connect(&context, &upstream, &connection, &address).await {
+        serve(&context, &upstream, &connection, &address).await
+    } else {
+        ConnectionEnd::NotConnected
+    };
+    if end == ConnectionEnd::Broken {
+        increment(&context.counters.broken_upstream_connections);
+    }
+    connection.retire();
+    upstream
+        .connections
+        .borrow_mut()
+        .retain(|other| !Rc::ptr_eq(other, &connection));
+    upstream.on_disconnected(&context, &address, end);
+    report_unanswered(&context, &connection);
+}
+
+/// Whether the connection is established.
+async fn connect(
+    context: &ForwarderContext,
+    upstream: &Upstream,
+    connection: &Rc<UpstreamConnection>,
+    address: &str,
+) -> bool {
+    let connecting = connection_limits::with_descriptor(context, || TcpStream::connect(address));
+    match timeout(CONNECT_TIMEOUT, connecting).await {
+        Ok(Ok(stream)) => {
+            on_stream(context, upstream, connection, stream, address);
+            true
+        }
+        // The lack is on our side and says nothing about the member.
+        Ok(Err(error)) if connection_limits::is_descriptor_exhaustion(&error) => false,
+        Ok(Err(_)) | Err(_) => {
+            upstream.connect_failed_at.set(Some(Instant::now()));
+            false
+        }
+    }
+}
+
+fn on_stream(
+    context: &ForwarderContext,
+    upstream: &Upstream,
+    connection: &Rc<UpstreamConnection>,
+    stream: TcpStream,
+    address: &str,
+) {
+    let _ = stream.set_nodelay(true);
+    increment(&context.counters.upstream_connections);
+    let was_unreachable = upstream.connect_failed_at.take().is_some();
+    let was_leaving = upstream.is_leaving.take();
+    // What was away and can be reached again is a new process, whatever its address.
+    if was_unreachable || was_leaving {
+        let now = context.now();
+        context.fleet.borrow_mut().on_restarted(address, now);
+        upstream.connected_since.set(None);
+    }
+    let _ = connection.stream.set(stream);
+    upstream.on_connected(context, connection, address);
+}
+
+/// Reports the attempts that are still open: what was not sent completely cannot have run.
+fn report_unanswered(context: &Rc<ForwarderContext>, connection: &UpstreamConnection) {
+    let bytes_sent = connection.bytes_sent.get();
+    for attempt in connection.drain_open_attempts() {
+        let outcome = if attempt.end <= bytes_sent {
+            AttemptOutcome::Broken
+        } else {
+            AttemptOutcome::Unreachable
+        };
+        if outcome == AttemptOutcome::Unreachable && connection.is_connected() {
+            increment(&context.counters.unsent_attempts);
+        }
+        context.on_attempt_outcome(attempt.id, outcome);
+    }
+}
+
+/// Writes what is queued and reads what comes until the connection ends.
+async fn serve(
+    context: &Rc<ForwarderContext>,
+    upstream: &Upstream,
+    connection: &Rc<UpstreamConnection>,
+    address: &str,
+) -> ConnectionEnd {
+    let Some(stream) = connection.stream.get() else {
+        return ConnectionEnd::NotConnected;
+    };
+    let mut inbound = Ring::default();
+    loop {
+        if connection.flush(stream).is_err() {
+            return ConnectionEnd::Broken;
+        }
+        if connection.unwritten_bytes() > MAX_WRITE_BUFFER_BYTES {
+            return ConnectionEnd::Broken;
+        }
+        let was_unused = connection.open_attempts() == 0;
+        if was_unused && is_superseded(upstream, connection) {
+            return ConnectionEnd::ClosedByUs;
+        }
+        let has_unwritten = connection.unwritten_bytes() > 0;
+        tokio::select! {
+            ready = timeout(IDLE_TIMEOUT, stream.readable()) => {
+                let read = match ready {
+                    Ok(ready) => ready.and_then(|()| context.read_buffer.read(stream, &mut inbound)),
+                    Err(_) if was_unused && connection.open_attempts() == 0 => {
+                        return ConnectionEnd::ClosedByUs;
+                    }
+                    Err(_) => continue,
+                };
+                match read {
+                    Ok(0) if connection.open_attempts() == 0 => return ConnectionEnd::ClosedByUpstream,
+                    Ok(0) => return ConnectionEnd::Broken,
+                    Ok(_) => connection.last_read_at.set(context.now()),
+                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => continue,
+                    Err(_) => return ConnectionEnd::Broken,
+                }
+                if take_frames(context, upstream, connection, address, &mut inbound).is_err() {
+                    increment(&context.counters.unreadable_replies);
+                    return ConnectionEnd::Broken;
+                }
+            }
+            _ = stream.writable(), if has_unwritten => {}
+            () = connection.wake.notified() => {}
+        }
+    }
+}
+
+/// Whether an unused connection is closed: it is retired, or old and not the last one.
+fn is_superseded(upstream: &Upstream, connection: &Rc<UpstreamConnection>) -> bool {
+    let is_old = Instant::now() >= connection.retire_at;
+    connection.is_retired() || (is_old && upstream.has_other_connections(connection))
+}
+
+/// Takes all complete frames.
+fn take_frames(
+    context: &Rc<ForwarderContext>,
+    upstream: &Upstream,
+    connection: &UpstreamConnection,
+    address: &str,
+    inbound: &mut Ring,
+) -> Result<(), thrift::Flaw> {
+    while let Some(length) = thrift::frame(inbound.bytes())? {
+        let frame_end = FRAME_HEADER_BYTES + length;
+        let frame = &inbound.bytes()[FRAME_HEADER_BYTES..frame_end];
+        on_frame(context, upstream, connection, address, frame);
+        inbound.drop_front(frame_end);
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/forwarder/src/upstream/replies.rs
@@ -0,0 +1,79 @@
+//! What a member sends: answers to attempts, and the notice of its shutdown.
+
+use super::connection::UpstreamConnection;
+use super::Upstream;
+use crate::observability::increment;
+use crate::request_table::OutcomeReceipt;
+use crate::ForwarderContext;
+use rainstand_protocol::thrift::{self, Texts, What};
+use rainstand_routing::fleet::AttemptOutcome;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Longest retry-after that is believed of a member; a longer one is taken for this.
+const MAX_MEMBER_RETRY_AFTER: Duration = Duration::from_mins(1);
+
+pub(super) fn on_frame(
+    context: &Rc<ForwarderContext>,
+    upstream: &Upstream,
+    connection: &UpstreamConnection,
+    address: &str,
+    frame: &[u8],
+) {
+    if thrift::kind(frame) == Some(thrift::ONEWAY) {
+        on_shutdown_notice(context, upstream, connection, address);
+        return;
+    }
+    let Ok(answer) = thrift::answered(frame) else {
+        increment(&context.counters.unreadable_replies);
+        return;
+    };
+    let Some(id) = connection.take_answered(answer.seq) else {
+        // A second answer, or one to nothing that was sent.
+        increment(&context.counters.late_answers);
+        return;
+    };
+    let receipt = match answer.what {
+        What::Answer { body, .. } => context.on_served(id, body),
+        What::Backoff(texts) => context.on_attempt_outcome(id, rejected(&texts)),
+        What::Lost | What::Exception { .. } => {
+            context.on_attempt_outcome(id, AttemptOutcome::Failed)
+        }
+    };
+    if receipt == OutcomeReceipt::Late {
+        increment(&context.counters.late_answers);
+    }
+}
+
+/// One connection may be closed for many reasons; a member that wants none of them any more shuts down.
+fn on_shutdown_notice(
+    context: &ForwarderContext,
+    upstream: &Upstream,
+    connection: &UpstreamConnection,
+    address: &str,
+) {
+    connection.retire();
+    let connections = upstream.connections.borrow();
+    if connections.iter().all(|other| other.is_retired()) {
+        upstream.is_leaving.set(true);
+        let now = context.now();
+        context.fleet.borrow_mut().on_leaving(address, now);
+    }
+}
+
+/// The outcome that a member's rejection tells; without a readable retry-after it is zero.
+fn rejected(texts: &Texts<'_>) -> AttemptOutcome {
+    let text = |key: &[u8]| {
+        texts
+            .iter()
+            .find(|(name, _)| *name == key)
+            .map(|(_, value)| *value)
+    };
+    let retry_after = text(b"pause")
+        .and_then(|value| std::str::from_utf8(value).ok()?.parse::<u64>().ok())
+        .map_or(Duration::ZERO, Duration::from_millis);
+    AttemptOutcome::Rejected {
+        pause: retry_after.min(MAX_MEMBER_RETRY_AFTER),
+        nowhere_else: text(b"terminal") == Some(b"1"),
+    }
+}
--- a/crates/forwarder/tests/loopback.rs
+++ b/crates/forwarder/tests/loopback.rs
@@ -10,7 +10,7 @@
 
 use rainstand_config::schema::Configuration;
 use rainstand_config::{load, source::Memory};
-use rainstand_forwarder::{run, Hub};
+use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_invariants::Kind;
 use rainstand_routing::health::MemberStatus;
 use rainstand_test_servers::caller::{Ask, Caller, Told};
@@ -58,7 +58,7 @@
 }
 
 struct World {
-    hub: Rc<Hub>,
+    context: Rc<ForwarderContext>,
     addr: SocketAddr,
     leave: Rc<Notify>,
     done: JoinHandle<()>,
@@ -66,20 +66,20 @@
 
 async fn forwarder(configuration: &Configuration) -> World {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (addr, hub) = (
+    let (addr, context) = (
         listener.local_addr().unwrap(),
-        Hub::new(configuration, "", 3).unwrap(),
+        ForwarderContext::new(configuration.clone(), "", 3).unwrap(),
     );
     let leave = Rc::new(Notify::new());
     let left = leave.clone();
     let done = spawn_local(run(
-        hub.clone(),
+        context.clone(),
         listener,
         Duration::from_secs(5),
         async move { left.notified().await },
     ));
     World {
-        hub,
+        context,
         addr,
         leave,
         done,
@@ -166,7 +166,7 @@
         }
         // What was said twice is dropped and counted.
         assert_eq!(
-            w.hub.counts.late_answers.get() as usize,
+            w.context.counters.late_answers.get() as usize,
             nodes[1].notes().runs.len()
         );
         let seq = caller.ask(&asks("nothing", "x")).await.unwrap();
@@ -275,16 +275,16 @@
         until(|| holds.all_runs() > 0).await;
         caller.give_up(seq).await.unwrap();
         until(|| holds.notes().given_up > 0).await;
-        assert!(w.hub.tickets.borrow().is_empty());
+        assert!(w.context.requests.is_empty());
         assert!(w
-            .hub
+            .context
             .fleet
             .borrow()
             .members(0, Duration::ZERO)
             .all(|member| member.open == 0));
         // Its late answer goes nowhere.
         holds.release();
-        until(|| w.hub.counts.late_answers.get() > 0).await;
+        until(|| w.context.counters.late_answers.get() > 0).await;
     });
 }
 
@@ -298,7 +298,7 @@
         let first = caller.ask(&asks("register", "one")).await.unwrap();
         until(|| nodes[0].all_runs() > 0).await;
         w.leave.notify_one();
-        until(|| w.hub.leaving.get()).await;
+        until(|| w.context.drain.is_draining()).await;
         let second = caller.ask(&asks("register", "two")).await.unwrap();
         assert_eq!(
             caller.next().await.unwrap(),
@@ -323,20 +323,29 @@
         let mut caller = Caller::new(w.addr).await.unwrap();
         let first = caller.ask(&asks("register", "one")).await.unwrap();
         until(|| old.all_runs() > 0).await;
-        assert_eq!(w.hub.take(&configuration(&[&new], "10 s")), Ok(2));
+        assert_eq!(
+            w.context
+                .install_configuration(configuration(&[&new], "10 s")),
+            Ok(2)
+        );
         let second = caller.ask(&asks("register", "two")).await.unwrap();
         assert_eq!(caller.next().await.unwrap(), (second, honoured("two")));
         old.release();
         assert_eq!(caller.next().await.unwrap(), (first, honoured("one")));
         // What came back from the old member is not the new one's, though it has its place and name.
-        let metrics = w.hub.metrics.text(&w.hub);
+        let metrics = w.context.metrics.to_openmetrics(&w.context);
         assert!(
             metrics.contains(r#"tries_total{pool="p",member="n0",came="honoured"} 1"#),
             "{metrics}"
         );
         let mut bad = configuration(&[&new], "10 s");
         bad.routes[0].to[0].pool = "gone".into();
-        assert!(w.hub.take(&bad).unwrap_err().contains("no pool `gone`"));
+        assert!(w
+            .context
+            .install_configuration(bad)
+            .unwrap_err()
+            .to_string()
+            .contains("no pool `gone`"));
         let third = caller.ask(&asks("check", "three")).await.unwrap();
         assert_eq!(caller.next().await.unwrap(), (third, honoured("three")));
     });
@@ -390,8 +399,8 @@
         for caller in callers {
             caller.await.unwrap();
         }
-        until(|| w.hub.tickets.borrow().is_empty()).await;
-        let counts = w.hub.fleet.borrow().counts();
+        until(|| w.context.requests.is_empty()).await;
+        let counts = w.context.fleet.borrow().counts();
         let now = watch.now();
         watch
             .rules()
@@ -401,7 +410,7 @@
         // How many of each depends on the machine; that all were asked and some honoured does not.
         assert!(tally.asked == 1_080 && tally.honoured > 100, "{tally:?}");
         assert!(w
-            .hub
+            .context
             .fleet
             .borrow()
             .members(0, Duration::ZERO)
@@ -429,14 +438,17 @@
         let w = forwarder(&configuration(&[&bad, &good], "10 s")).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let admin = listener.local_addr().unwrap();
-        spawn_local(rainstand_forwarder::admin::serve(w.hub.clone(), listener));
+        spawn_local(rainstand_forwarder::admin::serve(
+            w.context.clone(),
+            listener,
+        ));
         let mut caller = Caller::new(w.addr).await.unwrap();
         let (mut n, mut more) = (0, 2);
         let out = || {
-            w.hub
+            w.context
                 .fleet
                 .borrow()
-                .members(0, w.hub.now())
+                .members(0, w.context.now())
                 .any(|m| matches!(m.status, MemberStatus::Ejected(_)))
         };
         while more > 0 {
@@ -492,7 +504,9 @@
             .await
             .starts_with("HTTP/1.1 400"));
         // A version without a member drops its series; those of the others go on.
-        w.hub.take(&configured(&[good.addr], "10 s")).unwrap();
+        w.context
+            .install_configuration(configured(&[good.addr], "10 s"))
+            .unwrap();
         let metrics = get(admin, "/metrics").await;
         assert!(
             !metrics.contains(r#"member="n1""#)
@@ -539,7 +553,7 @@
         let body = "x".repeat(2_000);
         // Given up again and again, so that the link's buffers fill and its places stay free.
         let mut given_up = 0;
-        while w.hub.backs.unwritten() < 64 << 10 {
+        while w.context.upstreams.unwritten_bytes() < 64 << 10 {
             let seq = caller.ask(&asks("register", &body)).await.unwrap();
             caller.give_up(seq).await.unwrap();
             given_up += 1;
@@ -557,7 +571,7 @@
                     .unwrap(),
             );
         }
-        until(|| w.hub.fleet.borrow().counts().first_attempts >= given_up + 12).await;
+        until(|| w.context.fleet.borrow().counts().first_attempts >= given_up + 12).await;
         deaf_task.abort();
         held.borrow_mut().clear();
         let mut told = std::collections::BTreeMap::new();
@@ -572,7 +586,7 @@
             told.values().all(|what| matches!(what, Told::Honoured(_))),
             "{told:?}"
         );
-        assert!(w.hub.counts.unsent.get() > 0);
+        assert!(w.context.counters.unsent_attempts.get() > 0);
         assert!((0..12).all(|n| good.ran(format!("last {n}").as_bytes()) == 1));
     });
 }
@@ -591,10 +605,10 @@
             assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
         }
         let leaving = || {
-            w.hub
+            w.context
                 .fleet
                 .borrow()
-                .members(0, w.hub.now())
+                .members(0, w.context.now())
                 .any(|member| member.leaving)
         };
         until(leaving).await;
@@ -623,7 +637,7 @@
         let first = caller.ask(&asks("register", "one")).await.unwrap();
         let (_stays_open, _) = quiet.accept().await.unwrap();
         assert_eq!(caller.next().await.unwrap(), (first, Told::GivenUp));
-        until(|| w.hub.counts.quiet_links.get() == 1).await;
+        until(|| w.context.counters.silent_upstream_connections.get() == 1).await;
         caller.ask(&asks("register", "two")).await.unwrap();
         let (_again, _) = quiet.accept().await.unwrap();
     });
@@ -683,7 +697,7 @@
                 stream
             })
             .collect();
-        w.hub.deaf.notify_one();
+        w.context.drain.stop_accepting();
         w.leave.notify_one();
         for stream in crowd {
             let mut stream = tokio::net::TcpStream::from_std(stream).unwrap();
--- a/crates/forwarder/tests/ramp.rs
+++ b/crates/forwarder/tests/ramp.rs
@@ -11,7 +11,7 @@
 
 use rainstand_config::schema::Configuration;
 use rainstand_config::{load, source::Memory};
-use rainstand_forwarder::{run, Hub};
+use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_test_servers::caller::{Ask, Caller, Told};
 use rainstand_test_servers::node::{node, Make, Node};
 use std::cell::Cell;
@@ -95,21 +95,21 @@
 }
 
 struct World {
-    hub: Rc<Hub>,
+    context: Rc<ForwarderContext>,
     leave: Rc<Notify>,
 }
 
 /// A forwarder with its callers, who ask again some milliseconds after each answer, for as long as it is there.
 async fn forwarder(configuration: &Configuration, seed: u64, counts: &Rc<Counts>) -> World {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (addr, hub) = (
+    let (addr, context) = (
         listener.local_addr().unwrap(),
-        Hub::new(configuration, "", seed).unwrap(),
+        ForwarderContext::new(configuration.clone(), "", seed).unwrap(),
     );
     let leave = Rc::new(Notify::new());
     let left = leave.clone();
     spawn_local(run(
-        hub.clone(),
+        context.clone(),
         listener,
         Duration::from_secs(5),
         async move { left.notified().await },
@@ -144,7 +144,7 @@
             }
         });
     }
-    World { hub, leave }
+    World { context, leave }
 }
 
 #[derive(Default)]
@@ -181,7 +181,7 @@
         }
         // A version that changes nothing makes no member younger or older.
         for one in &all {
-            one.hub.take(&made).unwrap();
+            one.context.install_configuration(made.clone()).unwrap();
         }
         sleep(Duration::from_millis(2_000)).await;
         let (first, second) = (first.notes().times.clone(), second.notes().times.clone());
