--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -294,7 +294,7 @@
                 note: if role == "node" {
                     "crates/node/src/connections.rs"
                 } else {
-                    "crates/forwarder/src/front.rs"
+                    "crates/forwarder/src/listener.rs"
                 },
                 counted: false,
             },
