--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 
 /// Retry-after of a request that comes while [`MAX_IN_FLIGHT_REQUESTS`] are in flight or while the forwarder drains.
-/// No decision is asked, and no jitter is added; retry-after of decisions is [`Fleet`]'s.
+/// No decision is asked and no jitter added; the retry-after of decisions is [`rainstand_routing::retry_after`].
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What became of an outcome.
--- a/crates/forwarder/src/upstream/replies.rs
+++ b/crates/forwarder/src/upstream/replies.rs
@@ -7,12 +7,10 @@
 use crate::ForwarderContext;
 use rainstand_protocol::thrift::{self, Texts, What};
 use rainstand_routing::fleet::AttemptOutcome;
+use rainstand_routing::retry_after::MAX_RETRY_AFTER;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest retry-after that is believed of a member; a longer one is taken for this.
-const MAX_MEMBER_RETRY_AFTER: Duration = Duration::from_mins(1);
-
 pub(super) fn on_frame(
     context: &Rc<ForwarderContext>,
     upstream: &Upstream,
@@ -73,7 +71,7 @@
         .and_then(|value| std::str::from_utf8(value).ok()?.parse::<u64>().ok())
         .map_or(Duration::ZERO, Duration::from_millis);
     AttemptOutcome::Rejected {
-        pause: retry_after.min(MAX_MEMBER_RETRY_AFTER),
+        pause: retry_after.min(MAX_RETRY_AFTER),
         nowhere_else: text(b"terminal") == Some(b"1"),
     }
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -25,27 +25,20 @@
 use crate::health::MemberStatus;
 use crate::member_selection::SelectionPolicy;
 use crate::retry::{RetryBudget, RetryPolicy};
-use crate::router::{clamp_retry_after, Admission, RejectReason, Rejected, RouteDecision, Router};
+use crate::retry_after::{clamp_to_configuration, with_jitter};
+use crate::router::{Admission, RejectReason, Rejected, RouteDecision, Router};
 use crate::table::{Request, Table};
 use crate::tenant_fairness::{TenantKey, TenantShares};
 use crate::ConfigurationError;
 use eligibility::Eligibility;
 use foldhash::{HashMap, HashMapExt};
-use nanorand::{Rng, WyRand};
+use nanorand::WyRand;
 use pool::{any_warm_up, new_pools, Pool};
 use rainstand_config::schema::{self, Configuration, RepeatKind};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Retry-after where nothing better is known.
-const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Shortest retry-after: what a caller needs to come back.
-const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// Longest retry-after: nothing is known of a time further ahead.
-const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
-/// A retry-after is extended at random by up to this part, so that rejected callers do not come back all at once.
-const RETRY_AFTER_JITTER: f64 = 0.5;
 /// Bound of the factor by which a tenant over its share extends its retry-after.
 const MAX_SHARE_EXCESS: f64 = 1_000.0;
 /// Weight of a member that shuts down, against others: used only if there is no other.
@@ -362,8 +355,8 @@
             } else if let Some(earliest) = self.earliest_retry_on_route(route, tenant_key, now) {
                 after = earliest;
             }
-            after = self.jitter_retry_after(after);
-            after = clamp_retry_after(self.table(), Some(route), None, after);
+            after = with_jitter(after, &mut self.chance);
+            after = clamp_to_configuration(self.table(), Some(route), None, after);
         }
         self.counts.rejected += 1;
         let rejected = DecisionOutcome::Rejected { why: reason, after };
@@ -397,15 +390,6 @@
             .mul_f64(excess.factor.min(MAX_SHARE_EXCESS))
     }
 
-    /// Within the bounds of a retry-after, and extended at random.
-    fn jitter_retry_after(&mut self, after: Duration) -> Duration {
-        let fraction = f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX);
-        after
-            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
-            .mul_f64(1.0 + RETRY_AFTER_JITTER * fraction)
-            .min(MAX_RETRY_AFTER)
-    }
-
     /// As [`Fleet::earliest_retry`], over all pools that a route leads to.
     fn earliest_retry_on_route(
         &self,
--- a/crates/routing/src/fleet/attempts.rs
+++ b/crates/routing/src/fleet/attempts.rs
@@ -5,12 +5,11 @@
 use super::types::{
     Attempt, AttemptOutcome, Completed, MemberRef, NextAction, OutcomeReason, RequestOutcome,
 };
-use super::{
-    Fleet, RequestState, SentAttempt, DEFAULT_RETRY_AFTER, LEAVING_WEIGHT, MAX_RETRY_AFTER,
-};
+use super::{Fleet, RequestState, SentAttempt, LEAVING_WEIGHT};
 use crate::decision_log::{Decision, DecisionOutcome, SkipReason};
 use crate::member_selection;
 use crate::retry::{self, AttemptResult, RetryContext, RetryDecision};
+use crate::retry_after::{self, with_jitter, MAX_RETRY_AFTER};
 use crate::router::RouteDecision;
 use rainstand_config::schema::RepeatKind;
 use std::rc::Rc;
@@ -127,7 +126,7 @@
     fn new_decision(&self, now: Duration, request: &RequestState, pool: u16) -> Decision {
         let rejected = DecisionOutcome::Rejected {
             why: OutcomeReason::NoMember,
-            after: DEFAULT_RETRY_AFTER,
+            after: retry_after::DEFAULT,
         };
         let mut decision = Decision::new(now, request.request_class, request.tenant, rejected);
         decision.pool = Some(pool);
@@ -373,14 +372,14 @@
         let earliest = self
             .current_pool(&request.decision)
             .and_then(|pool| self.earliest_retry(pool, request.tenant_key, now))
-            .unwrap_or(DEFAULT_RETRY_AFTER);
+            .unwrap_or(retry_after::DEFAULT);
         // A member that was just unreachable is not back within a typical duration.
         let min = if attempted {
-            DEFAULT_RETRY_AFTER
+            retry_after::DEFAULT
         } else {
             Duration::ZERO
         };
-        self.jitter_retry_after(earliest.max(min))
+        with_jitter(earliest.max(min), &mut self.chance)
     }
 
     fn complete(
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -15,6 +15,7 @@
 //! | [`health`] | which members are ejected, judged from answers alone, and how they come back |
 //! | [`adaptive_concurrency`] | how many requests may be open at a member, learned from its response times |
 //! | [`retry`] | whether a request is retried, under a budget of the whole process |
+//! | [`retry_after`] | when a rejected caller is asked to come back |
 //! | [`fleet`] | all of it for one request: from its arrival over each attempt to its one answer |
 //! | [`tenant_fairness`] | how a pool's places are divided among tenants while they are scarce |
 //! | [`decision_log`] | the last decisions, for display |
@@ -61,6 +62,7 @@
 pub mod member_selection;
 pub mod rate_limit;
 pub mod retry;
+pub mod retry_after;
 pub mod router;
 pub mod subset;
 pub mod table;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -14,6 +14,7 @@
 mod limits;
 
 use crate::rate_limit::LimitExceeded;
+use crate::retry_after::{self, clamp_to_configuration};
 use crate::table::{Placement, Request, RoutingError, Table};
 use crate::table_update::TableChange;
 use crate::time_budget::Times;
@@ -30,12 +31,6 @@
 /// Versions with requests in hand: a hundred changes within one outer limit and some room. Past it a new
 /// version is refused until an old one ends.
 pub const MAX_VERSIONS: usize = 128;
-/// Retry-after at a concurrency limit, where nobody knows when a request ends: a typical run.
-const RETRY_AFTER_AT_CAPACITY: Duration = Duration::from_millis(100);
-/// Retry-after without a usable pool or a route: as long as health takes to change.
-const RETRY_AFTER_NO_ROUTE: Duration = Duration::from_secs(1);
-/// Retry-after where all buckets are in use: by then the sweep has visited all ([`crate::token_buckets`]).
-const RETRY_AFTER_NO_BUCKET: Duration = Duration::from_secs(1);
 /// Scopes at which limits may count a request: its class, tenant, route and pool.
 const LIMIT_SCOPES: usize = 4;
 /// Sentinel for a scope without a limit.
@@ -372,7 +367,7 @@
             let scope = LimitScope::Pool;
             let checked = check_limit(table, buckets, scope, usize::from(pool), request, pool, now);
             let Err(exceeded) = checked else { return true };
-            let after = retry_after(exceeded, now);
+            let after = retry_after_exceeded(exceeded, now);
             let earliest = passed_over.get().map_or(after, |before| before.min(after));
             passed_over.set(Some(earliest));
             false
@@ -384,16 +379,16 @@
         let (why, after, route) = match (error, passed_over.get()) {
             (RoutingError::NoRoute, _) => {
                 counts.no_route += 1;
-                (RejectReason::NoRoute, RETRY_AFTER_NO_ROUTE, None)
+                (RejectReason::NoRoute, retry_after::NO_ROUTE, None)
             }
             (RoutingError::NoPool(route), Some(after)) => {
                 counts.limited += 1;
-                let after = clamp_retry_after(table, Some(route), None, after);
+                let after = clamp_to_configuration(table, Some(route), None, after);
                 (RejectReason::Limit(LimitScope::Pool), after, Some(route))
             }
             (RoutingError::NoPool(route), None) => {
                 counts.no_pool += 1;
-                let after = clamp_retry_after(table, Some(route), None, RETRY_AFTER_NO_ROUTE);
+                let after = clamp_to_configuration(table, Some(route), None, retry_after::NO_ROUTE);
                 (RejectReason::NoPool, after, Some(route))
             }
         };
@@ -421,7 +416,7 @@
                 Ok(limit) => limits[k] = limit,
                 // All must admit it, so the latest time counts.
                 Err(full) => {
-                    let after = retry_after(full, now);
+                    let after = retry_after_exceeded(full, now);
                     if exceeded.is_none_or(|(_, before)| after > before) {
                         exceeded = Some((scope, after));
                     }
@@ -445,7 +440,7 @@
         let keys = || limits.iter().flatten().map(|limit| limit.key);
         if !self.buckets.make_room(keys, now) {
             self.counts.no_bucket += 1;
-            return Err(self.rejected(placement, RejectReason::NoBucket, RETRY_AFTER_NO_BUCKET));
+            return Err(self.rejected(placement, RejectReason::NoBucket, retry_after::NO_BUCKET));
         }
         Ok(limits.map(|limit| {
             limit.map_or(NO_BUCKET, |limit| {
@@ -458,7 +453,7 @@
         let (route, pool) = (Some(placement.route), Some(placement.pool));
         Rejected {
             why,
-            after: clamp_retry_after(&self.table, route, pool, after),
+            after: clamp_to_configuration(&self.table, route, pool, after),
             route,
         }
     }
@@ -490,27 +485,9 @@
 }
 
 /// When to come back after an exceeded limit, from now on.
-fn retry_after(exceeded: LimitExceeded, now: Duration) -> Duration {
+fn retry_after_exceeded(exceeded: LimitExceeded, now: Duration) -> Duration {
     match exceeded {
         LimitExceeded::RateUntil(then) => then.saturating_sub(now),
-        LimitExceeded::Concurrency => RETRY_AFTER_AT_CAPACITY,
-    }
-}
-
-/// Clamps a retry-after to the bounds of the route, else of the pool.
-pub(crate) fn clamp_retry_after(
-    table: &Table,
-    route: Option<u16>,
-    pool: Option<u16>,
-    after: Duration,
-) -> Duration {
-    match table.bounds(route, pool) {
-        None => after,
-        Some(bounds) => {
-            let least = Duration::from_nanos(bounds.least_ns);
-            after
-                .max(least)
-                .min(Duration::from_nanos(bounds.most_ns).max(least))
-        }
+        LimitExceeded::Concurrency => retry_after::AT_CAPACITY,
     }
 }
