--- a/crates/routing/src/adaptive_concurrency.rs
+++ b/crates/routing/src/adaptive_concurrency.rs
@@ -5,13 +5,12 @@
 //! at most by half a window. A rejection or failure shrinks it by a tenth, at most once a window. Losses alone
 //! (additive increase, multiplicative decrease) would react too late, since a node queues before it rejects.
 //!
-//! The baseline does not follow the mean: it would learn the queue that the limit itself causes, and two forwarders
-//! then let it grow without bound (tried: 1,800 requests in a member of 40 places after a minute). It is learned
-//! again after the limit has long been near its minimum, where times are the member's own. If so many forwarders
-//! share the member that even their minima queue, the configured bound is what holds.
+//! The baseline does not follow the mean: it would learn the queue that the limit itself causes, and the limit would
+//! grow without bound. It is learned again after the limit has long been near its minimum, where times are the
+//! member's own. If so many forwarders share the member that even their minima queue, the configured bound is what
+//! holds.
 //!
-//! When times rise, the limit first drops to what was in use: of fifty forwarders each has only a few requests open
-//! at a member, and limits of sixteen that nobody reaches hold nothing back.
+//! When times rise, the limit first drops to what was in use: a limit that nobody reaches holds nothing back.
 //!
 //! Invariant: [`MIN_LIMIT`] <= limit <= the configured bound, and the limit does not grow while it is not in use, so
 //! a quiet period does not raise it.
@@ -34,8 +33,7 @@
 /// Factor over the baseline up to which times count as unchanged, since they vary.
 const TOLERANCE: f64 = 2.0;
 /// Difference to the baseline, in seconds, up to which times count as unchanged: that much is the network and the
-/// scheduler, not a queue (without it a pool that answers within microseconds was held at 7 requests a member, and
-/// 5 of 6 requests were rejected).
+/// scheduler, not a queue.
 const SLACK: f64 = 0.002;
 /// Factor by which a rejection or a failure shrinks the limit.
 pub const LOSS_DECREASE: f64 = 0.9;
--- a/crates/routing/src/member_selection.rs
+++ b/crates/routing/src/member_selection.rs
@@ -2,10 +2,9 @@
 //!
 //! The member with the lowest load for its weight takes the request, as far as this process knows; ties are broken at
 //! random. Each process knows only its own load, so that knowledge is never stale and processes do not all run after one
-//! number: in simulations this was as good as two choices by weight with two hundred forwarders, and better with few.
-//! Members in the near zone come first, until the zone has `ZONE_SPILL_FACTOR` times the load of the pool. An entity
-//! goes to its own member while that has at most `AFFINITY_LOAD_FACTOR` times the mean load, else to the next one that
-//! its hash ranks, so that affinity overloads no member.
+//! number. Members in the near zone come first, until the zone has `ZONE_SPILL_FACTOR` times the load of the pool. An
+//! entity goes to its own member while that has at most `AFFINITY_LOAD_FACTOR` times the mean load, else to the next
+//! one that its hash ranks, so that affinity overloads no member.
 //!
 //! A failed attempt counts as load for the pool's typical duration: a member that fails within a millisecond would
 //! otherwise look idle and attract all requests.
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -16,8 +16,7 @@
 pub const INITIAL_RETRIES: u64 = 10;
 /// Retries that can be saved up: a burst of failures beyond that is an outage.
 const MAX_SAVED_RETRIES: u64 = 100;
-/// Typical durations that an attempt gets at least, if the request may run again: of run times that vary
-/// exponentially, one in fifty lasts longer.
+/// Typical durations that an attempt gets at least, if the request may run again: few runs last longer.
 const MIN_TIMEOUT_FACTOR: u32 = 4;
 
 /// How an attempt ended, as far as a retry depends on it.
@@ -167,8 +166,7 @@
 ///
 /// All of it, if no other attempt may follow: cutting it short would only lose its work. Else an even part for each of
 /// the `attempts_left`, but at least a few typical durations, or long runs would be cut off at one member and started
-/// again at the next (tried: with exponential run times of 200 ms and an objective of 1 s, a fifth of all requests
-/// failed under normal load).
+/// again at the next.
 pub fn attempt_timeout(
     remaining: Duration,
     attempts_left: u32,
--- a/crates/routing/src/tenant_fairness.rs
+++ b/crates/routing/src/tenant_fairness.rs
@@ -9,8 +9,7 @@
 //! by a hash of the tenant's name. Made-up names thus cost a bounded amount of memory and take nothing from
 //! configured tenants.
 //!
-//! Inactive tenants have no entry, so memory and the cost of a tick depend on the active tenants: entries for all of
-//! 23,000 tenants in each of 90 pools took 66 MB and an eighth of a core.
+//! Inactive tenants have no entry, so memory and the cost of a tick depend on the active tenants.
 //!
 //! Invariants: `open` is the sum over all entries; `active_weight` is the sum of the shares of the active ones.
 
