--- a/crates/forwarder/src/admin.rs
+++ b/crates/forwarder/src/admin.rs
@@ -107,7 +107,7 @@
 }
 
 /// What came as a request.
-enum ReadRequest {
+enum HttpRequest {
     /// A GET request for this path.
     Get(String),
     /// No HTTP, another method, or too long a head.
@@ -115,7 +115,7 @@
 }
 
 /// Reads a request's head; `None` if the connection broke.
-async fn read_request(stream: &mut TcpStream) -> Option<ReadRequest> {
+async fn read_request(stream: &mut TcpStream) -> Option<HttpRequest> {
     let mut head = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_REQUEST_HEADERS];
@@ -123,7 +123,7 @@
         match request.parse(&head) {
             Ok(httparse::Status::Complete(_)) if request.method == Some("GET") => {
                 let path = request.path.unwrap_or("");
-                return Some(ReadRequest::Get(path.to_owned()));
+                return Some(HttpRequest::Get(path.to_owned()));
             }
             Ok(httparse::Status::Partial) if head.len() < MAX_REQUEST_HEAD_BYTES => {
                 let mut chunk = [0; READ_CHUNK_BYTES];
@@ -132,16 +132,16 @@
                     length => head.extend_from_slice(&chunk[..length]),
                 }
             }
-            _ => return Some(ReadRequest::Invalid),
+            _ => return Some(HttpRequest::Invalid),
         }
     }
 }
 
 /// The report that a request asks for.
-fn respond(context: &ForwarderContext, request: &ReadRequest) -> Response {
+fn respond(context: &ForwarderContext, request: &HttpRequest) -> Response {
     let path = match request {
-        ReadRequest::Get(path) => path.as_str(),
-        ReadRequest::Invalid => "",
+        HttpRequest::Get(path) => path.as_str(),
+        HttpRequest::Invalid => "",
     };
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let last = query
