--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -3,7 +3,7 @@
 use crate::error::{CommandError, CommandResult};
 use crate::output::{json, line, ExitStatus};
 use clap::Args;
-use rainstand_experiments::results::{self, Results};
+use rainstand_experiments::results::{self, Results, VariantLabel};
 use rainstand_experiments::stats::{compare, Compared};
 use serde_json::json;
 use std::io;
@@ -28,12 +28,6 @@
     json: bool,
 }
 
-/// A variant among the results of a folder.
-struct Variant {
-    number: i64,
-    label: String,
-}
-
 /// Which variant is meant where no label is given.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DefaultVariant {
@@ -67,8 +61,8 @@
         return Err(unknown_variant(&results_before));
     };
     let compared = compare(
-        results_before.of(before.number),
-        results_after.of(after.number),
+        results_before.runs_of(before.number),
+        results_after.runs_of(after.number),
         level,
     )
     .map_err(|reason| CommandError::unusable(folder_before.display(), reason))?;
@@ -95,11 +89,8 @@
     results: &Results,
     label: Option<&str>,
     default: DefaultVariant,
-) -> Option<Variant> {
-    let mut variants = results
-        .variants()
-        .into_iter()
-        .map(|(number, label)| Variant { number, label });
+) -> Option<VariantLabel> {
+    let mut variants = results.variants().into_iter();
     match (label, default) {
         (Some(label), _) => variants.find(|variant| variant.label == label),
         (None, DefaultVariant::First) => variants.next(),
@@ -111,7 +102,7 @@
     let labels: Vec<String> = results
         .variants()
         .into_iter()
-        .map(|(_, label)| label)
+        .map(|variant| variant.label)
         .collect();
     let reason = format!("no such variant; there are: {}", labels.join("; "));
     CommandError::unusable("--before or --after", reason)
--- a/crates/cli/src/lab/loopback_fleet.rs
+++ b/crates/cli/src/lab/loopback_fleet.rs
@@ -4,7 +4,7 @@
 use rainstand_config::schema::Configuration;
 use rainstand_fleet_model::plan::{NodeKind, Plan, Trouble, TypePlan, Work};
 use rainstand_fleet_model::world::{configuration, meets};
-use rainstand_forwarder::{run as serve, Hub};
+use rainstand_forwarder::{run as serve, ForwarderContext};
 use rainstand_routing::subset::in_rounds;
 use rainstand_test_servers::node::{Make, Node};
 use rainstand_test_servers::script::{Flaw, Script};
@@ -161,7 +161,7 @@
             .enable_all()
             .build();
         let Ok(runtime) = runtime else { return };
-        let forwarder = run_forwarder(&configuration, u64::from(number), &address);
+        let forwarder = run_forwarder(configuration, u64::from(number), &address);
         LocalSet::new().block_on(&runtime, forwarder);
     });
     let address = started
@@ -172,15 +172,15 @@
 
 /// Runs a forwarder for ever, and sends its address; sends none if it does not start.
 async fn run_forwarder(
-    configuration: &Configuration,
+    configuration: Configuration,
     seed: u64,
     address: &Sender<io::Result<SocketAddr>>,
 ) {
-    let hub = Hub::new(configuration, "", seed);
+    let context = ForwarderContext::new(configuration, "", seed);
     let listener = TcpListener::bind("127.0.0.1:0").await;
-    if let (Ok(hub), Ok(listener)) = (hub, listener) {
+    if let (Ok(context), Ok(listener)) = (context, listener) {
         // Nobody waits for it if the program ends.
         let _ = address.send(listener.local_addr());
-        serve(hub, listener, DRAIN_TIMEOUT, std::future::pending()).await;
+        serve(context, listener, DRAIN_TIMEOUT, std::future::pending()).await;
     }
 }
--- a/crates/cli/src/lab/plot.rs
+++ b/crates/cli/src/lab/plot.rs
@@ -4,7 +4,7 @@
 use crate::output::{line, ExitStatus};
 use clap::Args;
 use rainstand_experiments::jobs::COMPILED;
-use rainstand_experiments::{plot, results};
+use rainstand_experiments::{page, plot, results};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -23,9 +23,9 @@
     let results = results::read(folder).map_err(unusable_folder)?;
     let compiled = fs::read_to_string(folder.join(COMPILED)).unwrap_or_default();
     let pictures = plot::pictures(&results).map_err(unusable_folder)?;
-    let page = plot::page(&results, &compiled).map_err(unusable_folder)?;
-    for (file, svg) in pictures {
-        write(&folder.join(file), &svg)?;
+    let page = page::page(&results, &compiled).map_err(unusable_folder)?;
+    for picture in pictures {
+        write(&folder.join(picture.file), &picture.svg)?;
     }
     write(&folder.join(PAGE_FILE), &page)?;
     Ok(ExitStatus::Success)
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use rainstand_config::schema;
-use rainstand_experiments::jobs::{self, alone, mark, Played, Work, COMPILED};
+use rainstand_experiments::jobs::{self, fingerprint, isolated, Played, Work, COMPILED};
 use rainstand_experiments::plans::variants;
 use rainstand_experiments::results::{self, Results};
 use rainstand_experiments::stats::{mean, Mean, MEASURES};
@@ -55,7 +55,7 @@
     for failed in &played.failed {
         eprintln!(
             "{}: seed {} failed: {}",
-            failed.variant, failed.seed, failed.why
+            failed.variant, failed.seed, failed.reason
         );
     }
     let unusable_folder = |reason| CommandError::unusable(folder.display(), reason);
@@ -66,8 +66,11 @@
     } else {
         print_table(&results)?;
     }
-    if played.left > 0 {
-        eprintln!("stopped with {} runs left; ask again to go on", played.left);
+    if played.remaining > 0 {
+        eprintln!(
+            "stopped with {} runs left; ask again to go on",
+            played.remaining
+        );
     }
     let violations = report_violations(&results);
     Ok(if violations == 0 && played.failed.is_empty() {
@@ -87,12 +90,12 @@
     let variants = variants(configuration, experiment)
         .map_err(|reason| CommandError::unusable(&options.file, reason))?;
     fs::create_dir_all(folder)?;
-    let compiled = schema::to_text(&alone(configuration, experiment));
+    let compiled = schema::to_text(&isolated(configuration, experiment));
     fs::write(folder.join(COMPILED), compiled)?;
     let available_threads = || thread::available_parallelism().map_or(1, NonZero::get);
     let work = Work {
         experiment: &experiment.name,
-        of: mark(configuration, experiment),
+        fingerprint: fingerprint(configuration, experiment),
         variants: &variants,
         seeds: options.seeds.unwrap_or(experiment.seeds),
         threads: options.jobs.unwrap_or_else(available_threads),
@@ -153,17 +156,23 @@
     let variants = results.variants();
     let label_width = variants
         .iter()
-        .map(|(_, label)| label.len())
+        .map(|variant| variant.label.len())
         .max()
         .unwrap_or(0);
-    let header = MEASURES.map(|(name, ..)| format!("{name:>20}")).concat();
+    let header = MEASURES
+        .map(|measure| format!("{:>20}", measure.name))
+        .concat();
     line(&format!("{:<label_width$}{header}", ""))?;
-    for (number, label) in variants {
-        let cells = MEASURES.map(|(_, _, measure)| {
-            let values: Vec<f64> = results.of(number).map(measure).collect();
+    for variant in variants {
+        let cells = MEASURES.map(|measure| {
+            let values: Vec<f64> = results.runs_of(variant.number).map(measure.read).collect();
             format!("{:>20}", mean_cell(&mean(&values, CONFIDENCE_LEVEL)))
         });
-        line(&format!("{label:<label_width$}{}", cells.concat()))?;
+        line(&format!(
+            "{:<label_width$}{}",
+            variant.label,
+            cells.concat()
+        ))?;
     }
     Ok(())
 }
