--- a/crates/cli/src/forward.rs
+++ b/crates/cli/src/forward/mod.rs
@@ -1,10 +1,12 @@
 //! `rainstand forward`: a forwarder by a configuration, until it is told to leave.
 
-use crate::attach;
+mod attachment;
+
 use crate::config_file::read;
 use crate::error::{CommandError, CommandResult};
 use crate::output::ExitStatus;
 use crate::signals::Signals;
+use attachment as attach;
 use clap::Args;
 use rainstand_config::schema::{self, Configuration};
 use rainstand_forwarder::{run as serve, ForwarderContext};
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,6 @@
 //! `rainstand`, the operators' command line.
 
 mod ask;
-mod attach;
 mod cluster_client;
 mod config;
 mod config_file;
