--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -10,6 +10,7 @@
 
 use crate::config_file::read;
 use crate::error::{CommandError, CommandResult};
+use crate::log;
 use crate::output::ExitStatus;
 use crate::signals::Signals;
 use clap::Args;
@@ -69,12 +70,7 @@
             "no `group` block names the control machines",
         )
     })?;
-    tracing_subscriber::fmt()
-        .with_writer(io::stderr)
-        .log_internal_errors(false)
-        .with_target(false)
-        .with_ansi(false)
-        .init();
+    log::init();
     let member_options = MemberOptions {
         name: options.name.clone(),
         group,
--- /dev/null
+++ b/crates/cli/src/forward/background_read.rs
@@ -0,0 +1,83 @@
+//! Reads the forwarder's configuration on a thread of its own.
+//!
+//! A file of 154,000 lines takes a third of a second, for which requests would wait, and many times the memory of what
+//! it says, all of which is freed when nothing of that thread is left. So the result comes over as bytes.
+
+use crate::config_file::read;
+use crate::error::CommandError;
+use crate::output::ExitStatus;
+use rainstand_config::schema::{self, Configuration};
+use rainstand_routing::subset::reduce;
+use std::io;
+use std::thread;
+use tokio::sync::oneshot::{self, Receiver};
+
+/// Why a configuration cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ReadError {
+    /// What is wrong with it is printed already.
+    #[error("the configuration has errors")]
+    Reported(ExitStatus),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The thread ended without a result.
+    #[error("reading it broke off")]
+    BrokenOff,
+    /// The thread's bytes cannot be decoded.
+    #[error(transparent)]
+    Malformed(#[from] schema::Refused),
+}
+
+impl From<CommandError> for ReadError {
+    fn from(error: CommandError) -> Self {
+        match error {
+            CommandError::Io(error) => Self::Io(error),
+            error => Self::Reported(error.print()),
+        }
+    }
+}
+
+/// A configuration that is being read.
+pub(super) struct BackgroundRead {
+    encoded: Receiver<Result<Vec<u8>, ReadError>>,
+}
+
+impl BackgroundRead {
+    /// Starts to read a file. Each pool keeps the members that the forwarder of this number knows.
+    ///
+    /// # Errors
+    /// If there can be no further thread.
+    pub(super) fn start(path: &str, forwarder_number: usize) -> io::Result<Self> {
+        let (sender, encoded) = oneshot::channel();
+        let path = path.to_owned();
+        thread::Builder::new().name("read".into()).spawn(move || {
+            // Nobody waits for it if the program ends.
+            let _ = sender.send(read_encoded(&path, forwarder_number));
+        })?;
+        Ok(Self { encoded })
+    }
+
+    /// The configuration, once it is read.
+    ///
+    /// # Errors
+    /// If it cannot be read or has errors.
+    pub(super) async fn finish(self) -> Result<Configuration, ReadError> {
+        decode(self.encoded.await.map_err(|_| ReadError::BrokenOff)?)
+    }
+
+    /// The same, where nothing else runs yet.
+    pub(super) fn finish_blocking(self) -> Result<Configuration, ReadError> {
+        let encoded = self.encoded.blocking_recv();
+        decode(encoded.map_err(|_| ReadError::BrokenOff)?)
+    }
+}
+
+fn read_encoded(path: &str, forwarder_number: usize) -> Result<Vec<u8>, ReadError> {
+    let mut configuration = read(path, false)?.configuration;
+    reduce(&mut configuration, forwarder_number);
+    Ok(schema::to_binary(&configuration))
+}
+
+fn decode(encoded: Result<Vec<u8>, ReadError>) -> Result<Configuration, ReadError> {
+    Ok(schema::from_own_binary(&encoded?)?)
+}
--- a/crates/cli/src/forward/mod.rs
+++ b/crates/cli/src/forward/mod.rs
@@ -1,22 +1,26 @@
 //! `rainstand forward`: a forwarder by a configuration, until it is told to leave.
 
 mod attachment;
+mod background_read;
 
-use crate::config_file::read;
 use crate::error::{CommandError, CommandResult};
+use crate::log;
 use crate::output::ExitStatus;
 use crate::signals::Signals;
-use attachment as attach;
+use attachment::{AttachmentPlan, StoredVersion};
+use background_read::{BackgroundRead, ReadError};
 use clap::Args;
-use rainstand_config::schema::{self, Configuration};
-use rainstand_forwarder::{run as serve, ForwarderContext};
+use rainstand_config::schema::Configuration;
+use rainstand_config_distribution::snapshot::DecodedSnapshot;
+use rainstand_forwarder::{admin, ForwarderContext};
 use rainstand_routing::subset::reduce;
+use rainstand_routing::ConfigurationError;
 use std::hash::{BuildHasher, Hasher, RandomState};
-use std::io;
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::oneshot::{self, error::RecvError};
+use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, LocalSet};
 
 #[derive(Args)]
@@ -52,176 +56,165 @@
     #[arg(long, default_value_t = 5_000)]
     stop_ms: u64,
     #[command(flatten)]
-    attach: attach::Options,
+    attachment: attachment::Options,
 }
 
-/// A configuration's bytes, or the exit code of what was found in it.
-type ReadOutcome = Result<Vec<u8>, ReadError>;
-
-/// Why a configuration cannot be read. Sent between threads, so it holds no other error.
+/// Why the configuration file is not in force after SIGHUP.
 #[derive(Debug, thiserror::Error)]
-enum ReadError {
-    /// The findings are printed already.
-    #[error("the configuration has errors")]
-    Findings(ExitStatus),
+enum ReloadError {
     #[error(transparent)]
-    Io(#[from] io::Error),
-}
-
-impl From<CommandError> for ReadError {
-    fn from(error: CommandError) -> Self {
-        match error {
-            CommandError::Io(error) => Self::Io(error),
-            error => Self::Findings(error.print()),
-        }
-    }
+    Read(#[from] ReadError),
+    #[error(transparent)]
+    Rejected(#[from] ConfigurationError),
 }
 
-/// Reads a configuration on a thread of its own: 154,000 lines take a third of a second, for which tickets would
-/// wait, and many times the memory of what they say, all of which goes back when nothing of that thread is left.
-/// So what is read comes over as bytes.
-fn read_apart(path: &str, number: usize) -> io::Result<oneshot::Receiver<ReadOutcome>> {
-    let (done, told) = oneshot::channel();
-    let path = path.to_owned();
-    std::thread::Builder::new()
-        .name("read".into())
-        .spawn(move || {
-            let made = read(&path, false).map(|loaded| {
-                let mut configuration = loaded.configuration;
-                reduce(&mut configuration, number);
-                schema::to_binary(&configuration)
-            });
-            let made = made.map_err(ReadError::from);
-            // Nobody waits for it if the program leaves.
-            let _ = done.send(made);
-        })?;
-    Ok(told)
+/// What the forwarder starts with.
+struct InitialState {
+    context: Rc<ForwarderContext>,
+    attachment: Option<AttachmentPlan>,
+    /// The version in force, if it came from the disk.
+    stored: Option<DecodedSnapshot>,
 }
 
+/// Runs a forwarder until SIGTERM or SIGINT.
+///
 /// # Errors
-/// Findings went to standard error; what else there is to say is told.
-fn made(read: Result<ReadOutcome, RecvError>) -> Result<Configuration, String> {
-    let bytes = read
-        .map_err(|_| "reading it broke off".to_owned())?
-        .map_err(|e| e.to_string())?;
-    schema::from_own_binary(&bytes).map_err(|e| e.to_string())
-}
-
-#[expect(clippy::too_many_lines, reason = "to be split by concern")]
+/// If its configuration or an address cannot be used.
 pub(crate) fn run(options: &Options) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let signals = Signals::install(&runtime)?;
-    let read = read_apart(&options.config, options.number)?.blocking_recv();
-    if let Ok(Err(ReadError::Findings(status))) = read {
-        return Ok(status);
-    }
-    let mut configuration = match made(read) {
-        Ok(configuration) => configuration,
-        Err(why) => return Err(CommandError::unusable(&options.config, why)),
-    };
-    // Who reads our lines may go away: that is no reason to end, nor to complain where nobody reads.
-    let lines = tracing_subscriber::fmt()
-        .with_writer(io::stderr)
-        .log_internal_errors(false);
-    lines.with_target(false).with_ansi(false).init();
-    // The standard library's maps are keyed by what the system draws.
-    let drawn = || RandomState::new().build_hasher().finish();
-    let seed = options.seed.unwrap_or_else(drawn);
+    let configuration = read_configuration(options)?;
+    log::init();
+    let state = initial_state(options, configuration)?;
+    LocalSet::new().block_on(&runtime, serve(options, state, signals))
+}
+
+fn read_configuration(options: &Options) -> Result<Configuration, CommandError> {
+    let read = BackgroundRead::start(&options.config, options.number)?;
+    read.finish_blocking().map_err(|error| match error {
+        ReadError::Reported(status) => CommandError::Reported(status),
+        error => CommandError::unusable(&options.config, error),
+    })
+}
+
+/// The forwarder with the version on its disk, or else with the file's configuration.
+fn initial_state(
+    options: &Options,
+    configuration: Configuration,
+) -> Result<InitialState, CommandError> {
+    let seed = options.seed.unwrap_or_else(random_seed);
     let block = configuration.controls.first();
-    let plan = match options
-        .attach
+    let attachment = options
+        .attachment
         .plan(block, &options.zone, options.number, seed)
-    {
-        Ok(plan) => plan,
-        Err(why) => return Err(CommandError::unusable(&options.config, why)),
+        .map_err(|error| CommandError::unusable(&options.config, error))?;
+    let restored = attachment.as_ref().and_then(AttachmentPlan::stored_version);
+    let (configuration, stored) = match restored {
+        Some(restored) => {
+            let (configuration, snapshot) = restore(restored, options.number);
+            (configuration, Some(snapshot))
+        }
+        None => (configuration, None),
     };
-    let mut last = None;
-    if let Some(stored) = plan
-        .as_ref()
-        .and_then(attach::AttachmentPlan::stored_version)
-    {
-        tracing::info!(
-            event = "version_restored",
-            version = stored.snapshot.version
-        );
-        (last, configuration) = (Some(stored.snapshot), stored.configuration);
-        reduce(&mut configuration, options.number);
+    let context = ForwarderContext::new(configuration, &options.zone, seed)
+        .map_err(|error| CommandError::unusable(&options.config, error))?;
+    Ok(InitialState {
+        context,
+        attachment,
+        stored,
+    })
+}
+
+fn restore(stored: StoredVersion, forwarder_number: usize) -> (Configuration, DecodedSnapshot) {
+    let StoredVersion {
+        snapshot,
+        mut configuration,
+    } = stored;
+    tracing::info!(event = "version_restored", version = snapshot.version);
+    reduce(&mut configuration, forwarder_number);
+    (configuration, snapshot)
+}
+
+/// Another one at each start: the standard library's maps are keyed by what the system draws.
+fn random_seed() -> u64 {
+    RandomState::new().build_hasher().finish()
+}
+
+async fn serve(options: &Options, state: InitialState, mut signals: Signals) -> CommandResult {
+    let context = state.context;
+    let listener = bind(options.listen).await?;
+    if let Some(address) = options.admin {
+        let admin_listener = bind(address).await?;
+        tracing::info!(event = "admin", admin = %admin_listener.local_addr()?);
+        spawn_local(admin::serve(context.clone(), admin_listener));
+    }
+    tracing::info!(event = "start", listen = %listener.local_addr()?, config = %options.config);
+    let is_attached = state.attachment.is_some();
+    if let Some(attachment) = state.attachment {
+        attachment.start(&context, state.stored);
     }
-    let context = match ForwarderContext::new(configuration, &options.zone, seed) {
-        Ok(context) => context,
-        Err(why) => return Err(CommandError::unusable(&options.config, why)),
+    let reload = Reload {
+        context: context.clone(),
+        path: options.config.clone(),
+        forwarder_number: options.number,
+        is_attached,
     };
-    LocalSet::new().block_on(&runtime, async {
-        let listener = match TcpListener::bind(options.listen).await {
-            Ok(listener) => listener,
-            Err(error) => return Err(CommandError::unusable(options.listen, error)),
-        };
-        if let Some(admin) = options.admin {
-            match TcpListener::bind(admin).await {
-                Ok(listener) => {
-                    tracing::info!(event = "admin", admin = %listener.local_addr()?);
-                    spawn_local(rainstand_forwarder::admin::serve(context.clone(), listener));
-                }
-                Err(error) => return Err(CommandError::unusable(admin, error)),
-            }
-        }
-        let Signals {
-            mut terminate,
-            mut interrupt,
-            mut hangup,
-            mut print_counts,
-        } = signals;
-        tracing::info!(event = "start", listen = %listener.local_addr()?, config = %options.config);
-        let attached = plan.is_some();
-        if let Some(plan) = plan {
-            plan.start(&context, last);
+    spawn_local(reload.run(signals.hangup));
+    spawn_local(print_counters(context.clone(), signals.print_counts));
+    let shutdown = async move {
+        tokio::select! {
+            _ = signals.terminate.recv() => {}
+            _ = signals.interrupt.recv() => {}
         }
-        let (reloaded, path, number) = (context.clone(), options.config.clone(), options.number);
-        spawn_local(async move {
-            while hangup.recv().await.is_some() {
-                // A bad one changes nothing.
-                if attached {
-                    tracing::warn!(
-                        event = "version_rejected",
-                        why = "control machines tell the versions"
-                    );
-                    continue;
-                }
-                let taken = match read_apart(&path, number) {
-                    Ok(read) => made(read.await).and_then(|configuration| {
-                        reloaded
-                            .install_configuration(configuration)
-                            .map_err(|error| error.to_string())
-                    }),
-                    Err(error) => Err(error.to_string()),
-                };
-                match taken {
-                    Ok(version) => tracing::info!(event = "version", version = version),
-                    Err(why) => tracing::warn!(event = "version_rejected", why = %why),
-                }
-            }
-        });
-        let counted = context.clone();
-        spawn_local(async move {
-            while print_counts.recv().await.is_some() {
-                tracing::info!(event = "counts", what = %counted.counters_line());
+    };
+    let drain_timeout = Duration::from_millis(options.stop_ms);
+    rainstand_forwarder::run(context, listener, drain_timeout, shutdown).await;
+    Ok(ExitStatus::Success)
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, CommandError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|error| CommandError::unusable(address, error))
+}
+
+/// Prints the counters at each SIGUSR1.
+async fn print_counters(context: Rc<ForwarderContext>, mut signal: Signal) {
+    while signal.recv().await.is_some() {
+        tracing::info!(event = "counts", what = %context.counters_line());
+    }
+}
+
+/// Puts the configuration file into force at each SIGHUP. One that cannot be used changes nothing.
+struct Reload {
+    context: Rc<ForwarderContext>,
+    path: String,
+    forwarder_number: usize,
+    /// Versions come from control machines, and the file is not read.
+    is_attached: bool,
+}
+
+impl Reload {
+    async fn run(self, mut hangup: Signal) {
+        while hangup.recv().await.is_some() {
+            if self.is_attached {
+                let why = "control machines tell the versions";
+                tracing::warn!(event = "version_rejected", why);
+                continue;
             }
-        });
-        let leave = async move {
-            tokio::select! {
-                _ = terminate.recv() => {}
-                _ = interrupt.recv() => {}
+            match self.reload().await {
+                Ok(version) => tracing::info!(event = "version", version = version),
+                Err(error) => tracing::warn!(event = "version_rejected", why = %error),
             }
-        };
-        serve(
-            context,
-            listener,
-            Duration::from_millis(options.stop_ms),
-            leave,
-        )
-        .await;
-        Ok(ExitStatus::Success)
-    })
+        }
+    }
+
+    /// The number of the new version in this forwarder.
+    async fn reload(&self) -> Result<u64, ReloadError> {
+        let read = BackgroundRead::start(&self.path, self.forwarder_number);
+        let configuration = read.map_err(ReadError::from)?.finish().await?;
+        Ok(self.context.install_configuration(configuration)?)
+    }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,6 +8,7 @@
 mod error;
 mod forward;
 mod lab;
+mod log;
 mod output;
 mod pcap;
 mod replica;
