--- a/crates/forwarder/src/admin/reports.rs
+++ b/crates/forwarder/src/admin/reports.rs
@@ -173,7 +173,7 @@
     pub more_skipped: u16,
 }
 
-#[allow(
+#[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes the field by reference"
 )]
