--- a/crates/cli/src/lab/load/mod.rs
+++ b/crates/cli/src/lab/load/mod.rs
@@ -58,9 +58,7 @@
     fleet.nodes.iter().for_each(Node::end);
     let mut figures = vec![Figures::measured(&client)];
     if options.to.is_none() {
-        let modelled =
-            model_figures(&plan).map_err(|reason| CommandError::unusable(&options.file, reason))?;
-        figures.push(modelled);
+        figures.push(model_figures(&options.file, &plan)?);
     }
     if options.json {
         report::print_json(&figures, &client)?;
@@ -71,13 +69,14 @@
 }
 
 /// The mean of some runs of the model, without retries by callers, as the generator makes none.
-fn model_figures(plan: &Plan) -> Result<Figures, String> {
+fn model_figures(file: &str, plan: &Plan) -> Result<Figures, CommandError> {
     let mut mean = Figures::new("model");
     for run in 0..MODEL_RUNS {
         let mut plan = plan.clone();
         plan.seed += run;
         plan.habits.tries = 1;
-        mean.add_part(&world::run(&plan)?, MODEL_RUNS as f64);
+        let measured = world::run(&plan).map_err(|reason| CommandError::unusable(file, reason))?;
+        mean.add_part(&measured, MODEL_RUNS as f64);
     }
     Ok(mean)
 }
