--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -12,6 +12,7 @@
 use rainstand_raft::plant::planted;
 use rainstand_replicated_state::idempotency::{ClaimOutcome, Command, Operation};
 use rainstand_replicated_state::member::ReadOutcome;
+use rainstand_replicated_state::placement::SHARD_OF_REGISTERS;
 use rainstand_replicated_state::versions::Publish;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -30,8 +31,6 @@
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// For a read to be confirmed: a few elections, and less than an operator's command waits for an answer.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
-/// The shard of the published versions.
-const SHARD_OF_VERSIONS: u16 = 0;
 /// Versions that are listed where the question names no number.
 const DEFAULT_LISTED_VERSIONS: usize = 16;
 
@@ -110,7 +109,7 @@
     // time, the version is committed all the same, and the next read here waits for it.
     if !planted("stale-publish") {
         member
-            .confirm_read(SHARD_OF_VERSIONS, CONFIRM_TIMEOUT)
+            .confirm_read(SHARD_OF_REGISTERS, CONFIRM_TIMEOUT)
             .await;
     }
     Ok(outcome)
@@ -156,7 +155,7 @@
                 ReadOutcome::Confirmed
             } else {
                 member
-                    .confirm_read(SHARD_OF_VERSIONS, CONFIRM_TIMEOUT)
+                    .confirm_read(SHARD_OF_REGISTERS, CONFIRM_TIMEOUT)
                     .await
             };
             rollout::answer(member, max_versions, outcome)
@@ -195,7 +194,7 @@
     })
 }
 
-/// A disk as the JSON output writes it.
-fn disk_text(disk: u64) -> String {
-    format!("{disk:016x}")
+/// A disk or a digest as the JSON output writes it.
+fn hexadecimal(number: u64) -> String {
+    format!("{number:016x}")
 }
--- a/crates/cluster/src/status/report.rs
+++ b/crates/cluster/src/status/report.rs
@@ -1,6 +1,6 @@
 //! A member's answers about itself, its peers and a key. The serialized names are those of the JSON output.
 
-use super::disk_text;
+use super::hexadecimal;
 use crate::driver::ClusterMember;
 use rainstand_raft::{ReplicaId, Role};
 use rainstand_replicated_state::idempotency::KeyState;
@@ -161,7 +161,7 @@
         let leaders = state.known_leaders();
         MemberReport {
             name: state.name().to_owned(),
-            disk: disk_text(state.disk()),
+            disk: hexadecimal(state.disk()),
             stopped: state.is_stopped(),
             failed: member.failure(),
             quarantines: member.quarantines(),
@@ -191,7 +191,7 @@
     let (replica, table) = (view.replica, view.table);
     let last = replica.log().last_index();
     let follower = |follower: rainstand_raft::FollowerProgress| FollowerReport {
-        disk: disk_text(follower.id),
+        disk: hexadecimal(follower.id),
         name: member_of(state, follower.id),
         behind: last.saturating_sub(follower.match_index),
         last_contact_ms: state
@@ -201,7 +201,7 @@
     };
     let member = |member: &rainstand_raft::Member| ShardMember {
         name: member.name.clone(),
-        disk: disk_text(member.id),
+        disk: hexadecimal(member.id),
         is_voter: member.is_voter,
     };
     ShardReport {
@@ -223,7 +223,7 @@
 pub(super) fn peers(member: &ClusterMember) -> PeersReport {
     member.inspect(|state| PeersReport {
         name: state.name().to_owned(),
-        disk: disk_text(state.disk()),
+        disk: hexadecimal(state.disk()),
         peers: state
             .peers()
             .map(|peer| {
@@ -231,7 +231,7 @@
                 PeerReport {
                     name: peer.name.to_owned(),
                     is_connected: peer.is_connected,
-                    disk: peer.disk.map(disk_text),
+                    disk: peer.disk.map(hexadecimal),
                     is_stale: peer.is_stale,
                     sent_bytes: outbox.sent_bytes(),
                     dropped_frames: outbox.dropped_frames(),
@@ -272,7 +272,7 @@
 fn key_state(state: &GroupMember, found: &KeyState) -> KeyStateReport {
     KeyStateReport {
         state: found.state_name(),
-        holder: disk_text(found.holder()),
+        holder: hexadecimal(found.holder()),
         holder_name: member_of(state, found.holder()),
         result_bytes: found.result().len(),
         expires_at_log_ms: found.expires_at() / 1_000_000,
--- a/crates/cluster/src/status/rollout.rs
+++ b/crates/cluster/src/status/rollout.rs
@@ -1,6 +1,6 @@
 //! The answer to `versions`: published versions, and how far the attached subscribers are.
 
-use super::disk_text;
+use super::hexadecimal;
 use crate::config_server::{ConfigServer, MAX_LISTED_VERSIONS};
 use crate::driver::ClusterMember;
 use rainstand_config_distribution::publisher::{RolloutProgress, SubscriberStatus};
@@ -32,7 +32,7 @@
             "here": true,
             "current": outcome == ReadOutcome::Confirmed,
             "version": versions.version(),
-            "digest": disk_text(versions.state().digest()),
+            "digest": hexadecimal(versions.state().digest()),
             "things": versions.state().len(),
             "attached": subscribers.len(),
             "versions": rows(&server, versions, max_versions),
--- a/crates/replicated-state/src/member/queries.rs
+++ b/crates/replicated-state/src/member/queries.rs
@@ -3,7 +3,7 @@
 use super::GroupMember;
 use crate::gossip::GossipReports;
 use crate::idempotency::{IdempotencyTable, KeyState, Register};
-use crate::placement::shard_of;
+use crate::placement::{shard_of, SHARD_OF_REGISTERS};
 use crate::versions::Versions;
 use bytes::Bytes;
 use rainstand_raft::{Replica, ReplicaId};
@@ -100,14 +100,14 @@
     /// A register; none where it was never set, or where shard 0 has no replica here.
     pub fn register(&self, name: &[u8]) -> Option<&Register> {
         self.shards
-            .get(&0)
+            .get(&SHARD_OF_REGISTERS)
             .and_then(|state| state.table.register(name))
     }
 
     /// The published versions; none where shard 0 has no replica here. `now` is the time of the caller's clock: after
     /// the process was stopped, that of the last call is long past.
     pub fn published(&self, now: Duration) -> Option<PublishedVersions<'_>> {
-        let state = self.shards.get(&0)?;
+        let state = self.shards.get(&SHARD_OF_REGISTERS)?;
         let replica = &state.replica;
         let has_applied_all = replica.applied() == replica.commit();
         Some(PublishedVersions {
--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -9,7 +9,7 @@
 use super::GroupMember;
 use crate::frames::{CommandRequest, CommandResponse, FrameBody};
 use crate::idempotency::{ClaimOutcome, Command, Operation};
-use crate::placement::shard_of;
+use crate::placement::{shard_of, SHARD_OF_REGISTERS};
 use prost::Message as _;
 use rainstand_raft::ReplicaId;
 use std::time::Duration;
@@ -20,8 +20,6 @@
 const MAX_WAITING_PROPOSALS: usize = 32_768;
 /// How long a request is retried in the background.
 const BACKGROUND_TIMEOUT: Duration = Duration::from_mins(1);
-/// The shard of registers and published versions.
-const SHARD_OF_REGISTERS: u16 = 0;
 
 /// A request without a final outcome.
 #[derive(Clone, Debug)]
--- a/crates/replicated-state/src/placement.rs
+++ b/crates/replicated-state/src/placement.rs
@@ -6,6 +6,9 @@
 
 use twox_hash::XxHash3_64;
 
+/// The shard of registers and of the published versions of the configuration.
+pub const SHARD_OF_REGISTERS: u16 = 0;
+
 /// Seed of the hash that spreads keys over shards. Changing it would move every key.
 const KEY_HASH_SEED: u64 = 0x5a17;
 
