--- a/crates/cli/src/replica.rs
+++ b/crates/cli/src/replica.rs
@@ -3,7 +3,7 @@
 use crate::cluster_client::exchange;
 use crate::output::{bytes, line, ExitStatus};
 use clap::{Args, Subcommand};
-use rainstand_cluster::recovery::{self, RecoveryReport};
+use rainstand_cluster::recovery::{self, RecoveryMode, RecoveryReport};
 use rainstand_cluster::status;
 use serde_json::Value;
 use std::fmt;
@@ -76,7 +76,14 @@
             name,
             accept_loss,
             json,
-        } => recover(&folder, &name, accept_loss, json),
+        } => {
+            let mode = if accept_loss {
+                RecoveryMode::AcceptLoss
+            } else {
+                RecoveryMode::Report
+            };
+            recover(&folder, &name, mode, json)
+        }
     }
 }
 
@@ -154,14 +161,14 @@
     }
 }
 
-fn recover(folder: &Path, name: &str, accept_loss: bool, json: bool) -> io::Result<ExitStatus> {
-    match recovery::recover(folder, name, accept_loss) {
+fn recover(folder: &Path, name: &str, mode: RecoveryMode, json: bool) -> io::Result<ExitStatus> {
+    match recovery::recover(folder, name, mode) {
         Ok(report) if json => {
             crate::output::json(&report)?;
             Ok(ExitStatus::Success)
         }
         Ok(report) => {
-            print_recovery_report(&report, accept_loss)?;
+            print_recovery_report(&report, mode)?;
             Ok(ExitStatus::Success)
         }
         Err(error) => {
@@ -308,7 +315,7 @@
     Ok(())
 }
 
-fn print_recovery_report(report: &RecoveryReport, loss_accepted: bool) -> io::Result<()> {
+fn print_recovery_report(report: &RecoveryReport, mode: RecoveryMode) -> io::Result<()> {
     for shard in &report.shards {
         line(&format!(
             "shard {}: {} entries here, {} of them known to be committed; {} keys, {} started and without an end: {}",
@@ -325,7 +332,7 @@
             "shard {shard}: no copy here, all its keys are lost"
         ))?;
     }
-    if loss_accepted {
+    if mode == RecoveryMode::AcceptLoss {
         line(&format!(
             "generation {}: the group begins anew from this disk. Start its node; disks of before that come back are \
              set aside and learn anew.",
--- a/crates/cluster/src/recovery.rs
+++ b/crates/cluster/src/recovery.rs
@@ -48,13 +48,22 @@
     pub missing: Vec<u16>,
 }
 
+/// What a recovery does with a store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecoveryMode {
+    /// Only reports what would be lost.
+    Report,
+    /// Accepts the loss: the store is rewritten.
+    AcceptLoss,
+}
+
 /// A snapshot that replaces a shard's log.
 struct ReplacementSnapshot {
     shard: u16,
     snapshot: Snapshot,
 }
 
-/// Reports what would be lost and, if that is accepted, makes this disk the group's only one. Every entry that is here
+/// Reports what would be lost and, with [`RecoveryMode::AcceptLoss`], makes this disk the group's only one. Every entry that is here
 /// counts as committed: a start or result whose commit is not known is better kept than forgotten.
 ///
 /// # Errors
@@ -62,7 +71,7 @@
 pub fn recover(
     folder: &Path,
     name: &str,
-    accept_loss: bool,
+    mode: RecoveryMode,
 ) -> Result<RecoveryReport, ClusterError> {
     let mut disk = FolderDisk::open(folder)?;
     let StoreContents {
@@ -92,7 +101,7 @@
         replacements.push(ReplacementSnapshot { shard, snapshot });
     }
     drop(disk);
-    if accept_loss {
+    if mode == RecoveryMode::AcceptLoss {
         let bootstrap = BootstrapConfig {
             members: vec![BootstrapMember {
                 name: name.to_owned(),
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -13,7 +13,8 @@
 use bytes::Bytes;
 use prost::Message as _;
 use rainstand_cluster::framing::with_length_prefix;
-use rainstand_cluster::{recovery, status};
+use rainstand_cluster::recovery::{self, RecoveryMode};
+use rainstand_cluster::status;
 use rainstand_config::schema::{Configuration, Tenant, VERSION};
 use rainstand_golden_files::{assert_bytes, read_bytes, NamedBytes, WRITE_VARIABLE};
 use rainstand_replicated_state::frames::Frame;
@@ -89,7 +90,7 @@
     publish(&member, 1, 2);
     drop(member);
     // Writes the snapshots.
-    recovery::recover(&w.folder(0), "n1", true).unwrap();
+    recovery::recover(&w.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
     let member = w.up("n1");
     assert_eq!(
         member.ask_until_told(2, "late", &start()),
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -10,7 +10,8 @@
 
 mod world;
 
-use rainstand_cluster::{recovery, ClusterMember};
+use rainstand_cluster::recovery::{self, RecoveryMode};
+use rainstand_cluster::ClusterMember;
 use rainstand_replicated_state::idempotency::{ClaimOutcome, Operation};
 use rainstand_replicated_state::member::ReadOutcome;
 use rainstand_replicated_state::placement::{holders, MemberPlacement};
@@ -149,12 +150,12 @@
     let alone = w.up("n1");
     assert_eq!(alone.ask(3, "c", start(), Duration::from_millis(300)), None);
     drop(alone);
-    let told = recovery::recover(&w.folder(0), "n1", false).unwrap();
+    let told = recovery::recover(&w.folder(0), "n1", RecoveryMode::Report).unwrap();
     assert!(
         told.missing.is_empty() && told.shards.iter().any(|shard| shard.started == ["b"]),
         "{told:?}"
     );
-    recovery::recover(&w.folder(0), "n1", true).unwrap();
+    recovery::recover(&w.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
     let n1 = w.up("n1");
     assert_eq!(n1.ask_until_told(4, "a", &start()), known("R"));
     assert_eq!(
