--- a/crates/cli/src/forward/attachment.rs
+++ b/crates/cli/src/forward/attachment.rs
@@ -303,10 +303,8 @@
         AttachmentEvent::Attached { machine } => {
             tracing::info!(event = "attached", machine, version = holds);
         }
-        AttachmentEvent::Lost {
-            machine,
-            reason: why,
-        } => {
+        AttachmentEvent::Lost { machine, reason } => {
+            let why = reason.to_string();
             tracing::warn!(event = "server_disconnected", machine, why, version = holds);
         }
         AttachmentEvent::Version(event) => log_version_event(event, subscriber),
--- a/crates/cluster/src/attachment.rs
+++ b/crates/cluster/src/attachment.rs
@@ -70,12 +70,44 @@
         /// The machine's name.
         machine: String,
         /// Why it ended.
-        reason: &'static str,
+        reason: DisconnectReason,
     },
     /// An event of the subscriber.
     Version(Event),
 }
 
+/// Why a link to a control machine ended. The texts stand in log lines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DisconnectReason {
+    /// The machine's configured address is none.
+    #[error("no address")]
+    InvalidAddress,
+    /// It could not be connected to in time.
+    #[error("no connection")]
+    ConnectFailed,
+    /// The machine closed the link, or it broke.
+    #[error("the link ended")]
+    Closed,
+    /// The machine did not read in time.
+    #[error("it takes nothing")]
+    WriteTimedOut,
+    /// What came is no frame.
+    #[error("no frame")]
+    MalformedFrame,
+    /// What came is no frame of a control machine.
+    #[error("no frame of a control machine")]
+    UnexpectedFrame,
+    /// The machine is silent, or not in touch with a majority.
+    #[error("silent, or out of touch with the others")]
+    ServerLost,
+    /// The machine rejected the attachment for now.
+    #[error("told to come back")]
+    RetryAfter,
+    /// A preferred machine is tried again.
+    #[error("a nearer one is tried")]
+    Failback,
+}
+
 /// Whether an attachment goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttachmentPhase {
@@ -132,7 +164,7 @@
 
 /// Why a link ended.
 enum LinkEnd {
-    Lost(&'static str),
+    Lost(DisconnectReason),
     RetryAfter {
         after: Duration,
         target: RetryTarget,
@@ -211,10 +243,10 @@
             }
             LinkEnd::RetryAfter { after, target } => {
                 self.policy.on_retry_after(now, after, target);
-                "told to come back"
+                DisconnectReason::RetryAfter
             }
             // The policy names the machine when it is asked next.
-            LinkEnd::Failback => "a nearer one is tried",
+            LinkEnd::Failback => DisconnectReason::Failback,
         };
         if was_attached {
             self.status.borrow_mut().lost_attachments += 1;
@@ -239,7 +271,7 @@
             self.update_status(machine);
             let now = self.now();
             if self.subscriber.is_server_lost(now) {
-                return LinkEnd::Lost("silent, or out of touch with the others");
+                return LinkEnd::Lost(DisconnectReason::ServerLost);
             }
             let deadline = self.policy.next_deadline();
             if deadline.is_some_and(|deadline| deadline <= now) {
@@ -261,19 +293,20 @@
         if !bytes.is_empty() {
             let written = timeout(WRITE_TIMEOUT, write.write_all(&bytes)).await;
             if !written.is_ok_and(|written| written.is_ok()) {
-                return Err(LinkEnd::Lost("it takes nothing"));
+                return Err(LinkEnd::Lost(DisconnectReason::WriteTimedOut));
             }
         }
         end.map_or(Ok(()), Err)
     }
 
-    fn handle_frames(&mut self, frames: &mut FrameBuffer) -> Result<(), &'static str> {
-        while let Some(frame) = frames.next_frame().map_err(|_| "no frame")? {
+    fn handle_frames(&mut self, frames: &mut FrameBuffer) -> Result<(), DisconnectReason> {
+        let malformed = |_| DisconnectReason::MalformedFrame;
+        while let Some(frame) = frames.next_frame().map_err(malformed)? {
             let Ok(Frame {
                 body: Some(FrameBody::ToSubscriber(frame)),
             }) = Frame::decode(frame)
             else {
-                return Err("no frame of a control machine");
+                return Err(DisconnectReason::UnexpectedFrame);
             };
             self.subscriber.on_frame(self.started.elapsed(), frame);
         }
@@ -298,7 +331,7 @@
                     Effect::RetryAfter { after, target } => {
                         end = Some(LinkEnd::RetryAfter { after, target });
                     }
-                    Effect::Close => end = Some(LinkEnd::Lost("no frame of a control machine")),
+                    Effect::Close => end = Some(LinkEnd::Lost(DisconnectReason::UnexpectedFrame)),
                     Effect::Event(event) => self.report(event),
                 }
             }
@@ -354,16 +387,21 @@
     }
 }
 
-async fn connect(address: &str) -> Result<TcpStream, &'static str> {
-    let address: SocketAddr = address.parse().map_err(|_| "no address")?;
+async fn connect(address: &str) -> Result<TcpStream, DisconnectReason> {
+    let address: SocketAddr = address
+        .parse()
+        .map_err(|_| DisconnectReason::InvalidAddress)?;
     match timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
-        _ => Err("no connection"),
+        _ => Err(DisconnectReason::ConnectFailed),
     }
 }
 
 /// Waits for bytes, at most for [`POLL_INTERVAL`].
-async fn read_some(read: &mut OwnedReadHalf, frames: &mut FrameBuffer) -> Result<(), &'static str> {
+async fn read_some(
+    read: &mut OwnedReadHalf,
+    frames: &mut FrameBuffer,
+) -> Result<(), DisconnectReason> {
     let mut chunk = vec![0; READ_CHUNK_BYTES];
     let until = tokio::time::Instant::now() + POLL_INTERVAL;
     match timeout_at(until, read.read(&mut chunk)).await {
@@ -372,6 +410,6 @@
             frames.extend(&chunk[..n]);
             Ok(())
         }
-        Ok(_) => Err("the link ended"),
+        Ok(_) => Err(DisconnectReason::Closed),
     }
 }
