--- a/crates/capture/src/frames.rs
+++ b/crates/capture/src/frames.rs
@@ -6,7 +6,7 @@
 //! proof where the next one begins: whatever looks like a frame may be part of a body. Nothing more is read
 //! in that direction then, rather than to invent a ticket.
 
-use rainstand_protocol::thrift::FRAME_MOST;
+use rainstand_protocol::thrift::MAX_FRAME_BYTES;
 
 /// Why a direction is not read further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
                 self.at = at;
                 // The usual case: a whole frame in one piece is not copied.
                 if let Some(length) = length(bytes) {
-                    if length > FRAME_MOST {
+                    if length > MAX_FRAME_BYTES {
                         self.lost = Some(Lost::TooLong);
                         continue;
                     }
@@ -88,7 +88,7 @@
             self.part.extend_from_slice(more);
             bytes = rest;
             match length(&self.part) {
-                Some(length) if length > FRAME_MOST => self.let_go(Lost::TooLong),
+                Some(length) if length > MAX_FRAME_BYTES => self.let_go(Lost::TooLong),
                 Some(length) if self.part.len() == 4 + length => {
                     self.lost = told(Told::Frame(&self.part[4..], self.at)).err();
                     self.part.clear();
--- a/crates/capture/src/tickets.rs
+++ b/crates/capture/src/tickets.rs
@@ -245,7 +245,8 @@
         let message = thrift::message(frame).ok()?;
         match message.name {
             b"process" if !message.oneway => {
-                let (fields, body) = thrift::process_args(message.args).ok()?;
+                let thrift::ProcessArgs { fields, body } =
+                    thrift::process_args(message.args).ok()?;
                 let body = body.unwrap_or(&[]);
                 let call = Call {
                     at,
--- a/crates/cli/src/pcap/replay/client.rs
+++ b/crates/cli/src/pcap/replay/client.rs
@@ -282,7 +282,7 @@
         &self,
         connection: &ReplayConnection,
         received: &mut Ring,
-    ) -> Result<(), thrift::Flaw> {
+    ) -> Result<(), thrift::ReasonCode> {
         while let Some(length) = thrift::frame(received.bytes())? {
             let end = LENGTH_PREFIX_BYTES + length;
             self.on_frame(connection, &received.bytes()[LENGTH_PREFIX_BYTES..end]);
--- a/crates/cli/tests/stand_ins/mod.rs
+++ b/crates/cli/tests/stand_ins/mod.rs
@@ -83,7 +83,7 @@
                 .extend(thrift::give_up_args(message.args).unwrap());
             continue;
         }
-        let (fields, body) = thrift::process_args(message.args).unwrap();
+        let thrift::ProcessArgs { fields, body } = thrift::process_args(message.args).unwrap();
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
         let fields: Vec<_> = fields
             .unwrap()
--- a/crates/forwarder/src/listener/frames.rs
+++ b/crates/forwarder/src/listener/frames.rs
@@ -5,7 +5,7 @@
 use crate::socket::{FRAME_HEADER_BYTES, MAX_PIPELINED_REQUESTS};
 use crate::{ForwarderContext, RequestError};
 use rainstand_protocol::ring::Ring;
-use rainstand_protocol::thrift::{self, Flaw, Message};
+use rainstand_protocol::thrift::{self, Message, ReasonCode};
 use std::rc::Rc;
 
 /// Takes all complete frames.
@@ -16,7 +16,7 @@
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     inbound: &mut Ring,
-) -> Result<(), Flaw> {
+) -> Result<(), ReasonCode> {
     while let Some(length) = thrift::frame(inbound.bytes())? {
         let frame_end = FRAME_HEADER_BYTES + length;
         let frame = &inbound.bytes()[FRAME_HEADER_BYTES..frame_end];
@@ -30,7 +30,7 @@
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     frame: &[u8],
-) -> Result<(), Flaw> {
+) -> Result<(), ReasonCode> {
     let message = thrift::message(frame)?;
     match message.name {
         b"process" if !message.oneway => take_request(context, client, &message)?,
@@ -53,7 +53,7 @@
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     message: &Message<'_>,
-) -> Result<(), Flaw> {
+) -> Result<(), ReasonCode> {
     // Arguments that cannot be read end the connection, as at a node.
     thrift::process_args(message.args)?;
     if client.open_requests.borrow().contains_key(&message.seq) {
@@ -77,7 +77,7 @@
     context: &Rc<ForwarderContext>,
     client: &ClientConnection,
     message: &Message<'_>,
-) -> Result<(), Flaw> {
+) -> Result<(), ReasonCode> {
     if let Some(sequence_number) = thrift::give_up_args(message.args)? {
         let request_id = client.open_requests.borrow_mut().remove(&sequence_number);
         if let Some(request_id) = request_id {
--- a/crates/forwarder/src/listener/session.rs
+++ b/crates/forwarder/src/listener/session.rs
@@ -7,7 +7,7 @@
 use super::ClientConnection;
 use crate::ForwarderContext;
 use rainstand_protocol::ring::Ring;
-use rainstand_protocol::thrift::Flaw;
+use rainstand_protocol::thrift::ReasonCode;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     /// It was closed to make its descriptor free.
     Evicted,
     /// What came is against the protocol.
-    Protocol(Flaw),
+    Protocol(ReasonCode),
 }
 
 impl CloseReason {
--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::observability::increment;
 use crate::upstream::{self, OutgoingAttempt};
 use crate::{ForwarderContext, RequestError};
-use rainstand_protocol::thrift;
+use rainstand_protocol::thrift::{self, ProcessArgs};
 use rainstand_routing::fleet::{
     Attempt, AttemptOutcome, Completed, Fleet, NextAction, RequestOutcome, RequestState,
 };
@@ -133,7 +133,7 @@
         sequence_number: i32,
         call_arguments: &[u8],
     ) -> Result<(), RequestError> {
-        let (fields, body) =
+        let ProcessArgs { fields, body } =
             thrift::process_args(call_arguments).map_err(RequestError::Unreadable)?;
         if self.drain.is_draining() || self.requests.len() >= MAX_IN_FLIGHT_REQUESTS {
             increment(&self.counters.overload_rejections);
--- a/crates/forwarder/src/upstream/connection.rs
+++ b/crates/forwarder/src/upstream/connection.rs
@@ -335,7 +335,7 @@
     connection: &UpstreamConnection,
     address: &str,
     inbound: &mut Ring,
-) -> Result<(), thrift::Flaw> {
+) -> Result<(), thrift::ReasonCode> {
     while let Some(length) = thrift::frame(inbound.bytes())? {
         let frame_end = FRAME_HEADER_BYTES + length;
         let frame = &inbound.bytes()[FRAME_HEADER_BYTES..frame_end];
--- a/crates/forwarder/src/upstream/frames.rs
+++ b/crates/forwarder/src/upstream/frames.rs
@@ -1,6 +1,6 @@
 //! Calls of retries: the caller's, with the mark of a retry and a trace of their own.
 
-use rainstand_protocol::thrift;
+use rainstand_protocol::thrift::{self, ProcessArgs};
 
 /// Digits of a trace as the protocol has it, in hexadecimal.
 const TRACE_DIGITS: usize = 16;
@@ -38,7 +38,7 @@
 ) -> Vec<u8> {
     let text = |bytes| std::str::from_utf8(bytes).ok();
     // They were read on arrival, and every field was text.
-    let (fields, body) = thrift::process_args(call_arguments).unwrap_or_default();
+    let ProcessArgs { fields, body } = thrift::process_args(call_arguments).unwrap_or_default();
     let mut fields: Vec<(&str, &str)> = fields
         .unwrap_or_default()
         .into_iter()
--- a/crates/node/src/connections/exchange.rs
+++ b/crates/node/src/connections/exchange.rs
@@ -326,7 +326,7 @@
     context: &NodeContext,
     conn: &Rc<Connection>,
     incoming: &mut Ring,
-) -> Result<usize, thrift::Flaw> {
+) -> Result<usize, thrift::ReasonCode> {
     let record = |bytes: &[u8]| {
         if let Some(recording) = &conn.recording {
             recording.record(Side::Client, bytes);
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -112,11 +112,10 @@
         }
         let bytes = incoming.bytes();
         if let Some(mut head) = http::reply(bytes).map_err(io::Error::other)? {
-            let (start, end) = head.body;
             record(Side::Server, bytes);
-            let body = bytes[start..end].to_vec();
+            let body = bytes[head.body.clone()].to_vec();
             // Surplus bytes would answer the next request.
-            head.closes |= bytes.len() > end;
+            head.closes |= bytes.len() > head.body.end;
             return Ok(HttpReply { head, body });
         }
     }
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -50,7 +50,7 @@
     context: &NodeContext,
     conn: &Rc<Connection>,
     frame: &[u8],
-) -> Result<(), thrift::Flaw> {
+) -> Result<(), thrift::ReasonCode> {
     let message = thrift::message(frame)?;
     let (name, seq) = (message.name, message.seq);
     let send_exception = |code, text: &str| {
@@ -67,11 +67,11 @@
     match name {
         b"process" if message.oneway => count(&context.counts.exceptions),
         b"process" => {
-            let (fields, body) = thrift::process_args(message.args).map_err(unreadable)?;
+            let process = thrift::process_args(message.args).map_err(unreadable)?;
             if conn.open_requests.borrow().contains_key(&seq) {
                 return Err("seq_repeated");
             }
-            if let Err(refusal) = handle_request(context, conn, seq, fields, body) {
+            if let Err(refusal) = handle_request(context, conn, seq, process) {
                 send_exception(thrift::INTERNAL_ERROR, refusal);
             }
         }
@@ -177,12 +177,10 @@
 }
 
 impl<'a> ParsedRequest<'a> {
-    fn parse(
-        fields: Option<Vec<(&'a [u8], &'a [u8])>>,
-        body: Option<&'a [u8]>,
-    ) -> Result<Self, Refusal> {
-        let fields = Fields(fields.ok_or("fields: missing")?);
-        let body = body
+    fn parse(process: thrift::ProcessArgs<'a>) -> Result<Self, Refusal> {
+        let fields = Fields(process.fields.ok_or("fields: missing")?);
+        let body = process
+            .body
             .filter(|body| body.len() <= MAX_BODY_BYTES)
             .ok_or("body: missing or too long")?;
         let trace = parse_trace(&fields).ok_or("trace: no 16 hex digits")?;
@@ -363,10 +361,9 @@
     context: &NodeContext,
     conn: &Rc<Connection>,
     seq: i32,
-    fields: Option<Vec<(&[u8], &[u8])>>,
-    body: Option<&[u8]>,
+    process: thrift::ProcessArgs<'_>,
 ) -> Result<(), Refusal> {
-    let parsed = ParsedRequest::parse(fields, body)?;
+    let parsed = ParsedRequest::parse(process)?;
     if conn.open_requests.borrow().len() >= MAX_OPEN_REQUESTS {
         return Err("too many open tickets on this connection");
     }
--- a/crates/node/tests/downstream.rs
+++ b/crates/node/tests/downstream.rs
@@ -30,7 +30,7 @@
             status,
             never_started,
             closes: false,
-            body: (0, 0),
+            body: 0..0,
         };
         assert_eq!(outcome(&reply), expected, "{status}");
         assert!(never_started || !outcome(&reply).never_ran(), "{status}");
--- a/crates/node/tests/loopback.rs
+++ b/crates/node/tests/loopback.rs
@@ -1528,7 +1528,7 @@
         });
         let reply = http::reply(bytes);
         if let Ok(Some(reply)) = &reply {
-            assert!(reply.body.0 <= reply.body.1 && reply.body.1 <= bytes.len());
+            assert!(reply.body.start <= reply.body.end && reply.body.end <= bytes.len());
         }
         let _ = thrift::frame(bytes);
         whole.is_ok() || matches!(reply, Ok(Some(_)))
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -10,7 +10,7 @@
 use rainstand_golden_files::{assert_bytes, read_bytes, NamedBytes};
 use rainstand_protocol::thrift::{
     answer, answered, backoff, exception, give_up, give_up_args, lost, message, probe, probe_args,
-    process, process_again, process_args, shutdown, What,
+    process, process_again, process_args, shutdown, ProcessArgs, What,
 };
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/thrift.hex");
@@ -55,7 +55,7 @@
             (call.name, call.seq, call.oneway),
             (&b"process"[..], seq, false)
         );
-        let (fields, body) = process_args(call.args).unwrap();
+        let ProcessArgs { fields, body } = process_args(call.args).unwrap();
         let wanted: Vec<_> = FIELDS
             .iter()
             .map(|(key, value)| (key.as_bytes(), value.as_bytes()))
--- a/crates/test-servers/src/node.rs
+++ b/crates/test-servers/src/node.rs
@@ -292,7 +292,7 @@
         b"process" => {}
         _ => return Some(()),
     }
-    let (fields, body) = thrift::process_args(message.args).ok()?;
+    let thrift::ProcessArgs { fields, body } = thrift::process_args(message.args).ok()?;
     let (fields, body) = (fields.unwrap_or_default(), body.unwrap_or_default());
     let field = |key: &[u8]| {
         fields
--- a/crates/testbed/src/peers/caller.rs
+++ b/crates/testbed/src/peers/caller.rs
@@ -297,7 +297,7 @@
     }
 
     /// Takes whole frames off the front of what was read.
-    fn read(&self, node: &Node, back: &mut Vec<u8>) -> Result<(), thrift::Flaw> {
+    fn read(&self, node: &Node, back: &mut Vec<u8>) -> Result<(), thrift::ReasonCode> {
         while let Some(length) = thrift::frame(back)? {
             let frame: Vec<u8> = back.drain(..4 + length).skip(4).collect();
             if thrift::kind(&frame) == Some(thrift::ONEWAY) {
