--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -242,9 +242,7 @@
     })
 }
 
-fn in_flight_requests(
-    family: &Fields,
-) -> Result<InFlightRequests<AdmissionController>, SettingsError> {
+fn in_flight_requests(family: &Fields) -> Result<InFlightRequests, SettingsError> {
     let memory_kb = number(family, "ramKb")?;
     let run_factor = number(family, "runMemFactor")?;
     let entry_kb = optional(family, "entryKb")?.unwrap_or(0.0);
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -53,7 +53,7 @@
     by_work: bool,
     quotas: TenantQuotas,
     limiter: ConcurrencyLimiter,
-    in_flight: InFlightRequests<AdmissionController>,
+    in_flight: InFlightRequests,
     downstream: DownstreamLimiter,
     advertiser: LoadAdvertiser,
     health: HealthMonitor,
@@ -122,9 +122,6 @@
         if repeatability != Repeatability::Idempotent && arrival.retry_of != RetryOf::No {
             // Guards against a second effect: a repeat takes the first attempt's result, never a run.
             self.in_flight.set_stage(ix, Stage::AwaitingResult);
-            let after_reply =
-                |node: &mut Self, _, host: &mut dyn Host, ix, _| node.release(host, ix);
-            self.in_flight.expect(ix).after_run = Some(Box::new(after_reply));
             host.reply_from_cache(ix);
             return self.expire_deadlines(now, host);
         }
@@ -170,12 +167,12 @@
         ix: usize,
         outcome: Outcome,
     ) {
-        if let Some(next) = self
-            .in_flight
-            .get(ix)
-            .and_then(|request| request.after_run.take())
-        {
-            next(self, now, host, ix, outcome);
+        match self.in_flight.get(ix).map(|request| request.stage) {
+            None | Some(Stage::Queued) => {}
+            Some(Stage::AwaitingResult) => self.release(host, ix),
+            Some(Stage::Running | Stage::AwaitingCall | Stage::Calling) => {
+                self.end_run(now, host, ix, outcome);
+            }
         }
         self.dispatch(now, host);
     }
@@ -201,12 +198,9 @@
         ix: usize,
         outcome: Outcome,
     ) {
-        if let Some(next) = self
-            .in_flight
-            .get(ix)
-            .and_then(|request| request.after_call.take())
-        {
-            next(self, now, host, ix, outcome);
+        let stage = self.in_flight.get(ix).map(|request| request.stage);
+        if stage == Some(Stage::Calling) {
+            self.end_call(now, host, ix, outcome);
         }
         self.dispatch(now, host);
     }
--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -18,7 +18,7 @@
     /// How many requests may run at once.
     pub limit: ConcurrencyLimiter,
     /// Requests in flight with their timers and memory.
-    pub in_flight: InFlightRequests<AdmissionController>,
+    pub in_flight: InFlightRequests,
     /// The rate of downstream calls.
     pub downstream: DownstreamLimiter,
     /// What callers learn of the node's load.
--- a/src/choice/downstream_calls.rs
+++ b/src/choice/downstream_calls.rs
@@ -81,7 +81,6 @@
             };
             request.call = call;
             request.call_attempts += 1;
-            request.after_call = Some(Box::new(Self::end_call));
             self.in_flight.set_timer_to_deadline(ix);
             self.downstream.on_call_started(call);
             host.call_downstream(ix, call.deadline);
--- a/src/choice/runs.rs
+++ b/src/choice/runs.rs
@@ -4,29 +4,17 @@
 use super::tenant_quotas::WINDOW;
 use super::AdmissionController;
 use crate::host::{Host, Outcome};
-use crate::in_flight::Stage;
+use crate::in_flight::{RunStart, Stage};
 use std::time::Duration;
 
-/// When a run began.
-#[derive(Clone, Copy)]
-pub(super) struct RunStart {
-    /// Time of the order to run.
-    pub(super) at: Duration,
-    /// How long the process had stood still by then, since its start.
-    pub(super) stalled: Duration,
-}
-
 impl AdmissionController {
     pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
         let start = RunStart {
             at: now,
             stalled: self.stalled,
         };
-        self.in_flight.set_stage(ix, Stage::Running);
+        self.in_flight.begin_run(ix, start);
         let request = self.in_flight.expect(ix);
-        request.after_run = Some(Box::new(move |node, at, host, ix, end| {
-            node.end_run(at, host, ix, end, start);
-        }));
         let queue = &mut self.queues[request.class_index];
         queue.by_account[request.account].retain(|&other| other != ix);
         let size = request
@@ -49,9 +37,11 @@
         host: &mut dyn Host,
         ix: usize,
         outcome: Outcome,
-        start: RunStart,
     ) {
         let (running, request) = (self.in_flight.running().max(1), self.in_flight.expect(ix));
+        let Some(start) = request.run_start else {
+            return;
+        };
         let last_call = now.saturating_sub(request.call_requested);
         let calls = request.call_wait + last_call * u32::from(request.stage != Stage::Running);
         if outcome == Outcome::Cancelled && !request.answered {
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -2,13 +2,10 @@
 //!
 //! Bookkeeping alone: what happens to a request is decided in [`choice`](crate::choice).
 
-use crate::host::{Arrival, Host, Outcome, RequestClass};
+use crate::host::{Arrival, RequestClass};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What follows a run, a cached reply or a call: called with its outcome.
-pub type Continuation<N> = Box<dyn FnOnce(&mut N, Duration, &mut dyn Host, usize, Outcome)>;
-
 /// Where a request in flight stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
@@ -43,8 +40,17 @@
     }
 }
 
+/// When a run began.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RunStart {
+    /// Time of the order to run.
+    pub at: Duration,
+    /// How long the process had stood still by then, since its start.
+    pub stalled: Duration,
+}
+
 /// A request in flight; times are on the clock that the controller is called with.
-pub struct Request<N> {
+pub struct Request {
     /// Index of its class.
     pub class_index: usize,
     /// Its class as it was on arrival: what was promised then holds to its end.
@@ -63,8 +69,8 @@
     pub is_retry: bool,
     /// Where it stands; changed by [`InFlightRequests::set_stage`] alone.
     pub stage: Stage,
-    /// Whether it was ever run.
-    pub ran: bool,
+    /// When its run began; `None` for one that was never run.
+    pub run_start: Option<RunStart>,
     /// Whether its caller has an answer, or left.
     pub answered: bool,
     /// Until when its result is cached for repeats.
@@ -77,14 +83,10 @@
     pub call_attempts: u32,
     /// The last attempt of a downstream call.
     pub call: DownstreamCall,
-    /// What follows its run or cached reply.
-    pub after_run: Option<Continuation<N>>,
-    /// What follows the attempt of a downstream call.
-    pub after_call: Option<Continuation<N>>,
     timer: Option<Duration>,
 }
 
-impl<N> Request<N> {
+impl Request {
     /// A request of `class` that has just arrived, with `arrived` and `deadline` on the controller's clock.
     pub fn new(
         arrival: &Arrival,
@@ -103,7 +105,7 @@
             size_hint: arrival.size_hint,
             is_retry: arrival.is_retry,
             stage: Stage::Queued,
-            ran: false,
+            run_start: None,
             answered: false,
             cached_until: None,
             call_requested: arrived,
@@ -113,8 +115,6 @@
                 started: arrived,
                 deadline: arrived,
             },
-            after_run: None,
-            after_call: None,
             timer: None,
         }
     }
@@ -123,8 +123,8 @@
 /// All requests in flight, by their small indices, with their timers and the memory they take.
 ///
 /// Each request has at most one timer; counts, timers and memory always match the requests held.
-pub struct InFlightRequests<N> {
-    requests: Vec<Option<Request<N>>>,
+pub struct InFlightRequests {
+    requests: Vec<Option<Request>>,
     timers: BTreeSet<(Duration, usize)>,
     cached: BTreeSet<(Duration, usize)>,
     counts: [usize; STAGES],
@@ -134,7 +134,7 @@
     entry_kb: f64,
 }
 
-impl<N> InFlightRequests<N> {
+impl InFlightRequests {
     /// `memory_kb`: memory that all requests share; `run_factor`: memory of a run over that of the held
     /// request; `entry_kb`: memory of a cached result.
     pub fn new(memory_kb: f64, run_factor: f64, entry_kb: f64) -> Self {
@@ -152,7 +152,7 @@
     }
 
     /// Adds a request under a free index, with its timer at its deadline.
-    pub fn insert(&mut self, ix: usize, request: Request<N>) {
+    pub fn insert(&mut self, ix: usize, request: Request) {
         if self.requests.len() <= ix {
             self.requests.resize_with(ix + 1, || None);
         }
@@ -163,7 +163,7 @@
     }
 
     /// The request of an index, unless it was removed.
-    pub fn get(&mut self, ix: usize) -> Option<&mut Request<N>> {
+    pub fn get(&mut self, ix: usize) -> Option<&mut Request> {
         self.requests.get_mut(ix).and_then(Option::as_mut)
     }
 
@@ -171,7 +171,7 @@
     ///
     /// # Panics
     /// If it is not.
-    pub fn expect(&mut self, ix: usize) -> &mut Request<N> {
+    pub fn expect(&mut self, ix: usize) -> &mut Request {
         self.get(ix).expect("a request in flight")
     }
 
@@ -200,29 +200,39 @@
         self.running() + self.count(Stage::AwaitingCall) + self.calling()
     }
 
-    /// Moves a request to a stage; its first run takes its memory.
+    /// Moves a request to a stage.
     ///
     /// # Panics
     /// If it is not in flight.
     pub fn set_stage(&mut self, ix: usize, stage: Stage) {
-        let factor = self.run_factor;
-        let request = self.expect(ix);
-        let (before, held_kb) = (request.stage, request.held_kb);
-        request.stage = stage;
-        if stage == Stage::Running && !request.ran {
-            request.ran = true;
-            self.used_kb += held_kb * (factor - 1.0);
-        }
+        let before = std::mem::replace(&mut self.expect(ix).stage, stage);
         self.counts[before as usize] -= 1;
         self.counts[stage as usize] += 1;
     }
 
+    /// Begins the run of a request that was never run; it takes the memory of a run.
+    ///
+    /// # Panics
+    /// If it is not in flight.
+    pub fn begin_run(&mut self, ix: usize, start: RunStart) {
+        self.set_stage(ix, Stage::Running);
+        let request = self.expect(ix);
+        request.run_start = Some(start);
+        let held_kb = request.held_kb;
+        self.used_kb += held_kb * (self.run_factor - 1.0);
+    }
+
     /// Removes a request with its timer and memory; a cached result stays until its time.
-    pub fn remove(&mut self, ix: usize) -> Option<Request<N>> {
+    pub fn remove(&mut self, ix: usize) -> Option<Request> {
         self.set_timer(ix, None);
         let request = self.requests.get_mut(ix)?.take()?;
         self.counts[request.stage as usize] -= 1;
-        self.used_kb -= request.held_kb * if request.ran { self.run_factor } else { 1.0 };
+        self.used_kb -= request.held_kb
+            * if request.run_start.is_some() {
+                self.run_factor
+            } else {
+                1.0
+            };
         Some(request)
     }
 
