--- a/crates/fleet-model/src/node.rs
+++ b/crates/fleet-model/src/node.rs
@@ -10,7 +10,7 @@
 use rainstand::{
     AdmissionController as Decides, AdvertiserOptions, Arrival, ClientConnections,
     ConcurrencyLimiter, DownstreamLimiter, Gauges, Host, InFlightRequests, LoadAdvertiser,
-    LoadSignal, Outcome, Parts, Repeatability, TenantQuotas,
+    LoadSignal, Outcome, Parts, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
 };
 use rainstand_invariants::Kind;
 use std::collections::VecDeque;
@@ -114,8 +114,11 @@
     fn reply_from_cache(&mut self, _: usize) {}
     fn cache_result(&mut self, _: usize, _: Duration) {}
     fn discard_result(&mut self, _: usize) {}
-    fn reject(&mut self, ix: usize, retry_after: Duration, terminal: bool) {
-        self.order(ix, |number| Order::Dismiss(number, retry_after, terminal));
+    fn reject(&mut self, ix: usize, rejection: Rejection) {
+        let terminal = rejection.retry_elsewhere == RetryElsewhere::Discouraged;
+        self.order(ix, |number| {
+            Order::Dismiss(number, rejection.retry_after, terminal)
+        });
     }
     fn fail(&mut self, ix: usize) {
         self.order(ix, Order::GiveUp);
--- a/crates/node/src/idempotency.rs
+++ b/crates/node/src/idempotency.rs
@@ -14,7 +14,7 @@
 use crate::request::{RunState, Trace};
 use crate::request_table::{FinishedRun, RequestTable};
 use bytes::Bytes;
-use rainstand::Outcome;
+use rainstand::{Outcome, Rejection, RetryElsewhere};
 use rainstand_replicated_state::idempotency::{ClaimOutcome, Operation, Start};
 use rainstand_replicated_state::idempotent_request::{
     transition, RequestAction, RequestEvent, RequestStage, RunEnd, Transition,
@@ -142,9 +142,16 @@
             PolicyView::NeverRan
         }
         RequestAction::Reject { permanent } => {
-            let retry_after = Duration::from_nanos(group.member().settings().come_back_ns);
+            let rejection = Rejection {
+                retry_after: Duration::from_nanos(group.member().settings().come_back_ns),
+                retry_elsewhere: if permanent {
+                    RetryElsewhere::Discouraged
+                } else {
+                    RetryElsewhere::Allowed
+                },
+            };
             if let Some(reply) = table.take_reply(index) {
-                reply.reject(&table.counts, retry_after, permanent);
+                reply.reject(&table.counts, rejection);
             }
             PolicyView::NeverRan
         }
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -12,7 +12,7 @@
 use crate::request_table::RequestTable;
 use crate::result_cache::{body_checksum, CachedResult, IdempotencyKey};
 use crate::thrift;
-use rainstand::{Arrival, Host, RetryOf};
+use rainstand::{Arrival, Host, Rejection, RetryElsewhere, RetryOf};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -385,7 +385,11 @@
     };
     // Nothing of it was run: the caller may try elsewhere.
     if !is_started || !identity.fits(table, parsed.body, context.config.memory, now) {
-        reply.reject(&context.counts, context.max_retry_after.get(), false);
+        let rejection = Rejection {
+            retry_after: context.max_retry_after.get(),
+            retry_elsewhere: RetryElsewhere::Allowed,
+        };
+        reply.reject(&context.counts, rejection);
         return Ok(());
     }
     let arrival = Arrival {
--- a/crates/node/src/pending_reply.rs
+++ b/crates/node/src/pending_reply.rs
@@ -3,8 +3,8 @@
 use crate::connection::Connection;
 use crate::counters::{count, Counts};
 use crate::thrift;
+use rainstand::{Rejection, RetryElsewhere};
 use std::rc::Rc;
-use std::time::Duration;
 
 /// The one answer that a request is owed; giving it consumes this, so there is never a second.
 pub struct PendingReply {
@@ -23,14 +23,14 @@
         self.send_final(&frame);
     }
 
-    /// Answers that nothing was run. `retry_after`: when the caller may try again; `permanent`: no other node will run
-    /// it either.
-    pub fn reject(self, counts: &Counts, retry_after: Duration, permanent: bool) {
+    /// Answers that nothing was run, and what the caller may do next.
+    pub fn reject(self, counts: &Counts, rejection: Rejection) {
         count(&counts.dismissed);
         self.conn.is_known.set(true);
-        let pause = retry_after.as_millis().to_string();
+        let pause = rejection.retry_after.as_millis().to_string();
+        let terminal = rejection.retry_elsewhere == RetryElsewhere::Discouraged;
         let mut texts = vec![("pause", pause.as_str())];
-        texts.extend(permanent.then_some(("terminal", "1")));
+        texts.extend(terminal.then_some(("terminal", "1")));
         let frame = thrift::backoff(self.seq, &texts);
         self.send_final(&frame);
     }
--- a/crates/node/src/policy_host.rs
+++ b/crates/node/src/policy_host.rs
@@ -5,7 +5,7 @@
 use crate::request_table::{FinishedRun, RequestTable};
 use crate::result_cache::{body_checksum, CachedResult};
 use crate::{dispatch, idempotency, log_event, log_frequent};
-use rainstand::{Host, Outcome};
+use rainstand::{Host, Outcome, Rejection};
 use std::time::{Duration, Instant};
 
 impl Host for RequestTable {
@@ -81,9 +81,9 @@
         self.close_key(index, Outcome::NeverStarted, &[]);
     }
 
-    fn reject(&mut self, index: usize, come_back: Duration, nowhere_else: bool) {
+    fn reject(&mut self, index: usize, rejection: Rejection) {
         if let Some(reply) = self.take_reply(index) {
-            reply.reject(&self.counts, come_back, nowhere_else);
+            reply.reject(&self.counts, rejection);
         }
     }
 
--- a/crates/simhost/src/policy_host.rs
+++ b/crates/simhost/src/policy_host.rs
@@ -1,6 +1,6 @@
 //! The orders of an admission controller, encoded as messages to the simulator.
 
-use rainstand::Host;
+use rainstand::{Host, Rejection, RetryElsewhere};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::Write;
@@ -92,8 +92,9 @@
         self.request_order("erase", request, format_args!(""));
     }
 
-    fn reject(&mut self, request: usize, retry_after: Duration, terminal: bool) {
-        let seconds = retry_after.as_secs_f64();
+    fn reject(&mut self, request: usize, rejection: Rejection) {
+        let seconds = rejection.retry_after.as_secs_f64();
+        let terminal = rejection.retry_elsewhere == RetryElsewhere::Discouraged;
         let fields = format_args!(",\"backoffS\":{seconds},\"terminal\":{terminal}");
         self.request_order("pushBack", request, fields);
     }
--- a/src/choice/completion.rs
+++ b/src/choice/completion.rs
@@ -2,7 +2,7 @@
 
 use super::tenant_quotas::WINDOW;
 use super::AdmissionController;
-use crate::host::Host;
+use crate::host::{Host, Rejection, RetryElsewhere};
 use crate::in_flight::Stage;
 use std::time::Duration;
 
@@ -23,18 +23,23 @@
         let many_retries = advertiser.retry_share.read() > Some(FLEET_OVERLOAD_RETRIES);
         let fleet_overloaded =
             self.cores_busy && (!advertiser.options.retries_marked || many_retries);
-        let terminal =
-            (self.in_flight.expect(ix).is_retry || fleet_overloaded) && !advertiser.unavailable;
+        let pointless_elsewhere = self.in_flight.expect(ix).is_retry || fleet_overloaded;
+        let retry_elsewhere = if pointless_elsewhere && !advertiser.unavailable {
+            RetryElsewhere::Discouraged
+        } else {
+            RetryElsewhere::Allowed
+        };
+        let retry_after = retry_after
+            .min(advertiser.options.max_retry_after)
+            .min(WINDOW);
         if self.in_flight.discard_result(now, ix) {
             host.discard_result(ix);
         }
-        host.reject(
-            ix,
-            retry_after
-                .min(advertiser.options.max_retry_after)
-                .min(WINDOW),
-            terminal,
-        );
+        let rejection = Rejection {
+            retry_after,
+            retry_elsewhere,
+        };
+        host.reject(ix, rejection);
         self.release(host, ix);
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -154,6 +154,24 @@
     }
 }
 
+/// What a rejected request's caller is advised to do.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// The earliest time, from now, at which it may retry here; zero where it is asked for no delay.
+    pub retry_after: Duration,
+    /// Whether it may try another node before that.
+    pub retry_elsewhere: RetryElsewhere,
+}
+
+/// Whether a rejected request may be tried on another node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetryElsewhere {
+    /// Another node may run it.
+    Allowed,
+    /// No other node is likely to run it: an attempt there would only add load.
+    Discouraged,
+}
+
 /// Orders to the program around the policy. A `request` is the index under which it was passed to
 /// [`AdmissionController::on_arrival`](crate::AdmissionController::on_arrival), in use until
 /// [`Host::release`].
@@ -168,8 +186,8 @@
     fn cache_result(&mut self, request: usize, span: Duration);
     /// Discard the cached result: the request never ran.
     fn discard_result(&mut self, request: usize);
-    /// Answer that the request was not run, when to retry, and whether not to retry on another node.
-    fn reject(&mut self, request: usize, retry_after: Duration, terminal: bool);
+    /// Answer that the request was not run, and what its caller may do next.
+    fn reject(&mut self, request: usize, rejection: Rejection);
     /// Answer with a final error, which does not promise that nothing ran.
     fn fail(&mut self, request: usize);
     /// Make the request's downstream call, to be cancelled at `deadline` on the controller's clock.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,6 +15,9 @@
 pub use choice::{
     AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, Parts, TenantQuotas,
 };
-pub use host::{Arrival, Gauges, Host, LoadSignal, Outcome, Repeatability, RequestClass, RetryOf};
+pub use host::{
+    Arrival, Gauges, Host, LoadSignal, Outcome, Rejection, Repeatability, RequestClass,
+    RetryElsewhere, RetryOf,
+};
 pub use in_flight::InFlightRequests;
 pub use options::{AdvertiserOptions, ClientConnections, ColdStart, DownstreamShare};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use rainstand::{
     AdmissionController, AdvertiserOptions, Arrival, ClientConnections, ColdStart,
     ConcurrencyLimiter, DownstreamLimiter, DownstreamShare, Gauges, Host, InFlightRequests,
-    LoadSignal, Outcome, Parts, Repeatability, TenantQuotas,
+    LoadSignal, Outcome, Parts, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
 };
 use rainstand::{LoadAdvertiser, RequestClass};
 use std::time::Duration;
@@ -40,7 +40,7 @@
     reply_from_cache(t: usize) "reply_from_cache {t}";
     cache_result(t: usize, span: Duration) "cache_result {t} {}" (span.as_millis());
     discard_result(t: usize) "discard_result {t}";
-    reject(t: usize, back: Duration, not: bool) "reject {t} {}{}" (back.as_millis(), TERMINAL[usize::from(not)]);
+    reject(t: usize, rejection: Rejection) "reject {t} {}{}" (rejection.retry_after.as_millis(), terminal(rejection));
     fail(t: usize) "fail {t}";
     call_downstream(t: usize, deadline: Duration) "call_downstream {t} {}" (deadline.as_millis());
     reply_degraded(t: usize) "reply_degraded {t}";
@@ -50,7 +50,12 @@
     release(t: usize) "release {t}";
 }
 
-const TERMINAL: [&str; 2] = ["", " terminal"];
+fn terminal(rejection: Rejection) -> &'static str {
+    match rejection.retry_elsewhere {
+        RetryElsewhere::Allowed => "",
+        RetryElsewhere::Discouraged => " terminal",
+    }
+}
 
 /// Two cores, two tenants of one ticket a second over two servers, types by `Repeats`.
 pub struct Rig {
