--- a/crates/fleet-model/src/node.rs
+++ b/crates/fleet-model/src/node.rs
@@ -8,9 +8,9 @@
 use crate::plan::{NodeKind, NodePlan, TypePlan};
 use foldhash::{HashMap, HashMapExt};
 use rainstand::{
-    AdmissionController as Decides, AdvertiserOptions, Arrival, ClientConnections,
+    AdmissionController as Decides, AdvertiserOptions, Arrival, ClientConnections, Components,
     ConcurrencyLimiter, DownstreamLimiter, Gauges, Host, InFlightRequests, LoadAdvertiser,
-    LoadSignal, Outcome, Parts, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
+    LoadSignal, Outcome, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
 };
 use rainstand_invariants::Kind;
 use std::collections::VecDeque;
@@ -195,9 +195,9 @@
         },
     });
     let quotas: Vec<f64> = shares.iter().map(|share| share * rate).collect();
-    let parts = Parts {
+    let components = Components {
         quotas: TenantQuotas::new(&quotas, plan.count as usize),
-        limit: ConcurrencyLimiter::new(seed, plan.cores as usize, 4.0, cold),
+        limiter: ConcurrencyLimiter::new(seed, plan.cores as usize, 4.0, cold),
         in_flight: InFlightRequests::new(MEMORY_KB, 4.0, ENTRY_KB),
         downstream: DownstreamLimiter::new(None),
         advertiser: LoadAdvertiser::new(AdvertiserOptions {
@@ -212,7 +212,7 @@
         }),
     };
     Box::new(Ours {
-        node: Decides::new(kinds.collect(), false, parts),
+        node: Decides::new(kinds.collect(), false, components),
         desk: Desk::default(),
     })
 }
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -5,9 +5,9 @@
 };
 use crate::SettingsError;
 use rainstand::{
-    AdmissionController, AdvertiserOptions, ClientConnections, ColdStart, ConcurrencyLimiter,
-    DownstreamLimiter, DownstreamShare, InFlightRequests, LoadAdvertiser, LoadSignal, Parts,
-    Repeatability, RequestClass, TenantQuotas,
+    AdmissionController, AdvertiserOptions, ClientConnections, ColdStart, Components,
+    ConcurrencyLimiter, DownstreamLimiter, DownstreamShare, InFlightRequests, LoadAdvertiser,
+    LoadSignal, Repeatability, RequestClass, TenantQuotas,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -118,15 +118,15 @@
         } else {
             DownstreamLimiter::without_predecessor(share)
         };
-        let parts = Parts {
+        let components = Components {
             quotas: TenantQuotas::new(&tenants.entries, servers),
-            limit: ConcurrencyLimiter::new(seed, cores, overload_factor, cold_start),
+            limiter: ConcurrencyLimiter::new(seed, cores, overload_factor, cold_start),
             in_flight,
             downstream,
             advertiser: LoadAdvertiser::new(advertiser),
         };
         Ok(Self {
-            controller: AdmissionController::new(classes.entries, by_work, parts),
+            controller: AdmissionController::new(classes.entries, by_work, components),
             classes: classes.indices,
             tenants: tenants.indices,
             class_limits,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -33,7 +33,7 @@
 mod shared_constants;
 mod tenant_quotas;
 
-pub use assembly::Parts;
+pub use assembly::Components;
 pub use concurrency_limit::ConcurrencyLimiter;
 pub use downstream_limit::DownstreamLimiter;
 pub use load_advertisement::LoadAdvertiser;
--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// The parts of an [`AdmissionController`], each made from its own few settings.
-pub struct Parts {
+pub struct Components {
     /// What each tenant may spend and has spent.
     pub quotas: TenantQuotas,
     /// How many requests may run at once.
-    pub limit: ConcurrencyLimiter,
+    pub limiter: ConcurrencyLimiter,
     /// Requests in flight with their timers and memory.
     pub in_flight: InFlightRequests,
     /// The rate of downstream calls.
@@ -39,8 +39,8 @@
 impl AdmissionController {
     /// A controller that has not begun. `by_work`: value is counted for each unit of work, not for each
     /// request.
-    pub fn new(classes: Vec<RequestClass>, by_work: bool, parts: Parts) -> Self {
-        let by_account = vec![VecDeque::new(); parts.quotas.spent.len()];
+    pub fn new(classes: Vec<RequestClass>, by_work: bool, components: Components) -> Self {
+        let by_account = vec![VecDeque::new(); components.quotas.spent.len()];
         let queues = vec![
             ClassQueue {
                 by_account,
@@ -51,11 +51,11 @@
         Self {
             classes,
             by_work,
-            quotas: parts.quotas,
-            limiter: parts.limit,
-            in_flight: parts.in_flight,
-            downstream: parts.downstream,
-            advertiser: parts.advertiser,
+            quotas: components.quotas,
+            limiter: components.limiter,
+            in_flight: components.in_flight,
+            downstream: components.downstream,
+            advertiser: components.advertiser,
             health: HealthMonitor::default(),
             queues,
             awaiting_call: VecDeque::new(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,8 @@
 pub mod options;
 
 pub use choice::{
-    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, Parts, TenantQuotas,
+    AdmissionController, Components, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser,
+    TenantQuotas,
 };
 pub use host::{
     Arrival, Gauges, Host, LoadSignal, Outcome, Rejection, Repeatability, RequestClass,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)] // no file of tests uses all of it
 
 use rainstand::{
-    AdmissionController, AdvertiserOptions, Arrival, ClientConnections, ColdStart,
+    AdmissionController, AdvertiserOptions, Arrival, ClientConnections, ColdStart, Components,
     ConcurrencyLimiter, DownstreamLimiter, DownstreamShare, Gauges, Host, InFlightRequests,
-    LoadSignal, Outcome, Parts, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
+    LoadSignal, Outcome, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
 };
 use rainstand::{LoadAdvertiser, RequestClass};
 use std::time::Duration;
@@ -120,9 +120,9 @@
             degraded_share,
             repeatability: repeats,
         };
-        let parts = Parts {
+        let components = Components {
             quotas: TenantQuotas::new(s.quotas, s.servers),
-            limit: ConcurrencyLimiter::new(7, s.cores, s.factor, s.cold),
+            limiter: ConcurrencyLimiter::new(7, s.cores, s.factor, s.cold),
             in_flight: InFlightRequests::new(s.memory_kb, 4.0, 10.0),
             downstream: DownstreamLimiter::new(s.share),
             advertiser: LoadAdvertiser::new(AdvertiserOptions {
@@ -144,7 +144,7 @@
                 ..types[0]
             });
         }
-        AdmissionController::new(types, false, parts)
+        AdmissionController::new(types, false, components)
     }
 
     pub fn new(s: Settings) -> Self {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,7 +10,7 @@
 mod common;
 
 use common::{ms, shared, Rig, Settings};
-use rainstand::{Arrival, Gauges, Outcome, Parts, Repeatability};
+use rainstand::{Arrival, Components, Gauges, Outcome, Repeatability};
 use std::time::Duration;
 
 /// The window of the shares here. A node uses the whole of its share once it is as old.
@@ -598,9 +598,9 @@
         degraded_share: 0.0,
         repeatability: Repeatability::Idempotent,
     };
-    let parts = Parts {
+    let components = Components {
         quotas: TenantQuotas::new(&[1.0, 1.0], 2),
-        limit: ConcurrencyLimiter::new(7, 2, 6.0, None),
+        limiter: ConcurrencyLimiter::new(7, 2, 6.0, None),
         in_flight: InFlightRequests::new(10_000.0, 4.0, 10.0),
         downstream: DownstreamLimiter::new(None),
         advertiser: LoadAdvertiser::new(AdvertiserOptions {
@@ -615,7 +615,7 @@
         }),
     };
     rig.node
-        .reconfigure(AdmissionController::new(vec![kind], false, parts));
+        .reconfigure(AdmissionController::new(vec![kind], false, components));
     rig.arrive(
         4,
         Arrival {
