--- a/src/choice.rs
+++ b/src/choice.rs
@@ -96,8 +96,14 @@
         self.limiter.start_round(now);
     }
 
-    /// A request was read; `ix` is an index that is free, and is taken until [`Host::release`].
-    pub fn on_arrival(&mut self, now: Duration, host: &mut dyn Host, ix: usize, arrival: &Arrival) {
+    /// A request was read; `index` is an index that is free, and is taken until [`Host::release`].
+    pub fn on_arrival(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        index: usize,
+        arrival: &Arrival,
+    ) {
         let class = self.classes[arrival.class];
         let (repeatability, objective) = (class.repeatability, class.latency_objective);
         let arrived = now.saturating_sub(arrival.waited);
@@ -117,18 +123,20 @@
         self.advertiser
             .retry_share
             .add(now, if arrival.is_retry { 1.0 } else { 0.0 }, RECENT_SPAN);
-        self.in_flight
-            .insert(ix, Request::new(arrival, class, account, arrived, deadline));
+        self.in_flight.insert(
+            index,
+            Request::new(arrival, class, account, arrived, deadline),
+        );
         if repeatability != Repeatability::Idempotent && arrival.retry_of != RetryOf::No {
             // Guards against a second effect: a repeat takes the first attempt's result, never a run.
-            self.in_flight.set_stage(ix, Stage::AwaitingResult);
-            host.reply_from_cache(ix);
+            self.in_flight.set_stage(index, Stage::AwaitingResult);
+            host.reply_from_cache(index);
             return self.expire_deadlines(now, host);
         }
         if let Repeatability::IdempotentWithKey(window) = repeatability {
             let span = (window + TIME_MARGIN).saturating_sub(arrival.waited);
-            host.cache_result(ix, span);
-            self.in_flight.cache_result(ix, now + span);
+            host.cache_result(index, span);
+            self.in_flight.cache_result(index, now + span);
         }
         let too_late =
             shutdown.is_some_and(|s| arrived > s.noticed + self.advertiser.options.drain_grace);
@@ -143,18 +151,18 @@
         let start_by = last_start.min(arrived + objective.mul_f64(MAX_WAIT_SHARE));
         let hopeless = deadline <= now || too_late || (self.cores_busy && now > start_by);
         if hopeless || !self.health.admits(now) {
-            return self.reject(now, host, ix, self.advertiser.options.max_retry_after);
+            return self.reject(now, host, index, self.advertiser.options.max_retry_after);
         }
         // Requests are queued, here or still unread, and the cores gauge reads busy: the node is overloaded.
         let wait = self.queue_wait() + arrival.waited;
         let overloaded = self.cores_busy && wait > objective.mul_f64(OVERLOAD_SHARE);
         let delay = self.quotas.rejected_until[account].saturating_sub(now);
         if overloaded && delay > Duration::ZERO {
-            return self.reject(now, host, ix, delay);
+            return self.reject(now, host, index, delay);
         }
-        self.queues[arrival.class].by_account[account].push_back(ix);
+        self.queues[arrival.class].by_account[account].push_back(index);
         self.in_flight
-            .set_timer(ix, Some(start_by.max(now + TICK_INTERVAL).min(deadline)));
+            .set_timer(index, Some(start_by.max(now + TICK_INTERVAL).min(deadline)));
         self.shed_load(now, host);
         self.dispatch(now, host);
     }
@@ -164,28 +172,28 @@
         &mut self,
         now: Duration,
         host: &mut dyn Host,
-        ix: usize,
+        index: usize,
         outcome: Outcome,
     ) {
-        match self.in_flight.get(ix).map(|request| request.stage) {
+        match self.in_flight.get(index).map(|request| request.stage) {
             None | Some(Stage::Queued) => {}
-            Some(Stage::AwaitingResult) => self.release(host, ix),
+            Some(Stage::AwaitingResult) => self.release(host, index),
             Some(Stage::Running | Stage::AwaitingCall | Stage::Calling) => {
-                self.end_run(now, host, ix, outcome);
+                self.end_run(now, host, index, outcome);
             }
         }
         self.dispatch(now, host);
     }
 
     /// A run has come to a downstream call, and waits for [`Host::call_downstream`] or its skipping.
-    pub fn on_downstream_call(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
+    pub fn on_downstream_call(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         if let Some(request) = self
             .in_flight
-            .get(ix)
+            .get(index)
             .filter(|r| r.stage == Stage::Running && !r.answered)
         {
             (request.call_requested, request.call_attempts) = (now, 0);
-            self.await_call(ix);
+            self.await_call(index);
         }
         self.dispatch(now, host);
     }
@@ -195,19 +203,19 @@
         &mut self,
         now: Duration,
         host: &mut dyn Host,
-        ix: usize,
+        index: usize,
         outcome: Outcome,
     ) {
-        let stage = self.in_flight.get(ix).map(|request| request.stage);
+        let stage = self.in_flight.get(index).map(|request| request.stage);
         if stage == Some(Stage::Calling) {
-            self.end_call(now, host, ix, outcome);
+            self.end_call(now, host, index, outcome);
         }
         self.dispatch(now, host);
     }
 
     /// The caller has left: nothing need be answered.
-    pub fn on_caller_gone(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
-        self.abandon(host, ix);
+    pub fn on_caller_gone(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
+        self.abandon(host, index);
         self.dispatch(now, host);
     }
 
--- a/src/choice/deadlines.rs
+++ b/src/choice/deadlines.rs
@@ -14,8 +14,8 @@
 impl AdmissionController {
     /// Answers or moves on every request whose timer has expired.
     pub(super) fn expire_deadlines(&mut self, now: Duration, host: &mut dyn Host) {
-        while let Some(ix) = self.in_flight.next_expired(now) {
-            let request = self.in_flight.expect(ix);
+        while let Some(index) = self.in_flight.next_expired(now) {
+            let request = self.in_flight.expect(index);
             let (stage, in_time) = (request.stage, now < request.deadline);
             let degradable = request.class.is_degradable();
             if stage == Stage::AwaitingCall {
@@ -24,10 +24,10 @@
                     .add(now, 1.0, MEAN_SPAN);
             }
             match stage {
-                Stage::Queued => self.reject(now, host, ix, self.queue_wait()),
-                Stage::AwaitingCall if in_time && degradable => self.skip_call(now, host, ix),
-                Stage::Calling if in_time => self.in_flight.set_timer_to_deadline(ix),
-                _ => self.fail(host, ix),
+                Stage::Queued => self.reject(now, host, index, self.queue_wait()),
+                Stage::AwaitingCall if in_time && degradable => self.skip_call(now, host, index),
+                Stage::Calling if in_time => self.in_flight.set_timer_to_deadline(index),
+                _ => self.fail(host, index),
             }
         }
     }
--- a/src/choice/downstream_calls.rs
+++ b/src/choice/downstream_calls.rs
@@ -17,8 +17,8 @@
 
 impl AdmissionController {
     /// The latest that a call may take: where a degraded answer has a value, in time for the objective.
-    pub(super) fn call_deadline(&mut self, ix: usize) -> Duration {
-        let request = self.in_flight.expect(ix);
+    pub(super) fn call_deadline(&mut self, index: usize) -> Duration {
+        let request = self.in_flight.expect(index);
         let (deadline, class) = (request.deadline, request.class);
         if class.degraded_share == 0.0 {
             return deadline;
@@ -34,17 +34,17 @@
     }
 
     /// Guards against a rate that feeds on itself: a call made with too little time left only fails.
-    pub(super) fn await_call(&mut self, ix: usize) {
+    pub(super) fn await_call(&mut self, index: usize) {
         let usual = Duration::from_secs_f64(self.downstream.usual_time.read().unwrap_or(0.0));
-        let mut start_by = self.call_deadline(ix).saturating_sub(usual);
-        let request = self.in_flight.expect(ix);
+        let mut start_by = self.call_deadline(index).saturating_sub(usual);
+        let request = self.in_flight.expect(index);
         if request.class.is_degradable() {
             let wait = usual.mul_f64(MAX_OPTIONAL_CALL_WAIT).max(TICK_INTERVAL);
             start_by = start_by.min(request.call_requested + wait);
         }
-        self.in_flight.set_stage(ix, Stage::AwaitingCall);
-        self.in_flight.set_timer(ix, Some(start_by));
-        self.awaiting_call.push_back(ix);
+        self.in_flight.set_stage(index, Stage::AwaitingCall);
+        self.in_flight.set_timer(index, Some(start_by));
+        self.awaiting_call.push_back(index);
     }
 
     /// Makes the calls that the rate and the share allow.
@@ -54,7 +54,7 @@
             let values = self
                 .awaiting_call
                 .iter()
-                .map(|&ix| self.in_flight.expect(ix).class.call_value());
+                .map(|&index| self.in_flight.expect(index).class.call_value());
             let best = values.enumerate().max_by(|a, b| a.1.total_cmp(&b.1));
             // Guards requests that lose most without their call: while they are short, others go without.
             let more_valuable_is_short = |value| {
@@ -66,24 +66,24 @@
             };
             let best =
                 best.filter(|b| self.downstream.is_uncontended() || !more_valuable_is_short(b.1));
-            let Some(ix) = best.and_then(|(at, _)| self.awaiting_call.remove(at)) else {
+            let Some(index) = best.and_then(|(at, _)| self.awaiting_call.remove(at)) else {
                 return;
             };
             let deadline = self
-                .call_deadline(ix)
+                .call_deadline(index)
                 .max(now + TICK_INTERVAL)
                 .min(now.saturating_add(limit));
-            self.in_flight.set_stage(ix, Stage::Calling);
-            let request = self.in_flight.expect(ix);
+            self.in_flight.set_stage(index, Stage::Calling);
+            let request = self.in_flight.expect(index);
             let call = DownstreamCall {
                 started: now,
                 deadline: deadline.min(request.deadline),
             };
             request.call = call;
             request.call_attempts += 1;
-            self.in_flight.set_timer_to_deadline(ix);
+            self.in_flight.set_timer_to_deadline(index);
             self.downstream.on_call_started(call);
-            host.call_downstream(ix, call.deadline);
+            host.call_downstream(index, call.deadline);
         }
     }
 
@@ -91,11 +91,11 @@
         &mut self,
         now: Duration,
         host: &mut dyn Host,
-        ix: usize,
+        index: usize,
         outcome: Outcome,
     ) {
-        let deadline = self.call_deadline(ix);
-        let request = self.in_flight.expect(ix);
+        let deadline = self.call_deadline(index);
+        let request = self.in_flight.expect(index);
         let succeeded = outcome == Outcome::Succeeded;
         self.downstream.on_call_ended(now, request.call, outcome);
         self.queues[request.class_index].call_loss.add(
@@ -105,29 +105,29 @@
         );
         if succeeded {
             request.call_wait += now.saturating_sub(request.call_requested);
-            return self.in_flight.set_stage(ix, Stage::Running);
+            return self.in_flight.set_stage(index, Stage::Running);
         }
         // Guards against a second effect downstream: only a call that certainly did not run is repeated.
         let (never_ran, degradable) = (outcome.never_ran(), request.class.is_degradable());
         let repeatable = never_ran || request.class.repeatability == Repeatability::Idempotent;
         let attempts_left = request.call_attempts < MAX_CALL_ATTEMPTS || (never_ran && !degradable);
         let retry = repeatable && now < deadline && attempts_left;
-        self.in_flight.set_stage(ix, Stage::AwaitingCall);
-        match (self.in_flight.expect(ix).answered, retry, degradable) {
+        self.in_flight.set_stage(index, Stage::AwaitingCall);
+        match (self.in_flight.expect(index).answered, retry, degradable) {
             (true, ..) => {}
-            (_, true, _) => self.await_call(ix),
-            (.., true) => self.skip_call(now, host, ix),
-            _ => self.fail(host, ix),
+            (_, true, _) => self.await_call(index),
+            (.., true) => self.skip_call(now, host, index),
+            _ => self.fail(host, index),
         }
     }
 
     /// Lets a run go on without its call.
-    pub(super) fn skip_call(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
-        self.awaiting_call.retain(|&other| other != ix);
-        self.in_flight.set_stage(ix, Stage::Running);
-        let request = self.in_flight.expect(ix);
+    pub(super) fn skip_call(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
+        self.awaiting_call.retain(|&other| other != index);
+        self.in_flight.set_stage(index, Stage::Running);
+        let request = self.in_flight.expect(index);
         request.call_wait += now.saturating_sub(request.call_requested);
-        self.in_flight.set_timer_to_deadline(ix);
-        host.reply_degraded(ix);
+        self.in_flight.set_timer_to_deadline(index);
+        host.reply_degraded(index);
     }
 }
--- a/src/choice/load_shedding.rs
+++ b/src/choice/load_shedding.rs
@@ -32,13 +32,13 @@
                 .iter()
                 .flat_map(|queue| queue.by_account.iter().enumerate());
             let newest = queues.filter_map(|(account, queue)| Some((account, *queue.back()?)));
-            let demand =
-                newest.map(|(account, ix)| (self.quotas.usage(now, account, scale).requested, ix));
+            let demand = newest
+                .map(|(account, index)| (self.quotas.usage(now, account, scale).requested, index));
             let worst = demand.max_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((_, ix)) = worst.filter(|w| no_memory || w.0 > SHED_DEMAND_RATIO) else {
+            let Some((_, index)) = worst.filter(|w| no_memory || w.0 > SHED_DEMAND_RATIO) else {
                 return;
             };
-            self.reject(now, host, ix, self.queue_wait());
+            self.reject(now, host, index, self.queue_wait());
         }
     }
 }
--- a/src/choice/runs.rs
+++ b/src/choice/runs.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 impl AdmissionController {
-    pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, ix: usize) {
+    pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         let start = RunStart {
             at: now,
             stalled: self.stalled,
         };
-        self.in_flight.begin_run(ix, start);
-        let request = self.in_flight.expect(ix);
+        self.in_flight.begin_run(index, start);
+        let request = self.in_flight.expect(index);
         let queue = &mut self.queues[request.class_index];
-        queue.by_account[request.account].retain(|&other| other != ix);
+        queue.by_account[request.account].retain(|&other| other != index);
         let size = request
             .size_hint
             .map_or(queue.run_time.read().unwrap_or(1.0), |hint| {
@@ -27,18 +27,21 @@
             / self.classes[request.class_index]
                 .value
                 .max(f64::MIN_POSITIVE);
-        self.in_flight.set_timer_to_deadline(ix);
-        host.run(ix);
+        self.in_flight.set_timer_to_deadline(index);
+        host.run(index);
     }
 
     pub(super) fn end_run(
         &mut self,
         now: Duration,
         host: &mut dyn Host,
-        ix: usize,
+        index: usize,
         outcome: Outcome,
     ) {
-        let (running, request) = (self.in_flight.running().max(1), self.in_flight.expect(ix));
+        let (running, request) = (
+            self.in_flight.running().max(1),
+            self.in_flight.expect(index),
+        );
         let Some(start) = request.run_start else {
             return;
         };
@@ -46,7 +49,7 @@
         let calls = request.call_wait + last_call * u32::from(request.stage != Stage::Running);
         if outcome == Outcome::Cancelled && !request.answered {
             // Cancelled, but not by an order from here: it ran, so only an error is left.
-            host.fail(ix);
+            host.fail(index);
         }
         if request.stage == Stage::Calling {
             self.downstream
@@ -55,7 +58,7 @@
         if outcome == Outcome::NeverStarted {
             // Against made-up requests: what could not run is no tenant's demand, and shows no run time.
             self.quotas.requested[request.account].add(now, -1.0, WINDOW);
-            return self.release(host, ix);
+            return self.release(host, index);
         }
         let stalled = self.stalled.saturating_sub(start.stalled);
         let spent = now.saturating_sub(start.at + calls + stalled).as_secs_f64();
@@ -81,6 +84,6 @@
                     .add(now, hint.as_secs_f64().max(f64::MIN_POSITIVE), MEAN_SPAN);
             }
         }
-        self.release(host, ix);
+        self.release(host, index);
     }
 }
--- a/src/choice/scheduling.rs
+++ b/src/choice/scheduling.rs
@@ -65,16 +65,16 @@
             let Some((_, virtual_time, class, account)) = next else {
                 return;
             };
-            let Some(&ix) = self.queues[class].by_account[account].front() else {
+            let Some(&index) = self.queues[class].by_account[account].front() else {
                 return;
             };
-            if self.in_flight.memory_with(now, Some(ix)) > SAFETY_SHARE {
+            if self.in_flight.memory_with(now, Some(index)) > SAFETY_SHARE {
                 return;
             }
             self.queues
                 .iter_mut()
                 .for_each(|q| q.virtual_time = q.virtual_time.max(virtual_time - 1.0));
-            self.start_run(now, host, ix);
+            self.start_run(now, host, index);
         }
     }
 }
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -152,27 +152,27 @@
     }
 
     /// Adds a request under a free index, with its timer at its deadline.
-    pub fn insert(&mut self, ix: usize, request: Request) {
-        if self.requests.len() <= ix {
-            self.requests.resize_with(ix + 1, || None);
+    pub fn insert(&mut self, index: usize, request: Request) {
+        if self.requests.len() <= index {
+            self.requests.resize_with(index + 1, || None);
         }
         self.used_kb += request.held_kb;
         self.counts[request.stage as usize] += 1;
-        self.requests[ix] = Some(request);
-        self.set_timer_to_deadline(ix);
+        self.requests[index] = Some(request);
+        self.set_timer_to_deadline(index);
     }
 
     /// The request of an index, unless it was removed.
-    pub fn get(&mut self, ix: usize) -> Option<&mut Request> {
-        self.requests.get_mut(ix).and_then(Option::as_mut)
+    pub fn get(&mut self, index: usize) -> Option<&mut Request> {
+        self.requests.get_mut(index).and_then(Option::as_mut)
     }
 
     /// A request known to be in flight.
     ///
     /// # Panics
     /// If it is not.
-    pub fn expect(&mut self, ix: usize) -> &mut Request {
-        self.get(ix).expect("a request in flight")
+    pub fn expect(&mut self, index: usize) -> &mut Request {
+        self.get(index).expect("a request in flight")
     }
 
     /// Number of requests in a stage.
@@ -204,8 +204,8 @@
     ///
     /// # Panics
     /// If it is not in flight.
-    pub fn set_stage(&mut self, ix: usize, stage: Stage) {
-        let before = std::mem::replace(&mut self.expect(ix).stage, stage);
+    pub fn set_stage(&mut self, index: usize, stage: Stage) {
+        let before = std::mem::replace(&mut self.expect(index).stage, stage);
         self.counts[before as usize] -= 1;
         self.counts[stage as usize] += 1;
     }
@@ -214,18 +214,18 @@
     ///
     /// # Panics
     /// If it is not in flight.
-    pub fn begin_run(&mut self, ix: usize, start: RunStart) {
-        self.set_stage(ix, Stage::Running);
-        let request = self.expect(ix);
+    pub fn begin_run(&mut self, index: usize, start: RunStart) {
+        self.set_stage(index, Stage::Running);
+        let request = self.expect(index);
         request.run_start = Some(start);
         let held_kb = request.held_kb;
         self.used_kb += held_kb * (self.run_factor - 1.0);
     }
 
     /// Removes a request with its timer and memory; a cached result stays until its time.
-    pub fn remove(&mut self, ix: usize) -> Option<Request> {
-        self.set_timer(ix, None);
-        let request = self.requests.get_mut(ix)?.take()?;
+    pub fn remove(&mut self, index: usize) -> Option<Request> {
+        self.set_timer(index, None);
+        let request = self.requests.get_mut(index)?.take()?;
         self.counts[request.stage as usize] -= 1;
         self.used_kb -= request.held_kb
             * if request.run_start.is_some() {
@@ -237,21 +237,23 @@
     }
 
     /// Sets the timer of a request, in place of the one before; `None` clears it.
-    pub fn set_timer(&mut self, ix: usize, at: Option<Duration>) {
-        let Some(request) = self.get(ix) else { return };
+    pub fn set_timer(&mut self, index: usize, at: Option<Duration>) {
+        let Some(request) = self.get(index) else {
+            return;
+        };
         let before = std::mem::replace(&mut request.timer, at);
         if let Some(before) = before {
-            self.timers.remove(&(before, ix));
+            self.timers.remove(&(before, index));
         }
         if let Some(at) = at {
-            self.timers.insert((at, ix));
+            self.timers.insert((at, index));
         }
     }
 
     /// Sets the timer of a request to its deadline.
-    pub fn set_timer_to_deadline(&mut self, ix: usize) {
-        let deadline = self.get(ix).map(|request| request.deadline);
-        self.set_timer(ix, deadline);
+    pub fn set_timer_to_deadline(&mut self, index: usize) {
+        let deadline = self.get(index).map(|request| request.deadline);
+        self.set_timer(index, deadline);
     }
 
     /// The longest that all calls in progress may occupy the downstream tier together, linger not counted.
@@ -266,40 +268,40 @@
 
     /// Brings deadlines and timers of all unanswered requests forward to `latest` where they are later.
     pub fn cap_deadlines(&mut self, latest: Duration) {
-        for ix in 0..self.requests.len() {
-            let Some(request) = self.get(ix).filter(|request| !request.answered) else {
+        for index in 0..self.requests.len() {
+            let Some(request) = self.get(index).filter(|request| !request.answered) else {
                 continue;
             };
             request.deadline = request.deadline.min(latest);
             if request.timer.is_none_or(|at| at > latest) {
-                self.set_timer(ix, Some(latest));
+                self.set_timer(index, Some(latest));
             }
         }
     }
 
     /// The next request whose timer has expired; the timer is cleared.
     pub fn next_expired(&mut self, now: Duration) -> Option<usize> {
-        let ix = self.timers.first().filter(|timer| timer.0 <= now)?.1;
-        self.set_timer(ix, None);
-        Some(ix)
+        let index = self.timers.first().filter(|timer| timer.0 <= now)?.1;
+        self.set_timer(index, None);
+        Some(index)
     }
 
     /// Counts the memory of a cached result, until its time.
     ///
     /// # Panics
     /// If the request is not in flight.
-    pub fn cache_result(&mut self, ix: usize, until: Duration) {
-        self.expect(ix).cached_until = Some(until);
-        self.cached.insert((until, ix));
+    pub fn cache_result(&mut self, index: usize, until: Duration) {
+        self.expect(index).cached_until = Some(until);
+        self.cached.insert((until, index));
     }
 
     /// Discards a cached result; whether there was one whose time had not passed.
     ///
     /// # Panics
     /// If the request is not in flight.
-    pub fn discard_result(&mut self, now: Duration, ix: usize) -> bool {
-        let cached_until = self.expect(ix).cached_until.take();
-        cached_until.is_some_and(|until| self.cached.remove(&(until, ix)) && until > now)
+    pub fn discard_result(&mut self, now: Duration, index: usize) -> bool {
+        let cached_until = self.expect(index).cached_until.take();
+        cached_until.is_some_and(|until| self.cached.remove(&(until, index)) && until > now)
     }
 
     /// Share of the memory in use, were request `running` to run too.
@@ -310,7 +312,8 @@
         while self.cached.first().is_some_and(|entry| entry.0 < now) {
             self.cached.pop_first();
         }
-        let more = running.map_or(0.0, |ix| self.expect(ix).held_kb) * (self.run_factor - 1.0);
+        let more =
+            running.map_or(0.0, |index| self.expect(index).held_kb) * (self.run_factor - 1.0);
         (self.used_kb + more + self.cached.len() as f64 * self.entry_kb) / self.memory_kb
     }
 }
