--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,36 +1,62 @@
-//! The admission policy: every decision of a node, with its state and its tuned values.
+//! The admission policy: every decision of a node. Nothing here does I/O or reads a clock.
 //!
 //! The program around it calls the `on_...` methods of [`AdmissionController`] as requests arrive, runs and
-//! downstream calls end and ticks are due; orders go out through the trait [`Host`].
+//! downstream calls end and ticks are due; orders go out through the trait [`Host`]. Times are on one clock, whose
+//! origin is that program's choice. One module for each rule, in the order in which a request meets them:
 //!
-//! The design (docs/design.md): each tenant is charged its run time per window; while the node is overloaded,
-//! later requests of a tenant over its quota are rejected until its delay is over; a learned concurrency
-//! limit bounds what runs. Beside these:
-//! 1. queues: one for each request class, served by weight, tenants within their quota first;
-//! 2. timers: every request in flight has one time at which it is answered in any case;
-//! 3. bounds on concurrency and memory, from the settings;
-//! 4. a rate limit on downstream calls that follows their recent time;
-//! 5. health: an unhealthy or stopping node advertises itself as unavailable, and probes while unhealthy;
-//! 6. connections: the more are open, the sooner idle ones close.
+//! | module | decides |
+//! | --- | --- |
+//! | `deadlines` | by when a request is started and answered; what happens when it is not |
+//! | `idempotency` | which request is never run again, and answered from the cache |
+//! | `admission` | whether a request that was read is queued or rejected, and why |
+//! | `health` | whether the node is healthy, and which requests an unhealthy one admits |
+//! | `drain` | which requests are refused after a shutdown notice, and by when all are answered |
+//! | `overload` | when the node counts as overloaded |
+//! | `tenant_quotas` | what a tenant is charged, when it is over its quota, and for how long (KIP-124) |
+//! | `rejection` | how long a rejected caller is asked to wait, and whether to try another node |
+//! | `fleet_load` | whether other nodes seem overloaded too |
+//! | `load_shedding` | which queued request goes when there is too much |
+//! | `scheduling` | which queued request starts next, and when |
+//! | `concurrency_limit` | how many requests may run at once |
+//! | `startup` | what a node assumes of a cold machine and of a predecessor |
+//! | `downstream_calls` | which downstream call is made next, and what follows one that failed |
+//! | `downstream_limit` | how many downstream calls are made, and how long each may take |
+//! | `runs` | what a run is charged, and what its end teaches |
+//! | `stalls` | for how long the whole process stood still |
+//! | `completion` | how a request ends without a result, and what it leaves behind |
+//! | `load_advertisement` | whether callers are asked to keep away |
+//! | `idle_connections` | how long an idle connection stays open |
+//!
+//! `assembly` puts a controller together and gives it new settings; `shared_constants` holds what several rules
+//! share. `docs/decisions.md` says of each rule what a caller gets and which counter or log event shows it;
+//! `docs/design.md` has the reasons.
 
-use crate::host::{Arrival, Gauges, Host, Outcome, Repeatability, RequestClass, RetryOf};
+use crate::host::{Arrival, Gauges, Host, Outcome, RequestClass};
 use crate::in_flight::{InFlightRequests, Request, Stage};
 use std::collections::VecDeque;
 use std::time::Duration;
 
+mod admission;
 mod assembly;
 mod completion;
 mod concurrency_limit;
 mod deadlines;
 mod downstream_calls;
 mod downstream_limit;
+mod drain;
+mod fleet_load;
 mod health;
+mod idempotency;
+mod idle_connections;
 mod load_advertisement;
 mod load_shedding;
 mod overload;
+mod rejection;
 mod runs;
 mod scheduling;
 mod shared_constants;
+mod stalls;
+mod startup;
 mod tenant_quotas;
 
 pub use assembly::Components;
@@ -39,60 +65,45 @@
 pub use load_advertisement::LoadAdvertiser;
 pub use tenant_quotas::TenantQuotas;
 
-use deadlines::{MAX_WAIT_SHARE, RUN_TIME_HEADROOM};
+use admission::Decision;
+use drain::Shutdown;
+use fleet_load::FleetLoad;
 use health::HealthMonitor;
-use load_advertisement::Shutdown;
-use overload::{CORES_BUSY, OVERLOAD_SHARE};
+use idle_connections::IdleConnections;
 use scheduling::ClassQueue;
-use shared_constants::{RECENT_SPAN, TICK_INTERVAL, TIME_MARGIN};
-use tenant_quotas::WINDOW;
+use shared_constants::TICK_INTERVAL;
+use stalls::StallClock;
 
 /// The admission policy of one node.
 pub struct AdmissionController {
     classes: Vec<RequestClass>,
+    /// Whether value is counted for each unit of work, not for each request.
     by_work: bool,
     quotas: TenantQuotas,
     limiter: ConcurrencyLimiter,
     in_flight: InFlightRequests,
     downstream: DownstreamLimiter,
     advertiser: LoadAdvertiser,
+    idle_connections: IdleConnections,
+    fleet_load: FleetLoad,
     health: HealthMonitor,
+    stalls: StallClock,
+    shutdown: Option<Shutdown>,
+    /// By request class.
     queues: Vec<ClassQueue>,
+    /// Requests at a downstream call that is not made yet, oldest first.
     awaiting_call: VecDeque<usize>,
+    /// As of the last tick.
     cores_busy: bool,
-    stalled: Duration,
-    next_tick: Duration,
 }
 
 impl AdmissionController {
-    /// New settings under load, from a controller made of them; requests in flight and all that was learned
-    /// stay. Other counts of classes or tenants, which the reader of settings refuses, change neither.
-    pub fn reconfigure(&mut self, new: AdmissionController) {
-        let same_classes = new.classes.len() == self.classes.len();
-        if same_classes && new.quotas.rates.len() == self.quotas.rates.len() {
-            (self.classes, self.by_work, self.quotas.rates) =
-                (new.classes, new.by_work, new.quotas.rates);
-        }
-        self.limiter.overload_factor = new.limiter.overload_factor;
-        self.downstream.share = new.downstream.share;
-        // Guards against reservations that stay, or are missing, where the tier becomes shared or unshared.
-        let linger = new
-            .downstream
-            .share
-            .map(|share| share.linger * self.in_flight.calling() as u32);
-        self.downstream.reserved =
-            linger.map_or(Duration::ZERO, |all| self.in_flight.reserved() + all);
-        self.advertiser.options = new.advertiser.options;
-        let idle_timeout = new.advertiser.options.clients.idle_timeout;
-        self.advertiser.idle_timeout = self.advertiser.idle_timeout.min(idle_timeout);
-    }
-
     /// The first call: sets the health that checks are answered with, and asks for the first tick.
     pub fn begin(&mut self, now: Duration, host: &mut dyn Host) {
         host.set_health(true);
         host.wake(TICK_INTERVAL);
-        self.next_tick = now + TICK_INTERVAL;
-        self.health.last_completion = now;
+        self.stalls.begin(now);
+        self.health.begin(now);
         self.limiter.start_round(now);
     }
 
@@ -104,95 +115,37 @@
         index: usize,
         arrival: &Arrival,
     ) {
-        let class = self.classes[arrival.class];
-        let (repeatability, objective) = (class.repeatability, class.latency_objective);
-        let arrived = now.saturating_sub(arrival.waited);
-        let deadline = arrival
-            .caller_timeout
-            .map_or((arrived + class.deadline).max(now), |left| now + left);
-        let shutdown = self.advertiser.shutdown;
-        let deadline = shutdown
-            .map_or(deadline, |s| deadline.min(s.deadline))
-            .saturating_sub(TIME_MARGIN);
-        let account = arrival
-            .tenant
-            .unwrap_or(usize::MAX)
-            .min(self.quotas.rates.len());
-        // Guards against shedding that feeds on itself: retries of what was shed are no new demand.
-        self.quotas.requested[account].add(now, if arrival.is_retry { 0.0 } else { 1.0 }, WINDOW);
-        self.advertiser
-            .retry_share
-            .add(now, if arrival.is_retry { 1.0 } else { 0.0 }, RECENT_SPAN);
-        self.in_flight.insert(
-            index,
-            Request::new(arrival, class, account, arrived, deadline),
-        );
-        if repeatability != Repeatability::Idempotent && arrival.retry_of != RetryOf::No {
-            // Guards against a second effect: a repeat takes the first attempt's result, never a run.
-            self.in_flight.set_stage(index, Stage::AwaitingResult);
-            host.reply_from_cache(index);
-            return self.expire_deadlines(now, host);
-        }
-        if let Repeatability::IdempotentWithKey(window) = repeatability {
-            let span = (window + TIME_MARGIN).saturating_sub(arrival.waited);
-            host.cache_result(index, span);
-            self.in_flight.cache_result(index, now + span);
-        }
-        let too_late =
-            shutdown.is_some_and(|s| arrived > s.noticed + self.advertiser.options.drain_grace);
-        // Guards against runs cut off undone, and against working off a backlog that piled up unread: on full
-        // cores nothing is started that has no time for its usual run, or waited half its objective.
-        let usual = self
-            .usual_run(arrival.class, arrival.size_hint)
-            .as_secs_f64()
-            * RUN_TIME_HEADROOM;
-        let run_time = Duration::try_from_secs_f64(usual).unwrap_or(Duration::MAX);
-        let last_start = deadline.min(arrived + objective).saturating_sub(run_time);
-        let start_by = last_start.min(arrived + objective.mul_f64(MAX_WAIT_SHARE));
-        let hopeless = deadline <= now || too_late || (self.cores_busy && now > start_by);
-        if hopeless || !self.health.admits(now) {
-            return self.reject(now, host, index, self.advertiser.options.max_retry_after);
+        let request = self.new_request(now, arrival);
+        self.quotas
+            .record_request(now, request.account, arrival.is_retry);
+        self.fleet_load.record_arrival(now, arrival.is_retry);
+        let is_repeat = idempotency::is_repeat(&request.class, arrival);
+        self.in_flight.insert(index, request);
+        if is_repeat {
+            return self.reply_to_repeat(now, host, index);
         }
-        // Requests are queued, here or still unread, and the cores gauge reads busy: the node is overloaded.
-        let wait = self.queue_wait() + arrival.waited;
-        let overloaded = self.cores_busy && wait > objective.mul_f64(OVERLOAD_SHARE);
-        let delay = self.quotas.rejected_until[account].saturating_sub(now);
-        if overloaded && delay > Duration::ZERO {
-            return self.reject(now, host, index, delay);
+        self.cache_result(now, host, index, arrival.waited);
+        match self.decide_admission(now, index, arrival) {
+            Decision::Reject(reason) => self.reject(now, host, index, reason),
+            Decision::Enqueue { start_by } => self.enqueue(now, host, index, start_by),
         }
-        self.queues[arrival.class].by_account[account].push_back(index);
-        self.in_flight
-            .set_timer(index, Some(start_by.max(now + TICK_INTERVAL).min(deadline)));
-        self.shed_load(now, host);
-        self.dispatch(now, host);
     }
 
-    /// A run or a cached reply is over.
-    pub fn on_run_finished(
-        &mut self,
-        now: Duration,
-        host: &mut dyn Host,
-        index: usize,
-        outcome: Outcome,
-    ) {
-        match self.in_flight.get(index).map(|request| request.stage) {
-            None | Some(Stage::Queued) => {}
-            Some(Stage::AwaitingResult) => self.release(host, index),
-            Some(Stage::Running | Stage::AwaitingCall | Stage::Calling) => {
-                self.end_run(now, host, index, outcome);
-            }
-        }
-        self.dispatch(now, host);
+    /// The request that an arrival brings, with its class as of now and its deadline.
+    fn new_request(&self, now: Duration, arrival: &Arrival) -> Request {
+        let class = self.classes[arrival.class];
+        let account = self.quotas.account_of(arrival.tenant);
+        let arrived = now.saturating_sub(arrival.waited);
+        let deadline = deadlines::answer_deadline(now, arrived, arrival, &class, self.shutdown);
+        Request::new(arrival, class, account, arrived, deadline)
     }
 
     /// A run has come to a downstream call, and waits for [`Host::call_downstream`] or its skipping.
     pub fn on_downstream_call(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
-        if let Some(request) = self
-            .in_flight
-            .get(index)
-            .filter(|r| r.stage == Stage::Running && !r.answered)
-        {
-            (request.call_requested, request.call_attempts) = (now, 0);
+        let request = self.in_flight.get(index);
+        if let Some(request) = request.filter(|r| r.stage == Stage::Running && !r.answered) {
+            request.call_requested = now;
+            request.call_attempts = 0;
             self.await_call(index);
         }
         self.dispatch(now, host);
@@ -213,53 +166,69 @@
         self.dispatch(now, host);
     }
 
+    /// A run or a cached reply is over.
+    pub fn on_run_finished(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        index: usize,
+        outcome: Outcome,
+    ) {
+        match self.in_flight.get(index).map(|request| request.stage) {
+            None | Some(Stage::Queued) => {}
+            Some(Stage::AwaitingResult) => self.release(host, index),
+            Some(Stage::Running | Stage::AwaitingCall | Stage::Calling) => {
+                self.end_run(now, host, index, outcome);
+            }
+        }
+        self.dispatch(now, host);
+    }
+
     /// The caller has left: nothing need be answered.
     pub fn on_caller_gone(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         self.abandon(host, index);
         self.dispatch(now, host);
     }
 
-    /// The process will be stopped after `kill_in`: all is answered before.
-    pub fn on_shutdown_notice(&mut self, now: Duration, host: &mut dyn Host, kill_in: Duration) {
-        let deadline = now + kill_in.saturating_sub(TIME_MARGIN);
-        self.advertiser.shutdown = Some(Shutdown {
-            noticed: now,
-            deadline,
-        });
-        self.advertiser.set_unavailable(host, true);
-        self.in_flight
-            .cap_deadlines(deadline.saturating_sub(TIME_MARGIN));
-        self.expire_deadlines(now, host);
-    }
-
     /// The tick that [`Host::wake`] asked for, with the gauges as of now.
     pub fn on_tick(&mut self, now: Duration, host: &mut dyn Host, gauges: Gauges) {
-        // Guards against charging, or taking for hung, runs that stood still with the whole process.
-        let late = now.saturating_sub(self.next_tick);
-        if late > TICK_INTERVAL {
-            self.stalled += late;
-            self.health.last_completion += late;
+        if let Some(stall) = self.stalls.on_tick(now) {
+            self.health.on_stall(stall);
         }
-        self.next_tick = now + TICK_INTERVAL;
         host.wake(TICK_INTERVAL);
-        self.cores_busy = gauges.cores_busy.is_none_or(|busy| busy >= CORES_BUSY);
+        self.cores_busy = overload::cores_are_busy(gauges);
         let running = self.in_flight.running();
-        self.limiter
-            .on_tick(now, gauges, running, self.in_flight.queued() > 0);
-        let usual_runs = (0..self.queues.len()).map(|class| self.usual_run(class, None));
-        self.health
-            .update(now, running > 0, usual_runs.max().unwrap_or_default());
-        self.advertiser.trim_connections(
-            now,
-            host,
-            gauges.connections.unwrap_or(0.0),
-            self.limiter.cores,
-        );
-        self.advertiser.set_unavailable(
-            host,
-            self.health.unhealthy || self.advertiser.shutdown.is_some(),
-        );
+        let any_queued = self.in_flight.queued() > 0;
+        self.limiter.on_tick(now, gauges, running, any_queued);
+        self.update_health(now, running);
+        self.adjust_idle_connections(now, host, gauges);
+        let unavailable = self.health.is_unhealthy() || self.shutdown.is_some();
+        self.advertiser.set_unavailable(host, unavailable);
         self.expire_deadlines(now, host);
         self.dispatch(now, host);
     }
+
+    fn update_health(&mut self, now: Duration, running: usize) {
+        let usual_runs = self.queues.iter().map(|queue| queue.usual_run(None));
+        let slowest = usual_runs.max().unwrap_or_default();
+        self.health.update(now, running > 0, slowest);
+    }
+
+    fn adjust_idle_connections(&mut self, now: Duration, host: &mut dyn Host, gauges: Gauges) {
+        let open = gauges.connections.unwrap_or(0.0);
+        let clients = self.advertiser.options.clients;
+        let cores = self.limiter.cores();
+        if let Some(timeout) = self.idle_connections.adjust(now, open, cores, clients) {
+            host.close_idle_after(timeout);
+        }
+    }
+
+    /// The process will be stopped after `kill_in`: all is answered before.
+    pub fn on_shutdown_notice(&mut self, now: Duration, host: &mut dyn Host, kill_in: Duration) {
+        let shutdown = Shutdown::noticed_at(now, kill_in);
+        self.shutdown = Some(shutdown);
+        self.advertiser.set_unavailable(host, true);
+        self.in_flight.cap_deadlines(shutdown.last_answer());
+        self.expire_deadlines(now, host);
+    }
 }
--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -1,17 +1,18 @@
-//! How an [`AdmissionController`] is put together from its parts.
+//! How an [`AdmissionController`] is assembled from its components, and takes new settings while it runs.
 
+use super::fleet_load::FleetLoad;
 use super::health::HealthMonitor;
+use super::idle_connections::IdleConnections;
 use super::scheduling::ClassQueue;
+use super::stalls::StallClock;
 use super::{
     AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
 };
 use crate::host::RequestClass;
 use crate::in_flight::InFlightRequests;
-use crate::options::DownstreamShare;
 use std::collections::VecDeque;
-use std::time::Duration;
 
-/// The parts of an [`AdmissionController`], each made from its own few settings.
+/// The components of an [`AdmissionController`] that are made from settings of their own.
 pub struct Components {
     /// What each tenant may spend and has spent.
     pub quotas: TenantQuotas,
@@ -25,43 +26,52 @@
     pub advertiser: LoadAdvertiser,
 }
 
-impl DownstreamLimiter {
-    /// Of the first node on its machine: nothing that this one does not know of is held downstream, so it has its whole
-    /// share at once. `share` as in [`DownstreamLimiter::new`].
-    pub fn without_predecessor(share: Option<DownstreamShare>) -> Self {
-        Self {
-            head_start: 1.0,
-            ..Self::new(share)
-        }
-    }
-}
-
 impl AdmissionController {
     /// A controller that has not begun. `by_work`: value is counted for each unit of work, not for each
     /// request.
     pub fn new(classes: Vec<RequestClass>, by_work: bool, components: Components) -> Self {
-        let by_account = vec![VecDeque::new(); components.quotas.spent.len()];
-        let queues = vec![
-            ClassQueue {
-                by_account,
-                ..ClassQueue::default()
-            };
-            classes.len()
-        ];
+        let Components {
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+        } = components;
+        let queues = vec![ClassQueue::new(quotas.accounts()); classes.len()];
+        let idle_connections = IdleConnections::new(advertiser.options.clients);
         Self {
             classes,
             by_work,
-            quotas: components.quotas,
-            limiter: components.limiter,
-            in_flight: components.in_flight,
-            downstream: components.downstream,
-            advertiser: components.advertiser,
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+            idle_connections,
+            fleet_load: FleetLoad::default(),
             health: HealthMonitor::default(),
+            stalls: StallClock::new(),
+            shutdown: None,
             queues,
             awaiting_call: VecDeque::new(),
             cores_busy: false,
-            stalled: Duration::ZERO,
-            next_tick: Duration::MAX,
         }
     }
+
+    /// New settings under load, from a controller made of them; requests in flight and all that was learned
+    /// stay. Other counts of classes or tenants, which the reader of settings refuses, change neither.
+    pub fn reconfigure(&mut self, new: AdmissionController) {
+        let same_classes = new.classes.len() == self.classes.len();
+        if same_classes && new.quotas.tenants() == self.quotas.tenants() {
+            self.classes = new.classes;
+            self.by_work = new.by_work;
+            self.quotas.set_rates(new.quotas);
+        }
+        self.limiter.set_overload_factor(&new.limiter);
+        let (calling, time_limits) = (self.in_flight.calling(), self.in_flight.reserved());
+        self.downstream
+            .set_share(&new.downstream, calling, time_limits);
+        self.advertiser.options = new.advertiser.options;
+        self.idle_connections.cap(new.advertiser.options.clients);
+    }
 }
--- a/src/choice/concurrency_limit.rs
+++ b/src/choice/concurrency_limit.rs
@@ -1,64 +1,83 @@
-//! How many requests may run at once.
+//! How many requests may run at once: a learned limit below a hard ceiling.
+//!
+//! The **ceiling** is [`SAFETY_SHARE`] of the concurrency that a machine survives: its cores times the overload
+//! factor of the settings, less while it is cold ([`startup`](super::startup)). It holds whatever else is learned.
+//!
+//! The **learned limit** is one of [`LIMIT_STEPS`], in requests a core. A round of [`LEARNING_ROUND`] counts when
+//! the limit was reached and requests were queued at each of its ticks; its throughput (completions a second) is
+//! then the sample for its step. After such a round a neighbouring step is explored now and then; else the step
+//! with the highest throughput is taken, where a higher step must reach [`MIN_GAIN`] times that of a lower one.
+//! While the cores have time left though the limit is reached and requests are queued, it climbs a step each
+//! [`CLIMB_INTERVAL`]. It never goes more than one step past the highest that a counted round was run at.
+//!
+//! **Corrections:** threads that read requests take cores from runs and are taken off the learned limit, but one
+//! run for [`CORES_PER_GUARANTEED_RUN`] cores may always go on; runs that wait for a disk leave their cores to
+//! others and are added.
+//!
+//! Inputs: gauges of the cores (share in use; threads that run or want to), numbers of running and queued
+//! requests. Not in KIP-124, whose brokers have a fixed number of threads.
 
-use super::overload::CORES_BUSY;
+use super::overload::cores_are_busy;
 use super::shared_constants::{MIN_WEIGHT, RECENT_SPAN, SAFETY_SHARE};
+use super::startup::warm_share;
 use crate::decay::Mean;
 use crate::host::Gauges;
 use crate::options::ColdStart;
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Steps of the concurrency limit, in requests a core. Past some concurrency that nobody measured a node gets
-/// much less done, and waits on calls hide it; steps past 1.5 a core lost on every deployment simulated.
-pub(super) const LIMIT_STEPS: [f64; 6] = [1.0, 1.1, 1.2, 1.3, 1.4, 1.5];
-/// One run for so many cores may go on even if reading takes all cores: reads alone would serve nobody.
-pub(super) const CORES_PER_GUARANTEED_RUN: usize = 2;
-/// Round of the limit's learner: some ten completions, else the throughput is mostly chance.
-pub(super) const LEARNING_ROUND: Duration = Duration::from_secs(1);
-/// Decay span of the learned throughput: twenty rounds, so that a changed machine is learned again.
-pub(super) const THROUGHPUT_SPAN: Duration = Duration::from_secs(20);
-/// One round in so many explores a neighbouring step.
-pub(super) const EXPLORE_ONE_IN: u32 = 8;
+/// Steps of the learned limit, in requests a core. Much higher concurrency gets less done, and waits on
+/// downstream calls hide that from the cores gauge.
+const LIMIT_STEPS: [f64; 6] = [1.0, 1.1, 1.2, 1.3, 1.4, 1.5];
+/// Cores for each run that may go on even if reading takes all cores: reading alone would serve nobody.
+const CORES_PER_GUARANTEED_RUN: usize = 2;
+/// Length of a round of the learner.
+const LEARNING_ROUND: Duration = Duration::from_secs(1);
+/// Decay span of a step's throughput.
+const THROUGHPUT_SPAN: Duration = Duration::from_secs(20);
+/// One counted round in so many is followed by a neighbouring step.
+const EXPLORE_ONE_IN: u32 = 8;
 /// Throughput ratio from which a higher step is preferred: less concurrency for the same work.
-pub(super) const MIN_GAIN: f64 = 1.15;
-/// Between two quick climbs: the gauge needs most of its half second to show the last one.
-pub(super) const CLIMB_INTERVAL: Duration = Duration::from_millis(250);
+const MIN_GAIN: f64 = 1.15;
+/// Time between two climbs: the cores gauge needs most of its half second to show the last one.
+const CLIMB_INTERVAL: Duration = Duration::from_millis(250);
 /// Mean of runs off the cores from which they count as disk waits: a gauge that lags shows some too.
-pub(super) const MIN_DISK_WAITS: f64 = 0.25;
+const MIN_DISK_WAITS: f64 = 0.25;
 
-/// A round of the concurrency limit's learner.
+/// A round of the learner.
 #[derive(Default)]
-pub(super) struct LearningRound {
-    /// When it began.
-    pub(super) started: Duration,
+struct LearningRound {
+    started: Duration,
     /// Runs that succeeded in it.
-    pub(super) completions: u32,
+    completions: u32,
     /// Whether the limit was reached, with requests queued, at every tick of it.
-    pub(super) saturated: bool,
+    saturated: bool,
 }
 
 /// How the cores are used, as of the last tick.
 #[derive(Default)]
-pub(super) struct CoreUse {
+struct CoreUse {
     /// Threads on cores that run no request: they read.
-    pub(super) reading: usize,
+    reading: usize,
     /// Runs off the cores, where that is a habit.
-    pub(super) disk_waits: usize,
+    disk_waits: usize,
     /// Mean of runs off the cores.
-    pub(super) mean_disk_waits: Mean,
+    mean_disk_waits: Mean,
 }
 
-/// How many requests may run at once: a learned limit, under the concurrency that a node survives.
+/// How many requests may run at once.
 pub struct ConcurrencyLimiter {
-    pub(super) cores: usize,
-    pub(super) overload_factor: f64,
-    pub(super) cold_start: Option<ColdStart>,
-    pub(super) step: usize,
-    pub(super) highest_proven: usize,
-    pub(super) throughput: [Mean; LIMIT_STEPS.len()],
-    pub(super) round: LearningRound,
-    pub(super) core_use: CoreUse,
-    pub(super) rng: WyRand,
+    cores: usize,
+    overload_factor: f64,
+    cold_start: Option<ColdStart>,
+    step: usize,
+    /// The highest step that a counted round was run at.
+    highest_proven: usize,
+    /// Completions a second, by step.
+    throughput: [Mean; LIMIT_STEPS.len()],
+    round: LearningRound,
+    core_use: CoreUse,
+    rng: WyRand,
 }
 
 impl ConcurrencyLimiter {
@@ -82,25 +101,37 @@
         }
     }
 
-    /// Guards against dying of overload; while cold the slowest warm-up allowed is assumed.
+    /// Takes the overload factor of `new`; what was learned stays.
+    pub(super) fn set_overload_factor(&mut self, new: &Self) {
+        self.overload_factor = new.overload_factor;
+    }
+
+    /// Cores of the machine.
+    pub(super) fn cores(&self) -> usize {
+        self.cores
+    }
+
+    /// How many requests may run in any case: more could end the process.
     pub(super) fn ceiling(&self, now: Duration) -> usize {
-        let warm = self.cold_start.map_or(1.0, |cold| {
-            let age =
-                now.saturating_sub(cold.began).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
-            (cold.initial_speed + (1.0 - cold.initial_speed) * age).clamp(0.0, 1.0)
-        });
-        ((self.cores as f64 * (1.0 + (self.overload_factor - 1.0) * warm) * SAFETY_SHARE) as usize)
-            .max(1)
+        let warm = warm_share(self.cold_start, now);
+        let survived = self.cores as f64 * (1.0 + (self.overload_factor - 1.0) * warm);
+        ((survived * SAFETY_SHARE) as usize).max(1)
     }
 
-    /// How many requests may run now: reading takes cores from runs, disk waits leave cores to them.
+    /// How many requests may run now.
     pub(super) fn limit(&self, now: Duration) -> usize {
         let learned = (self.cores as f64 * LIMIT_STEPS[self.step]).round() as usize;
         let guaranteed = self.cores.div_ceil(CORES_PER_GUARANTEED_RUN);
-        let with_waits = (learned + self.core_use.disk_waits).saturating_sub(self.core_use.reading);
-        with_waits.max(guaranteed).min(self.ceiling(now))
+        let corrected = (learned + self.core_use.disk_waits).saturating_sub(self.core_use.reading);
+        corrected.max(guaranteed).min(self.ceiling(now))
+    }
+
+    /// A run succeeded.
+    pub(super) fn on_run_succeeded(&mut self) {
+        self.round.completions += 1;
     }
 
+    /// A tick came: corrects the limit, and learns when a round is over.
     pub(super) fn on_tick(
         &mut self,
         now: Duration,
@@ -108,43 +139,38 @@
         running: usize,
         any_queued: bool,
     ) {
-        let on_cores = gauges
-            .runnable
-            .map_or(running, |runnable| runnable as usize);
-        self.core_use.reading = on_cores.saturating_sub(running);
-        let disk_waits = running.saturating_sub(on_cores);
-        self.core_use
-            .mean_disk_waits
-            .add(now, disk_waits as f64, RECENT_SPAN);
-        let is_habit = self.core_use.mean_disk_waits.read() > Some(MIN_DISK_WAITS);
-        self.core_use.disk_waits = if is_habit { disk_waits } else { 0 };
-        let full = running >= self.limit(now);
-        self.round.saturated &= full && any_queued;
-        let idle = gauges.cores_busy.is_some_and(|busy| busy < CORES_BUSY);
-        let highest = (self.highest_proven + 1).min(LIMIT_STEPS.len() - 1);
-        if idle
-            && full
-            && any_queued
-            && self.step < highest
-            && now >= self.round.started + CLIMB_INTERVAL
-        {
+        self.update_core_use(now, gauges, running);
+        let saturated = running >= self.limit(now) && any_queued;
+        self.round.saturated &= saturated;
+        let max_step = (self.highest_proven + 1).min(LIMIT_STEPS.len() - 1);
+        let climb_due = now >= self.round.started + CLIMB_INTERVAL;
+        if !cores_are_busy(gauges) && saturated && self.step < max_step && climb_due {
             self.step += 1;
             self.start_round(now);
         } else if now >= self.round.started + LEARNING_ROUND {
             if self.round.saturated {
-                let span = now.saturating_sub(self.round.started).as_secs_f64();
-                self.throughput[self.step].add(
-                    now,
-                    f64::from(self.round.completions) / span,
-                    THROUGHPUT_SPAN,
-                );
-                self.highest_proven = self.highest_proven.max(self.step);
-                self.choose_step(now, highest);
+                self.learn(now);
+                self.choose_step(now, max_step);
             }
             self.start_round(now);
         }
     }
 
+    fn update_core_use(&mut self, now: Duration, gauges: Gauges, running: usize) {
+        let on_cores = gauges
+            .runnable
+            .map_or(running, |runnable| runnable as usize);
+        let core_use = &mut self.core_use;
+        core_use.reading = on_cores.saturating_sub(running);
+        let disk_waits = running.saturating_sub(on_cores);
+        core_use
+            .mean_disk_waits
+            .add(now, disk_waits as f64, RECENT_SPAN);
+        let is_habit = core_use.mean_disk_waits.read() > Some(MIN_DISK_WAITS);
+        core_use.disk_waits = if is_habit { disk_waits } else { 0 };
+    }
+
+    /// Begins a round.
     pub(super) fn start_round(&mut self, now: Duration) {
         self.round = LearningRound {
             started: now,
@@ -153,27 +179,36 @@
         };
     }
 
+    /// Takes the round that is over as a sample of its step.
+    fn learn(&mut self, now: Duration) {
+        let span = now.saturating_sub(self.round.started).as_secs_f64();
+        let throughput = f64::from(self.round.completions) / span;
+        self.throughput[self.step].add(now, throughput, THROUGHPUT_SPAN);
+        self.highest_proven = self.highest_proven.max(self.step);
+    }
+
     /// Explores a neighbouring step now and then, else takes the one with the highest throughput.
-    pub(super) fn choose_step(&mut self, now: Duration, highest: usize) {
+    fn choose_step(&mut self, now: Duration, max_step: usize) {
         if self.rng.generate_range(0..EXPLORE_ONE_IN) == 0 {
             let up = self.rng.generate_range(0..2u32) == 1;
             self.step = if up {
-                (self.step + 1).min(highest)
+                (self.step + 1).min(max_step)
             } else {
                 self.step.saturating_sub(1)
             };
             return;
         }
-        let known = self
-            .throughput
-            .map(|mean| mean.known(now, THROUGHPUT_SPAN, MIN_WEIGHT).unwrap_or(0.0));
-        let better = |best: usize, step| {
-            if known[step] > known[best] * MIN_GAIN {
+        let throughput = self.throughput.map(|mean| {
+            let known = mean.known(now, THROUGHPUT_SPAN, MIN_WEIGHT);
+            known.unwrap_or(0.0)
+        });
+        let better = |best: usize, step: usize| {
+            if throughput[step] > throughput[best] * MIN_GAIN {
                 step
             } else {
                 best
             }
         };
-        self.step = (0..=highest).reduce(better).unwrap_or(0);
+        self.step = (0..=max_step).reduce(better).unwrap_or(0);
     }
 }
--- a/src/choice/downstream_calls.rs
+++ b/src/choice/downstream_calls.rs
@@ -1,41 +1,104 @@
-//! When a downstream call is made, repeated and skipped.
+//! Which downstream call is made next, and what follows one that ended badly.
+//!
+//! **Waiting.** A call that [`downstream_limit`](super::downstream_limit) does not let through yet waits until a
+//! usual call no longer fits before its deadline: a call made later would only fail. A request that can do without
+//! its call waits at most [`MAX_OPTIONAL_CALL_WAIT`] usual calls, then goes on without it.
+//!
+//! **Order.** The call goes first whose loss costs most value, of equal ones the newest. Where the node's share of
+//! the tier is contended, a call is held back while a class that would lose more value is short of calls
+//! ([`CALL_SHORTAGE`]).
+//!
+//! **The deadline** of a call is that of its request; where an answer without the call has a value, early enough
+//! to still give that answer within the latency objective; in any case within what the limiter grants.
+//!
+//! **Retries.** A call is made again only if it certainly did not run, or its request is idempotent: no second
+//! effect downstream. There are at most [`MAX_CALL_ATTEMPTS`] attempts, except of a required call that did not
+//! run. Where there is no retry, the request goes on without its call if that has a value, else it fails.
+//!
+//! Values are those of the classes in the settings; times are on the controller's clock. Not in KIP-124.
 
+use super::scheduling::ClassQueue;
 use super::shared_constants::{MEAN_SPAN, MIN_WEIGHT, TICK_INTERVAL};
 use super::AdmissionController;
 use crate::host::{Host, Outcome, Repeatability};
-use crate::in_flight::{DownstreamCall, Stage};
+use crate::in_flight::{DownstreamCall, Request, Stage};
 use std::time::Duration;
 
 /// Share of a class's calls that failed or were never made from which it is short of calls.
-pub(super) const CALL_SHORTAGE: f64 = 0.1;
-/// Usual call times that a request waits for a call it can do without: longer, and all wait together.
-pub(super) const MAX_OPTIONAL_CALL_WAIT: f64 = 4.0;
+const CALL_SHORTAGE: f64 = 0.1;
+/// Usual call times that a request waits for a call it can do without: whatever waits comes back to the cores.
+const MAX_OPTIONAL_CALL_WAIT: f64 = 4.0;
 /// Share of a class's usual run still needed after a call.
-pub(super) const RUN_SHARE_AFTER_CALL: f64 = 0.6;
-/// Attempts of one call, except a required one that was rejected: a fourth would overload the tier below.
-pub(super) const MAX_CALL_ATTEMPTS: u32 = 3;
+const RUN_SHARE_AFTER_CALL: f64 = 0.6;
+/// Attempts of one call, except a required one that did not run.
+const MAX_CALL_ATTEMPTS: u32 = 3;
+
+/// A call that waits, by its place among those that wait.
+struct WaitingCall {
+    position: usize,
+    /// The value that is lost without it.
+    value: f64,
+}
+
+/// What follows a call that failed.
+enum AfterFailedCall {
+    /// Nothing: the request is answered.
+    Nothing,
+    /// Another attempt.
+    Retry,
+    /// The run goes on without the call.
+    Skip,
+    /// The request fails.
+    Fail,
+}
+
+fn after_failed_call(
+    now: Duration,
+    request: &Request,
+    outcome: Outcome,
+    deadline: Duration,
+) -> AfterFailedCall {
+    if request.answered {
+        return AfterFailedCall::Nothing;
+    }
+    let never_ran = outcome.never_ran();
+    let degradable = request.class.is_degradable();
+    let repeatable = never_ran || request.class.repeatability == Repeatability::Idempotent;
+    let attempts_left = request.call_attempts < MAX_CALL_ATTEMPTS || (never_ran && !degradable);
+    if repeatable && now < deadline && attempts_left {
+        AfterFailedCall::Retry
+    } else if degradable {
+        AfterFailedCall::Skip
+    } else {
+        AfterFailedCall::Fail
+    }
+}
+
+impl ClassQueue {
+    /// Whether too many of the class's calls were lost lately.
+    fn is_short_of_calls(&self, now: Duration) -> bool {
+        self.call_loss.known(now, MEAN_SPAN, MIN_WEIGHT) > Some(CALL_SHORTAGE)
+    }
+}
 
 impl AdmissionController {
-    /// The latest that a call may take: where a degraded answer has a value, in time for the objective.
-    pub(super) fn call_deadline(&mut self, index: usize) -> Duration {
+    /// The latest that a call may take, whatever the limiter grants.
+    fn call_deadline(&mut self, index: usize) -> Duration {
         let request = self.in_flight.expect(index);
-        let (deadline, class) = (request.deadline, request.class);
-        if class.degraded_share == 0.0 {
-            return deadline;
+        if request.class.degraded_share == 0.0 {
+            return request.deadline;
         }
-        let (objective, class_index) = (
-            request.arrived + class.latency_objective,
-            request.class_index,
-        );
-        let rest = self
-            .usual_run(class_index, None)
-            .mul_f64(RUN_SHARE_AFTER_CALL);
-        objective.saturating_sub(rest).min(deadline)
+        let objective = request.arrived + request.class.latency_objective;
+        let usual_run = self.queues[request.class_index].usual_run(None);
+        let run_after_call = usual_run.mul_f64(RUN_SHARE_AFTER_CALL);
+        objective
+            .saturating_sub(run_after_call)
+            .min(request.deadline)
     }
 
-    /// Guards against a rate that feeds on itself: a call made with too little time left only fails.
+    /// Has a request wait for its call.
     pub(super) fn await_call(&mut self, index: usize) {
-        let usual = Duration::from_secs_f64(self.downstream.usual_time.read().unwrap_or(0.0));
+        let usual = self.downstream.usual_call();
         let mut start_by = self.call_deadline(index).saturating_sub(usual);
         let request = self.in_flight.expect(index);
         if request.class.is_degradable() {
@@ -50,43 +113,52 @@
     /// Makes the calls that the rate and the share allow.
     pub(super) fn make_calls(&mut self, now: Duration, host: &mut dyn Host) {
         while let Some(limit) = self.downstream.time_limit(now) {
-            // Guards against an overloaded tier: first where most value is lost without, then the newest.
-            let values = self
-                .awaiting_call
-                .iter()
-                .map(|&index| self.in_flight.expect(index).class.call_value());
-            let best = values.enumerate().max_by(|a, b| a.1.total_cmp(&b.1));
-            // Guards requests that lose most without their call: while they are short, others go without.
-            let more_valuable_is_short = |value| {
-                let classes = self.classes.iter().zip(&self.queues);
-                let mut more_valuable = classes.filter(|(class, _)| class.call_value() > value);
-                more_valuable.any(|(_, q)| {
-                    q.call_loss.known(now, MEAN_SPAN, MIN_WEIGHT) > Some(CALL_SHORTAGE)
-                })
-            };
-            let best =
-                best.filter(|b| self.downstream.is_uncontended() || !more_valuable_is_short(b.1));
-            let Some(index) = best.and_then(|(at, _)| self.awaiting_call.remove(at)) else {
-                return;
-            };
-            let deadline = self
-                .call_deadline(index)
-                .max(now + TICK_INTERVAL)
-                .min(now.saturating_add(limit));
-            self.in_flight.set_stage(index, Stage::Calling);
-            let request = self.in_flight.expect(index);
-            let call = DownstreamCall {
-                started: now,
-                deadline: deadline.min(request.deadline),
-            };
-            request.call = call;
-            request.call_attempts += 1;
-            self.in_flight.set_timer_to_deadline(index);
-            self.downstream.on_call_started(call);
-            host.call_downstream(index, call.deadline);
+            let next = self.next_call(now);
+            let index = next.and_then(|call| self.awaiting_call.remove(call.position));
+            let Some(index) = index else { return };
+            self.start_call(now, host, index, limit);
         }
     }
 
+    /// The call to make next, if one may go.
+    fn next_call(&mut self, now: Duration) -> Option<WaitingCall> {
+        let waiting = self.awaiting_call.iter().enumerate();
+        let calls = waiting.map(|(position, &index)| WaitingCall {
+            position,
+            value: self.in_flight.expect(index).class.call_value(),
+        });
+        let best = calls.max_by(|a, b| a.value.total_cmp(&b.value))?;
+        let may_go =
+            self.downstream.is_uncontended() || !self.more_valuable_is_short(now, best.value);
+        may_go.then_some(best)
+    }
+
+    /// Whether a class that loses more than `value` without its calls is short of them.
+    fn more_valuable_is_short(&self, now: Duration, value: f64) -> bool {
+        let classes = self.classes.iter().zip(&self.queues);
+        let mut more_valuable = classes.filter(|(class, _)| class.call_value() > value);
+        more_valuable.any(|(_, queue)| queue.is_short_of_calls(now))
+    }
+
+    fn start_call(&mut self, now: Duration, host: &mut dyn Host, index: usize, limit: Duration) {
+        let deadline = self
+            .call_deadline(index)
+            .max(now + TICK_INTERVAL)
+            .min(now.saturating_add(limit));
+        self.in_flight.set_stage(index, Stage::Calling);
+        let request = self.in_flight.expect(index);
+        let call = DownstreamCall {
+            started: now,
+            deadline: deadline.min(request.deadline),
+        };
+        request.call = call;
+        request.call_attempts += 1;
+        self.in_flight.set_timer_to_deadline(index);
+        self.downstream.on_call_started(call);
+        host.call_downstream(index, call.deadline);
+    }
+
+    /// An attempt of a call is over.
     pub(super) fn end_call(
         &mut self,
         now: Duration,
@@ -98,26 +170,18 @@
         let request = self.in_flight.expect(index);
         let succeeded = outcome == Outcome::Succeeded;
         self.downstream.on_call_ended(now, request.call, outcome);
-        self.queues[request.class_index].call_loss.add(
-            now,
-            if succeeded { 0.0 } else { 1.0 },
-            MEAN_SPAN,
-        );
+        self.queues[request.class_index].record_call(now, succeeded);
         if succeeded {
             request.call_wait += now.saturating_sub(request.call_requested);
             return self.in_flight.set_stage(index, Stage::Running);
         }
-        // Guards against a second effect downstream: only a call that certainly did not run is repeated.
-        let (never_ran, degradable) = (outcome.never_ran(), request.class.is_degradable());
-        let repeatable = never_ran || request.class.repeatability == Repeatability::Idempotent;
-        let attempts_left = request.call_attempts < MAX_CALL_ATTEMPTS || (never_ran && !degradable);
-        let retry = repeatable && now < deadline && attempts_left;
+        let next = after_failed_call(now, request, outcome, deadline);
         self.in_flight.set_stage(index, Stage::AwaitingCall);
-        match (self.in_flight.expect(index).answered, retry, degradable) {
-            (true, ..) => {}
-            (_, true, _) => self.await_call(index),
-            (.., true) => self.skip_call(now, host, index),
-            _ => self.fail(host, index),
+        match next {
+            AfterFailedCall::Nothing => {}
+            AfterFailedCall::Retry => self.await_call(index),
+            AfterFailedCall::Skip => self.skip_call(now, host, index),
+            AfterFailedCall::Fail => self.fail(host, index),
         }
     }
 
--- a/src/choice/downstream_limit.rs
+++ b/src/choice/downstream_limit.rs
@@ -1,97 +1,151 @@
-//! The rate of downstream calls, and this node's share of their tier.
+//! How many downstream calls this node makes, and how long each may take.
+//!
+//! **The rate** (calls a second) holds for every call. A call that succeeds while recent calls take no more than
+//! [`SLOWDOWN_RATIO`] times their usual time raises it by the factor [`CALL_RATE_INCREASE`]; one that fails, or
+//! comes while they are slower, lowers it by [`CALL_RATE_DECREASE`]. It falls from at most
+//! [`SLOWDOWN_RATIO`] times the calls that really ended lately, and never below [`CALL_RATE_DECREASE`] times those
+//! that succeeded. A call that was cancelled, or timed out with less time than a usual call takes, proves nothing.
+//!
+//! **The share** holds where the nodes of a fleet share the tier: this node's part of the calls that may be held
+//! there at once, in the mean over a window. What its calls held in the window, what those in progress may still
+//! hold at most, and what a cancelled call lingers stay under [`SAFETY_SHARE`] of it, in every window and whatever
+//! becomes of the calls; after a start under less ([`startup`](super::startup)). One call gets at most half of this
+//! budget, unless recent calls are that slow; none is made that the budget leaves less than [`SLOWDOWN_RATIO`]
+//! recent calls' time, as it would only fail. Past [`UNCONTENDED_SHARE`] of the budget calls are made one at a
+//! time.
+//!
+//! Inputs: the share's concurrency (calls), window and linger (time, settings); starts and ends of calls. Not in
+//! KIP-124.
 
-use super::shared_constants::{MEAN_SPAN, MIN_SAMPLES, RECENT_SPAN, SAFETY_SHARE};
+use super::shared_constants::{MEAN_SPAN, RECENT_SPAN, SAFETY_SHARE};
+use super::startup::BudgetRamp;
 use crate::decay::{Decaying, Mean, WindowSum};
 use crate::host::Outcome;
 use crate::in_flight::DownstreamCall;
 use crate::options::DownstreamShare;
 use std::time::Duration;
 
-/// Downstream calls a second: at least (one probes the tier below), at the start, and at most.
-pub(super) const MIN_CALL_RATE: f64 = 1.0;
-pub(super) const INITIAL_CALL_RATE: f64 = 16.0;
-pub(super) const MAX_CALL_RATE: f64 = 1_000.0;
-/// Seconds for which unused calls are saved up: enough for a few requests that come together.
-pub(super) const CALL_BURST_S: f64 = 0.25;
-/// Calls slower than this many times their usual lower the rate; else it rises.
-pub(super) const SLOWDOWN_RATIO: f64 = 2.0;
-/// Factors of the call rate at each call: it falls when more than half fail, a failed zone is less.
-pub(super) const CALL_RATE_DECREASE: f64 = 0.84;
-pub(super) const CALL_RATE_INCREASE: f64 = 1.2;
-/// Share of the downstream bound up to which all classes call alike: a tier slows down before it fails.
-pub(super) const UNCONTENDED_SHARE: f64 = 0.25;
+/// Least rate, in calls a second: one probes the tier.
+const MIN_CALL_RATE: f64 = 1.0;
+/// Rate at the start, in calls a second.
+const INITIAL_CALL_RATE: f64 = 16.0;
+/// Highest rate, in calls a second.
+const MAX_CALL_RATE: f64 = 1_000.0;
+/// Seconds for which unused calls are saved up.
+const CALL_BURST_S: f64 = 0.25;
+/// Times their usual time from which calls count as slow.
+const SLOWDOWN_RATIO: f64 = 2.0;
+/// Factor of the rate at a call that fails or is slow.
+const CALL_RATE_DECREASE: f64 = 0.84;
+/// Factor of the rate at any other call. With the decrease, the rate falls when more than half of the calls fail.
+const CALL_RATE_INCREASE: f64 = 1.2;
+/// Weight of recent calls from which their number is a measure of the rate.
+const MIN_RECENT_CALLS: f64 = 2.0;
+/// Share of the budget up to which calls are made freely: a tier slows down well before it fails.
+const UNCONTENDED_SHARE: f64 = 0.25;
 
 /// The rate of downstream calls, and this node's share of the load that all nodes put on that tier.
 #[derive(Default)]
 pub struct DownstreamLimiter {
-    pub(super) share: Option<DownstreamShare>,
-    pub(super) rate: f64,
-    pub(super) tokens: f64,
-    pub(super) refilled: Duration,
-    pub(super) began: Option<Duration>,
-    pub(super) head_start: f64,
-    pub(super) recent_time: Mean,
-    pub(super) usual_time: Mean,
-    pub(super) successes: Decaying,
-    pub(super) completions: Decaying,
-    pub(super) used: WindowSum,
-    pub(super) reserved: Duration,
+    share: Option<DownstreamShare>,
+    ramp: BudgetRamp,
+    /// Calls a second.
+    rate: f64,
+    /// Calls that may be made at once by the rate, as of `refilled`.
+    tokens: f64,
+    refilled: Duration,
+    /// Time of a successful call, in seconds.
+    recent_time: Mean,
+    /// The same over a longer span.
+    usual_time: Mean,
+    successes: Decaying,
+    completions: Decaying,
+    /// Time that calls held at the tier in the window, lingering included.
+    used: WindowSum,
+    /// The most that the calls in progress may still hold.
+    reserved: Duration,
 }
 
 impl DownstreamLimiter {
-    /// `share`: this node's share of the tier, where nodes share it.
+    /// Of a node that may have had a predecessor on its machine. `share`: this node's share of the tier, where
+    /// nodes share it.
     pub fn new(share: Option<DownstreamShare>) -> Self {
-        let head_start = (1.0 - SAFETY_SHARE) / SAFETY_SHARE;
         Self {
             share,
+            ramp: BudgetRamp::after_predecessor(),
             rate: INITIAL_CALL_RATE,
             tokens: MIN_CALL_RATE,
-            head_start,
             ..Self::default()
         }
     }
 
-    /// How long a call made now may take, if one may. Guards against nodes that together load what they share
-    /// past what it survives, be it slow, cold, dead or crowded: what calls held there in the window, and the
-    /// most that those in progress may still hold, stay under this node's share of the mean, now and later.
+    /// Of the first node on its machine: nothing that this one does not know of is held downstream, so it has its
+    /// whole share at once. `share` as in [`DownstreamLimiter::new`].
+    pub fn without_predecessor(share: Option<DownstreamShare>) -> Self {
+        Self {
+            ramp: BudgetRamp::without_predecessor(),
+            ..Self::new(share)
+        }
+    }
+
+    /// Takes the share of `new`. `calling`: number of calls in progress; `time_limits`: the most that they may
+    /// take together. Both are reserved anew, for a tier that becomes shared or unshared.
+    pub(super) fn set_share(&mut self, new: &Self, calling: usize, time_limits: Duration) {
+        self.share = new.share;
+        self.reserved = self.share.map_or(Duration::ZERO, |share| {
+            time_limits + share.linger * calling as u32
+        });
+    }
+
+    /// The usual time of a call; zero before the first success.
+    pub(super) fn usual_call(&self) -> Duration {
+        Duration::from_secs_f64(self.usual_time.read().unwrap_or(0.0))
+    }
+
+    /// How long a call made now may take; `None` if none may be made.
     pub(super) fn time_limit(&mut self, now: Duration) -> Option<Duration> {
+        self.refill(now);
+        let longest = match self.share {
+            Some(share) => self.time_limit_by_share(now, share),
+            None => Some(Duration::MAX),
+        };
+        let is_free = self.reserved.is_zero() || self.is_uncontended();
+        longest.filter(|_| self.tokens >= 1.0 && is_free)
+    }
+
+    fn refill(&mut self, now: Duration) {
         let since = now.saturating_sub(self.refilled).as_secs_f64();
-        self.tokens = (self.tokens + since * self.rate).min((self.rate * CALL_BURST_S).max(1.0));
+        let max_tokens = (self.rate * CALL_BURST_S).max(1.0);
+        self.tokens = (self.tokens + since * self.rate).min(max_tokens);
         self.refilled = now;
-        let longest = self.share.map_or(Some(Duration::MAX), |share| {
-            self.used.expire(now, share.window);
-            let budget = share.window.mul_f64(share.concurrency * SAFETY_SHARE);
-            // A restarted node knows nothing of what the one before held; that leaves the window as it ages.
-            let age = now
-                .saturating_sub(*self.began.get_or_insert(now))
-                .as_secs_f64();
-            let grown = (self.head_start + age / share.window.as_secs_f64()).min(1.0);
-            let held = self.used.read() + self.reserved;
-            let left = budget
-                .mul_f64(grown)
-                .saturating_sub(held)
-                .checked_sub(share.linger)?;
-            // One call takes no more than half of the budget, unless calls are that slow.
-            let likely =
-                Duration::from_secs_f64(self.recent_time.read().unwrap_or(0.0) * SLOWDOWN_RATIO);
-            let most = likely
-                .max(budget / 2)
-                .min(budget)
-                .saturating_sub(share.linger);
-            // Until one succeeds while the node is young, a call that its age cuts short would only fail.
-            let least = if grown < 1.0 && likely.is_zero() {
-                most / 2
-            } else {
-                likely.min(most)
-            };
-            (left >= least)
-                .then_some(left.min(most))
-                .filter(|limit| !limit.is_zero())
-        });
-        longest.filter(|_| self.tokens >= 1.0 && (self.reserved.is_zero() || self.is_uncontended()))
     }
 
-    /// Whether at most a quarter of this node's share is in use: the tier slows down well before it fails.
+    fn time_limit_by_share(&mut self, now: Duration, share: DownstreamShare) -> Option<Duration> {
+        self.used.expire(now, share.window);
+        let budget = share.window.mul_f64(share.concurrency * SAFETY_SHARE);
+        let usable = self.ramp.usable(now, share.window);
+        let held = self.used.read() + self.reserved;
+        let left = budget
+            .mul_f64(usable)
+            .saturating_sub(held)
+            .checked_sub(share.linger)?;
+        let slow_call =
+            Duration::from_secs_f64(self.recent_time.read().unwrap_or(0.0) * SLOWDOWN_RATIO);
+        let most = slow_call
+            .max(budget / 2)
+            .min(budget)
+            .saturating_sub(share.linger);
+        // Until one succeeds while the budget grows, a call that the growth cuts short would only fail.
+        let least = if usable < 1.0 && slow_call.is_zero() {
+            most / 2
+        } else {
+            slow_call.min(most)
+        };
+        let limit = left.min(most);
+        (left >= least && !limit.is_zero()).then_some(limit)
+    }
+
+    /// Whether so little of the budget is in use that all classes may call alike.
     pub(super) fn is_uncontended(&self) -> bool {
         let Some(share) = self.share else { return true };
         let bound = share
@@ -100,20 +154,17 @@
         self.used.read() + self.reserved <= bound
     }
 
+    /// A call is made: takes a token, and reserves the most that the call may hold.
     pub(super) fn on_call_started(&mut self, call: DownstreamCall) {
         self.tokens -= 1.0;
-        self.reserved += self
-            .share
-            .map_or(Duration::ZERO, |share| call.time_limit() + share.linger);
+        self.reserved += self.reservation(call);
     }
 
     /// A call returned, or was cancelled and may linger downstream.
     pub(super) fn on_call_ended(&mut self, now: Duration, call: DownstreamCall, outcome: Outcome) {
         let took = now.saturating_sub(call.started);
         if let Some(share) = self.share {
-            self.reserved = self
-                .reserved
-                .saturating_sub(call.time_limit() + share.linger);
+            self.reserved = self.reserved.saturating_sub(self.reservation(call));
             let linger = if outcome.may_still_run() {
                 share.linger
             } else {
@@ -128,15 +179,21 @@
             self.recent_time.add(now, took, RECENT_SPAN);
             self.usual_time.add(now, took, MEAN_SPAN);
         }
-        // Guards against a rate that feeds on itself: a call without time proves nothing, a success does.
         let usual = self.usual_time.read().unwrap_or(0.0);
-        if outcome != Outcome::Cancelled && (outcome != Outcome::TimedOut || took >= usual) {
+        let had_time = outcome != Outcome::TimedOut || took >= usual;
+        if outcome != Outcome::Cancelled && had_time {
             self.adapt_rate(now, outcome, usual);
         }
     }
 
-    /// Raises or lowers the rate of calls after one whose outcome shows how the tier does.
-    pub(super) fn adapt_rate(&mut self, now: Duration, outcome: Outcome, usual_time: f64) {
+    /// The most that a call may hold at the tier; nothing where nodes do not share it.
+    fn reservation(&self, call: DownstreamCall) -> Duration {
+        self.share
+            .map_or(Duration::ZERO, |share| call.time_limit() + share.linger)
+    }
+
+    /// Raises or lowers the rate after a call whose outcome shows how the tier does.
+    fn adapt_rate(&mut self, now: Duration, outcome: Outcome, usual_time: f64) {
         let slowed = self.recent_time.read().unwrap_or(0.0) > SLOWDOWN_RATIO * usual_time;
         let good = outcome == Outcome::Succeeded && !slowed;
         let factor = if good {
@@ -146,18 +203,21 @@
         };
         let span = RECENT_SPAN.as_secs_f64();
         let succeeding = self.successes.read(now, RECENT_SPAN) / span * CALL_RATE_DECREASE;
-        // Hundreds of nodes at one call a second each may be far more than a slow tier can do.
-        let min = self.share.map_or(MIN_CALL_RATE, |s| {
-            MIN_CALL_RATE.min(s.window.as_secs_f64().recip())
-        });
         // A rate that never bound is no measure of the tier: failures lower what was really made.
         let made = self.completions.read(now, RECENT_SPAN);
-        let binds = factor < 1.0 && made >= MIN_SAMPLES / 2.0;
-        let rate = if binds {
+        let rate = if !good && made >= MIN_RECENT_CALLS {
             self.rate.min(made / span * SLOWDOWN_RATIO)
         } else {
             self.rate
         };
-        self.rate = (rate * factor).clamp(succeeding.clamp(min, MAX_CALL_RATE), MAX_CALL_RATE);
+        let least = succeeding.clamp(self.min_rate(), MAX_CALL_RATE);
+        self.rate = (rate * factor).clamp(least, MAX_CALL_RATE);
+    }
+
+    /// The least rate: lower on a shared tier, for which many nodes at one call a second each may be too much.
+    fn min_rate(&self) -> f64 {
+        self.share.map_or(MIN_CALL_RATE, |share| {
+            MIN_CALL_RATE.min(share.window.as_secs_f64().recip())
+        })
     }
 }
--- a/src/choice/load_advertisement.rs
+++ b/src/choice/load_advertisement.rs
@@ -1,37 +1,19 @@
-//! What callers learn of a node.
+//! What the node advertises to its callers: whether they are to keep away.
+//!
+//! While the node is unhealthy or draining its health checks fail, and where callers heed a value that answers
+//! carry ([`LoadSignal`]), it is the one that keeps all of them away; else the one that keeps none away. Both are
+//! sent when they change. The load itself is not advertised.
+//!
+//! Not in KIP-124.
 
-use super::concurrency_limit::LEARNING_ROUND;
-use super::shared_constants::TICK_INTERVAL;
-use crate::decay::Mean;
-use crate::host::Host;
+use crate::host::{Host, LoadSignal};
 use crate::options::AdvertiserOptions;
-use std::time::Duration;
 
-/// Open connections a core past which idle ones close sooner, and callers a core up to which none do.
-pub(super) const CONNECTIONS_PER_CORE: f64 = 6.0;
-pub(super) const CALLERS_PER_CORE: f64 = 10.0;
-/// Factors of the idle timeout, once a round.
-pub(super) const IDLE_TIMEOUT_DECREASE: f64 = 0.5;
-pub(super) const IDLE_TIMEOUT_INCREASE: f64 = 2.0;
-
-/// A shutdown notice.
-#[derive(Clone, Copy)]
-pub(super) struct Shutdown {
-    /// When it came.
-    pub(super) noticed: Duration,
-    /// By when all requests must be answered.
-    pub(super) deadline: Duration,
-}
-
-/// What callers learn of a node: when to retry, its load, its health, and that it is stopping.
+/// What callers were told last, and what they heed.
 #[derive(Default)]
 pub struct LoadAdvertiser {
     pub(super) options: AdvertiserOptions,
-    pub(super) retry_share: Mean,
-    pub(super) shutdown: Option<Shutdown>,
-    pub(super) unavailable: bool,
-    pub(super) idle_timeout: Duration,
-    pub(super) trimmed: Duration,
+    unavailable: bool,
 }
 
 impl LoadAdvertiser {
@@ -39,40 +21,13 @@
     pub fn new(options: AdvertiserOptions) -> Self {
         Self {
             options,
-            idle_timeout: options.clients.idle_timeout,
             ..Self::default()
         }
     }
 
-    /// Guards against a table full of connections that nobody uses again: it slows all work, and refuses
-    /// callers unseen, also while much is rejected, since each of many callers comes here seldom.
-    pub(super) fn trim_connections(
-        &mut self,
-        now: Duration,
-        host: &mut dyn Host,
-        open: f64,
-        cores: usize,
-    ) {
-        if now < self.trimmed + LEARNING_ROUND {
-            return;
-        }
-        let (clients, cores) = (self.options.clients, cores as f64);
-        let few = open < CONNECTIONS_PER_CORE * cores
-            || clients.callers as f64 <= CALLERS_PER_CORE * cores;
-        let factor = if few {
-            IDLE_TIMEOUT_INCREASE
-        } else {
-            IDLE_TIMEOUT_DECREASE
-        };
-        let timeout = self
-            .idle_timeout
-            .mul_f64(factor)
-            .max(TICK_INTERVAL)
-            .min(clients.idle_timeout);
-        self.trimmed = now;
-        if std::mem::replace(&mut self.idle_timeout, timeout) != timeout {
-            host.close_idle_after(timeout);
-        }
+    /// Whether callers are asked to keep away.
+    pub(super) fn is_unavailable(&self) -> bool {
+        self.unavailable
     }
 
     /// Asks callers to keep away, or to come again.
@@ -86,3 +41,19 @@
         }
     }
 }
+
+impl LoadSignal {
+    /// The value that keeps all callers away, or none of them.
+    pub fn value_for(self, unavailable: bool) -> Option<f64> {
+        match self {
+            Self::Nothing => None,
+            Self::Level => Some(if unavailable { 1.0 } else { 0.0 }),
+            Self::Weight => Some(if unavailable { 0.0 } else { 1.0 }),
+            Self::Credit => Some(if unavailable {
+                0.0
+            } else {
+                f64::from(u32::MAX)
+            }),
+        }
+    }
+}
--- a/src/choice/runs.rs
+++ b/src/choice/runs.rs
@@ -1,36 +1,45 @@
-//! How a run begins, and what its end teaches.
+//! What the start of a run costs its class, and what its end is charged and teaches.
+//!
+//! A tenant is charged the time from the order to run to the end, less waits for downstream calls and less the
+//! time for which the process stood still ([`stalls`](super::stalls)); [`run_charge`] makes core time of it. Runs
+//! that failed or were cancelled are charged too, as they used the cores. What could not be started is charged to
+//! nobody, is no demand of its tenant and teaches nothing.
+//!
+//! Source: KIP-124's record of the time on the broker's threads; waits are ours to take off, as a run keeps its
+//! place through them.
 
-use super::shared_constants::{MEAN_SPAN, RECENT_SPAN};
-use super::tenant_quotas::WINDOW;
+use super::tenant_quotas::run_charge;
 use super::AdmissionController;
 use crate::host::{Host, Outcome};
-use crate::in_flight::{RunStart, Stage};
+use crate::in_flight::{Request, RunStart, Stage};
 use std::time::Duration;
 
+/// Time that a request has spent at downstream calls, the one that it is at included.
+fn call_wait(now: Duration, request: &Request) -> Duration {
+    match request.stage {
+        Stage::Running => request.call_wait,
+        _ => request.call_wait + now.saturating_sub(request.call_requested),
+    }
+}
+
 impl AdmissionController {
+    /// Starts a queued request's run.
     pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         let start = RunStart {
             at: now,
-            stalled: self.stalled,
+            stalled: self.stalls.total(),
         };
         self.in_flight.begin_run(index, start);
         let request = self.in_flight.expect(index);
+        let weight = self.classes[request.class_index].value;
         let queue = &mut self.queues[request.class_index];
-        queue.by_account[request.account].retain(|&other| other != index);
-        let size = request
-            .size_hint
-            .map_or(queue.run_time.read().unwrap_or(1.0), |hint| {
-                hint.as_secs_f64()
-            });
-        let work = if self.by_work { size } else { 1.0 };
-        queue.virtual_time += work
-            / self.classes[request.class_index]
-                .value
-                .max(f64::MIN_POSITIVE);
+        queue.remove(request.account, index);
+        queue.charge_start(request.size_hint, self.by_work, weight);
         self.in_flight.set_timer_to_deadline(index);
         host.run(index);
     }
 
+    /// A run ended, or could not be started.
     pub(super) fn end_run(
         &mut self,
         now: Duration,
@@ -38,15 +47,10 @@
         index: usize,
         outcome: Outcome,
     ) {
-        let (running, request) = (
-            self.in_flight.running().max(1),
-            self.in_flight.expect(index),
-        );
+        let request = self.in_flight.expect(index);
         let Some(start) = request.run_start else {
             return;
         };
-        let last_call = now.saturating_sub(request.call_requested);
-        let calls = request.call_wait + last_call * u32::from(request.stage != Stage::Running);
         if outcome == Outcome::Cancelled && !request.answered {
             // Cancelled, but not by an order from here: it ran, so only an error is left.
             host.fail(index);
@@ -56,34 +60,32 @@
                 .on_call_ended(now, request.call, Outcome::Cancelled);
         }
         if outcome == Outcome::NeverStarted {
-            // Against made-up requests: what could not run is no tenant's demand, and shows no run time.
-            self.quotas.requested[request.account].add(now, -1.0, WINDOW);
-            return self.release(host, index);
+            self.quotas.withdraw_request(now, request.account);
+        } else {
+            self.charge_run(now, index, start);
+            self.learn_from_run(now, index, start, outcome);
         }
-        let stalled = self.stalled.saturating_sub(start.stalled);
-        let spent = now.saturating_sub(start.at + calls + stalled).as_secs_f64();
-        let cores_per_run = (self.limiter.cores as f64 / running as f64).min(1.0);
-        self.quotas
-            .charge_run(now, request.account, spent * cores_per_run);
+        self.release(host, index);
+    }
+
+    fn charge_run(&mut self, now: Duration, index: usize, start: RunStart) {
+        let running = self.in_flight.running().max(1);
+        let request = self.in_flight.expect(index);
+        let stalled = self.stalls.total().saturating_sub(start.stalled);
+        let waits = call_wait(now, request) + stalled;
+        let time = now.saturating_sub(start.at + waits);
+        let charge = run_charge(time, self.limiter.cores(), running);
+        self.quotas.charge_run(now, request.account, charge);
+    }
+
+    fn learn_from_run(&mut self, now: Duration, index: usize, start: RunStart, outcome: Outcome) {
         let succeeded = outcome == Outcome::Succeeded;
-        if matches!(outcome, Outcome::Succeeded | Outcome::Failed) {
-            self.health.last_completion = now;
-            self.health
-                .failures
-                .add(now, if succeeded { 0.0 } else { 1.0 }, RECENT_SPAN);
+        if succeeded {
+            self.limiter.on_run_succeeded();
         }
-        let run_time = now.saturating_sub(start.at).as_secs_f64();
-        let queue = &mut self.queues[request.class_index];
-        self.limiter.round.completions += u32::from(succeeded);
-        // A run cut off counts where it already took longer than usual, else only short ones would.
-        if succeeded || Some(run_time) > queue.run_time.read() {
-            queue.run_time.add(now, run_time, MEAN_SPAN);
-            if let Some(hint) = request.size_hint {
-                queue
-                    .size_hint
-                    .add(now, hint.as_secs_f64().max(f64::MIN_POSITIVE), MEAN_SPAN);
-            }
-        }
-        self.release(host, index);
+        self.health.on_run_ended(now, outcome);
+        let request = self.in_flight.expect(index);
+        let run_time = now.saturating_sub(start.at);
+        self.queues[request.class_index].record_run(now, run_time, request.size_hint, succeeded);
     }
 }
--- a/src/choice/tenant_quotas.rs
+++ b/src/choice/tenant_quotas.rs
@@ -1,60 +1,134 @@
-//! What each tenant has spent, and what it may spend.
+//! Tenant quotas: what a tenant is charged for, how much it may be charged in a window, and for how long it
+//! counts as over its quota. Source: KIP-124, "Request rate quotas".
+//!
+//! | KIP-124 | here | unit |
+//! | --- | --- | --- |
+//! | time on the broker's threads | charge of a run, [`run_charge`] | seconds of core time |
+//! | window W | [`WINDOW`] | time |
+//! | O, observed | what a tenant was charged in the window, as a decaying sum | seconds of core time |
+//! | T, quota | the tenant's requests a second at this node times W times the mean charge | seconds of core time |
+//! | delay X = (O - T) / T * W, at most W | [`TenantQuotas::delay`], set when a run ends | time |
+//!
+//! Departures from KIP-124:
+//! - A quota is a number of requests a second over all servers, and becomes core time by the mean charge here.
+//!   Until that mean is known nobody is over its quota.
+//! - While all tenants together spend more than their quotas, every T is raised in proportion: a tenant is over
+//!   its quota when its part of what was spent exceeds its part of the quotas.
+//! - [`BURST_CHARGES`] mean charges are allowed beyond T: a thin quota holds a few charges only, and the run that
+//!   just ended proves nothing.
+//! - No response is held back. Whether a request is rejected for the delay is decided in
+//!   [`admission`](super::admission), which does so only under overload.
+//!
+//! Requests of no known tenant share the last account, which has no quota and is never over it.
 
 use super::shared_constants::{MEAN_SPAN, MIN_SAMPLES};
 use crate::decay::{Decaying, Mean};
 use std::time::Duration;
 
-/// Window of the quotas: shows the rate of a tenant of one request a second, yet is short beside a surge.
+/// Window W of the quotas, and the longest delay.
 pub(super) const WINDOW: Duration = Duration::from_secs(4);
-/// Mean charges beyond its quota that a tenant may spend in a window: one run alone proves no habit.
-pub(super) const BURST_CHARGES: f64 = 1.0;
+/// Mean charges beyond its quota that a tenant may spend in a window.
+const BURST_CHARGES: f64 = 1.0;
 
-/// What the targets of all tenants are computed from.
+/// What the targets of all tenants are computed from; the same for all tenants at one time.
 #[derive(Clone, Copy)]
 pub(super) struct TargetScale {
     /// Mean charge of a run, in seconds of core time.
-    pub(super) mean_charge: f64,
-    /// What all tenants spent in the window, for each unit of their quotas.
-    pub(super) charge_per_rate: f64,
+    mean_charge: f64,
+    /// What all tenants together spent in the window, in seconds of core time for each request a second of
+    /// their quotas.
+    charge_per_rate: f64,
 }
 
-/// What a tenant spent and requested in the window, in multiples of its target.
+/// What a tenant spent and requested in the window, in multiples of its target T.
 #[derive(Default)]
 pub(super) struct TenantUsage {
-    /// Core time that was charged.
+    /// O / T: core time that was charged.
     pub(super) spent: f64,
-    /// Core time that all its requests would take.
+    /// Core time that all its requests would take, over T.
     pub(super) requested: f64,
 }
 
-/// What each tenant has spent, and what it may spend: the design's quota.
+impl TenantUsage {
+    /// Whether the tenant spent more than its target.
+    pub(super) fn is_over_quota(&self) -> bool {
+        self.spent > 1.0
+    }
+}
+
+/// What each tenant has spent, and what it may spend.
 pub struct TenantQuotas {
-    pub(super) rates: Vec<f64>,
-    pub(super) spent: Vec<Decaying>,
-    pub(super) requested: Vec<Decaying>,
-    pub(super) rejected_until: Vec<Duration>,
-    pub(super) charge: Mean,
+    /// Requests a second at this node, by account.
+    rates: Vec<f64>,
+    spent: Vec<Decaying>,
+    requested: Vec<Decaying>,
+    /// When each account's delay is over.
+    delayed_until: Vec<Duration>,
+    charge: Mean,
+}
+
+/// The charge of a run, in seconds of core time: its time on the node, less its waits, over the runs that shared
+/// the cores with it.
+pub(super) fn run_charge(time: Duration, cores: usize, running: usize) -> f64 {
+    let cores_per_run = (cores as f64 / running as f64).min(1.0);
+    time.as_secs_f64() * cores_per_run
 }
 
 impl TenantQuotas {
-    /// `quotas`: requests a second over all `servers`; the last account is for requests of no tenant.
+    /// `quotas`: requests a second over all `servers`, by tenant.
     pub fn new(quotas: &[f64], servers: usize) -> Self {
-        let n = quotas.len() + 1;
+        let accounts = quotas.len() + 1;
         let rates = quotas
             .iter()
             .map(|quota| quota / servers.max(1) as f64)
             .collect();
-        let (spent, requested) = (vec![Decaying::default(); n], vec![Decaying::default(); n]);
         Self {
             rates,
-            spent,
-            requested,
-            rejected_until: vec![Duration::ZERO; n],
+            spent: vec![Decaying::default(); accounts],
+            requested: vec![Decaying::default(); accounts],
+            delayed_until: vec![Duration::ZERO; accounts],
             charge: Mean::default(),
         }
     }
 
-    /// The mean charge, and what all tenants together spent for each unit of quota: one pass for all of them.
+    /// Takes the quotas of `new` in place of its own, which are for the same number of tenants.
+    pub(super) fn set_rates(&mut self, new: Self) {
+        self.rates = new.rates;
+    }
+
+    /// Number of tenants with a quota.
+    pub(super) fn tenants(&self) -> usize {
+        self.rates.len()
+    }
+
+    /// Number of accounts: the tenants' and the one for requests of no tenant.
+    pub(super) fn accounts(&self) -> usize {
+        self.spent.len()
+    }
+
+    /// The account of a request's tenant.
+    pub(super) fn account_of(&self, tenant: Option<usize>) -> usize {
+        tenant.unwrap_or(usize::MAX).min(self.tenants())
+    }
+
+    /// Counts a request as demand of its tenant. Retries do not count: those of what was shed would have it shed
+    /// more.
+    pub(super) fn record_request(&mut self, now: Duration, account: usize, is_retry: bool) {
+        let demand = if is_retry { 0.0 } else { 1.0 };
+        self.requested[account].add(now, demand, WINDOW);
+    }
+
+    /// Takes back a request that could not be run: a made-up one is no demand of the tenant that it names.
+    pub(super) fn withdraw_request(&mut self, now: Duration, account: usize) {
+        self.requested[account].add(now, -1.0, WINDOW);
+    }
+
+    /// The mean charge of a run, in seconds of core time; zero before the first.
+    pub(super) fn mean_charge(&self) -> f64 {
+        self.charge.read().unwrap_or(0.0)
+    }
+
+    /// What targets are computed from now; `None` while the mean charge is not known.
     pub(super) fn target_scale(&self, now: Duration) -> Option<TargetScale> {
         let mean_charge = self.charge.known(now, MEAN_SPAN, MIN_SAMPLES)?;
         let all: f64 = self.spent.iter().map(|spent| spent.read(now, WINDOW)).sum();
@@ -65,9 +139,7 @@
         })
     }
 
-    /// T is the quota times the mean charge; while the tenants together spend more than their quotas, the
-    /// capacity is lent in proportion, so that T never binds below what is there. Guards against thin quotas
-    /// too: two charges that come together prove nothing.
+    /// What a tenant spent and requested, against its target T; nothing where no target is known.
     pub(super) fn usage(
         &self,
         now: Duration,
@@ -88,11 +160,16 @@
         }
     }
 
-    /// At the end of a run: X = (O - T) / T * W, at most W.
+    /// Charges a run that ended, in seconds of core time, and sets its tenant's delay anew.
     pub(super) fn charge_run(&mut self, now: Duration, account: usize, charge: f64) {
         self.charge.add(now, charge, MEAN_SPAN);
         self.spent[account].add(now, charge, WINDOW);
         let excess = (self.usage(now, account, self.target_scale(now)).spent - 1.0).clamp(0.0, 1.0);
-        self.rejected_until[account] = now + WINDOW.mul_f64(excess);
+        self.delayed_until[account] = now + WINDOW.mul_f64(excess);
+    }
+
+    /// What is left of a tenant's delay: zero for one within its quota.
+    pub(super) fn delay(&self, now: Duration, account: usize) -> Duration {
+        self.delayed_until[account].saturating_sub(now)
     }
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -138,22 +138,6 @@
     Weight,
 }
 
-impl LoadSignal {
-    /// The value that keeps all callers away, or none of them.
-    pub fn value_for(self, unavailable: bool) -> Option<f64> {
-        match self {
-            Self::Nothing => None,
-            Self::Level => Some(if unavailable { 1.0 } else { 0.0 }),
-            Self::Weight => Some(if unavailable { 0.0 } else { 1.0 }),
-            Self::Credit => Some(if unavailable {
-                0.0
-            } else {
-                f64::from(u32::MAX)
-            }),
-        }
-    }
-}
-
 /// What a rejected request's caller is advised to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
