--- a/crates/settings/src/alignment.rs
+++ b/crates/settings/src/alignment.rs
@@ -1,7 +1,7 @@
 //! New settings for a running node, brought into the order in which it knows its classes and tenants.
 
 use crate::fields::{entry_object, list, text_of, Fields};
-use crate::SettingsError;
+use crate::{keys, SettingsError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -15,14 +15,18 @@
     classes: &BTreeMap<String, usize>,
     tenants: &BTreeMap<String, usize>,
 ) -> Result<Fields, SettingsError> {
-    let class_positions = positions(settings, "requestClasses", classes)?;
-    let tenant_positions = positions(settings, "parties", tenants)?;
+    let class_positions = positions(settings, keys::REQUEST_CLASSES, classes)?;
+    let tenant_positions = positions(settings, keys::TENANTS, tenants)?;
     let mut aligned = settings.clone();
-    permute(&mut aligned, "requestClasses", &class_positions);
-    permute(&mut aligned, "parties", &tenant_positions);
-    if let Some(Value::Object(family)) = aligned.get_mut("familyInfo") {
-        permute(family, "classCalls", &class_positions);
-        permute(family, "classSkipWorth", &class_positions);
+    permute(&mut aligned, keys::REQUEST_CLASSES, &class_positions);
+    permute(&mut aligned, keys::TENANTS, &tenant_positions);
+    if let Some(Value::Object(machine_info)) = aligned.get_mut(keys::MACHINE) {
+        permute(machine_info, keys::machine::CLASS_CALLS, &class_positions);
+        permute(
+            machine_info,
+            keys::machine::CLASS_DEGRADED_SHARES,
+            &class_positions,
+        );
     }
     Ok(aligned)
 }
@@ -36,7 +40,7 @@
     let entries = list(settings, key);
     let mut positions = vec![None; known.len()];
     for (position, entry) in entries.iter().enumerate() {
-        let name = text_of(entry_object(entry, key)?, "name")?;
+        let name = text_of(entry_object(entry, key)?, keys::NAME)?;
         if let Some(&index) = known.get(name) {
             positions[index] = Some(position);
         }
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -3,7 +3,7 @@
 use crate::fields::{
     duration, entry_object, flag, list, number, object, optional, text_of, unsigned, Fields,
 };
-use crate::SettingsError;
+use crate::{keys, SettingsError};
 use rainstand::{
     AdmissionController, AdvertiserOptions, ClientConnections, ColdStart, Components,
     ConcurrencyLimiter, DownstreamLimiter, DownstreamShare, InFlightRequests, LoadAdvertiser,
@@ -86,25 +86,26 @@
     /// # Errors
     /// The first field that is missing or wrong.
     pub fn read(settings: &Fields, seed: u64, machine: Machine) -> Result<Self, SettingsError> {
-        let family = object(settings, "familyInfo")?;
-        let duties = object(settings, "obligations")?;
-        let permissions = object(settings, "permissions")?;
-        let classes = request_classes(settings, family)?;
+        let machine_info = object(settings, keys::MACHINE)?;
+        let bounds = object(settings, keys::BOUNDS)?;
+        let permissions = object(settings, keys::PERMISSIONS)?;
+        let classes = request_classes(settings, machine_info)?;
         let class_limits = classes.entries.iter().map(ClassLimits::of).collect();
         let tenants = tenant_quotas(settings)?;
-        let servers = unsigned(settings, "groupSize")? as usize;
-        let cold_start = cold_start(family, duties, machine)?;
-        let share = downstream_share(family)?;
-        let signal = load_signal(family)?;
+        let servers = unsigned(settings, keys::SERVERS)? as usize;
+        let cold_start = cold_start(machine_info, bounds, machine)?;
+        let share = downstream_share(machine_info)?;
+        let signal = load_signal(machine_info)?;
         let max_retry_after = max_retry_after(permissions)?;
-        let clients = object(settings, "clients")?;
-        let retries_marked = flag(clients, "marksRetry");
-        let cores = unsigned(family, "cores")? as usize;
-        let clients = client_connections(family)?;
-        let overload_factor = number(duties, "overloadFactor")?;
-        let by_work = settings.get("countedBy").and_then(Value::as_str) == Some("work");
-        let in_flight = in_flight_requests(family)?;
-        let drain_grace = duration(duties, "drainGraceS")?;
+        let clients = object(settings, keys::CLIENTS)?;
+        let retries_marked = flag(clients, keys::clients::MARK_RETRIES);
+        let cores = unsigned(machine_info, keys::machine::CORES)? as usize;
+        let clients = client_connections(machine_info)?;
+        let overload_factor = number(bounds, keys::bounds::OVERLOAD_FACTOR)?;
+        let by_work =
+            settings.get(keys::VALUE_COUNTED_BY).and_then(Value::as_str) == Some(keys::BY_WORK);
+        let in_flight = in_flight_requests(machine_info)?;
+        let drain_grace = duration(bounds, keys::bounds::DRAIN_GRACE)?;
         let advertiser = AdvertiserOptions {
             signal,
             max_retry_after,
@@ -130,11 +131,11 @@
             classes: classes.indices,
             tenants: tenants.indices,
             class_limits,
-            can_cancel_runs: can_cancel_runs(family)?,
-            gauges: gauge_names(family),
-            max_result_age: max_result_age(family)?,
+            can_cancel_runs: can_cancel_runs(machine_info)?,
+            gauges: gauge_names(machine_info),
+            max_result_age: max_result_age(machine_info)?,
             idle_timeout: clients.idle_timeout,
-            registry_follows_health: flag(family, "readiness"),
+            registry_follows_health: flag(machine_info, keys::machine::REGISTRY_FOLLOWS_HEALTH),
             drain_grace,
             max_retry_after,
         })
@@ -143,25 +144,25 @@
 
 fn request_classes(
     settings: &Fields,
-    family: &Fields,
+    machine_info: &Fields,
 ) -> Result<Named<RequestClass>, SettingsError> {
-    let calls = list(family, "classCalls");
-    let skip_worths = list(family, "classSkipWorth");
+    let calls = list(machine_info, keys::machine::CLASS_CALLS);
+    let degraded_shares = list(machine_info, keys::machine::CLASS_DEGRADED_SHARES);
     let (mut indices, mut entries) = (BTreeMap::new(), Vec::new());
-    for (index, entry) in list(settings, "requestClasses").iter().enumerate() {
-        let class = entry_object(entry, "requestClasses")?;
-        indices.insert(text_of(class, "name")?.to_owned(), index);
+    for (index, entry) in list(settings, keys::REQUEST_CLASSES).iter().enumerate() {
+        let class = entry_object(entry, keys::REQUEST_CLASSES)?;
+        indices.insert(text_of(class, keys::NAME)?.to_owned(), index);
         let makes_calls = calls.get(index).and_then(Value::as_bool).unwrap_or(true);
-        let skip_worth = skip_worths
+        let degraded_share = degraded_shares
             .get(index)
             .and_then(Value::as_f64)
             .unwrap_or(0.0);
         entries.push(RequestClass {
-            latency_objective: duration(class, "aimS")?,
-            deadline: duration(class, "deadlineS")?,
-            value: number(class, "value")?,
-            late_share: optional(class, "lateWorth")?.unwrap_or(0.0),
-            degraded_share: if makes_calls { skip_worth } else { 0.0 },
+            latency_objective: duration(class, keys::class::LATENCY_OBJECTIVE)?,
+            deadline: duration(class, keys::class::DEADLINE)?,
+            value: number(class, keys::class::VALUE)?,
+            late_share: optional(class, keys::class::LATE_SHARE)?.unwrap_or(0.0),
+            degraded_share: if makes_calls { degraded_share } else { 0.0 },
             repeatability: repeatability(class)?,
         });
     }
@@ -169,10 +170,11 @@
 }
 
 fn repeatability(class: &Fields) -> Result<Repeatability, SettingsError> {
-    match text_of(class, "effect")? {
+    match text_of(class, keys::class::REPEATABILITY)? {
         "free" => Ok(Repeatability::Idempotent),
         "guarded" => Ok(Repeatability::IdempotentWithKey(duration(
-            class, "windowS",
+            class,
+            keys::class::KEY_WINDOW,
         )?)),
         "single_shot" => Ok(Repeatability::NonIdempotent),
         other => Err(SettingsError::UnknownEffect {
@@ -184,42 +186,42 @@
 /// The tenants, each with its quota in requests a second over the fleet.
 fn tenant_quotas(settings: &Fields) -> Result<Named<f64>, SettingsError> {
     let (mut indices, mut entries) = (BTreeMap::new(), Vec::new());
-    for (index, entry) in list(settings, "parties").iter().enumerate() {
-        let tenant = entry_object(entry, "parties")?;
-        indices.insert(text_of(tenant, "name")?.to_owned(), index);
-        entries.push(number(tenant, "quotaRps")?);
+    for (index, entry) in list(settings, keys::TENANTS).iter().enumerate() {
+        let tenant = entry_object(entry, keys::TENANTS)?;
+        indices.insert(text_of(tenant, keys::NAME)?.to_owned(), index);
+        entries.push(number(tenant, keys::tenant::QUOTA)?);
     }
     Ok(Named { indices, entries })
 }
 
 fn cold_start(
-    family: &Fields,
-    duties: &Fields,
+    machine_info: &Fields,
+    bounds: &Fields,
     machine: Machine,
 ) -> Result<Option<ColdStart>, SettingsError> {
-    if !machine.is_cold && !flag(family, "cold") {
+    if !machine.is_cold && !flag(machine_info, keys::machine::IS_COLD) {
         return Ok(None);
     }
     Ok(Some(ColdStart {
         began: machine.began,
-        initial_speed: number(duties, "coldShare")?,
-        warm_up: duration(duties, "rampTimeS")?,
+        initial_speed: number(bounds, keys::bounds::COLD_SPEED)?,
+        warm_up: duration(bounds, keys::bounds::WARM_UP)?,
     }))
 }
 
-fn downstream_share(family: &Fields) -> Result<Option<DownstreamShare>, SettingsError> {
-    if text_of(family, "below")? != "shared" {
+fn downstream_share(machine_info: &Fields) -> Result<Option<DownstreamShare>, SettingsError> {
+    if text_of(machine_info, keys::machine::DOWNSTREAM)? != keys::machine::DOWNSTREAM_SHARED {
         return Ok(None);
     }
     Ok(Some(DownstreamShare {
-        concurrency: number(family, "callShare")?,
-        window: duration(family, "callsOverS")?,
-        linger: duration(family, "lingersS")?,
+        concurrency: number(machine_info, keys::machine::SHARE_CONCURRENCY)?,
+        window: duration(machine_info, keys::machine::SHARE_WINDOW)?,
+        linger: duration(machine_info, keys::machine::SHARE_LINGER)?,
     }))
 }
 
-fn load_signal(family: &Fields) -> Result<LoadSignal, SettingsError> {
-    Ok(match text_of(family, "say")? {
+fn load_signal(machine_info: &Fields) -> Result<LoadSignal, SettingsError> {
+    Ok(match text_of(machine_info, keys::machine::LOAD_SIGNAL)? {
         "level" => LoadSignal::Level,
         "credit" => LoadSignal::Credit,
         "weight" => LoadSignal::Weight,
@@ -228,33 +230,33 @@
 }
 
 fn max_retry_after(permissions: &Fields) -> Result<Duration, SettingsError> {
-    if flag(permissions, "retryAfter") {
-        duration(permissions, "maxRetryAfterS")
+    if flag(permissions, keys::permissions::RETRY_AFTER) {
+        duration(permissions, keys::permissions::MAX_RETRY_AFTER)
     } else {
         Ok(Duration::ZERO)
     }
 }
 
-fn client_connections(family: &Fields) -> Result<ClientConnections, SettingsError> {
+fn client_connections(machine_info: &Fields) -> Result<ClientConnections, SettingsError> {
     Ok(ClientConnections {
-        callers: unsigned(family, "callers")? as usize,
-        idle_timeout: duration(family, "idleS")?,
+        callers: unsigned(machine_info, keys::machine::CALLERS)? as usize,
+        idle_timeout: duration(machine_info, keys::machine::IDLE_TIMEOUT)?,
     })
 }
 
-fn in_flight_requests(family: &Fields) -> Result<InFlightRequests, SettingsError> {
-    let memory_kb = number(family, "ramKb")?;
-    let run_factor = number(family, "runMemFactor")?;
-    let entry_kb = optional(family, "entryKb")?.unwrap_or(0.0);
+fn in_flight_requests(machine_info: &Fields) -> Result<InFlightRequests, SettingsError> {
+    let memory_kb = number(machine_info, keys::machine::MEMORY)?;
+    let run_factor = number(machine_info, keys::machine::RUN_MEMORY_FACTOR)?;
+    let entry_kb = optional(machine_info, keys::machine::CACHED_RESULT_MEMORY)?.unwrap_or(0.0);
     Ok(InFlightRequests::new(memory_kb, run_factor, entry_kb))
 }
 
 /// `off` says no; `drop` and `pause` yes, as do settings without the field: nodes ran so before it was read.
-fn can_cancel_runs(family: &Fields) -> Result<bool, SettingsError> {
-    if !family.contains_key("halt") {
+fn can_cancel_runs(machine_info: &Fields) -> Result<bool, SettingsError> {
+    if !machine_info.contains_key(keys::machine::CANCELLATION) {
         return Ok(true);
     }
-    match text_of(family, "halt")? {
+    match text_of(machine_info, keys::machine::CANCELLATION)? {
         "drop" | "pause" => Ok(true),
         "off" => Ok(false),
         other => Err(SettingsError::UnknownHalt {
@@ -263,13 +265,15 @@
     }
 }
 
-fn gauge_names(family: &Fields) -> Vec<String> {
-    let names = list(family, "gauges").iter().filter_map(Value::as_str);
+fn gauge_names(machine_info: &Fields) -> Vec<String> {
+    let names = list(machine_info, keys::machine::GAUGES)
+        .iter()
+        .filter_map(Value::as_str);
     names.map(str::to_owned).collect()
 }
 
 /// Zero where the field is missing, or no duration.
-fn max_result_age(family: &Fields) -> Result<Duration, SettingsError> {
-    let seconds = optional(family, "freshS")?.unwrap_or(0.0);
+fn max_result_age(machine_info: &Fields) -> Result<Duration, SettingsError> {
+    let seconds = optional(machine_info, keys::machine::MAX_RESULT_AGE)?.unwrap_or(0.0);
     Ok(Duration::try_from_secs_f64(seconds).unwrap_or_default())
 }
