--- a/crates/simhost/src/fleet.rs
+++ b/crates/simhost/src/fleet.rs
@@ -1,5 +1,6 @@
 //! The simulated nodes of one process, and which of them a message is for.
 
+use crate::event::{Message, NodeEvent};
 use crate::node::Node;
 use crate::MessageError;
 use rainstand_settings::fields::{duration, text_of, Fields};
@@ -34,47 +35,54 @@
         let Value::Object(fields) = value else {
             return Err(MessageError::NotAnObject);
         };
-        let message = text_of(&fields, "msg")?;
-        match message {
-            "clock" => self.now = duration(&fields, "atTimeS")?,
-            "go" => {
+        let name = text_of(&fields, "msg")?;
+        match Message::from_name(name) {
+            Message::Clock => self.now = duration(&fields, "atTimeS")?,
+            Message::EndOfBatch => {
                 reply.extend_from_slice(b"{\"msg\":\"done\"}\n");
                 return Ok(Handled::EndOfBatch);
             }
-            "born" => self.start_node(&fields, reply)?,
-            "halt" => {
+            Message::NodeStarted => self.start_node(name, &fields, reply)?,
+            Message::NodeStopped => {
                 self.nodes.remove(text_of(&fields, "nodeId")?);
             }
-            "ask" | "completed" | "quiesce" | "reminder" | "stalledOnCall" | "clientLeft"
-            | "callEnded" => self.node_event(message, &fields, reply)?,
-            _ => {}
+            Message::Node(event) => self.node_event(name, event, &fields, reply)?,
+            Message::Unknown => {}
         }
         Ok(Handled::Event)
     }
 
-    fn start_node(&mut self, fields: &Fields, reply: &mut Vec<u8>) -> Result<(), MessageError> {
+    /// Starts the node that a message of this name brings.
+    fn start_node(
+        &mut self,
+        message: &str,
+        fields: &Fields,
+        reply: &mut Vec<u8>,
+    ) -> Result<(), MessageError> {
         let name = text_of(fields, "nodeId")?.to_owned();
         let started = Node::start(name.clone(), self.now, fields);
-        let mut node = started.map_err(|error| error.in_event("born"))?;
+        let mut node = started.map_err(|error| error.in_event(message))?;
         node.take_orders(reply);
         self.nodes.insert(name, node);
         Ok(())
     }
 
+    /// Hands an event, which a message of this name brings, to its node.
     fn node_event(
         &mut self,
-        event: &str,
+        message: &str,
+        event: NodeEvent,
         fields: &Fields,
         reply: &mut Vec<u8>,
     ) -> Result<(), MessageError> {
         let name = text_of(fields, "nodeId")?;
         let unknown = || MessageError::UnknownNode {
-            event: event.to_owned(),
+            event: message.to_owned(),
             node: name.to_owned(),
         };
         let node = self.nodes.get_mut(name).ok_or_else(unknown)?;
         let handled = node.handle(self.now, event, fields);
-        handled.map_err(|error| error.in_event(event))?;
+        handled.map_err(|error| error.in_event(message))?;
         node.take_orders(reply);
         Ok(())
     }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -4,6 +4,7 @@
 //! the event names is called, and its orders are encoded as the answer. Nothing is decided here.
 
 mod error;
+mod event;
 mod fleet;
 mod node;
 mod policy_host;
--- a/crates/simhost/src/node.rs
+++ b/crates/simhost/src/node.rs
@@ -1,5 +1,6 @@
 //! One simulated node: its events as calls of its admission controller.
 
+use crate::event::{NodeEvent, RequestEvent};
 use crate::policy_host::PolicyHost;
 use crate::MessageError;
 use rainstand::{AdmissionController, Arrival, Gauges, Outcome, RetryOf};
@@ -52,36 +53,48 @@
     pub(crate) fn handle(
         &mut self,
         now: Duration,
-        event: &str,
+        event: NodeEvent,
         fields: &Fields,
     ) -> Result<(), MessageError> {
         let (controller, host) = (&mut self.controller, &mut self.host);
         match event {
-            "quiesce" => {
+            NodeEvent::ShutdownNotice => {
                 controller.on_shutdown_notice(now, host, duration(fields, "patienceLeftS")?);
             }
-            "reminder" => controller.on_tick(now, host, gauges(object(fields, "gauge")?)?),
-            "ask" => {
+            NodeEvent::Tick => controller.on_tick(now, host, gauges(object(fields, "gauge")?)?),
+            NodeEvent::Arrival => {
                 let id = unsigned(fields, "req")?;
                 let arrival = self.arrival(fields)?;
-                let request = self.host.add_request(id);
+                let index = self.host.add_request(id);
                 self.controller
-                    .on_arrival(now, &mut self.host, request, &arrival);
+                    .on_arrival(now, &mut self.host, index, &arrival);
             }
-            _ => {
-                let id = unsigned(fields, "req")?;
-                let Some(request) = host.index_of(id) else {
-                    return Ok(());
-                };
-                match event {
-                    "completed" => controller.on_run_finished(now, host, request, outcome(fields)?),
-                    "callEnded" => {
-                        controller.on_call_finished(now, host, request, outcome(fields)?);
-                    }
-                    "stalledOnCall" => controller.on_downstream_call(now, host, request),
-                    _ => controller.on_caller_gone(now, host, request),
-                }
+            NodeEvent::Request(event) => self.handle_request_event(now, event, fields)?,
+        }
+        Ok(())
+    }
+
+    /// Handles an event of a request; one of a request that is no longer in flight is passed over.
+    fn handle_request_event(
+        &mut self,
+        now: Duration,
+        event: RequestEvent,
+        fields: &Fields,
+    ) -> Result<(), MessageError> {
+        let (controller, host) = (&mut self.controller, &mut self.host);
+        let id = unsigned(fields, "req")?;
+        let Some(index) = host.index_of(id) else {
+            return Ok(());
+        };
+        match event {
+            RequestEvent::RunFinished => {
+                controller.on_run_finished(now, host, index, outcome(fields)?);
+            }
+            RequestEvent::CallFinished => {
+                controller.on_call_finished(now, host, index, outcome(fields)?);
             }
+            RequestEvent::DownstreamCall => controller.on_downstream_call(now, host, index),
+            RequestEvent::CallerGone => controller.on_caller_gone(now, host, index),
         }
         Ok(())
     }
