--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,8 +13,12 @@
 pub mod options;
 
 pub use choice::{
-    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, Parts, TenantQuotas,
+    AdmissionController, Components, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser,
+    TenantQuotas,
+};
+pub use host::{
+    Arrival, Gauges, Host, LoadSignal, Outcome, Rejection, Repeatability, RequestClass,
+    RetryElsewhere, RetryOf,
 };
-pub use host::{Arrival, Gauges, Host, LoadSignal, Outcome, Repeatability, RequestClass, RetryOf};
 pub use in_flight::InFlightRequests;
 pub use options::{AdvertiserOptions, ClientConnections, ColdStart, DownstreamShare};
