--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -320,7 +320,7 @@
         request_class: traffic,
         tenant,
         entity,
-        again,
+        is_retry: again,
         size,
         ..Request::default()
     };
--- a/crates/fleet-model/src/world.rs
+++ b/crates/fleet-model/src/world.rs
@@ -903,7 +903,7 @@
                 fleet.table().tenant(&tenant.name)
             },
             tenant_hash: self.tenant_marks[usize::from(job.tenant)],
-            again,
+            is_retry: again,
             ..Asked::default()
         };
         let at = Duration::from_nanos(now + self.fronts[front as usize].ahead);
@@ -938,7 +938,7 @@
                 };
                 one.trip = Some(trip);
                 let place = self.fronts[one.front as usize].members[usize::from(send.to.member)];
-                let number = self.send(now, ticket, place, send.again);
+                let number = self.send(now, ticket, place, send.is_retry);
                 self.queue.after(ns(send.timeout), Event::Cut(number));
             }
             NextAction::Backoff(trip, wait) => {
--- a/crates/forwarder/src/admin/reports.rs
+++ b/crates/forwarder/src/admin/reports.rs
@@ -285,19 +285,19 @@
     match decision.what {
         DecisionOutcome::Dispatched {
             member,
-            how,
+            selected_by,
             of,
-            in_hand,
-            tried,
+            open_attempts,
+            attempt_number,
         } => {
             line.member = Some(member_name(member));
-            line.selected_by = Some(how.as_str());
-            line.attempt_number = Some(tried);
+            line.selected_by = Some(selected_by.as_str());
+            line.attempt_number = Some(attempt_number);
             line.eligible_members = Some(of);
-            line.open_attempts = Some(in_hand);
+            line.open_attempts = Some(open_attempts);
         }
-        DecisionOutcome::Rejected { why, after } => {
-            line.rejected_for = Some(why.as_str());
+        DecisionOutcome::Rejected { reason, after } => {
+            line.rejected_for = Some(reason.as_str());
             line.retry_after_ms = Some(millis(after));
         }
     }
--- a/crates/forwarder/src/observability/metrics.rs
+++ b/crates/forwarder/src/observability/metrics.rs
@@ -14,8 +14,9 @@
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::{Registry, Unit};
 use rainstand_config::schema::Pool;
-use rainstand_routing::fleet::{AttemptOutcome, Completed, Fleet, MemberRef, OutcomeReason};
+use rainstand_routing::fleet::{AttemptOutcome, Completed, Fleet, MemberRef};
 use rainstand_routing::health::MemberStatus;
+use rainstand_routing::outcome_reason::OutcomeReason;
 use std::cell::RefCell;
 use std::mem::discriminant;
 use std::time::Duration;
@@ -295,7 +296,7 @@
     /// A request ended.
     pub(crate) fn record_request(&self, completed: &Completed, fleet: &Fleet) {
         let mut handles = self.handles.borrow_mut();
-        let (end, reason) = (completed.outcome.as_str(), completed.why);
+        let (end, reason) = (completed.outcome.as_str(), completed.reason);
         let key = if completed.version >= handles.indices_since {
             if let Some(route) = completed.route {
                 let histogram = handles
--- a/crates/forwarder/src/observability/totals.rs
+++ b/crates/forwarder/src/observability/totals.rs
@@ -73,7 +73,7 @@
     total(
         "limit_buckets",
         "Counters of limits that are in use",
-        |context| context.fleet.borrow().router().buckets().0 as u64,
+        |context| context.fleet.borrow().router().bucket_usage().in_use as u64,
     ),
     total(
         "no_bucket",
--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -116,7 +116,7 @@
         tenant,
         tenant_hash,
         entity: field("entity")?.unwrap_or(""),
-        again: field("redo")? == Some("1"),
+        is_retry: field("redo")? == Some("1"),
         size: body_bytes,
     };
     Ok(fleet.on_arrival(now, &request))
@@ -184,7 +184,7 @@
         self.requests.schedule(attempt.timeout, id);
         let outgoing = OutgoingAttempt {
             id,
-            is_retry: attempt.again,
+            is_retry: attempt.is_retry,
             attempt_number: attempt.attempt_number,
         };
         upstream::send_attempt(self, &address, outgoing);
--- a/crates/forwarder/src/server.rs
+++ b/crates/forwarder/src/server.rs
@@ -3,7 +3,7 @@
 use crate::drain::drain;
 use crate::request_table::run_timers;
 use crate::{listener, ForwarderContext};
-use rainstand_routing::fleet::MemberRef;
+use rainstand_routing::fleet::MemberStatusChange;
 use rainstand_routing::health::MemberStatus;
 use std::future::Future;
 use std::rc::Rc;
@@ -38,13 +38,14 @@
     loop {
         sleep(HEALTH_CHECK_INTERVAL).await;
         let changes = context.fleet.borrow_mut().tick(context.now());
-        for (member, status) in changes {
-            log_member_status(&context, member, status);
+        for change in changes {
+            log_member_status(&context, change);
         }
     }
 }
 
-fn log_member_status(context: &ForwarderContext, member: MemberRef, status: MemberStatus) {
+fn log_member_status(context: &ForwarderContext, change: MemberStatusChange) {
+    let MemberStatusChange { member, status } = change;
     let fleet = context.fleet.borrow();
     let address = fleet.address(member);
     let pool = fleet.table().pool_name(member.pool);
--- a/crates/routing/benches/pick.rs
+++ b/crates/routing/benches/pick.rs
@@ -94,7 +94,7 @@
                     request_class: *traffic,
                     tenant: *tenant,
                     entity,
-                    again: false,
+                    is_retry: false,
                     size: 900,
                     ..Request::default()
                 };
@@ -123,7 +123,7 @@
                     request_class: *traffic,
                     tenant: *tenant,
                     entity,
-                    again: false,
+                    is_retry: false,
                     size: 900,
                     ..Request::default()
                 };
--- a/crates/routing/src/decision_log.rs
+++ b/crates/routing/src/decision_log.rs
@@ -3,9 +3,9 @@
 //!
 //! Indices are those of the version that decided; the fleet clears the log when indices change.
 
-use crate::fleet::OutcomeReason;
 use crate::health::EjectionReason;
 use crate::member_selection::SelectionReason;
+use crate::outcome_reason::OutcomeReason;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -53,18 +53,18 @@
         /// Index of the member.
         member: u16,
         /// How it was selected.
-        how: SelectionReason,
+        selected_by: SelectionReason,
         /// Members that could take it.
         of: u16,
         /// Attempts that the member had already.
-        in_hand: u32,
+        open_attempts: u32,
         /// Number of the attempt, from 1.
-        tried: u32,
+        attempt_number: u32,
     },
     /// There was no further attempt.
     Rejected {
         /// Why.
-        why: OutcomeReason,
+        reason: OutcomeReason,
         /// When the caller was asked to come back, from then on.
         after: Duration,
     },
@@ -107,9 +107,9 @@
     }
 
     /// Records that a member was skipped.
-    pub fn record_skipped(&mut self, member: u16, why: SkipReason) {
+    pub fn record_skipped(&mut self, member: u16, reason: SkipReason) {
         match self.passed.iter_mut().find(|one| one.1.is_none()) {
-            Some(place) => *place = (member, Some(why)),
+            Some(place) => *place = (member, Some(reason)),
             None => self.more_skipped = self.more_skipped.saturating_add(1),
         }
     }
@@ -118,7 +118,7 @@
     pub fn skipped_members(&self) -> impl Iterator<Item = (u16, SkipReason)> + '_ {
         self.passed
             .iter()
-            .filter_map(|(member, why)| Some((*member, (*why)?)))
+            .filter_map(|(member, reason)| Some((*member, (*reason)?)))
     }
 }
 
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -17,13 +17,13 @@
 mod updates;
 
 pub use types::{
-    Attempt, AttemptOutcome, Completed, FleetCounts, MemberRef, MemberSnapshot, NextAction,
-    OutcomeReason, RequestOutcome,
+    Attempt, AttemptOutcome, Completed, FleetCounts, MemberRef, MemberSnapshot, MemberStatusChange,
+    NextAction, PoolOccupancy, RequestOutcome,
 };
 
 use crate::decision_log::{Decision, DecisionLog, DecisionOutcome, SkipReason};
-use crate::health::MemberStatus;
 use crate::member_selection::SelectionPolicy;
+use crate::outcome_reason::OutcomeReason;
 use crate::retry::{RetryBudget, RetryPolicy};
 use crate::retry_after::{clamp_to_configuration, with_jitter};
 use crate::router::{Admission, RejectReason, Rejected, RouteDecision, Router};
@@ -73,7 +73,7 @@
     entity: Box<str>,
     repeat: RepeatKind,
     /// It arrived marked as a retry.
-    again: bool,
+    is_retry: bool,
     policy: RetryPolicy,
     attempts: u32,
     arrived: Duration,
@@ -121,9 +121,9 @@
     has_warm_up: bool,
     counts: FleetCounts,
     /// Changes of status since the last tick.
-    status_changes: Vec<(MemberRef, MemberStatus)>,
+    status_changes: Vec<MemberStatusChange>,
     decisions: DecisionLog,
-    pick: SelectionPolicy,
+    selection_policy: SelectionPolicy,
     /// What each member of the pool at hand may get; a field only to reuse its memory.
     weights: Vec<f64>,
 }
@@ -205,14 +205,14 @@
             counts: FleetCounts::default(),
             status_changes: Vec::new(),
             decisions: DecisionLog::default(),
-            pick: SelectionPolicy::default(),
+            selection_policy: SelectionPolicy::default(),
             weights: Vec::new(),
         })
     }
 
     /// Sets another policy than the default, for comparisons.
-    pub fn set_selection_policy(&mut self, pick: SelectionPolicy) {
-        self.pick = pick;
+    pub fn set_selection_policy(&mut self, policy: SelectionPolicy) {
+        self.selection_policy = policy;
     }
 
     /// The table of the current version.
@@ -223,7 +223,7 @@
     /// The number of the current version.
     pub fn version(&self) -> u64 {
         let versions = self.router.versions();
-        versions.last().map_or(0, |(number, _)| number)
+        versions.last().map_or(0, |version| version.number)
     }
 
     /// The version since which routes, pools, members, tenants and classes have the indices that they have now.
@@ -254,13 +254,16 @@
         &self.pools[usize::from(at.pool)].addresses[usize::from(at.member)]
     }
 
-    /// Places at all members in service of a pool, and requests that hold one.
+    /// How full a pool is.
     ///
     /// # Panics
     /// If there is no such pool in the current version.
-    pub fn pool_occupancy(&self, pool: u16) -> (u32, u32) {
+    pub fn pool_occupancy(&self, pool: u16) -> PoolOccupancy {
         let pool = &self.pools[usize::from(pool)];
-        (pool.places, pool.fair_share.open())
+        PoolOccupancy {
+            places: pool.places,
+            held: pool.fair_share.open(),
+        }
     }
 
     /// Pauses that members asked for and that are held.
@@ -320,7 +323,7 @@
             tenant_key,
             entity: request.entity.into(),
             repeat: self.table().configuration().types[class].repeat(),
-            again: request.again,
+            is_retry: request.is_retry,
             policy: plan.policy,
             attempts: 0,
             arrived: now,
@@ -342,12 +345,12 @@
         excess: Option<ShareExcess>,
     ) -> NextAction {
         let Rejected {
-            why,
+            reason: reject_reason,
             mut after,
             route,
         } = rejected;
-        let mut reason = OutcomeReason::Router(why);
-        if let (RejectReason::NoPool, Some(route)) = (why, route) {
+        let mut reason = OutcomeReason::Router(reject_reason);
+        if let (RejectReason::NoPool, Some(route)) = (reject_reason, route) {
             if let Some(excess) = excess {
                 after = self.retry_after_excess(now, tenant_key, excess);
                 reason = OutcomeReason::Room;
@@ -359,7 +362,7 @@
             after = clamp_to_configuration(self.table(), Some(route), None, after);
         }
         self.counts.rejected += 1;
-        let rejected = DecisionOutcome::Rejected { why: reason, after };
+        let rejected = DecisionOutcome::Rejected { reason, after };
         let mut decision = Decision::new(now, request.request_class, request.tenant, rejected);
         decision.route = route;
         self.decisions.push(decision);
@@ -368,7 +371,7 @@
                 after,
                 nowhere_else: false,
             },
-            why: reason,
+            reason,
             version: self.version(),
             route,
             pool: None,
--- a/crates/routing/src/fleet/attempts.rs
+++ b/crates/routing/src/fleet/attempts.rs
@@ -3,11 +3,12 @@
 use super::eligibility::{pause_key, Eligibility};
 use super::pool::{Pool, DEFAULT_DURATION};
 use super::types::{
-    Attempt, AttemptOutcome, Completed, MemberRef, NextAction, OutcomeReason, RequestOutcome,
+    Attempt, AttemptOutcome, Completed, MemberRef, MemberStatusChange, NextAction, RequestOutcome,
 };
 use super::{Fleet, RequestState, SentAttempt, LEAVING_WEIGHT};
 use crate::decision_log::{Decision, DecisionOutcome, SkipReason};
 use crate::member_selection;
+use crate::outcome_reason::OutcomeReason;
 use crate::retry::{self, AttemptResult, RetryContext, RetryDecision};
 use crate::retry_after::{self, with_jitter, MAX_RETRY_AFTER};
 use crate::router::RouteDecision;
@@ -47,7 +48,7 @@
     fn retry_context(&self, now: Duration, typical_duration: Duration) -> RetryContext {
         RetryContext {
             repeat: self.repeat,
-            again: self.again,
+            is_retry: self.is_retry,
             attempts: self.attempts,
             remaining: self.remaining(now),
             typical_duration,
@@ -88,7 +89,7 @@
         let candidates = self.weigh_members(&request, pool, last, &mut decision);
         let weights = &self.weights;
         let selected = member_selection::choose(
-            &mut self.pick,
+            &mut self.selection_policy,
             &mut self.pools[usize::from(pool)].members,
             now,
             &request.entity,
@@ -102,10 +103,10 @@
         let timeout = self.next_timeout(now, pool, &mut request);
         decision.what = DecisionOutcome::Dispatched {
             member: member as u16,
-            how: selected_by,
+            selected_by,
             of: candidates,
-            in_hand: self.pools[usize::from(pool)].members[member].open,
-            tried: request.attempts,
+            open_attempts: self.pools[usize::from(pool)].members[member].open,
+            attempt_number: request.attempts,
         };
         self.decisions.push(decision);
         let to = MemberRef {
@@ -116,7 +117,7 @@
         let attempt = Attempt {
             to,
             timeout,
-            again: request.again || request.attempts > 1,
+            is_retry: request.is_retry || request.attempts > 1,
             attempt_number: request.attempts,
             selected_by,
         };
@@ -125,7 +126,7 @@
 
     fn new_decision(&self, now: Duration, request: &RequestState, pool: u16) -> Decision {
         let rejected = DecisionOutcome::Rejected {
-            why: OutcomeReason::NoMember,
+            reason: OutcomeReason::NoMember,
             after: retry_after::DEFAULT,
         };
         let mut decision = Decision::new(now, request.request_class, request.tenant, rejected);
@@ -333,7 +334,10 @@
         };
         let change = health.on_answer(member, now, elapsed, good);
         if let Some(change) = change.filter(|_| self.status_changes.len() < MAX_STATUS_CHANGES) {
-            self.status_changes.push((at, change.to));
+            self.status_changes.push(MemberStatusChange {
+                member: at,
+                status: change.to,
+            });
         }
     }
 
@@ -387,7 +391,7 @@
         now: Duration,
         request: RequestState,
         outcome: RequestOutcome,
-        why: OutcomeReason,
+        reason: OutcomeReason,
     ) -> NextAction {
         let count = match outcome {
             RequestOutcome::Served => &mut self.counts.served,
@@ -404,7 +408,7 @@
         }
         let completed = Completed {
             outcome,
-            why,
+            reason,
             version: decision.version,
             route: Some(decision.placement.route),
             pool: Some(decision.placement.pool),
--- a/crates/routing/src/fleet/membership.rs
+++ b/crates/routing/src/fleet/membership.rs
@@ -1,7 +1,7 @@
 //! What is learned of members outside of requests: connections, restarts, shutdowns and the passing of time.
 
 use super::pool::Pool;
-use super::types::{MemberRef, MemberSnapshot};
+use super::types::{MemberRef, MemberSnapshot, MemberStatusChange};
 use super::Fleet;
 use crate::health::{Health, MemberStatus, StatusChange};
 use crate::warm_up::WarmUpLimiter;
@@ -78,7 +78,7 @@
     /// Lets time pass: ends pauses and ejections, and frees what is idle. To be called several times a second.
     ///
     /// Returns the changes of status since the last call.
-    pub fn tick(&mut self, now: Duration) -> Vec<(MemberRef, MemberStatus)> {
+    pub fn tick(&mut self, now: Duration) -> Vec<MemberStatusChange> {
         self.router.tick(now);
         self.pauses.retain(|_, until| *until > now);
         let mut all = std::mem::take(&mut self.status_changes);
@@ -88,11 +88,11 @@
                 .as_mut()
                 .map_or(Vec::new(), |health| health.tick(now));
             all.extend(changes.into_iter().map(|StatusChange { member, to }| {
-                let at = MemberRef {
+                let member = MemberRef {
                     pool: index as u16,
                     member: member as u16,
                 };
-                (at, to)
+                MemberStatusChange { member, status: to }
             }));
             pool.fair_share.tick(&self.shares, now);
             pool.update_places();
--- a/crates/routing/src/fleet/types.rs
+++ b/crates/routing/src/fleet/types.rs
@@ -3,8 +3,7 @@
 use super::RequestState;
 use crate::health::MemberStatus;
 use crate::member_selection::SelectionReason;
-use crate::retry::NoRetryReason;
-use crate::router::{LimitScope, RejectReason};
+use crate::outcome_reason::OutcomeReason;
 use std::time::Duration;
 
 /// A member of a pool, by indices of the current version.
@@ -24,7 +23,7 @@
     /// Without an answer after this time it ends as [`AttemptOutcome::TimedOut`].
     pub timeout: Duration,
     /// It is sent marked as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// Number of the attempt, from 1.
     pub attempt_number: u32,
     /// How the member was selected.
@@ -100,55 +99,13 @@
     }
 }
 
-/// Why a request ended as it did.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OutcomeReason {
-    /// It was served.
-    Done,
-    /// Its caller left.
-    CallerLeft,
-    /// No route, no usable pool, or a limit of the configuration.
-    Router(RejectReason),
-    /// The pool's places are scarce, and the tenant has its share.
-    Room,
-    /// No member could take it.
-    NoMember,
-    /// No retry after a failure, a rejection or a lost connection.
-    Stopped(NoRetryReason),
-}
-
-impl OutcomeReason {
-    /// The name in JSON and metrics.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            OutcomeReason::Done => "done",
-            OutcomeReason::CallerLeft => "caller_left",
-            OutcomeReason::Router(RejectReason::NoRoute) => "no_route",
-            OutcomeReason::Router(RejectReason::NoPool) => "no_pool",
-            OutcomeReason::Router(RejectReason::NoBucket) => "no_bucket",
-            OutcomeReason::Router(RejectReason::Limit(LimitScope::Type)) => "limit_of_type",
-            OutcomeReason::Router(RejectReason::Limit(LimitScope::Tenant)) => "limit_of_tenant",
-            OutcomeReason::Router(RejectReason::Limit(LimitScope::Route)) => "limit_of_route",
-            OutcomeReason::Router(RejectReason::Limit(LimitScope::Pool)) => "limit_of_pool",
-            OutcomeReason::Room => "room_of_tenant",
-            OutcomeReason::NoMember => "no_member",
-            OutcomeReason::Stopped(NoRetryReason::MayHaveRun) => "may_have_run",
-            OutcomeReason::Stopped(NoRetryReason::NowhereElse) => "nowhere_else",
-            OutcomeReason::Stopped(NoRetryReason::FurtherTry) => "further_try",
-            OutcomeReason::Stopped(NoRetryReason::Tries) => "tries",
-            OutcomeReason::Stopped(NoRetryReason::Budget) => "budget",
-            OutcomeReason::Stopped(NoRetryReason::Time) => "time",
-        }
-    }
-}
-
 /// The end of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completed {
     /// The answer to its caller.
     pub outcome: RequestOutcome,
     /// Why it is this one.
-    pub why: OutcomeReason,
+    pub reason: OutcomeReason,
     /// The version under which it arrived, and whose indices `route` and `pool` are.
     pub version: u64,
     /// The route that took it.
@@ -172,6 +129,24 @@
     Completed(Completed),
 }
 
+/// A member's status changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberStatusChange {
+    /// The member.
+    pub member: MemberRef,
+    /// Its new status.
+    pub status: MemberStatus,
+}
+
+/// How full a pool is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PoolOccupancy {
+    /// Places at all its members in service, as of the last tick.
+    pub places: u32,
+    /// Requests that hold one.
+    pub held: u32,
+}
+
 /// What happened since the start, in requests or attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
--- a/crates/routing/src/fleet/updates.rs
+++ b/crates/routing/src/fleet/updates.rs
@@ -15,8 +15,8 @@
     changes
         .iter()
         .map(TableChange::key)
-        .filter(move |key| key.0 == kind)
-        .map(|(_, name)| name)
+        .filter(move |key| key.kind == kind)
+        .map(|key| key.name)
 }
 
 /// Whether changes remove an entry of this kind, so that others take its index.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,6 +16,7 @@
 //! | [`adaptive_concurrency`] | how many requests may be open at a member, learned from its response times |
 //! | [`retry`] | whether a request is retried, under a budget of the whole process |
 //! | [`retry_after`] | when a rejected caller is asked to come back |
+//! | [`outcome_reason`] | why a request ended as it did |
 //! | [`fleet`] | all of it for one request: from its arrival over each attempt to its one answer |
 //! | [`tenant_fairness`] | how a pool's places are divided among tenants while they are scarce |
 //! | [`decision_log`] | the last decisions, for display |
@@ -60,6 +61,7 @@
 pub mod fleet;
 pub mod health;
 pub mod member_selection;
+pub mod outcome_reason;
 pub mod rate_limit;
 pub mod retry;
 pub mod retry_after;
--- /dev/null
+++ b/crates/routing/src/outcome_reason.rs
@@ -0,0 +1,47 @@
+//! Why a request ended as it did, under the names of JSON and metrics.
+
+use crate::rate_limit::LimitScope;
+use crate::retry::NoRetryReason;
+use crate::router::RejectReason;
+
+/// Why a request ended as it did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum OutcomeReason {
+    /// It was served.
+    Done,
+    /// Its caller left.
+    CallerLeft,
+    /// No route, no usable pool, or a limit of the configuration.
+    Router(RejectReason),
+    /// The pool's places are scarce, and the tenant has its share.
+    Room,
+    /// No member could take it.
+    NoMember,
+    /// No retry after a failure, a rejection or a lost connection.
+    Stopped(NoRetryReason),
+}
+
+impl OutcomeReason {
+    /// The name in JSON and metrics.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            OutcomeReason::Done => "done",
+            OutcomeReason::CallerLeft => "caller_left",
+            OutcomeReason::Router(RejectReason::NoRoute) => "no_route",
+            OutcomeReason::Router(RejectReason::NoPool) => "no_pool",
+            OutcomeReason::Router(RejectReason::NoBucket) => "no_bucket",
+            OutcomeReason::Router(RejectReason::Limit(LimitScope::Type)) => "limit_of_type",
+            OutcomeReason::Router(RejectReason::Limit(LimitScope::Tenant)) => "limit_of_tenant",
+            OutcomeReason::Router(RejectReason::Limit(LimitScope::Route)) => "limit_of_route",
+            OutcomeReason::Router(RejectReason::Limit(LimitScope::Pool)) => "limit_of_pool",
+            OutcomeReason::Room => "room_of_tenant",
+            OutcomeReason::NoMember => "no_member",
+            OutcomeReason::Stopped(NoRetryReason::MayHaveRun) => "may_have_run",
+            OutcomeReason::Stopped(NoRetryReason::NowhereElse) => "nowhere_else",
+            OutcomeReason::Stopped(NoRetryReason::FurtherTry) => "further_try",
+            OutcomeReason::Stopped(NoRetryReason::Tries) => "tries",
+            OutcomeReason::Stopped(NoRetryReason::Budget) => "budget",
+            OutcomeReason::Stopped(NoRetryReason::Time) => "time",
+        }
+    }
+}
--- a/crates/routing/src/rate_limit.rs
+++ b/crates/routing/src/rate_limit.rs
@@ -9,6 +9,19 @@
 use rainstand_config::schema::Limits;
 use std::time::Duration;
 
+/// What a limit applies to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum LimitScope {
+    /// A request class.
+    Type,
+    /// A tenant.
+    Tenant,
+    /// A route.
+    Route,
+    /// A pool.
+    Pool,
+}
+
 /// A rate as in the schema, and its burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -65,7 +65,7 @@
     /// Whether its class allows it to run again.
     pub repeat: RepeatKind,
     /// It arrived marked as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// Attempts made so far, the first one included.
     pub attempts: u32,
     /// What is left of its latency objective.
@@ -157,7 +157,7 @@
 /// Whether an attempt that times out may be followed by another.
 pub fn may_retry(request: &RetryContext, policy: &RetryPolicy, budget: &RetryBudget) -> bool {
     allows_rerun(request.repeat, AttemptResult::MayHaveRun, policy.proof)
-        && !request.again
+        && !request.is_retry
         && request.attempts < policy.attempts
         && budget.remaining >= ONE
 }
@@ -198,7 +198,7 @@
     {
         return RetryDecision::Stop(NoRetryReason::NowhereElse);
     }
-    if request.again {
+    if request.is_retry {
         return RetryDecision::Stop(NoRetryReason::FurtherTry);
     }
     if request.attempts >= policy.attempts {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,13 +7,13 @@
 //! what was let in stays let in. A version that has no more requests and is not the present one is dropped with
 //! whatever only it knew.
 //!
-//! Invariants: versions stand in order of number, the last is the present one and always there; `open` of
-//! a version is the number of its [`RouteDecision`]s out there; a bucket of a limit of the present version is under that
+//! Invariants: versions stand in order of number, the last is the present one and always there; `open_requests`
+//! of a version is the number of its [`RouteDecision`]s out there; a bucket of a limit of the present version is under that
 //! limit's rule.
 
 mod limits;
 
-use crate::rate_limit::LimitExceeded;
+use crate::rate_limit::{LimitExceeded, LimitScope};
 use crate::retry_after::{self, clamp_to_configuration};
 use crate::table::{Placement, Request, RoutingError, Table};
 use crate::table_update::TableChange;
@@ -28,8 +28,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Versions with requests in hand: a hundred changes within one outer limit and some room. Past it a new
-/// version is refused until an old one ends.
+/// Versions with requests in flight: a hundred changes within one deadline, and some more. Past it a new version is
+/// rejected until an old one ends.
 pub const MAX_VERSIONS: usize = 128;
 /// Scopes at which limits may count a request: its class, tenant, route and pool.
 const LIMIT_SCOPES: usize = 4;
@@ -66,24 +66,11 @@
     NoBucket,
 }
 
-/// What a limit applies to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum LimitScope {
-    /// A request class.
-    Type,
-    /// A tenant.
-    Tenant,
-    /// A route.
-    Route,
-    /// A pool.
-    Pool,
-}
-
 /// The rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// Why it was rejected.
-    pub why: RejectReason,
+    pub reason: RejectReason,
     /// When to come back, from now on.
     pub after: Duration,
     /// The route that would have taken it.
@@ -122,10 +109,22 @@
     pub versions_dropped: u64,
 }
 
-#[derive(Debug)]
-struct Version {
-    number: u64,
-    open: u64,
+/// A version that is current, or has requests in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenVersion {
+    /// Its number.
+    pub number: u64,
+    /// Requests in flight that were admitted under it.
+    pub open_requests: u64,
+}
+
+/// How many buckets of limits there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BucketUsage {
+    /// In use.
+    pub in_use: usize,
+    /// For which memory is allocated.
+    pub allocated: usize,
 }
 
 /// Routing and limits of the current version. See the module's documentation.
@@ -133,7 +132,7 @@
 pub struct Router {
     /// Of the present version.
     table: Table,
-    versions: VecDeque<Version>,
+    versions: VecDeque<OpenVersion>,
     buckets: Buckets,
     chance: WyRand,
     counts: RouterCounts,
@@ -165,7 +164,10 @@
     pub fn of(configuration: Configuration, seed: u64) -> Result<Self, ConfigurationError> {
         Ok(Self {
             table: Table::of(configuration)?,
-            versions: VecDeque::from([Version { number: 1, open: 0 }]),
+            versions: VecDeque::from([OpenVersion {
+                number: 1,
+                open_requests: 0,
+            }]),
             buckets: Buckets::default(),
             chance: WyRand::new_seed(seed),
             counts: RouterCounts {
@@ -249,10 +251,13 @@
     /// Numbers the table as a new version.
     fn next(&mut self) -> u64 {
         let number = self.versions.back().map_or(1, |last| last.number + 1);
-        self.versions.push_back(Version { number, open: 0 });
+        self.versions.push_back(OpenVersion {
+            number,
+            open_requests: 0,
+        });
         self.counts.versions_installed += 1;
         let before = self.versions.len() - 2;
-        if self.versions[before].open == 0 {
+        if self.versions[before].open_requests == 0 {
             self.drop_version(before);
         }
         number
@@ -286,11 +291,9 @@
         (self.versions.get(at)?.number == number).then_some(at)
     }
 
-    /// The number of the present version, of all that live, and of the requests that each has.
-    pub fn versions(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
-        self.versions
-            .iter()
-            .map(|version| (version.number, version.open))
+    /// The versions that are current or have requests in flight, oldest first; the last one is current.
+    pub fn versions(&self) -> impl Iterator<Item = OpenVersion> + '_ {
+        self.versions.iter().copied()
     }
 
     /// What happened since the start.
@@ -298,9 +301,12 @@
         self.counts
     }
 
-    /// Buckets that are in use, and for how many there is room already.
-    pub fn buckets(&self) -> (usize, usize) {
-        (self.buckets.in_use(), self.buckets.capacity())
+    /// How many buckets of limits there are.
+    pub fn bucket_usage(&self) -> BucketUsage {
+        BucketUsage {
+            in_use: self.buckets.in_use(),
+            allocated: self.buckets.capacity(),
+        }
     }
 
     /// Decides about a request: its route, or when to come back. A pool whose own limits are exceeded is passed over as
@@ -330,7 +336,7 @@
         let held_buckets = self.acquire_buckets(now, placement, limits)?;
         let last = self.versions.len() - 1;
         let version = &mut self.versions[last];
-        version.open += 1;
+        version.open_requests += 1;
         self.counts.admitted += 1;
         let route = &self.table.routes[usize::from(placement.route)];
         let pool = &self.table.pools[usize::from(placement.pool)];
@@ -376,7 +382,7 @@
             Ok(placement) => return Ok(placement),
             Err(error) => error,
         };
-        let (why, after, route) = match (error, passed_over.get()) {
+        let (reason, after, route) = match (error, passed_over.get()) {
             (RoutingError::NoRoute, _) => {
                 counts.no_route += 1;
                 (RejectReason::NoRoute, retry_after::NO_ROUTE, None)
@@ -392,7 +398,11 @@
                 (RejectReason::NoPool, after, Some(route))
             }
         };
-        Err(Rejected { why, after, route })
+        Err(Rejected {
+            reason,
+            after,
+            route,
+        })
     }
 
     /// The limits that count a request at each scope; all must admit it.
@@ -449,10 +459,10 @@
         }))
     }
 
-    fn rejected(&self, placement: Placement, why: RejectReason, after: Duration) -> Rejected {
+    fn rejected(&self, placement: Placement, reason: RejectReason, after: Duration) -> Rejected {
         let (route, pool) = (Some(placement.route), Some(placement.pool));
         Rejected {
-            why,
+            reason,
             after: clamp_to_configuration(&self.table, route, pool, after),
             route,
         }
@@ -477,8 +487,8 @@
             debug_assert!(false, "a way without its version");
             return;
         };
-        self.versions[at].open -= 1;
-        if self.versions[at].open == 0 && at + 1 < self.versions.len() {
+        self.versions[at].open_requests -= 1;
+        if self.versions[at].open_requests == 0 && at + 1 < self.versions.len() {
             self.drop_version(at);
         }
     }
--- a/crates/routing/src/router/limits.rs
+++ b/crates/routing/src/router/limits.rs
@@ -1,9 +1,8 @@
 //! The limits that count a request, and the rules of their buckets when the configuration changes.
 
-use super::LimitScope;
-use crate::rate_limit::{LimitExceeded, LimitRule};
+use crate::rate_limit::{LimitExceeded, LimitRule, LimitScope};
 use crate::table::{Request, Table};
-use crate::table_update::{EntryKind, TableChange};
+use crate::table_update::{EntryKey, EntryKind, TableChange};
 use crate::token_buckets::{Buckets, Key};
 use foldhash::HashMap;
 use rainstand_config::schema::Per;
@@ -114,7 +113,7 @@
             Self::all(table, |at| limits.contains(&at))
         };
         for change in changes {
-            let (kind, name) = change.key();
+            let EntryKey { kind, name } = change.key();
             let of_route = || table.index.routes.get(&c.routes, name);
             match kind {
                 EntryKind::Type => {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -45,7 +45,7 @@
     /// The entity for affinity; empty if it has none.
     pub entity: &'t str,
     /// It is marked as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// Its size in bytes.
     pub size: u64,
 }
@@ -233,7 +233,7 @@
             .get(usize::from(request.request_class))?
             .words();
         let mut named = self.named(request);
-        let of_try = self.by_try[usize::from(request.again)].words();
+        let of_try = self.by_try[usize::from(request.is_retry)].words();
         for (word, ((a, b), c)) in of_type
             .iter()
             .zip(self.any_tenant.words())
@@ -388,7 +388,7 @@
             Some(Miss::Type)
         } else if !self.any_tenant.has(at) && !self.named(request).contains(&route) {
             Some(Miss::Tenant)
-        } else if !self.by_try[usize::from(request.again)].has(at) {
+        } else if !self.by_try[usize::from(request.is_retry)].has(at) {
             Some(Miss::Again)
         } else if !(least..=most).contains(&request.size) {
             Some(Miss::Size)
--- a/crates/routing/src/table_update.rs
+++ b/crates/routing/src/table_update.rs
@@ -9,7 +9,7 @@
 
 mod change;
 
-pub use change::{EntryKind, TableChange};
+pub use change::{EntryKey, EntryKind, TableChange};
 
 use crate::rate_limit::LimitRule;
 use crate::table::{rows_fit, NameIndex, Named, Table};
@@ -114,7 +114,7 @@
     pub fn apply(&mut self, changes: &[TableChange]) -> Result<(), ConfigurationError> {
         let mut named = HashSet::with_capacity(changes.len());
         if let Some(twice) = changes.iter().find(|change| !named.insert(change.key())) {
-            let (kind, name) = twice.key();
+            let EntryKey { kind, name } = twice.key();
             return Err(ConfigurationError::ChangedTwice {
                 kind: kind.as_str(),
                 name: name.to_owned(),
@@ -180,12 +180,12 @@
                 .filter(|change| change.phase() == REMOVAL_PHASE)
                 .map(TableChange::key)
         };
-        for (kind, name) in gone() {
+        for EntryKey { kind, name } in gone() {
             if let Some(bare) = self.without_references(kind, name)? {
                 undo.push(self.step(bare)?);
             }
         }
-        gone().try_for_each(|(kind, name)| self.check_unreferenced(kind, name))
+        gone().try_for_each(|EntryKey { kind, name }| self.check_unreferenced(kind, name))
     }
 
     /// The change that drops all references of an entry, if it has any.
@@ -280,7 +280,7 @@
 
     /// Puts or removes one entry; returns the change that undoes it. Nothing has changed if it is refused.
     fn step(&mut self, change: TableChange) -> Result<TableChange, ConfigurationError> {
-        let (kind, name) = change.key();
+        let EntryKey { kind, name } = change.key();
         let undo_new = TableChange::Remove(kind, name.to_owned());
         let configuration = &mut self.configuration;
         Ok(match change {
--- a/crates/routing/src/table_update/change.rs
+++ b/crates/routing/src/table_update/change.rs
@@ -68,10 +68,19 @@
     Remove(EntryKind, String),
 }
 
+/// An entry of the table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct EntryKey<'c> {
+    /// Its kind.
+    pub kind: EntryKind,
+    /// Its name, of which there is one in a kind.
+    pub name: &'c str,
+}
+
 impl TableChange {
-    /// The kind and the name of the entry.
-    pub fn key(&self) -> (EntryKind, &str) {
-        match self {
+    /// The entry that it changes.
+    pub fn key(&self) -> EntryKey<'_> {
+        let (kind, name) = match self {
             TableChange::Type(one) => (EntryKind::Type, &one.name),
             TableChange::Tenant(one) => (EntryKind::Tenant, &one.name),
             TableChange::Pool(one) => (EntryKind::Pool, &one.name),
@@ -82,7 +91,8 @@
             TableChange::Health(one) => (EntryKind::Health, &one.name),
             TableChange::Route(one, _) => (EntryKind::Route, &one.name),
             TableChange::Remove(kind, name) => (*kind, name),
-        }
+        };
+        EntryKey { kind, name }
     }
 
     /// Its phase in an update: entries come before those that refer to them.
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -13,8 +13,7 @@
 //! Invariants: `index` names each slot that is in use by its key, `free` each that is not; a slot with somebody
 //! inside stays where it is, so that a request can hold it by its place.
 
-use crate::rate_limit::{Bucket, LimitExceeded, LimitRule};
-use crate::router::LimitScope;
+use crate::rate_limit::{Bucket, LimitExceeded, LimitRule, LimitScope};
 use crate::weighted_split::name_hash;
 use foldhash::{HashMap, HashMapExt};
 use rainstand_config::schema::Per;
--- a/crates/routing/tests/decision_log.rs
+++ b/crates/routing/tests/decision_log.rs
@@ -8,7 +8,7 @@
 )]
 
 use rainstand_routing::decision_log::*;
-use rainstand_routing::fleet::OutcomeReason;
+use rainstand_routing::outcome_reason::OutcomeReason;
 use std::time::Duration;
 
 #[test]
@@ -16,7 +16,7 @@
     let mut all = DecisionLog::default();
     for n in 0..3_000u64 {
         let what = DecisionOutcome::Rejected {
-            why: OutcomeReason::NoMember,
+            reason: OutcomeReason::NoMember,
             after: Duration::ZERO,
         };
         let mut one = Decision::new(Duration::from_millis(n), 0, None, what);
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -182,7 +182,7 @@
                         request,
                         Saw::Ran {
                             on: member as u32,
-                            marked: send.again,
+                            marked: send.is_retry,
                         },
                     );
                 }
@@ -252,7 +252,7 @@
         "places that nobody gave back"
     );
     assert_eq!(
-        played.fleet.pool_occupancy(0).1,
+        played.fleet.pool_occupancy(0).held,
         0,
         "room that nobody gave back"
     );
@@ -426,11 +426,11 @@
             };
             let _ = fleet.on_attempt_outcome(now + Duration::from_millis(4), trip, back);
         }
-        told.extend(fleet.tick(now).into_iter().map(|(at, to)| {
+        told.extend(fleet.tick(now).into_iter().map(|change| {
             (
-                at.member,
+                change.member.member,
                 matches!(
-                    to,
+                    change.status,
                     MemberStatus::Ejected(Ejection {
                         reason: EjectionReason::ConsecutiveFailures,
                         ..
--- a/crates/routing/tests/fleet_update.rs
+++ b/crates/routing/tests/fleet_update.rs
@@ -217,13 +217,13 @@
                 fleet.members(pool, now).all(|member| member.open == 0),
                 "seed {seed}"
             );
-            assert_eq!(fleet.pool_occupancy(pool).1, 0, "seed {seed}");
+            assert_eq!(fleet.pool_occupancy(pool).held, 0, "seed {seed}");
         }
         assert_eq!(
             fleet
                 .router()
                 .versions()
-                .map(|(_, open)| open)
+                .map(|version| version.open_requests)
                 .collect::<Vec<_>>(),
             [0],
             "seed {seed}"
--- a/crates/routing/tests/no_allocation.rs
+++ b/crates/routing/tests/no_allocation.rs
@@ -100,7 +100,7 @@
                 Admission::Rejected(turned) => panic!("{turned:?}"),
             }
         }
-        (MADE.with(Cell::get) - before, router.buckets().0)
+        (MADE.with(Cell::get) - before, router.bucket_usage().in_use)
     };
     // Room grows by doubling, not with each bucket: three lists from 512 on.
     let (made, in_use) = all(Duration::from_secs(1));
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -29,7 +29,7 @@
 fn request(repeat: RepeatKind) -> RetryContext {
     RetryContext {
         repeat,
-        again: false,
+        is_retry: false,
         attempts: 1,
         remaining: ms(2_000),
         typical_duration: ms(100),
@@ -88,7 +88,7 @@
     let table = [
         (
             RetryContext {
-                again: true,
+                is_retry: true,
                 ..whole
             },
             AttemptResult::NotRun,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -13,8 +13,9 @@
 use rainstand_config::schema::{self, Configuration, Match, Per, Rate, SplitBy};
 use rainstand_config::space::{first_match, miss, Points};
 use rainstand_config::units::ONE;
+use rainstand_routing::rate_limit::LimitScope;
 use rainstand_routing::router::{
-    Admission, LimitScope, RejectReason, RouteDecision, Router, MAX_VERSIONS,
+    Admission, OpenVersion, RejectReason, RouteDecision, Router, MAX_VERSIONS,
 };
 use rainstand_routing::table::{PlacementReason, Request, RoutingError, Table};
 use std::time::Duration;
@@ -95,7 +96,7 @@
 
 fn turned(verdict: Admission) -> (RejectReason, Duration) {
     match verdict {
-        Admission::Rejected(turned) => (turned.why, turned.after),
+        Admission::Rejected(turned) => (turned.reason, turned.after),
         Admission::Admitted(way) => panic!("let in: {way:?}"),
     }
 }
@@ -369,7 +370,7 @@
             assert!(
                 router
                     .versions()
-                    .any(|(number, open)| number == version && open > 0),
+                    .any(|one| one.number == version && one.open_requests > 0),
                 "without its version"
             );
             let name = way.route.to_string();
@@ -381,18 +382,24 @@
         }
         present = router.install(&turning(change), ms(change)).unwrap();
         assert_eq!(present, change + 1);
-        let told: u64 = router.versions().map(|(_, open)| open).sum();
+        let told: u64 = router.versions().map(|version| version.open_requests).sum();
         assert_eq!(told, open.len() as u64);
         // No version without a request but the present one.
         assert!(router
             .versions()
-            .all(|(number, open)| open > 0 || number == present));
+            .all(|one| one.open_requests > 0 || one.number == present));
     }
     assert_eq!(open.len(), 10_000);
     while let Some((way, _)) = open.pop() {
         router.on_completed(way);
     }
-    assert_eq!(router.versions().collect::<Vec<_>>(), [(101, 0)]);
+    assert_eq!(
+        router.versions().collect::<Vec<_>>(),
+        [OpenVersion {
+            number: 101,
+            open_requests: 0
+        }]
+    );
     let counts = router.counts();
     assert_eq!(
         (counts.versions_installed, counts.versions_dropped),
@@ -401,12 +408,12 @@
     // Those that were ever used: a limit by tenant for two tenants and the unknown, and one for all. With nobody
     // inside they are given back.
     assert!(
-        router.buckets().1 <= 4,
+        router.bucket_usage().allocated <= 4,
         "buckets are used again: {:?}",
-        router.buckets()
+        router.bucket_usage()
     );
     (0..8).for_each(|_| router.tick(ms(101)));
-    assert_eq!(router.buckets().0, 0);
+    assert_eq!(router.bucket_usage().in_use, 0);
 }
 
 #[test]
@@ -490,9 +497,9 @@
         .for_each(|way| router.on_completed(way));
     // Of five that there could be, the two that were used, which still owe; then none.
     (0..8).for_each(|_| router.tick(ms(60)));
-    assert_eq!(router.buckets().0, 2);
+    assert_eq!(router.bucket_usage().in_use, 2);
     (0..8).for_each(|_| router.tick(ms(10_000)));
-    assert_eq!(router.buckets().0, 0);
+    assert_eq!(router.bucket_usage().in_use, 0);
 }
 
 fn any_route() -> impl Strategy<Value = Match> {
@@ -537,7 +544,7 @@
                 request_class: table.request_class(point.traffic).unwrap(),
                 tenant: table.tenant(point.tenant),
                 entity: point.entity,
-                again: point.again,
+                is_retry: point.again,
                 size: point.size,
                 ..Request::default()
             };
--- a/crates/routing/tests/table_update.rs
+++ b/crates/routing/tests/table_update.rs
@@ -12,7 +12,7 @@
 use rainstand_config::units::ONE;
 use rainstand_routing::router::{Admission, RouteDecision, Router};
 use rainstand_routing::table::{Request, Table};
-use rainstand_routing::table_update::{EntryKind, TableChange};
+use rainstand_routing::table_update::{EntryKey, EntryKind, TableChange};
 use std::time::Duration;
 
 const SECOND: u64 = 1_000_000_000;
@@ -243,7 +243,11 @@
         ][chance.below(9)];
         let name = chance.name(kind.1, kind.2);
         let kind = kind.0;
-        if changes.iter().any(|change| change.key() == (kind, &name)) || routes.contains(&name) {
+        if changes
+            .iter()
+            .any(|change| change.key() == EntryKey { kind, name: &name })
+            || routes.contains(&name)
+        {
             continue;
         }
         if removes {
@@ -324,7 +328,7 @@
         Admission::Rejected(turned) => {
             let route = turned.route.map(|at| router.table().route_name(at));
             (
-                format!("{:?} {:?} {route:?}", turned.why, turned.after),
+                format!("{:?} {:?} {route:?}", turned.reason, turned.after),
                 None,
             )
         }
@@ -394,7 +398,7 @@
                         request_class: traffic,
                         tenant,
                         entity,
-                        again,
+                        is_retry: again,
                         size,
                         ..Request::default()
                     };
--- a/crates/routing/tests/token_buckets.rs
+++ b/crates/routing/tests/token_buckets.rs
@@ -11,8 +11,9 @@
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{self, Configuration, Per, Rate};
 use rainstand_config::units::ONE;
+use rainstand_routing::rate_limit::LimitScope;
 use rainstand_routing::rate_limit::{Bucket, LimitExceeded, LimitRule};
-use rainstand_routing::router::{Admission, LimitScope, RejectReason, RouteDecision, Router};
+use rainstand_routing::router::{Admission, BucketUsage, RejectReason, RouteDecision, Router};
 use rainstand_routing::table::Request;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -91,7 +92,13 @@
 fn limits_by_tenant_on_5_400_routes_for_23_000_tenants_are_accepted() {
     let all = limited(5_400, 23_000, 100, 1, 0);
     let mut router = Router::new(&all, 1).expect("it starts");
-    assert_eq!(router.buckets(), (0, 0));
+    assert_eq!(
+        router.bucket_usage(),
+        BucketUsage {
+            in_use: 0,
+            allocated: 0
+        }
+    );
     let mut ways = Vec::new();
     for (tenant, route) in [(0, 0), (22_999, 0), (0, 5_399), (22_999, 5_399)] {
         match arrives(&mut router, ms(1), tenant, route) {
@@ -103,7 +110,13 @@
             Admission::Rejected(_)
         ));
     }
-    assert_eq!(router.buckets(), (4, 4));
+    assert_eq!(
+        router.bucket_usage(),
+        BucketUsage {
+            in_use: 4,
+            allocated: 4
+        }
+    );
     // And a change of version keeps what was let in.
     router.install(&all, ms(1)).unwrap();
     assert!(matches!(
@@ -195,7 +208,7 @@
                         (Admission::Rejected(turned), Err(after)) => {
                             turned_away += 1;
                             assert_eq!(
-                                (turned.why, turned.after),
+                                (turned.reason, turned.after),
                                 (RejectReason::Limit(LimitScope::Route), after)
                             );
                         }
@@ -205,7 +218,7 @@
                     }
                 }
             }
-            most = most.max(router.buckets().0);
+            most = most.max(router.bucket_usage().in_use);
         }
         assert!(
             let_in > 500 && turned_away > 50,
@@ -214,15 +227,15 @@
         // Of those that came, most have gone again: else nothing was tried here.
         (0..8).for_each(|_| router.tick(now));
         assert!(
-            router.buckets().0 < plain.all.len() * 9 / 10,
+            router.bucket_usage().in_use < plain.all.len() * 9 / 10,
             "seed {seed}: {:?}",
-            router.buckets()
+            router.bucket_usage()
         );
         inside
             .into_iter()
             .for_each(|(way, _)| router.on_completed(way));
         (0..8).for_each(|_| router.tick(now + ms(3_600_000)));
-        assert_eq!(router.buckets().0, 0, "seed {seed}");
+        assert_eq!(router.bucket_usage().in_use, 0, "seed {seed}");
     }
 }
 
@@ -236,9 +249,9 @@
             Admission::Rejected(turned) => panic!("{n}: {turned:?}"),
         }
         assert!(
-            router.buckets().1 <= 2 * 101,
+            router.bucket_usage().allocated <= 2 * 101,
             "after {n}: {:?}",
-            router.buckets()
+            router.bucket_usage()
         );
     }
 }
@@ -264,9 +277,15 @@
             Admission::Rejected(turned) => panic!("{tenant}: {turned:?}"),
         }
     }
-    assert_eq!(router.buckets(), (MOST, MOST));
+    assert_eq!(
+        router.bucket_usage(),
+        BucketUsage {
+            in_use: MOST,
+            allocated: MOST
+        }
+    );
     let refused = |verdict: Admission| match verdict {
-        Admission::Rejected(turned) => (turned.why, turned.after),
+        Admission::Rejected(turned) => (turned.reason, turned.after),
         Admission::Admitted(way) => panic!("{way:?}"),
     };
     for tenant in MOST..1_000 {
@@ -302,6 +321,10 @@
         refused(arrives(&mut router, ms(1_000), 999, 0)).0,
         RejectReason::NoBucket
     );
-    assert!(router.buckets().1 <= MOST, "{:?}", router.buckets());
+    assert!(
+        router.bucket_usage().allocated <= MOST,
+        "{:?}",
+        router.bucket_usage()
+    );
     ways.into_iter().for_each(|way| router.on_completed(way));
 }
