--- /dev/null
+++ b/crates/cli/src/output.rs
@@ -0,0 +1,112 @@
+//! Results to standard output, findings to standard error, and how the program ends.
+
+use rainstand_config::codes::Severity;
+use rainstand_config::source::Sources;
+use rainstand_config::{report, Finding};
+use serde::Serialize;
+use std::io::{self, IsTerminal, Write};
+use std::process::ExitCode;
+use termcolor::{ColorChoice, StandardStream};
+
+/// The stated exit codes, the worst last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum ExitStatus {
+    /// All went well.
+    Success,
+    /// Errors in a configuration, differences, a file that is not in its form, a request without a route.
+    Found,
+    /// Wrong use, or a file that cannot be read.
+    Unusable,
+    /// A machine answered, but cannot say what its group has committed.
+    Unknown,
+}
+
+impl From<ExitStatus> for ExitCode {
+    fn from(status: ExitStatus) -> Self {
+        ExitCode::from(status as u8)
+    }
+}
+
+/// A place in a configuration's sources, as JSON.
+#[derive(Serialize)]
+struct PlaceJson<'a> {
+    file: &'a str,
+    line: usize,
+    column: usize,
+    message: &'a str,
+}
+
+/// A finding as JSON.
+#[derive(Serialize)]
+struct FindingJson<'a> {
+    #[serde(flatten)]
+    place: PlaceJson<'a>,
+    code: &'a str,
+    severity: &'a str,
+    #[serde(skip_serializing_if = "Vec::is_empty")]
+    also: Vec<PlaceJson<'a>>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    help: Option<&'a str>,
+}
+
+/// Prints one object as a line.
+pub(crate) fn json(value: &impl Serialize) -> io::Result<()> {
+    let mut line = serde_json::to_vec(value)?;
+    line.push(b'\n');
+    bytes(&line)
+}
+
+/// Prints bytes as they are.
+pub(crate) fn bytes(bytes: &[u8]) -> io::Result<()> {
+    let mut out = io::stdout().lock();
+    out.write_all(bytes)?;
+    out.flush()
+}
+
+/// Prints a line.
+pub(crate) fn line(text: &str) -> io::Result<()> {
+    bytes(format!("{text}\n").as_bytes())
+}
+
+/// Prints findings with the lines they are about: in colour on a terminal's standard error, or as JSON on standard
+/// output.
+pub(crate) fn findings(sources: &Sources, findings: &[Finding], as_json: bool) -> io::Result<()> {
+    if as_json {
+        return findings
+            .iter()
+            .try_for_each(|finding| json(&finding_json(sources, finding)));
+    }
+    let colour = if io::stderr().is_terminal() {
+        ColorChoice::Auto
+    } else {
+        ColorChoice::Never
+    };
+    report::show(&mut StandardStream::stderr(colour), sources, findings)
+}
+
+fn finding_json<'a>(sources: &'a Sources, finding: &'a Finding) -> FindingJson<'a> {
+    let place = |at, message| {
+        let (line, column) = sources.line_column(at);
+        PlaceJson {
+            file: sources.path(at.file),
+            line,
+            column,
+            message,
+        }
+    };
+    let severity = match finding.code.severity() {
+        Severity::Error => "error",
+        Severity::Warning => "warning",
+    };
+    FindingJson {
+        place: place(finding.at, &finding.message),
+        code: finding.code.id(),
+        severity,
+        also: finding
+            .also
+            .iter()
+            .map(|(at, message)| place(*at, message))
+            .collect(),
+        help: finding.help.as_deref(),
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,10 +11,10 @@
 pub mod host;
 pub mod in_flight;
 pub mod options;
-mod state;
 
-pub use choice::parts::Parts;
-pub use choice::{AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas};
+pub use choice::{
+    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, Parts, TenantQuotas,
+};
 pub use host::{Arrival, Gauges, Host, LoadSignal, Outcome, Repeatability, RequestClass, RetryOf};
 pub use in_flight::InFlightRequests;
 pub use options::{AdvertiserOptions, ClientConnections, ColdStart, DownstreamShare};
