--- a/tests/decisions_page.rs
+++ b/tests/decisions_page.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Every name of the page with a kind: paths of modules, and what stands in backticks after "event", "code" or
-/// "counter", singly or listed.
+/// Every name of the page with a kind: paths of modules, and what stands in backticks after "event", "code", "reason",
+/// "skip", "counter" or "series", singly or listed.
 fn names(page: &str) -> BTreeSet<Named> {
     let mut all = BTreeSet::new();
     for line in page.lines() {
@@ -65,8 +65,8 @@
     let last_word = text.split_whitespace().last().unwrap_or_default();
     match last_word {
         "event" | "events" => Some(Kind::Event),
-        "code" | "codes" => Some(Kind::Code),
-        "counter" | "counters" => Some(Kind::Counter),
+        "code" | "codes" | "reason" | "reasons" | "skip" | "skips" => Some(Kind::Code),
+        "counter" | "counters" | "series" => Some(Kind::Counter),
         "," | "and" => before,
         _ => None,
     }
@@ -87,13 +87,19 @@
 }
 
 /// The programs whose events and counters the page names.
-const PROGRAMS: [&str; 4] = [
+const PROGRAMS: [&str; 5] = [
     "crates/node/src",
     "crates/forwarder/src",
     "crates/routing/src",
     "crates/cli/src",
+    "crates/protocol/src",
 ];
 
+/// The name under which a metric is registered: the metrics library appends the suffix of counters.
+fn metric_name(series: &str) -> &str {
+    series.strip_suffix("_total").unwrap_or(series)
+}
+
 /// The names that exist nowhere.
 fn missing(names: &BTreeSet<Named>) -> Vec<Named> {
     let programs: String = PROGRAMS
@@ -108,7 +114,7 @@
         Kind::Counter => {
             node_counters.lines().any(|line| line.trim() == named.name)
                 || programs.contains(&format!("pub {}: ", named.name))
-                || programs.contains(&format!("\"{}\"", named.name))
+                || programs.contains(&format!("\"{}\"", metric_name(&named.name)))
         }
     };
     names
