--- a/crates/cli/src/config/explain.rs
+++ b/crates/cli/src/config/explain.rs
@@ -108,7 +108,7 @@
             request_class,
             tenant,
             entity: &options.entity,
-            again: options.again,
+            is_retry: options.again,
             size: options.size,
             ..Request::default()
         })
--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::observability::increment;
 use crate::upstream::{self, OutgoingAttempt};
 use crate::{ForwarderContext, RequestError};
-use rainstand_protocol::thrift;
+use rainstand_protocol::thrift::{self, ProcessArgs};
 use rainstand_routing::fleet::{
     Attempt, AttemptOutcome, Completed, Fleet, NextAction, RequestOutcome, RequestState,
 };
@@ -116,7 +116,7 @@
         tenant,
         tenant_hash,
         entity: field("entity")?.unwrap_or(""),
-        again: field("redo")? == Some("1"),
+        is_retry: field("redo")? == Some("1"),
         size: body_bytes,
     };
     Ok(fleet.on_arrival(now, &request))
@@ -133,7 +133,7 @@
         sequence_number: i32,
         call_arguments: &[u8],
     ) -> Result<(), RequestError> {
-        let (fields, body) =
+        let ProcessArgs { fields, body } =
             thrift::process_args(call_arguments).map_err(RequestError::Unreadable)?;
         if self.drain.is_draining() || self.requests.len() >= MAX_IN_FLIGHT_REQUESTS {
             increment(&self.counters.overload_rejections);
@@ -184,7 +184,7 @@
         self.requests.schedule(attempt.timeout, id);
         let outgoing = OutgoingAttempt {
             id,
-            is_retry: attempt.again,
+            is_retry: attempt.is_retry,
             attempt_number: attempt.attempt_number,
         };
         upstream::send_attempt(self, &address, outgoing);
