--- a/crates/cluster/src/config_server.rs
+++ b/crates/cluster/src/config_server.rs
@@ -30,7 +30,7 @@
 /// For one link: a window of chunks and a delta, with room to spare. A subscriber that reads more slowly is closed, and
 /// attaches again.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
-/// Links beyond the subscribers: those that are told to retry, until they are closed.
+/// Links beyond the subscribers: those that get a retry-after, until they are closed.
 const MAX_EXTRA_LINKS: usize = 256;
 /// Between two ticks of the publisher.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/cluster/src/recovery.rs
+++ b/crates/cluster/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The way back from the loss of a majority: the replicas of one stopped member start the group anew.
+//! The way back from the loss of a majority: the replicas of one stopped member restart the group.
 //!
 //! What the lost replicas had committed and this one had not is lost, and nothing can tell what that was. What is here
 //! and may be affected is listed: keys that were started and have no end. The generation goes up, so that a disk of
--- a/crates/config-distribution/src/attachment.rs
+++ b/crates/config-distribution/src/attachment.rs
@@ -43,7 +43,7 @@
     pub zone: String,
 }
 
-/// Whether a process that was told to retry later should do so on the same server.
+/// Whether a process that got a retry-after should retry on the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryTarget {
     /// The server is only pacing attachments.
--- a/crates/config-distribution/src/publisher/history.rs
+++ b/crates/config-distribution/src/publisher/history.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A merge is given up when its deltas together exceed the largest frame by this factor: a merged delta can be smaller
+/// A merge is abandoned when its deltas together exceed the largest frame by this factor: a merged delta can be smaller
 /// than its parts, but the work to find out is bounded.
 const MAX_MERGE_FACTOR: usize = 4;
 
--- a/crates/config-distribution/src/publisher/session.rs
+++ b/crates/config-distribution/src/publisher/session.rs
@@ -51,7 +51,7 @@
     Wait,
     /// Nothing is in flight: offer an update.
     Offer,
-    /// The update timed out and was given up: offer one again.
+    /// The update timed out and was abandoned: offer one again.
     OfferAgain,
     /// Chunks timed out: send them again.
     ResendChunks,
--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -1,4 +1,4 @@
-//! The task that keeps the link to the render farm agent: one JSON object a line, notices numbered and replayed after
+//! The task that keeps the link to the execution agent: one JSON object a line, notices numbered and replayed after
 //! a reconnect.
 
 use crate::agent_link::AgentLink;
--- a/crates/node/src/agent_link.rs
+++ b/crates/node/src/agent_link.rs
@@ -1,4 +1,4 @@
-//! The state of the link to the render farm agent, as the rest of the node sees it. No I/O happens here:
+//! The state of the link to the execution agent, as the rest of the node sees it. No I/O happens here:
 //! [`crate::agent`] moves the bytes.
 
 use crate::counters::Counts;
--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -38,7 +38,7 @@
     match (kind, text("result"), payload) {
         ("request", _, Some(body)) => on_call_requested(context, index, offset, body),
         // Not read as an empty body, which would make another call than the run asked for: the notice is replayed, and
-        // the run given up if it is no better then.
+        // the request fails if it is no better then.
         ("request", ..) | ("outcome", "fine", None) if !is_replayed => return Err(UNREADABLE),
         ("request", ..) => context.drive_policy(|policy, now, table| {
             table.fail(index);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -25,7 +25,7 @@
 /// The addresses of those that the node connects to: all that a new file changes of them while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// The render farm agent.
+    /// The execution agent.
     pub agent: SocketAddr,
     /// The announce service, if there is one.
     pub announce: Option<SocketAddr>,
--- a/crates/node/src/connections/read_deadlines.rs
+++ b/crates/node/src/connections/read_deadlines.rs
@@ -12,11 +12,11 @@
 /// The deadlines of what is read from one connection.
 #[derive(Debug)]
 pub struct ReadDeadlines {
-    /// Since when the first frame is waited for: the opening, or the last check that found its request still in hand.
+    /// Since when the first frame is waited for: the opening, or the last check that found its request still in flight.
     first_frame_since: Instant,
     /// Since when a frame is begun and not complete.
     partial_frame_since: Option<Instant>,
-    /// Once nothing more is read: when the requests still pending on the connection are given up.
+    /// Once nothing more is read: when the requests still pending on the connection fail.
     answer_deadline: Option<Instant>,
 }
 
@@ -43,7 +43,7 @@
         since.map(|since| since + FRAME_TIMEOUT)
     }
 
-    /// By when what is pending is given up, once nothing more is read.
+    /// By when what is pending fails, once nothing more is read.
     #[must_use]
     pub fn answer_deadline(&self) -> Option<Instant> {
         self.answer_deadline
@@ -60,7 +60,7 @@
         };
     }
 
-    /// The first request is still in hand: its frame counts as awaited from now on.
+    /// The first request is still in flight: its frame counts as awaited from now on.
     pub fn extend_first_frame(&mut self, now: Instant) {
         self.first_frame_since = now;
     }
@@ -70,7 +70,7 @@
         self.answer_deadline = Some(now + PENDING_ANSWERS_TIMEOUT);
     }
 
-    /// What was pending has been given up.
+    /// What was pending has failed.
     pub fn clear_answer_deadline(&mut self) {
         self.answer_deadline = None;
     }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -27,7 +27,7 @@
 pub struct Core {
     /// None until the agent has greeted.
     pub controller: Option<AdmissionController>,
-    /// The requests in hand.
+    /// The requests in flight.
     pub table: RequestTable,
 }
 
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -51,7 +51,7 @@
     thawed
     /// Replies to calls that were passed to their runs.
     delivered
-    /// Runs that were told to go on without their call.
+    /// Runs that went on without their call, by order of the policy.
     forgone
     /// Numbered notices of the agent.
     notices
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The policy is told that the kill comes this much sooner than it does, and answers everything before.
+/// The policy is notified that the kill comes this much sooner than it does, and answers everything before.
 const POLICY_KILL_MARGIN: Duration = Duration::from_millis(150);
 
 /// At this time before the kill the process ends, whatever is still open.
@@ -84,7 +84,7 @@
     }
 }
 
-/// Other members lead the shards from here on, while requests in hand are still served.
+/// Other members lead the shards from here on, while requests in flight are still served.
 fn transfer_leadership(context: &NodeContext) {
     let group = context.core.borrow().table.group.clone();
     if let Some(group) = group {
--- a/crates/node/src/group_claim.rs
+++ b/crates/node/src/group_claim.rs
@@ -10,7 +10,7 @@
     pub key: Bytes,
     /// Over class, tenant and body: a key is never answered with the result of another request.
     pub(crate) fingerprint: u64,
-    /// How long retries are told apart.
+    /// How long a retry is recognized.
     pub(crate) window: Duration,
     /// When its caller stops waiting.
     pub(crate) deadline: Instant,
@@ -51,7 +51,7 @@
 }
 
 impl GroupClaim {
-    /// A claim that was not sent to the group yet. `window`: how long retries are told apart; `deadline`: when the
+    /// A claim that was not sent to the group yet. `window`: how long a retry is recognized; `deadline`: when the
     /// caller stops waiting.
     pub fn new(request: &ClaimedRequest, window: Duration, deadline: Instant) -> Self {
         Self {
--- a/crates/node/src/group_handle.rs
+++ b/crates/node/src/group_handle.rs
@@ -61,7 +61,7 @@
     }
 
     /// A command that nobody waits for. Where the member has no capacity for it the key stays claimed until its window
-    /// is over: retries are told that it may have run.
+    /// is over: retries are answered that it may have run.
     pub(crate) fn send_unwatched(&self, trace: &Trace, key: &Bytes, operation: Operation) {
         let command = self.command(trace, key, operation);
         let _ = self
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -28,7 +28,7 @@
 /// Exceptions on a connection on which nothing was served yet, past which it ends: two full sets of open requests.
 const MAX_EXCEPTIONS: u64 = 64;
 
-/// Bodies of requests in hand may take this part of the memory: an eighth.
+/// Bodies of requests in flight may take this part of the memory: an eighth.
 const BODY_MEMORY_FRACTION: usize = 8;
 
 /// Memory booked for a held request, in KB, by the protocol; exclusive.
@@ -282,7 +282,7 @@
             .patience
             .unwrap_or(limits.deadline.saturating_sub(request.waited));
         let deadline = now + time_left;
-        // All tries of a request carry the same nonce. Without one, the entity names it where retries are told apart.
+        // All attempts of a request carry the same nonce. Without one, the entity identifies it where retries are recognized.
         let name = request
             .nonce
             .or(request.entity.filter(|_| limits.key_window.is_some()));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! A node on sockets: dispatchers on one side, the render farm agent and the tier below on the other, and between them
+//! A node on sockets: dispatchers on one side, the execution agent and the tier below on the other, and between them
 //! the policy, which decides about every request.
 //!
 //! A request passes [`connections`] (bytes to frames), [`ingress`] (names to indices, retries), the policy's orders in
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -2,7 +2,7 @@
 //! or nothing of it: half a file would send one customer's requests by another's settings.
 //!
 //! Which classes and tenants there are, the memory and the cores hold until the next start; the file may list classes
-//! and tenants in another order. Runs and notice numbers go on over the reload, and requests in hand stay in hand, under
+//! and tenants in another order. Runs and notice numbers go on over the reload, and requests in flight stay in flight, under
 //! the terms that they came under; what cannot be applied leaves the old file in force. A rollback is the same step with
 //! the old file.
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! One request in hand: its run, its call to the tier below, and who waits for its result.
+//! One request in flight: its run, its call to the tier below, and who waits for its result.
 
 use crate::group_claim::GroupClaim;
 use crate::pending_reply::PendingReply;
@@ -63,7 +63,7 @@
     pub serial: u64,
 }
 
-/// A request in hand.
+/// A request in flight.
 pub struct Request {
     /// Unique among all requests of the process; given by the table.
     pub serial: u64,
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -1,4 +1,4 @@
-//! All requests in hand, with what the policy's orders work on.
+//! All requests in flight, with what the policy's orders work on.
 //!
 //! The table knows neither sockets nor the node's tasks: what it starts beyond itself goes through [`NodeTasks`], and
 //! comes back as a call into the policy. Invariants: a request's trace and key lead to its index for as long as it is
@@ -84,7 +84,7 @@
     pub awaiting_commit: HashMap<u64, PendingReply>,
     /// The limits of each class, by its index.
     pub class_limits: Vec<ClassLimits>,
-    /// What the bodies of all requests in hand take.
+    /// What the bodies of all requests in flight take.
     pub body_bytes: usize,
     /// Ends that the node itself brought about, which the policy has not heard of yet.
     pub run_ends: VecDeque<FinishedRun>,
--- a/crates/node/src/result_cache.rs
+++ b/crates/node/src/result_cache.rs
@@ -30,7 +30,7 @@
 /// What a retry gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CachedResult {
-    /// The first try is in hand.
+    /// The first attempt is in flight.
     InProgress,
     /// The first try's result.
     Result(Rc<[u8]>),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Keys of requests that are in hand or ran, each to the end of its window.
+/// Keys of requests that are in flight or ran, each to the end of its window.
 #[derive(Default)]
 pub struct ResultCache {
     entries: HashMap<IdempotencyKey, Entry>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether a further key can be cached: without, its request must not run, as a retry could not be told from it.
+    /// Whether a further key can be cached: without, its request must not run, as a retry could not be distinguished from it.
     pub fn has_capacity(&mut self, now: Instant, key: &IdempotencyKey) -> bool {
         let more = CACHE_ENTRY_OVERHEAD + key.name.len();
         if self.bytes + more > self.max_bytes.min(self.sweep_at) {
--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -28,7 +28,7 @@
 pub(super) struct PendingRequest {
     shard: u16,
     command: Command,
-    /// When it times out, or, in the background, is given up.
+    /// When it times out, or, in the background, is abandoned.
     deadline: Duration,
     retry_at: Duration,
     /// Nobody waits for the outcome any more.
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -21,13 +21,13 @@
 
 /// Buckets in use at once, some 128 bytes each with their place in the index.
 pub const MAX_BUCKETS: usize = 1 << 20;
-/// Room that is there from the start: with fewer in use nothing on a request's way allocates.
+/// Capacity that is there from the start: with fewer in use nothing on a request's way allocates.
 const INITIAL_CAPACITY: usize = 512;
-/// Slots that the hand looks at for each new bucket: more than one, or it never gets ahead.
+/// Slots that the sweep visits for each new bucket: more than one, or it never gets ahead.
 const SLOTS_PER_NEW_BUCKET: usize = 2;
-/// Slots looked at for a request that is turned away else: some microseconds.
+/// Slots looked at for a request that would be rejected otherwise: some microseconds.
 const MAX_SLOTS_SEARCHED: usize = 64;
-/// So many looks go round all slots. There are ten a second, and who was turned away comes back in one.
+/// Ticks in which the sweep visits all slots. There are ten a second, and a rejected caller returns after one second.
 const TICKS_PER_SWEEP: usize = 8;
 
 /// What a bucket is known by over versions, as hashes of names: 64 bits each, so that of 23,000 keys at a place two
@@ -126,7 +126,7 @@
             return true;
         }
         self.reclaim_idle(looked, now);
-        // Counted anew each time: the hand may have given back one of them.
+        // Counted again each time: the sweep may have released one of them.
         while self.in_use() + new(self) > self.most {
             if looked >= MAX_SLOTS_SEARCHED {
                 return false;
