--- a/crates/cli/benches/connections.rs
+++ b/crates/cli/benches/connections.rs
@@ -9,7 +9,7 @@
 )]
 
 use rainstand_protocol::thrift;
-use rainstand_test_servers::node::Make;
+use rainstand_test_servers::server::TestServerOptions;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -66,9 +66,9 @@
         .unwrap_or(8_000);
     let nodes: Vec<_> = (0..3)
         .map(|_| {
-            Make {
+            TestServerOptions {
                 forget_runs: true,
-                ..Make::default()
+                ..TestServerOptions::default()
             }
             .start()
         })
--- a/crates/cli/src/lab/load/mod.rs
+++ b/crates/cli/src/lab/load/mod.rs
@@ -16,7 +16,7 @@
 use client::LoadClient;
 use rainstand_fleet_model::plan::Plan;
 use rainstand_fleet_model::world;
-use rainstand_test_servers::node::Node;
+use rainstand_test_servers::server::TestServer;
 use report::Figures;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -55,7 +55,7 @@
         .build()?;
     let client = Rc::new(LoadClient::new(fleet.entry_points)?);
     LocalSet::new().block_on(&runtime, generator::run(&plan, &client));
-    fleet.nodes.iter().for_each(Node::end);
+    fleet.nodes.iter().for_each(TestServer::kill);
     let mut figures = vec![Figures::measured(&client)];
     if options.to.is_none() {
         let modelled =
--- a/crates/cli/src/lab/loopback_fleet.rs
+++ b/crates/cli/src/lab/loopback_fleet.rs
@@ -6,8 +6,8 @@
 use rainstand_fleet_model::world::{configuration, meets};
 use rainstand_forwarder::{run as serve, ForwarderContext};
 use rainstand_routing::subset::in_rounds;
-use rainstand_test_servers::node::{Make, Node};
-use rainstand_test_servers::script::{Flaw, Script};
+use rainstand_test_servers::script::{Script, ScriptError};
+use rainstand_test_servers::server::{TestServer, TestServerOptions};
 use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     #[error("{0:?} is not played on sockets (die, hang, fail-fast and lie are)")]
     UnsupportedFault(Trouble),
     #[error(transparent)]
-    Script(#[from] Flaw),
+    Script(#[from] ScriptError),
     #[error("a forwarder that does not start")]
     ForwarderNotStarted,
     #[error(transparent)]
@@ -41,7 +41,7 @@
 
 /// A fleet that runs. Its forwarders end with the program.
 pub(super) struct LoopbackFleet {
-    pub(super) nodes: Vec<Node>,
+    pub(super) nodes: Vec<TestServer>,
     /// Where to send requests: the forwarders, or the nodes where there are none.
     pub(super) entry_points: Vec<SocketAddr>,
 }
@@ -60,7 +60,7 @@
     /// # Errors
     /// If there are too many nodes, one of them cannot be played by a test server, or a forwarder does not start.
     pub(super) fn start(plan: &Plan) -> Result<Self, FleetError> {
-        let nodes: Vec<Node> = node_scripts(plan)?
+        let nodes: Vec<TestServer> = node_scripts(plan)?
             .into_iter()
             .enumerate()
             .map(|(number, script)| test_server(number, script).start())
@@ -81,12 +81,12 @@
 }
 
 /// A test server for the node of this number.
-pub(super) fn test_server(number: usize, script: Script) -> Make {
-    Make {
+pub(super) fn test_server(number: usize, script: Script) -> TestServerOptions {
+    TestServerOptions {
         script,
         seed: number as u64,
         forget_runs: true,
-        ..Make::default()
+        ..TestServerOptions::default()
     }
 }
 
--- a/crates/cli/src/lab/stand_ins.rs
+++ b/crates/cli/src/lab/stand_ins.rs
@@ -5,7 +5,7 @@
 use crate::error::{CommandError, CommandResult};
 use crate::output::{line, ExitStatus};
 use clap::Args;
-use rainstand_test_servers::node::{Make, Node};
+use rainstand_test_servers::server::{TestServer, TestServerOptions};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use tokio::signal::unix::{signal, SignalKind};
@@ -37,8 +37,8 @@
         if let Err(error) = TcpListener::bind(address) {
             return Err(CommandError::unusable(address, error));
         }
-        let node = Make {
-            at: Some(address),
+        let node = TestServerOptions {
+            address: Some(address),
             ..test_server(number, script)
         }
         .start();
@@ -46,7 +46,7 @@
         nodes.push(node);
     }
     wait_for_end()?;
-    nodes.iter().for_each(Node::end);
+    nodes.iter().for_each(TestServer::kill);
     Ok(ExitStatus::Success)
 }
 
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -8,8 +8,8 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_test_servers::caller::{Ask, Caller, Told};
-use rainstand_test_servers::node::{node, Node};
+use rainstand_test_servers::caller::{Call, Caller, Reply};
+use rainstand_test_servers::server::{test_server, TestServer};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::future::Future;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -44,7 +44,7 @@
     log: Receiver<String>,
     listen: SocketAddr,
     admin: SocketAddr,
-    nodes: [Node; 2],
+    nodes: [TestServer; 2],
     idle: Vec<Caller>,
     _folder: tempfile::TempDir,
 }
@@ -58,7 +58,7 @@
 
 impl Squeezed {
     fn start() -> Self {
-        let nodes = [node("honour"), node("honour")];
+        let nodes = [test_server("honour"), test_server("honour")];
         let text = format!(
             "rain 1
 type check {{ repeat: rerunnable; goal: 10 s; outer-limit: 20 s }}
@@ -115,7 +115,10 @@
     async fn one_that_rests(&self) -> Caller {
         let mut caller = Caller::new(self.listen).await.unwrap();
         asks(&mut caller, "check").await;
-        assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+        assert!(matches!(
+            caller.next_reply().await.unwrap().1,
+            Reply::Served(_)
+        ));
         caller
     }
 
@@ -222,9 +225,9 @@
 
 async fn asks(caller: &mut Caller, route: &str) {
     caller
-        .ask(&Ask {
-            route,
-            ..Ask::default()
+        .send(&Call {
+            request_class: route,
+            ..Call::default()
         })
         .await
         .unwrap();
@@ -236,21 +239,24 @@
         let mut s = Squeezed::start();
         s.fill().await;
         // Links break and are opened anew.
-        s.nodes[0].now_does("reset");
+        s.nodes[0].set_script("reset");
         let mut caller = Caller::new(s.listen).await.unwrap();
         asks(&mut caller, "check").await;
-        caller.next().await.unwrap();
-        s.nodes[0].now_does("honour");
+        caller.next_reply().await.unwrap();
+        s.nodes[0].set_script("honour");
         let links = s.counted("links");
         loop {
             asks(&mut caller, "check").await;
-            if matches!(caller.next().await.unwrap().1, Told::Honoured(_)) {
+            if matches!(caller.next_reply().await.unwrap().1, Reply::Served(_)) {
                 break;
             }
         }
         assert!(s.counted("links") > links);
         asks(&mut caller, "register").await;
-        assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+        assert!(matches!(
+            caller.next_reply().await.unwrap().1,
+            Reply::Served(_)
+        ));
         // Files are read, and operators answered.
         s.signal("-HUP");
         let told = s.says("event=\"version");
@@ -259,14 +265,17 @@
         let (room, out) = (s.counted("made_room"), s.counted("descriptors_out"));
         assert!(room >= IDLE as u64 - LIMIT && out == 0, "{room} {out}");
         // What is in hand at the notice is answered.
-        s.nodes[0].now_does("hold");
+        s.nodes[0].set_script("hold");
         asks(&mut caller, "check").await;
-        while s.nodes[0].notes().inside == 0 {
+        while s.nodes[0].observations().running == 0 {
             tokio::task::yield_now().await;
         }
         s.signal("-TERM");
         s.nodes[0].release();
-        assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+        assert!(matches!(
+            caller.next_reply().await.unwrap().1,
+            Reply::Served(_)
+        ));
         drop(caller);
         assert!(s.process.wait().unwrap().success());
     });
@@ -283,7 +292,10 @@
         s.squeeze().await;
         let mut caller = s.idle.pop().unwrap();
         asks(&mut caller, "register").await;
-        assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+        assert!(matches!(
+            caller.next_reply().await.unwrap().1,
+            Reply::Served(_)
+        ));
         s.squeeze().await;
         let room = s.counted("made_room");
         assert!(s.members().starts_with("HTTP/1.1 200 OK"));
@@ -304,7 +316,7 @@
         s.signal("-CONT");
         for (n, caller) in crowd.iter_mut().enumerate() {
             assert!(
-                caller.next().await.is_ok(),
+                caller.next_reply().await.is_ok(),
                 "{n} of {CROWD} that the system accepted has no answer"
             );
         }
--- a/crates/forwarder/benches/days.rs
+++ b/crates/forwarder/benches/days.rs
@@ -16,10 +16,10 @@
 use rainstand_config::{load, source::Memory};
 use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_invariants::Kind;
-use rainstand_test_servers::caller::{Ask, Caller, Told};
-use rainstand_test_servers::node::{Make, Node};
+use rainstand_test_servers::caller::{Call, Caller, Reply};
+use rainstand_test_servers::recorder::InvariantRecorder;
 use rainstand_test_servers::script::Script;
-use rainstand_test_servers::watch::Watch;
+use rainstand_test_servers::server::{ServerRecorder, TestServer, TestServerOptions};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -87,14 +87,14 @@
         })
     }
 
-    fn told(&self, told: Option<&Told>, took: Duration) {
+    fn told(&self, told: Option<&Reply>, took: Duration) {
         let mut came = self.came.borrow_mut();
         match told {
-            Some(Told::Honoured(_)) => {
+            Some(Reply::Served(_)) => {
                 came.honoured += 1;
                 let _ = self.times.borrow_mut().record(took.as_micros() as u64);
             }
-            Some(Told::Dismissed { .. }) => came.dismissed += 1,
+            Some(Reply::Rejected { .. }) => came.dismissed += 1,
             _ => came.given_up += 1,
         }
     }
@@ -114,42 +114,51 @@
     }
 }
 
-fn nodes(scripts: &[&str], watch: Option<&Watch>) -> Vec<Node> {
+fn nodes(scripts: &[&str], watch: Option<&InvariantRecorder>) -> Vec<TestServer> {
     (0..5)
         .map(|k| {
             let text = format!("{USUAL}{}", scripts.get(k).unwrap_or(&""));
             let script = Script::read(&text).expect("a script");
-            let watch = watch.map(|watch| (watch.clone(), k as u32));
-            Make {
+            let recorder = watch.map(|watch| ServerRecorder {
+                recorder: watch.clone(),
+                server: k as u32,
+            });
+            TestServerOptions {
                 script,
-                watch,
+                recorder,
                 seed: k as u64,
                 forget_runs: true,
-                ..Make::default()
+                ..TestServerOptions::default()
             }
             .start()
         })
         .collect()
 }
 
-fn ask(n: u64) -> Ask<'static> {
+fn ask(n: u64) -> Call<'static> {
     let exclusive = n.is_multiple_of(5);
     let (route, kind) = if exclusive {
         ("register", Kind::Exclusive)
     } else {
         ("check", Kind::Rerunnable)
     };
-    Ask {
-        route,
+    Call {
+        request_class: route,
         kind,
         body: &[7; 200],
-        within: GOAL + Duration::from_millis(500),
-        ..Ask::default()
+        timeout: GOAL + Duration::from_millis(500),
+        ..Call::default()
     }
 }
 
 /// Asks on connections of its own, so many tickets as one connection may hold, and goes on after a break.
-async fn lane(to: Vec<SocketAddr>, k: u64, lanes: u64, day: Rc<Day>, watch: Option<Watch>) {
+async fn lane(
+    to: Vec<SocketAddr>,
+    k: u64,
+    lanes: u64,
+    day: Rc<Day>,
+    watch: Option<InvariantRecorder>,
+) {
     let start = tokio::time::Instant::now();
     let all = RATE * SECONDS / lanes;
     for n in 0..all {
@@ -162,12 +171,12 @@
             let told = timeout(GOAL, async {
                 let mut caller = Caller::new(to).await.ok()?;
                 if let Some(watch) = &watch {
-                    caller = caller.watched(watch, number + 1);
+                    caller = caller.recorded_by(watch, number + 1);
                 }
-                caller.ask(&ask(number)).await.ok()?;
-                let told = caller.next().await.ok();
+                caller.send(&ask(number)).await.ok()?;
+                let told = caller.next_reply().await.ok();
                 if told.is_none() {
-                    caller.hang_up();
+                    caller.disconnect();
                 }
                 told
             });
@@ -178,7 +187,7 @@
     sleep(GOAL * 2).await;
 }
 
-fn configuration(nodes: &[Node]) -> rainstand_config::schema::Configuration {
+fn configuration(nodes: &[TestServer]) -> rainstand_config::schema::Configuration {
     let members: String = nodes
         .iter()
         .enumerate()
@@ -203,7 +212,7 @@
 }
 
 async fn through_a_forwarder(scripts: &[&str]) -> Rc<Day> {
-    let watch = Watch::default();
+    let watch = InvariantRecorder::default();
     let nodes = nodes(scripts, Some(&watch));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let to = listener.local_addr().expect("it");
@@ -214,12 +223,12 @@
     let counts = context.fleet.borrow().counts();
     let now = watch.now();
     let _ = watch
-        .rules()
+        .checker()
         .check_retry_budget(now, counts.first_attempts, counts.retries, 0.2, 10);
-    if let Err(broken) = watch.over() {
+    if let Err(broken) = watch.finish() {
         println!("BROKEN: {broken}");
     }
-    nodes.iter().for_each(Node::end);
+    nodes.iter().for_each(TestServer::kill);
     day
 }
 
@@ -234,7 +243,7 @@
         None,
     )
     .await;
-    nodes.iter().for_each(Node::end);
+    nodes.iter().for_each(TestServer::kill);
     day
 }
 
--- a/crates/forwarder/benches/throughput.rs
+++ b/crates/forwarder/benches/throughput.rs
@@ -14,7 +14,7 @@
 use rainstand_config::{load, source::Memory};
 use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_protocol::thrift;
-use rainstand_test_servers::node::Make;
+use rainstand_test_servers::server::TestServerOptions;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
@@ -43,9 +43,9 @@
 fn nodes() -> Vec<SocketAddr> {
     (0..NODES)
         .map(|_| {
-            Make {
+            TestServerOptions {
                 forget_runs: true,
-                ..Make::default()
+                ..TestServerOptions::default()
             }
             .start()
             .addr
--- a/crates/forwarder/tests/loopback.rs
+++ b/crates/forwarder/tests/loopback.rs
@@ -13,10 +13,10 @@
 use rainstand_forwarder::{run, ForwarderContext};
 use rainstand_invariants::Kind;
 use rainstand_routing::health::MemberStatus;
-use rainstand_test_servers::caller::{Ask, Caller, Told};
-use rainstand_test_servers::node::{node, Make, Node};
+use rainstand_test_servers::caller::{Call, Caller, Reply};
+use rainstand_test_servers::recorder::InvariantRecorder;
 use rainstand_test_servers::script::Script;
-use rainstand_test_servers::watch::Watch;
+use rainstand_test_servers::server::{test_server, ServerRecorder, TestServer, TestServerOptions};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 /// Only what hangs is caught by this; nothing is timed.
 const HANGS: Duration = Duration::from_secs(60);
 
-fn configuration(nodes: &[&Node], goal: &str) -> Configuration {
+fn configuration(nodes: &[&TestServer], goal: &str) -> Configuration {
     let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.addr).collect();
     configured(&addresses, goal)
 }
@@ -97,41 +97,44 @@
 }
 
 /// Nodes by their scripts, all told to the watch.
-fn nodes(watch: &Watch, scripts: &[&str]) -> Vec<Node> {
+fn nodes(watch: &InvariantRecorder, scripts: &[&str]) -> Vec<TestServer> {
     let made = |(k, text): (usize, &&str)| {
         let script = Script::read(text).unwrap();
-        Make {
+        TestServerOptions {
             script,
-            watch: Some((watch.clone(), k as u32)),
+            recorder: Some(ServerRecorder {
+                recorder: watch.clone(),
+                server: k as u32,
+            }),
             seed: k as u64,
-            ..Make::default()
+            ..TestServerOptions::default()
         }
         .start()
     };
     scripts.iter().enumerate().map(made).collect()
 }
 
-fn asks<'a>(route: &'a str, body: &'a str) -> Ask<'a> {
+fn asks<'a>(route: &'a str, body: &'a str) -> Call<'a> {
     let kind = if route == "register" {
         Kind::Exclusive
     } else {
         Kind::Rerunnable
     };
-    Ask {
-        route,
+    Call {
+        request_class: route,
         body: body.as_bytes(),
         kind,
-        ..Ask::default()
+        ..Call::default()
     }
 }
 
-fn honoured(body: &str) -> Told {
-    Told::Honoured(body.as_bytes().to_vec())
+fn honoured(body: &str) -> Reply {
+    Reply::Served(body.as_bytes().to_vec())
 }
 
-fn dismissed(ms: u64, nowhere_else: bool) -> Told {
-    Told::Dismissed {
-        pause: Duration::from_millis(ms),
+fn dismissed(ms: u64, nowhere_else: bool) -> Reply {
+    Reply::Rejected {
+        retry_after: Duration::from_millis(ms),
         nowhere_else,
     }
 }
@@ -145,18 +148,18 @@
 #[test]
 fn tickets_are_spread_and_answered_once_with_their_own_results() {
     play(async {
-        let watch = Watch::default();
+        let watch = InvariantRecorder::default();
         let nodes = nodes(&watch, &["honour", "twice", "honour"]);
         let w = forwarder(&configuration(&nodes.iter().collect::<Vec<_>>(), "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap().watched(&watch, 1);
+        let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
         for n in 0..300 {
             let body = format!("body {n}");
             let ask = asks(if n % 3 == 0 { "register" } else { "check" }, &body);
-            let seq = caller.ask(&ask).await.unwrap();
-            assert_eq!(caller.next().await.unwrap(), (seq, honoured(&body)));
+            let seq = caller.send(&ask).await.unwrap();
+            assert_eq!(caller.next_reply().await.unwrap(), (seq, honoured(&body)));
         }
         for node in &nodes {
-            let notes = node.notes();
+            let notes = node.observations();
             assert!(
                 (60..150).contains(&notes.runs.len()),
                 "{}",
@@ -167,11 +170,11 @@
         // What was said twice is dropped and counted.
         assert_eq!(
             w.context.counters.late_answers.get() as usize,
-            nodes[1].notes().runs.len()
+            nodes[1].observations().runs.len()
         );
-        let seq = caller.ask(&asks("nothing", "x")).await.unwrap();
-        assert!(matches!(caller.next().await.unwrap(), (n, Told::Exception(_)) if n == seq));
-        assert_eq!(watch.over().unwrap().honoured, 300);
+        let seq = caller.send(&asks("nothing", "x")).await.unwrap();
+        assert!(matches!(caller.next_reply().await.unwrap(), (n, Reply::Exception(_)) if n == seq));
+        assert_eq!(watch.finish().unwrap().honoured, 300);
     });
 }
 
@@ -183,38 +186,42 @@
             ("register", "reset"),
             ("register", "fail"),
         ] {
-            let watch = Watch::default();
+            let watch = InvariantRecorder::default();
             let nodes = nodes(&watch, &[script, "honour"]);
             let (bad, good) = (&nodes[0], &nodes[1]);
             let w = forwarder(&configuration(&[bad, good], "10 s")).await;
-            let mut caller = Caller::new(w.addr).await.unwrap().watched(&watch, 1);
+            let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
             let mut given_up = 0;
             for n in 0..40 {
                 let body = format!("{n}");
-                let seq = caller.ask(&asks(route, &body)).await.unwrap();
-                let (told, words) = caller.next().await.unwrap();
+                let seq = caller.send(&asks(route, &body)).await.unwrap();
+                let (told, words) = caller.next_reply().await.unwrap();
                 assert_eq!(told, seq);
-                given_up += u32::from(words == Told::GivenUp);
+                given_up += u32::from(words == Reply::Failed);
                 // Never dismissed: it may have run.
                 assert!(
-                    words == honoured(&body) || (words == Told::GivenUp && route == "register"),
+                    words == honoured(&body) || (words == Reply::Failed && route == "register"),
                     "{n} {route}: {words:?}"
                 );
                 assert!(
-                    route == "check" || bad.ran(body.as_bytes()) + good.ran(body.as_bytes()) == 1,
+                    route == "check"
+                        || bad.runs_of(body.as_bytes()) + good.runs_of(body.as_bytes()) == 1,
                     "{n} ran twice"
                 );
             }
-            let tried = bad.all_runs();
+            let tried = bad.total_runs();
             // Left out after five failures in a row.
             assert!((1..=5).contains(&tried), "{tried}");
             if route == "check" {
                 // Further tries say so.
-                assert_eq!((given_up, good.notes().marked), (0, u64::from(tried)));
+                assert_eq!(
+                    (given_up, good.observations().retries),
+                    (0, u64::from(tried))
+                );
             } else {
-                assert_eq!((given_up, good.notes().marked), (tried, 0));
+                assert_eq!((given_up, good.observations().retries), (tried, 0));
             }
-            watch.over().unwrap();
+            watch.finish().unwrap();
         }
     });
 }
@@ -227,15 +234,15 @@
             .unwrap()
             .local_addr()
             .unwrap();
-        let full = node("dismiss pause 300ms nowhere-else");
+        let full = test_server("dismiss pause 300ms nowhere-else");
         // Spread over half as much again, or passed on as the member said it.
         for (addr, most, nowhere) in [(gone, 750, false), (full.addr, 300, true)] {
             let w = forwarder(&configured(&[addr], "10 s")).await;
             let mut caller = Caller::new(w.addr).await.unwrap();
-            let seq = caller.ask(&asks("register", "one")).await.unwrap();
-            let (told, what) = caller.next().await.unwrap();
-            let Told::Dismissed {
-                pause,
+            let seq = caller.send(&asks("register", "one")).await.unwrap();
+            let (told, what) = caller.next_reply().await.unwrap();
+            let Reply::Rejected {
+                retry_after: pause,
                 nowhere_else,
             } = what
             else {
@@ -247,34 +254,34 @@
                 "{pause:?}"
             );
         }
-        assert_eq!(full.all_runs(), 0);
+        assert_eq!(full.total_runs(), 0);
     });
 }
 
 #[test]
 fn a_silent_member_costs_no_more_than_the_goal_time() {
     play(async {
-        let silent = node("silent");
+        let silent = test_server("silent");
         let w = forwarder(&configuration(&[&silent], "300 ms")).await;
         let mut caller = Caller::new(w.addr).await.unwrap();
-        let seq = caller.ask(&asks("register", "one")).await.unwrap();
-        assert_eq!(caller.next().await.unwrap(), (seq, Told::GivenUp));
+        let seq = caller.send(&asks("register", "one")).await.unwrap();
+        assert_eq!(caller.next_reply().await.unwrap(), (seq, Reply::Failed));
         // It is told that nobody waits any more.
-        until(|| silent.notes().given_up > 0).await;
-        assert_eq!(silent.all_runs(), 1);
+        until(|| silent.observations().cancellations > 0).await;
+        assert_eq!(silent.total_runs(), 1);
     });
 }
 
 #[test]
 fn a_caller_that_leaves_frees_its_places() {
     play(async {
-        let holds = node("hold");
+        let holds = test_server("hold");
         let w = forwarder(&configuration(&[&holds], "10 s")).await;
         let mut caller = Caller::new(w.addr).await.unwrap();
-        let seq = caller.ask(&asks("check", "one")).await.unwrap();
-        until(|| holds.all_runs() > 0).await;
-        caller.give_up(seq).await.unwrap();
-        until(|| holds.notes().given_up > 0).await;
+        let seq = caller.send(&asks("check", "one")).await.unwrap();
+        until(|| holds.total_runs() > 0).await;
+        caller.cancel(seq).await.unwrap();
+        until(|| holds.observations().cancellations > 0).await;
         assert!(w.context.requests.is_empty());
         assert!(w
             .context
@@ -291,47 +298,50 @@
 #[test]
 fn a_drain_answers_what_was_read_and_takes_nothing_new() {
     play(async {
-        let watch = Watch::default();
+        let watch = InvariantRecorder::default();
         let nodes = nodes(&watch, &["hold"]);
         let w = forwarder(&configuration(&[&nodes[0]], "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap().watched(&watch, 1);
-        let first = caller.ask(&asks("register", "one")).await.unwrap();
-        until(|| nodes[0].all_runs() > 0).await;
+        let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
+        let first = caller.send(&asks("register", "one")).await.unwrap();
+        until(|| nodes[0].total_runs() > 0).await;
         w.leave.notify_one();
         until(|| w.context.drain.is_draining()).await;
-        let second = caller.ask(&asks("register", "two")).await.unwrap();
+        let second = caller.send(&asks("register", "two")).await.unwrap();
         assert_eq!(
-            caller.next().await.unwrap(),
+            caller.next_reply().await.unwrap(),
             (second, dismissed(200, false))
         );
-        assert!(caller.told_to_leave);
+        assert!(caller.got_shutdown_notice);
         nodes[0].release();
-        assert_eq!(caller.next().await.unwrap(), (first, honoured("one")));
+        assert_eq!(caller.next_reply().await.unwrap(), (first, honoured("one")));
         w.done.await.unwrap();
-        assert_eq!(nodes[0].all_runs(), 1);
+        assert_eq!(nodes[0].total_runs(), 1);
         let now = watch.now();
-        watch.rules().check_drained(now, 0).unwrap();
-        watch.over().unwrap();
+        watch.checker().check_drained(now, 0).unwrap();
+        watch.finish().unwrap();
     });
 }
 
 #[test]
 fn a_new_version_moves_new_tickets_and_leaves_running_ones() {
     play(async {
-        let (old, new) = (node("hold"), node("honour"));
+        let (old, new) = (test_server("hold"), test_server("honour"));
         let w = forwarder(&configuration(&[&old], "10 s")).await;
         let mut caller = Caller::new(w.addr).await.unwrap();
-        let first = caller.ask(&asks("register", "one")).await.unwrap();
-        until(|| old.all_runs() > 0).await;
+        let first = caller.send(&asks("register", "one")).await.unwrap();
+        until(|| old.total_runs() > 0).await;
         assert_eq!(
             w.context
                 .install_configuration(configuration(&[&new], "10 s")),
             Ok(2)
         );
-        let second = caller.ask(&asks("register", "two")).await.unwrap();
-        assert_eq!(caller.next().await.unwrap(), (second, honoured("two")));
+        let second = caller.send(&asks("register", "two")).await.unwrap();
+        assert_eq!(
+            caller.next_reply().await.unwrap(),
+            (second, honoured("two"))
+        );
         old.release();
-        assert_eq!(caller.next().await.unwrap(), (first, honoured("one")));
+        assert_eq!(caller.next_reply().await.unwrap(), (first, honoured("one")));
         // What came back from the old member is not the new one's, though it has its place and name.
         let metrics = w.context.metrics.to_openmetrics(&w.context);
         assert!(
@@ -346,8 +356,11 @@
             .unwrap_err()
             .to_string()
             .contains("no pool `gone`"));
-        let third = caller.ask(&asks("check", "three")).await.unwrap();
-        assert_eq!(caller.next().await.unwrap(), (third, honoured("three")));
+        let third = caller.send(&asks("check", "three")).await.unwrap();
+        assert_eq!(
+            caller.next_reply().await.unwrap(),
+            (third, honoured("three"))
+        );
     });
 }
 
@@ -355,7 +368,7 @@
 #[test]
 fn whatever_nodes_do_the_rules_hold() {
     play(async {
-        let watch = Watch::default();
+        let watch = InvariantRecorder::default();
         let scripts = [
             "honour after 1ms..8ms",
             "cores 2\nhonour after 1ms..5ms\nevery 7 twice after 1ms\nevery 11 late after 4ms",
@@ -371,7 +384,8 @@
                 spawn_local(async move {
                     for round in 0..3u64 {
                         let first = k * 1_000_000 + round * 1_000 + 1;
-                        let mut caller = Caller::new(addr).await.unwrap().watched(&watch, first);
+                        let mut caller =
+                            Caller::new(addr).await.unwrap().recorded_by(&watch, first);
                         for n in 0..60u64 {
                             let body = format!("{k} {round} {n}");
                             let route = if (n + k).is_multiple_of(3) {
@@ -379,19 +393,19 @@
                             } else {
                                 "check"
                             };
-                            let seq = caller.ask(&asks(route, &body)).await.unwrap();
+                            let seq = caller.send(&asks(route, &body)).await.unwrap();
                             if n % 17 == 3 {
-                                caller.give_up(seq).await.unwrap();
+                                caller.cancel(seq).await.unwrap();
                             }
-                            while caller.open() >= 12 {
-                                caller.next().await.unwrap();
+                            while caller.open_requests() >= 12 {
+                                caller.next_reply().await.unwrap();
                             }
                         }
                         // The last connection ends with calls open, the others hear all answers.
-                        while round < 2 && caller.open() > 0 {
-                            caller.next().await.unwrap();
+                        while round < 2 && caller.open_requests() > 0 {
+                            caller.next_reply().await.unwrap();
                         }
-                        caller.hang_up();
+                        caller.disconnect();
                     }
                 })
             })
@@ -403,10 +417,10 @@
         let counts = w.context.fleet.borrow().counts();
         let now = watch.now();
         watch
-            .rules()
+            .checker()
             .check_retry_budget(now, counts.first_attempts, counts.retries, 0.5, 10)
             .unwrap();
-        let tally = watch.over().unwrap_or_else(|broken| panic!("{broken}"));
+        let tally = watch.finish().unwrap_or_else(|broken| panic!("{broken}"));
         // How many of each depends on the machine; that all were asked and some honoured does not.
         assert!(tally.asked == 1_080 && tally.honoured > 100, "{tally:?}");
         assert!(w
@@ -434,7 +448,7 @@
 #[test]
 fn operators_see_members_decisions_and_counters() {
     play(async {
-        let (bad, good) = (node("fail"), node("honour"));
+        let (bad, good) = (test_server("fail"), test_server("honour"));
         let w = forwarder(&configuration(&[&bad, &good], "10 s")).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let admin = listener.local_addr().unwrap();
@@ -454,14 +468,14 @@
         while more > 0 {
             n += 1;
             caller
-                .ask(&asks("register", &format!("{n}")))
+                .send(&asks("register", &format!("{n}")))
                 .await
                 .unwrap();
-            caller.next().await.unwrap();
+            caller.next_reply().await.unwrap();
             more -= u32::from(out());
         }
         let metrics = get(admin, "/metrics").await;
-        let failed = bad.all_runs();
+        let failed = bad.total_runs();
         for line in [
             format!(
                 r#"rainstand_forwarder_tries_total{{pool="p",member="n0",came="failed"}} {failed}"#
@@ -532,7 +546,7 @@
                 holds.borrow_mut().push(stream);
             }
         });
-        let good = node("honour");
+        let good = test_server("honour");
         let text = format!(
             "rain 1
 type register {{ repeat: exclusive; goal: 10 s; outer-limit: 20 s }}
@@ -554,8 +568,8 @@
         // Given up again and again, so that the link's buffers fill and its places stay free.
         let mut given_up = 0;
         while w.context.upstreams.unwritten_bytes() < 64 << 10 {
-            let seq = caller.ask(&asks("register", &body)).await.unwrap();
-            caller.give_up(seq).await.unwrap();
+            let seq = caller.send(&asks("register", &body)).await.unwrap();
+            caller.cancel(seq).await.unwrap();
             given_up += 1;
             assert!(given_up < 50_000, "buffers that never fill");
             if given_up % 64 == 0 {
@@ -566,7 +580,7 @@
         for n in 0..12 {
             last.push(
                 caller
-                    .ask(&asks("register", &format!("last {n}")))
+                    .send(&asks("register", &format!("last {n}")))
                     .await
                     .unwrap(),
             );
@@ -576,18 +590,18 @@
         held.borrow_mut().clear();
         let mut told = std::collections::BTreeMap::new();
         while told.len() < 12 {
-            let (seq, what) = caller.next().await.unwrap();
+            let (seq, what) = caller.next_reply().await.unwrap();
             if last.contains(&seq) {
                 told.insert(seq, what);
             }
         }
         // All went through: those that waited here were sent elsewhere.
         assert!(
-            told.values().all(|what| matches!(what, Told::Honoured(_))),
+            told.values().all(|what| matches!(what, Reply::Served(_))),
             "{told:?}"
         );
         assert!(w.context.counters.unsent_attempts.get() > 0);
-        assert!((0..12).all(|n| good.ran(format!("last {n}").as_bytes()) == 1));
+        assert!((0..12).all(|n| good.runs_of(format!("last {n}").as_bytes()) == 1));
     });
 }
 
@@ -595,14 +609,17 @@
 #[test]
 fn a_member_that_leaves_gets_nothing_new() {
     play(async {
-        let (leaves, stays) = (node("leave after 1ms"), node("honour"));
+        let (leaves, stays) = (test_server("leave after 1ms"), test_server("honour"));
         let w = forwarder(&configuration(&[&leaves, &stays], "10 s")).await;
         let mut caller = Caller::new(w.addr).await.unwrap();
         let mut n = 0;
-        while leaves.all_runs() == 0 {
+        while leaves.total_runs() == 0 {
             n += 1;
-            caller.ask(&asks("check", &format!("{n}"))).await.unwrap();
-            assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+            caller.send(&asks("check", &format!("{n}"))).await.unwrap();
+            assert!(matches!(
+                caller.next_reply().await.unwrap().1,
+                Reply::Served(_)
+            ));
         }
         let leaving = || {
             w.context
@@ -614,15 +631,18 @@
         until(leaving).await;
         for n in 0..50 {
             caller
-                .ask(&asks("check", &format!("later {n}")))
+                .send(&asks("check", &format!("later {n}")))
                 .await
                 .unwrap();
-            assert!(matches!(caller.next().await.unwrap().1, Told::Honoured(_)));
+            assert!(matches!(
+                caller.next_reply().await.unwrap().1,
+                Reply::Served(_)
+            ));
         }
         assert!(
-            leaves.all_runs() == 1 || !leaving(),
+            leaves.total_runs() == 1 || !leaving(),
             "{}",
-            leaves.all_runs()
+            leaves.total_runs()
         );
     });
 }
@@ -634,11 +654,11 @@
         let quiet = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let w = forwarder(&configured(&[quiet.local_addr().unwrap()], "300 ms")).await;
         let mut caller = Caller::new(w.addr).await.unwrap();
-        let first = caller.ask(&asks("register", "one")).await.unwrap();
+        let first = caller.send(&asks("register", "one")).await.unwrap();
         let (_stays_open, _) = quiet.accept().await.unwrap();
-        assert_eq!(caller.next().await.unwrap(), (first, Told::GivenUp));
+        assert_eq!(caller.next_reply().await.unwrap(), (first, Reply::Failed));
         until(|| w.context.counters.silent_upstream_connections.get() == 1).await;
-        caller.ask(&asks("register", "two")).await.unwrap();
+        caller.send(&asks("register", "two")).await.unwrap();
         let (_again, _) = quiet.accept().await.unwrap();
     });
 }
@@ -648,7 +668,7 @@
 fn a_caller_that_ends_its_side_still_gets_its_answer() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     play(async {
-        let holds = node("hold");
+        let holds = test_server("hold");
         let w = forwarder(&configuration(&[&holds], "10 s")).await;
         let mut stream = tokio::net::TcpStream::connect(w.addr).await.unwrap();
         let fields = [
@@ -660,7 +680,7 @@
             .write_all(&rainstand_protocol::thrift::process(1, &fields, b"one"))
             .await
             .unwrap();
-        until(|| holds.all_runs() > 0).await;
+        until(|| holds.total_runs() > 0).await;
         stream.shutdown().await.unwrap();
         // The end of its side has been read once nothing more is read of it: a look that finds the ticket in hand still.
         for _ in 0..50 {
@@ -670,7 +690,7 @@
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.unwrap();
         assert!(answer.windows(3).any(|bytes| bytes == b"one"), "{answer:?}");
-        assert_eq!(holds.notes().given_up, 0);
+        assert_eq!(holds.observations().cancellations, 0);
     });
 }
 
@@ -680,7 +700,7 @@
     use std::io::Write;
     use tokio::io::AsyncReadExt;
     play(async {
-        let holds = node("hold");
+        let holds = test_server("hold");
         let w = forwarder(&configuration(&[&holds], "10 s")).await;
         let fields = [
             ("route", "check"),
--- a/crates/forwarder/tests/ramp.rs
+++ b/crates/forwarder/tests/ramp.rs
@@ -12,8 +12,8 @@
 use rainstand_config::schema::Configuration;
 use rainstand_config::{load, source::Memory};
 use rainstand_forwarder::{run, ForwarderContext};
-use rainstand_test_servers::caller::{Ask, Caller, Told};
-use rainstand_test_servers::node::{node, Make, Node};
+use rainstand_test_servers::caller::{Call, Caller, Reply};
+use rainstand_test_servers::server::{test_server, TestServer, TestServerOptions};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -85,11 +85,11 @@
     }
 }
 
-fn cold(at: Option<SocketAddr>) -> Node {
-    Make {
-        at,
-        keep_times: true,
-        ..Make::default()
+fn cold(at: Option<SocketAddr>) -> TestServer {
+    TestServerOptions {
+        address: at,
+        record_times: true,
+        ..TestServerOptions::default()
     }
     .start()
 }
@@ -120,23 +120,26 @@
             let Ok(mut caller) = Caller::new(addr).await else {
                 return;
             };
-            while !caller.told_to_leave {
-                let Ok(asked) = caller.ask(&Ask::default()).await else {
+            while !caller.got_shutdown_notice {
+                let Ok(asked) = caller.send(&Call::default()).await else {
                     return;
                 };
-                let Ok((seq, told)) = caller.next().await else {
+                let Ok((seq, told)) = caller.next_reply().await else {
                     return;
                 };
                 assert_eq!(seq, asked);
                 match told {
-                    Told::Honoured(_) => counts.honoured.set(counts.honoured.get() + 1),
-                    Told::Dismissed { pause, .. } => {
-                        assert!(!pause.is_zero(), "dismissed without a time to come back");
+                    Reply::Served(_) => counts.honoured.set(counts.honoured.get() + 1),
+                    Reply::Rejected { retry_after, .. } => {
+                        assert!(
+                            !retry_after.is_zero(),
+                            "dismissed without a time to come back"
+                        );
                         counts.dismissed.set(counts.dismissed.get() + 1);
                     }
                     other => assert_eq!(
                         other,
-                        Told::GivenUp,
+                        Reply::Failed,
                         "a broken connection is all that may be"
                     ),
                 }
@@ -168,7 +171,7 @@
             all.push(forwarder(&made, seed, &counts).await);
         }
         sleep(Duration::from_millis(5_700)).await;
-        first.end();
+        first.kill();
         // Its address is free once it is gone.
         while std::net::TcpStream::connect(first.addr).is_ok() {
             sleep(Duration::from_millis(1)).await;
@@ -184,7 +187,10 @@
             one.context.install_configuration(made.clone()).unwrap();
         }
         sleep(Duration::from_millis(2_000)).await;
-        let (first, second) = (first.notes().times.clone(), second.notes().times.clone());
+        let (first, second) = (
+            first.observations().arrival_times.clone(),
+            second.observations().arrival_times.clone(),
+        );
         holds("first life", &first);
         holds("second life", &second);
         // It does get something, or nothing was shown; how much of what it may is the decisions' table to tell.
@@ -210,7 +216,7 @@
 
 #[test]
 fn twenty_forwarders_and_the_others_full() {
-    let others: Vec<Node> = (0..2).map(|_| node("dismiss pause 300ms")).collect();
+    let others: Vec<TestServer> = (0..2).map(|_| test_server("dismiss pause 300ms")).collect();
     play(&others.iter().map(|node| node.addr).collect::<Vec<_>>());
 }
 
--- a/crates/test-servers/src/caller.rs
+++ b/crates/test-servers/src/caller.rs
@@ -1,201 +1,237 @@
-//! A dispatcher on one connection: asks, reads what comes, gives up.
+//! A caller (dispatcher) on one connection: sends requests, reads replies, cancels.
 
-use crate::watch::{trace, Watch};
+use crate::recorder::{trace, InvariantRecorder};
 use foldhash::{HashMap, HashMapExt};
 use rainstand_invariants::{Answer, Kind};
-use rainstand_protocol::thrift::{self, What};
+use rainstand_protocol::thrift::{self, Texts, What};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// What a caller was told.
+/// Read from the socket at once, in bytes.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Honoured(Vec<u8>),
-    Dismissed { pause: Duration, nowhere_else: bool },
-    GivenUp,
+pub enum Reply {
+    /// The result.
+    Served(Vec<u8>),
+    /// It did not run.
+    Rejected {
+        /// When to try again.
+        retry_after: Duration,
+        /// Whether no other server should be tried.
+        nowhere_else: bool,
+    },
+    /// It may have run.
+    Failed,
+    /// An application exception, with its text.
     Exception(String),
 }
 
-impl Told {
+impl Reply {
+    fn from_wire(what: What<'_>) -> Self {
+        match what {
+            What::Answer { body, .. } => Reply::Served(body.to_vec()),
+            What::Backoff(texts) => Reply::Rejected {
+                retry_after: Duration::from_millis(pause_ms(&texts).unwrap_or(0)),
+                nowhere_else: text(&texts, b"terminal") == Some(b"1"),
+            },
+            What::Lost => Reply::Failed,
+            What::Exception { why, .. } => {
+                Reply::Exception(String::from_utf8_lossy(why).into_owned())
+            }
+        }
+    }
+
     fn answer(&self) -> Answer {
         match self {
-            Told::Honoured(_) => Answer::Honoured,
-            Told::Dismissed { .. } => Answer::Dismissed,
-            Told::GivenUp => Answer::GivenUp,
-            Told::Exception(_) => Answer::Exception,
+            Reply::Served(_) => Answer::Honoured,
+            Reply::Rejected { .. } => Answer::Dismissed,
+            Reply::Failed => Answer::GivenUp,
+            Reply::Exception(_) => Answer::Exception,
         }
     }
 }
 
-/// What is asked.
+fn text<'t>(texts: &Texts<'t>, key: &[u8]) -> Option<&'t [u8]> {
+    let found = texts.iter().find(|(name, _)| *name == key);
+    found.map(|(_, value)| *value)
+}
+
+fn pause_ms(texts: &Texts<'_>) -> Option<u64> {
+    std::str::from_utf8(text(texts, b"pause")?)
+        .ok()?
+        .parse()
+        .ok()
+}
+
+/// A request that is sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    pub route: &'a str,
-    pub customer: &'a str,
+pub struct Call<'a> {
+    /// Name of its request class.
+    pub request_class: &'a str,
+    /// Name of its tenant.
+    pub tenant: &'a str,
+    /// The entity that it is about; empty for none.
     pub entity: &'a str,
+    /// Its body.
     pub body: &'a [u8],
+    /// What the checker is told of its class.
     pub kind: Kind,
-    /// An answer is due within this.
-    pub within: Duration,
+    /// By when the checker expects an answer, from now.
+    pub timeout: Duration,
 }
 
-impl Default for Ask<'_> {
+impl Default for Call<'_> {
     fn default() -> Self {
         Self {
-            route: "check",
-            customer: "acme",
+            request_class: "check",
+            tenant: "acme",
             entity: "",
             body: b"body",
             kind: Kind::Rerunnable,
-            within: Duration::from_secs(60),
+            timeout: Duration::from_mins(1),
         }
     }
 }
 
+/// One connection of a caller.
 pub struct Caller {
     stream: TcpStream,
-    back: Vec<u8>,
-    /// The last number used on this connection.
-    pub seq: i32,
-    watch: Option<Watch>,
-    /// Tickets by their number here: those without an answer, and all there were.
+    incoming: Vec<u8>,
+    /// The last sequence number used on this connection.
+    pub sequence_number: i32,
+    recorder: Option<InvariantRecorder>,
+    /// Requests without an answer, by sequence number.
     open: HashMap<i32, u64>,
-    asked: HashMap<i32, u64>,
-    /// The ticket of the next call; callers of one run begin far apart.
-    next: u64,
-    /// `shutdown` came: nothing new is wanted here.
-    pub told_to_leave: bool,
+    /// All requests that were sent, by sequence number.
+    sent: HashMap<i32, u64>,
+    /// The next request; callers of one run begin far apart.
+    next_request: u64,
+    /// Whether the server sent its shutdown notice: it wants nothing new here.
+    pub got_shutdown_notice: bool,
 }
 
 impl Caller {
+    /// Connects.
+    ///
     /// # Errors
     /// Why there is no connection.
     pub async fn new(to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        let (open, asked) = (HashMap::new(), HashMap::new());
         Ok(Self {
             stream,
-            back: Vec::new(),
-            seq: 0,
-            watch: None,
-            open,
-            asked,
-            next: 1,
-            told_to_leave: false,
+            incoming: Vec::new(),
+            sequence_number: 0,
+            recorder: None,
+            open: HashMap::new(),
+            sent: HashMap::new(),
+            next_request: 1,
+            got_shutdown_notice: false,
         })
     }
 
-    /// Tells a watch of all it asks and hears; its tickets are numbered from `first`.
-    pub fn watched(mut self, watch: &Watch, first: u64) -> Self {
-        (self.watch, self.next) = (Some(watch.clone()), first);
+    /// Records all that it sends and reads; its requests are numbered from `first_request`.
+    #[must_use]
+    pub fn recorded_by(mut self, recorder: &InvariantRecorder, first_request: u64) -> Self {
+        self.recorder = Some(recorder.clone());
+        self.next_request = first_request;
         self
     }
 
-    pub fn open(&self) -> usize {
+    /// Number of requests without an answer.
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Asks; the number of the call on this connection.
+    /// Sends a request; its sequence number.
     ///
     /// # Errors
     /// If the connection is broken.
-    pub async fn ask(&mut self, ask: &Ask<'_>) -> io::Result<i32> {
-        self.seq += 1;
-        let (ticket, seq) = (self.next, self.seq);
-        self.next += 1;
-        let trace = trace(ticket);
+    pub async fn send(&mut self, call: &Call<'_>) -> io::Result<i32> {
+        self.sequence_number += 1;
+        let (request, sequence_number) = (self.next_request, self.sequence_number);
+        self.next_request += 1;
+        let trace = trace(request);
         let mut fields = vec![
-            ("route", ask.route),
-            ("customer", ask.customer),
+            ("route", call.request_class),
+            ("customer", call.tenant),
             ("trace", &trace),
         ];
-        if !ask.entity.is_empty() {
-            fields.push(("entity", ask.entity));
+        if !call.entity.is_empty() {
+            fields.push(("entity", call.entity));
         }
-        if let Some(watch) = &self.watch {
-            watch.asked(ticket, ask.kind, ask.within);
+        if let Some(recorder) = &self.recorder {
+            recorder.on_request(request, call.kind, call.timeout);
         }
-        self.open.insert(seq, ticket);
-        self.asked.insert(seq, ticket);
-        self.stream
-            .write_all(&thrift::process(seq, &fields, ask.body))
-            .await?;
-        Ok(seq)
+        self.open.insert(sequence_number, request);
+        self.sent.insert(sequence_number, request);
+        let frame = thrift::process(sequence_number, &fields, call.body);
+        self.stream.write_all(&frame).await?;
+        Ok(sequence_number)
     }
 
-    /// Says that it does not wait for a call any more.
+    /// Cancels a request.
     ///
     /// # Errors
     /// If the connection is broken.
-    pub async fn give_up(&mut self, seq: i32) -> io::Result<()> {
-        if let (Some(ticket), Some(watch)) = (self.open.remove(&seq), &self.watch) {
-            watch.left(ticket);
+    pub async fn cancel(&mut self, sequence_number: i32) -> io::Result<()> {
+        if let (Some(request), Some(recorder)) =
+            (self.open.remove(&sequence_number), &self.recorder)
+        {
+            recorder.on_caller_gone(request);
         }
-        self.stream.write_all(&thrift::give_up(seq)).await
+        let frame = thrift::give_up(sequence_number);
+        self.stream.write_all(&frame).await
     }
 
-    /// The next answer: the number of its call, and what it says.
+    /// The next reply, with the sequence number of its request.
     ///
     /// # Errors
-    /// If the connection ends first, or what comes is no answer.
-    pub async fn next(&mut self) -> io::Result<(i32, Told)> {
+    /// If the connection ends first, or what comes is no reply.
+    pub async fn next_reply(&mut self) -> io::Result<(i32, Reply)> {
         loop {
-            let whole = thrift::frame(&self.back).map_err(io::Error::other)?;
-            if let Some(length) = whole {
-                let frame: Vec<u8> = self.back.drain(..4 + length).skip(4).collect();
-                if thrift::kind(&frame) == Some(thrift::ONEWAY) {
-                    self.told_to_leave = true;
+            let complete = thrift::frame(&self.incoming).map_err(io::Error::other)?;
+            if let Some(length) = complete {
+                let end = thrift::FRAME_HEADER_BYTES + length;
+                let frame: Vec<u8> = self.incoming.drain(..end).collect();
+                let message = &frame[thrift::FRAME_HEADER_BYTES..];
+                if thrift::kind(message) == Some(thrift::ONEWAY) {
+                    self.got_shutdown_notice = true;
                     continue;
                 }
-                return self.read(&frame);
+                return self.read_reply(message);
             }
-            let mut chunk = [0; 16 << 10];
+            let mut chunk = [0; READ_CHUNK_BYTES];
             match self.stream.read(&mut chunk).await? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-                n => self.back.extend_from_slice(&chunk[..n]),
+                n => self.incoming.extend_from_slice(&chunk[..n]),
             }
         }
     }
 
-    fn read(&mut self, frame: &[u8]) -> io::Result<(i32, Told)> {
-        let answered = thrift::answered(frame).map_err(io::Error::other)?;
-        let told = match answered.what {
-            What::Answer { body, .. } => Told::Honoured(body.to_vec()),
-            What::Backoff(texts) => {
-                let text = |key: &[u8]| {
-                    texts
-                        .iter()
-                        .find(|(name, _)| *name == key)
-                        .map(|(_, value)| *value)
-                };
-                let ms = text(b"pause").and_then(|ms| std::str::from_utf8(ms).ok()?.parse().ok());
-                Told::Dismissed {
-                    pause: Duration::from_millis(ms.unwrap_or(0)),
-                    nowhere_else: text(b"terminal") == Some(b"1"),
-                }
-            }
-            What::Lost => Told::GivenUp,
-            What::Exception { why, .. } => {
-                Told::Exception(String::from_utf8_lossy(why).into_owned())
-            }
-        };
+    fn read_reply(&mut self, message: &[u8]) -> io::Result<(i32, Reply)> {
+        let answered = thrift::answered(message).map_err(io::Error::other)?;
+        let reply = Reply::from_wire(answered.what);
         self.open.remove(&answered.seq);
-        if let Some(watch) = &self.watch {
-            // A second answer, or one to nothing, is the watch's to find.
-            let ticket = self.asked.get(&answered.seq).copied().unwrap_or(u64::MAX);
-            watch.answered(ticket, told.answer());
+        if let Some(recorder) = &self.recorder {
+            // A second answer, or one to nothing, is the checker's to find.
+            let request = self.sent.get(&answered.seq).copied();
+            recorder.on_answer(request.unwrap_or(u64::MAX), reply.answer());
         }
-        Ok((answered.seq, told))
+        Ok((answered.seq, reply))
     }
 
-    /// Its connection ends; nobody waits for what is open.
-    pub fn hang_up(self) {
-        if let Some(watch) = &self.watch {
-            self.open.values().for_each(|ticket| watch.left(*ticket));
+    /// Closes the connection; nobody waits for what is open.
+    pub fn disconnect(self) {
+        if let Some(recorder) = &self.recorder {
+            for request in self.open.values() {
+                recorder.on_caller_gone(*request);
+            }
         }
     }
 }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -2,23 +2,16 @@
 //!
 //! | module | what it is |
 //! | --- | --- |
-//! | [`script`] | the small format that says what a node does, when and to whom; pure |
-//! | [`node`] | a node on a thread of its own that does what its script says |
-//! | [`caller`] | a dispatcher: asks, reads what comes, gives up |
-//! | [`watch`] | tells all of it to the checker of the rules |
+//! | [`script`] | the small format that says how a server behaves, when and to whom; no I/O |
+//! | [`server`] | a server on a thread of its own that behaves as its script says |
+//! | [`caller`] | a caller: sends requests, reads replies, cancels |
+//! | [`recorder`] | records all of it for the checker of the four rules |
 //! | [`size`] | configurations at the operators' size in two years, or a part of it |
 //!
-//! Nothing here is part of a product's program.
-
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
+//! Nothing here serves in a product; `rainstand lab load` starts servers to measure against.
 
 pub mod caller;
-pub mod node;
+pub mod recorder;
 pub mod script;
+pub mod server;
 pub mod size;
-pub mod watch;
--- a/crates/test-servers/src/script.rs
+++ b/crates/test-servers/src/script.rs
@@ -1,344 +1,410 @@
-//! What a stand-in node does, line by line. Of the lines that apply to a call the last one holds.
+//! How a test server behaves, line by line. Of the lines that apply to a call the last one holds.
 //!
 //! ```text
 //! # comment
-//! cores 4                                 so many at a time; others wait for a core
-//! honour after 5ms..20ms                  for all there is: the first lines
+//! cores 4                                 runs at a time; others wait for a core
+//! honour after 5ms..20ms                  for all calls: the first lines
 //! route check honour after about 20ms     by chance, with this mean
-//! route register reset                    runs it, then closes the connection without a word
+//! route register reset                    runs it, then closes the connection without an answer
 //! from 3s to 5s silent                    for two seconds it runs all and answers nothing
 //! share 10% fail after 1ms                one in ten by chance
 //! every 100 twice                         each hundredth call
 //! ```
 //!
-//! | deed | what it is |
+//! | behaviour | what it is |
 //! | --- | --- |
 //! | `honour` | runs and answers |
-//! | `fail` | runs, says that it gave up |
+//! | `fail` | runs, answers that it failed |
 //! | `exception` | runs nothing, answers with an application exception |
-//! | `dismiss [pause TIME] [nowhere-else]` | runs nothing; a node that lies about its load says this while idle |
+//! | `dismiss [pause TIME] [nowhere-else]` | runs nothing, rejects |
 //! | `silent` | runs, never answers |
-//! | `reset` | runs, closes the connection without a word |
+//! | `reset` | runs, closes the connection without an answer |
 //! | `cut` | runs nothing, closes the connection |
 //! | `twice` | runs, answers twice |
-//! | `late` | runs, answers even if it is told that nobody waits |
-//! | `leave` | says that it leaves, runs and answers this one, and then closes: what crossed that is cut |
+//! | `late` | runs, answers even if the call was cancelled |
+//! | `leave` | sends its shutdown notice, runs and answers this one, then closes: calls that crossed that are cut |
 //! | `refuse` | new connections are closed at once; calls on old ones are cut |
-//! | `hold` | runs, answers once it is released |
+//! | `hold` | runs, answers once it is released ([`crate::server::TestServer::release`]) |
 
 use nanorand::{Rng, WyRand};
-use std::fmt;
+use std::iter::Peekable;
+use std::str::FromStr;
 use std::time::Duration;
 
+/// Calls of which a share is counted.
+const SHARE_OF: u32 = 1_000_000;
+/// Calls in [`SHARE_OF`] that are a per cent.
+const CALLS_PER_PERCENT: f64 = 10_000.0;
+
+/// What a server does with a call; the head of the module has the words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
-    Honour,
+pub enum Behaviour {
+    /// Runs and answers.
+    Serve,
+    /// Runs, answers that it failed.
     Fail,
+    /// Runs nothing, answers with an application exception.
     Exception,
-    Dismiss { pause: Duration, nowhere_else: bool },
+    /// Runs nothing, rejects.
+    Reject {
+        /// When to try again.
+        retry_after: Duration,
+        /// Whether no other server should be tried.
+        nowhere_else: bool,
+    },
+    /// Runs, never answers.
     Silent,
+    /// Runs, closes the connection without an answer.
     Reset,
+    /// Runs nothing, closes the connection.
     Cut,
-    Twice,
-    Late,
-    Leave,
+    /// Runs, answers twice.
+    AnswerTwice,
+    /// Runs, answers even if the call was cancelled.
+    AnswerLate,
+    /// Sends its shutdown notice, runs and answers this call, then closes.
+    ShutDown,
+    /// Closes new connections at once, and old ones at a call.
     Refuse,
+    /// Runs, answers once it is released.
     Hold,
 }
 
-impl Deed {
+impl Behaviour {
     /// Whether the call has its effect.
     pub fn runs(self) -> bool {
         !matches!(
             self,
-            Deed::Exception | Deed::Dismiss { .. } | Deed::Cut | Deed::Refuse
+            Behaviour::Exception | Behaviour::Reject { .. } | Behaviour::Cut | Behaviour::Refuse
         )
     }
 }
 
+/// What becomes of a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Reaction {
+    /// What the server does.
+    pub behaviour: Behaviour,
+    /// How long the run takes, or after how long it answers.
+    pub after: Duration,
+}
+
+/// How long a reaction takes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Delay {
+    /// Evenly between the two.
+    Between(Duration, Duration),
+    /// Exponential with this mean.
+    About(Duration),
+}
+
+impl Delay {
+    const NONE: Self = Self::Between(Duration::ZERO, Duration::ZERO);
+
+    fn draw(self, random: &mut WyRand) -> Duration {
+        let drawn = f64::from(random.generate::<u32>());
+        match self {
+            Self::Between(min, max) => {
+                let spread = max.saturating_sub(min);
+                min + spread.mul_f64(drawn / f64::from(u32::MAX))
+            }
+            Self::About(mean) => {
+                let uniform = drawn / (f64::from(u32::MAX) + 1.0);
+                mean.mul_f64(-(1.0 - uniform).ln())
+            }
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq)]
 struct Line {
     from: Duration,
     to: Duration,
-    route: Option<String>,
-    /// Of a million calls.
+    request_class: Option<String>,
+    /// Of [`SHARE_OF`] calls.
     share: u32,
     every: u64,
-    deed: Deed,
-    after: (Duration, Duration),
-    /// Exponential with the first of the two as its mean.
-    about: bool,
+    behaviour: Behaviour,
+    delay: Delay,
+}
+
+impl Line {
+    fn applies_always(&self) -> bool {
+        self.share >= SHARE_OF
+    }
+
+    fn applies(&self, at: Duration, request_class: &str, call: u64, random: &mut WyRand) -> bool {
+        let class = self.request_class.as_deref();
+        (self.from..self.to).contains(&at)
+            && class.is_none_or(|name| name == request_class)
+            && call.is_multiple_of(self.every)
+            && (self.applies_always() || random.generate_range(0..SHARE_OF) < self.share)
+    }
 }
 
 /// A script that was read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script {
-    /// Calls at a time; 0: all there are.
+    /// Runs at a time; 0 for no bound.
     pub cores: usize,
     lines: Vec<Line>,
 }
 
-/// What is wrong, and where.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
-    /// Counted from 1.
+/// What is wrong in a script, and where.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("line {line}: {error}")]
+pub struct ScriptError {
+    /// The line, from 1.
     pub line: usize,
-    pub why: String,
+    /// What is wrong in it.
+    pub error: LineError,
 }
 
-impl fmt::Display for Flaw {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "line {}: {}", self.line, self.why)
-    }
+/// What is wrong in a line of a script.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LineError {
+    /// It ends before a behaviour.
+    #[error("it says nothing to do")]
+    NoBehaviour,
+    /// The word is no behaviour.
+    #[error("`{0}` is nothing that a node does")]
+    UnknownBehaviour(String),
+    /// Something follows a complete line.
+    #[error("`{0}` is too much")]
+    SurplusWord(String),
+    /// It ends where this should follow.
+    #[error("{0} is missing")]
+    Missing(&'static str),
+    /// It ends where a time should follow.
+    #[error("a time is missing, such as 20ms")]
+    MissingTime,
+    /// It ends behind `after`.
+    #[error("a time is missing behind `after`")]
+    MissingDelay,
+    /// The word is no such thing.
+    #[error("`{word}` is no {expected}")]
+    Malformed {
+        /// The word.
+        word: String,
+        /// What was expected, in words.
+        expected: String,
+    },
+    /// A share outside of its range.
+    #[error("a share lies between 0% and 100%")]
+    ShareOutOfRange,
+    /// `every 0`.
+    #[error("every 0 calls is never")]
+    EveryZero,
+    /// The two times of a range in the wrong order.
+    #[error("the first time behind `after` is the lesser one")]
+    RangeReversed,
+    /// The time of a line ends before it begins.
+    #[error("`from` lies before `to`")]
+    NeverApplies,
 }
 
-impl std::error::Error for Flaw {}
-
-fn time(word: Option<&str>) -> Result<Duration, String> {
-    let word = word.ok_or("a time is missing, such as 20ms")?;
-    humantime::parse_duration(word).map_err(|why| format!("`{word}` is no time: {why}"))
+fn parse_time(word: Option<&str>) -> Result<Duration, LineError> {
+    let word = word.ok_or(LineError::MissingTime)?;
+    humantime::parse_duration(word).map_err(|error| LineError::Malformed {
+        word: word.to_owned(),
+        expected: format!("time: {error}"),
+    })
 }
 
-fn number<T: std::str::FromStr>(word: Option<&str>, what: &str) -> Result<T, String> {
-    let word = word.ok_or_else(|| format!("{what} is missing"))?;
-    word.parse().map_err(|_| format!("`{word}` is no {what}"))
+fn parse_number<T: FromStr>(word: Option<&str>, expected: &'static str) -> Result<T, LineError> {
+    let word = word.ok_or(LineError::Missing(expected))?;
+    word.parse().map_err(|_| LineError::Malformed {
+        word: word.to_owned(),
+        expected: expected.to_owned(),
+    })
 }
 
-fn line(words: &[&str]) -> Result<Line, String> {
-    let mut words = words.iter().copied().peekable();
-    let mut made = Line {
-        from: Duration::ZERO,
-        to: Duration::MAX,
-        route: None,
-        share: 1_000_000,
-        every: 1,
-        deed: Deed::Honour,
-        after: (Duration::ZERO, Duration::ZERO),
-        about: false,
-    };
-    loop {
-        let word = words.next().ok_or("it says nothing to do")?;
-        made.deed = match word {
-            "from" => {
-                made.from = time(words.next())?;
-                continue;
-            }
-            "to" => {
-                made.to = time(words.next())?;
-                continue;
+/// The words of one line that are not read yet.
+struct Words<'w, I: Iterator<Item = &'w str>>(Peekable<I>);
+
+impl<'w, I: Iterator<Item = &'w str>> Words<'w, I> {
+    fn next(&mut self) -> Option<&'w str> {
+        self.0.next()
+    }
+
+    /// Takes the next word if it is this one.
+    fn take(&mut self, word: &str) -> bool {
+        self.0.next_if(|next| *next == word).is_some()
+    }
+
+    fn line(mut self) -> Result<Line, LineError> {
+        let mut line = Line {
+            from: Duration::ZERO,
+            to: Duration::MAX,
+            request_class: None,
+            share: SHARE_OF,
+            every: 1,
+            behaviour: Behaviour::Serve,
+            delay: Delay::NONE,
+        };
+        let behaviour = loop {
+            let word = self.next().ok_or(LineError::NoBehaviour)?;
+            if !self.condition(word, &mut line)? {
+                break word;
             }
+        };
+        line.behaviour = self.behaviour(behaviour)?;
+        line.delay = self.delay()?;
+        match self.next() {
+            Some(surplus) => Err(LineError::SurplusWord(surplus.to_owned())),
+            None if line.from >= line.to => Err(LineError::NeverApplies),
+            None => Ok(line),
+        }
+    }
+
+    /// Reads a condition that begins with this word; whether the word begins one.
+    fn condition(&mut self, word: &str, line: &mut Line) -> Result<bool, LineError> {
+        match word {
+            "from" => line.from = parse_time(self.next())?,
+            "to" => line.to = parse_time(self.next())?,
             "route" => {
-                made.route = Some(words.next().ok_or("a route's name is missing")?.to_owned());
-                continue;
-            }
-            "share" => {
-                let word = words.next().and_then(|word| word.strip_suffix('%'));
-                let percent: f64 = number(word, "share, such as 10%")?;
-                if !(0.0..=100.0).contains(&percent) {
-                    return Err("a share lies between 0% and 100%".into());
-                }
-                made.share = (percent * 10_000.0) as u32;
-                continue;
+                let name = self.next().ok_or(LineError::Missing("a route's name"))?;
+                line.request_class = Some(name.to_owned());
             }
+            "share" => line.share = self.share()?,
             "every" => {
-                made.every = number(words.next(), "number of calls")?;
-                if made.every == 0 {
-                    return Err("every 0 calls is never".into());
+                line.every = parse_number(self.next(), "number of calls")?;
+                if line.every == 0 {
+                    return Err(LineError::EveryZero);
                 }
-                continue;
             }
-            "honour" => Deed::Honour,
-            "fail" => Deed::Fail,
-            "exception" => Deed::Exception,
-            "silent" => Deed::Silent,
-            "reset" => Deed::Reset,
-            "cut" => Deed::Cut,
-            "twice" => Deed::Twice,
-            "late" => Deed::Late,
-            "leave" => Deed::Leave,
-            "refuse" => Deed::Refuse,
-            "hold" => Deed::Hold,
-            "dismiss" => {
-                let (mut pause, mut nowhere_else) = (Duration::ZERO, false);
-                loop {
-                    match words.peek().copied() {
-                        Some("pause") => {
-                            words.next();
-                            pause = time(words.next())?;
-                        }
-                        Some("nowhere-else") => {
-                            words.next();
-                            nowhere_else = true;
-                        }
-                        _ => break,
-                    }
-                }
-                Deed::Dismiss {
-                    pause,
+            _ => return Ok(false),
+        }
+        Ok(true)
+    }
+
+    fn share(&mut self) -> Result<u32, LineError> {
+        let word = self.next().and_then(|word| word.strip_suffix('%'));
+        let percent: f64 = parse_number(word, "share, such as 10%")?;
+        if !(0.0..=100.0).contains(&percent) {
+            return Err(LineError::ShareOutOfRange);
+        }
+        Ok((percent * CALLS_PER_PERCENT) as u32)
+    }
+
+    fn behaviour(&mut self, word: &str) -> Result<Behaviour, LineError> {
+        Ok(match word {
+            "honour" => Behaviour::Serve,
+            "fail" => Behaviour::Fail,
+            "exception" => Behaviour::Exception,
+            "dismiss" => self.rejection()?,
+            "silent" => Behaviour::Silent,
+            "reset" => Behaviour::Reset,
+            "cut" => Behaviour::Cut,
+            "twice" => Behaviour::AnswerTwice,
+            "late" => Behaviour::AnswerLate,
+            "leave" => Behaviour::ShutDown,
+            "refuse" => Behaviour::Refuse,
+            "hold" => Behaviour::Hold,
+            other => return Err(LineError::UnknownBehaviour(other.to_owned())),
+        })
+    }
+
+    fn rejection(&mut self) -> Result<Behaviour, LineError> {
+        let (mut retry_after, mut nowhere_else) = (Duration::ZERO, false);
+        loop {
+            if self.take("pause") {
+                retry_after = parse_time(self.next())?;
+            } else if self.take("nowhere-else") {
+                nowhere_else = true;
+            } else {
+                return Ok(Behaviour::Reject {
+                    retry_after,
                     nowhere_else,
-                }
+                });
             }
-            other => return Err(format!("`{other}` is nothing that a node does")),
-        };
-        break;
+        }
     }
-    if words.next_if_eq(&"after").is_some() {
-        made.about = words.next_if_eq(&"about").is_some();
-        let word = words.next().ok_or("a time is missing behind `after`")?;
-        made.after = match word.split_once("..") {
-            Some((least, most)) => (time(Some(least))?, time(Some(most))?),
-            None => (time(Some(word))?, time(Some(word))?),
+
+    fn delay(&mut self) -> Result<Delay, LineError> {
+        if !self.take("after") {
+            return Ok(Delay::NONE);
+        }
+        let is_about = self.take("about");
+        let word = self.next().ok_or(LineError::MissingDelay)?;
+        let (min, max) = match word.split_once("..") {
+            Some((min, max)) => (parse_time(Some(min))?, parse_time(Some(max))?),
+            None => (parse_time(Some(word))?, parse_time(Some(word))?),
         };
-        if made.after.0 > made.after.1 {
-            return Err("the first time behind `after` is the lesser one".into());
+        if min > max {
+            return Err(LineError::RangeReversed);
         }
-    }
-    match words.next() {
-        Some(more) => Err(format!("`{more}` is too much")),
-        None if made.from >= made.to => Err("`from` lies before `to`".into()),
-        None => Ok(made),
+        Ok(if is_about {
+            Delay::About(min)
+        } else {
+            Delay::Between(min, max)
+        })
     }
 }
 
 impl Script {
+    /// Reads a script.
+    ///
     /// # Errors
     /// The first line that is wrong, and why.
     ///
     /// ```
     /// use rainstand_test_servers::script::Script;
-    /// let flaw = Script::read("honour after 5ms\nexplode\n").unwrap_err();
-    /// assert_eq!(flaw.to_string(), "line 2: `explode` is nothing that a node does");
+    /// let error = Script::read("honour after 5ms\nexplode\n").unwrap_err();
+    /// assert_eq!(error.to_string(), "line 2: `explode` is nothing that a node does");
     /// ```
-    pub fn read(text: &str) -> Result<Self, Flaw> {
+    pub fn read(text: &str) -> Result<Self, ScriptError> {
         let mut script = Self::default();
-        for (k, text) in text.lines().enumerate() {
-            let text = text.split('#').next().unwrap_or("");
-            let words: Vec<&str> = text.split_whitespace().collect();
-            let flaw = |why: String| Flaw { line: k + 1, why };
-            match words.as_slice() {
-                [] => {}
-                ["cores", rest @ ..] => {
-                    script.cores =
-                        number(rest.first().copied(), "number of cores").map_err(flaw)?;
-                }
-                words => script.lines.push(line(words).map_err(flaw)?),
-            }
+        for (index, line) in text.lines().enumerate() {
+            let read = script.read_line(line);
+            read.map_err(|error| ScriptError {
+                line: index + 1,
+                error,
+            })?;
         }
         Ok(script)
     }
 
-    /// What becomes of the `n`th call (from 1) at a time since the node's start, and after how long. A node whose
-    /// script says nothing of it honours it at once.
-    pub fn deed(&self, at: Duration, route: &str, n: u64, chance: &mut WyRand) -> (Deed, Duration) {
-        let applies = |line: &&Line, chance: &mut WyRand| {
-            (line.from..line.to).contains(&at)
-                && line.route.as_deref().is_none_or(|name| name == route)
-                && n.is_multiple_of(line.every)
-                && (line.share >= 1_000_000 || chance.generate_range(0..1_000_000u32) < line.share)
-        };
-        let Some(line) = self.lines.iter().rev().find(|line| applies(line, chance)) else {
-            return (Deed::Honour, Duration::ZERO);
-        };
-        let (least, most) = line.after;
-        let spread = most.saturating_sub(least);
-        if line.about {
-            let uniform = f64::from(chance.generate::<u32>()) / (f64::from(u32::MAX) + 1.0);
-            return (line.deed, least.mul_f64(-(1.0 - uniform).ln()));
+    fn read_line(&mut self, line: &str) -> Result<(), LineError> {
+        let without_comment = line.split('#').next().unwrap_or("");
+        let mut words = Words(without_comment.split_whitespace().peekable());
+        if words.take("cores") {
+            self.cores = parse_number(words.next(), "number of cores")?;
+        } else if words.0.peek().is_some() {
+            self.lines.push(words.line()?);
         }
-        (
-            line.deed,
-            least + spread.mul_f64(f64::from(chance.generate::<u32>()) / f64::from(u32::MAX)),
-        )
+        Ok(())
     }
 
-    /// Whether new connections are turned away then.
-    pub fn refuses(&self, at: Duration) -> bool {
-        let now = self.lines.iter().rev().find(|line| {
-            (line.from..line.to).contains(&at) && line.route.is_none() && line.share >= 1_000_000
-        });
-        now.is_some_and(|line| line.deed == Deed::Refuse)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: fn(u64) -> Duration = Duration::from_millis;
-
-    #[test]
-    fn the_last_line_that_applies_holds() {
-        let script = Script::read(
-            "cores 3\nhonour after 5ms..20ms # usual\nroute register reset\nfrom 3s to 5s silent\nevery 4 twice after 1ms\n\
-             from 9s refuse\nfrom 7s to 8s dismiss pause 300ms nowhere-else",
-        )
-        .unwrap();
-        let mut chance = WyRand::new_seed(1);
-        let mut deed = |ms: u64, route: &str, n: u64| script.deed(MS(ms), route, n, &mut chance).0;
-        assert_eq!(deed(0, "check", 1), Deed::Honour);
-        assert_eq!(deed(0, "register", 1), Deed::Reset);
-        assert_eq!(deed(3_000, "register", 1), Deed::Silent);
-        assert_eq!(deed(3_000, "check", 8), Deed::Twice);
-        assert_eq!(
-            deed(7_999, "check", 8),
-            Deed::Dismiss {
-                pause: MS(300),
-                nowhere_else: true
-            }
-        );
-        assert_eq!(
-            (
-                script.refuses(MS(8_999)),
-                script.refuses(MS(9_000)),
-                script.cores
-            ),
-            (false, true, 3)
-        );
-        let (_, after) = script.deed(MS(1), "check", 1, &mut chance);
-        assert!((MS(5)..=MS(20)).contains(&after), "{after:?}");
-    }
-
-    #[test]
-    fn a_share_is_a_share() {
-        let script = Script::read("share 10% fail").unwrap();
-        let mut chance = WyRand::new_seed(2);
-        let failed = (1..=10_000)
-            .filter(|n| script.deed(MS(0), "check", *n, &mut chance).0 == Deed::Fail)
-            .count();
-        assert!((900..1_100).contains(&failed), "{failed}");
-    }
-
-    #[test]
-    fn about_a_time_is_its_mean() {
-        let script = Script::read("honour after about 20ms").unwrap();
-        let mut chance = WyRand::new_seed(3);
-        let sum: Duration = (1..=4_000)
-            .map(|n| script.deed(MS(0), "check", n, &mut chance).1)
-            .sum();
-        assert!(
-            (MS(19)..MS(21)).contains(&(sum / 4_000)),
-            "{:?}",
-            sum / 4_000
-        );
+    /// What becomes of call number `call` (from 1) at a time since the server's start. Without a line that applies it is
+    /// served at once.
+    pub fn reaction(
+        &self,
+        at: Duration,
+        request_class: &str,
+        call: u64,
+        random: &mut WyRand,
+    ) -> Reaction {
+        let mut lines = self.lines.iter().rev();
+        match lines.find(|line| line.applies(at, request_class, call, random)) {
+            Some(line) => Reaction {
+                behaviour: line.behaviour,
+                after: line.delay.draw(random),
+            },
+            None => Reaction {
+                behaviour: Behaviour::Serve,
+                after: Duration::ZERO,
+            },
+        }
     }
 
-    #[test]
-    fn what_is_wrong_is_told_with_its_line() {
-        let table = [
-            ("honour\n\nfrom 2s", "line 3: it says nothing to do"),
-            ("honour after 5", "line 1: `5` is no time"),
-            ("share 130% fail", "line 1: a share lies between"),
-            ("share ten fail", "line 1: share, such as 10% is missing"),
-            ("every 0 fail", "line 1: every 0 calls"),
-            ("honour after 9ms..5ms", "line 1: the first time"),
-            ("silent now", "line 1: `now` is too much"),
-            ("cores many", "line 1: `many` is no number of cores"),
-            ("from 5s to 3s cut", "line 1: `from` lies before"),
-            ("dismiss pause", "line 1: a time is missing"),
-        ];
-        for (text, wanted) in table {
-            let found = Script::read(text).unwrap_err().to_string();
-            assert!(found.starts_with(wanted), "{text}: {found}");
-        }
+    /// Whether new connections are refused at this time.
+    pub fn refuses(&self, at: Duration) -> bool {
+        let holding = self.lines.iter().rev().find(|line| {
+            (line.from..line.to).contains(&at)
+                && line.request_class.is_none()
+                && line.applies_always()
+        });
+        holding.is_some_and(|line| line.behaviour == Behaviour::Refuse)
     }
 }
--- a/crates/test-servers/src/size.rs
+++ b/crates/test-servers/src/size.rs
@@ -1,8 +1,8 @@
-//! Configurations of a fleet at a size that is asked for: the operators' in two years, or a part of it.
+//! Configurations of a fleet of a given size: the operators' in two years, or a part of it.
 //!
 //! Their shape is that of a deployment of many services: each service has routes of its own, told apart by what its
 //! entities begin with; one route in [`OWN_TENANTS`] is for a few tenants alone; members stand in pools by zone.
-//! The same size gives the same text. Names are numbers, so that nothing hangs on them.
+//! The same size gives the same text. Names are numbers, so that nothing depends on them.
 
 use std::fmt::Write as _;
 
@@ -13,6 +13,11 @@
 /// Shares are written in steps of this part of a per cent, the language's smallest.
 const STEPS_OF_PERCENT: usize = 10_000;
 
+/// The request classes.
+const HEAD: &str =
+    "rain 1\n\ntype check {\n  repeat: rerunnable\n  goal: 3.1 s\n  outer-limit: 7.8 s\n}\n\n\
+     type register {\n  repeat: exclusive\n  goal: 2.3 s\n  outer-limit: 6.2 s\n  benefit: 3\n}\n\n";
+
 /// Where limits stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limited {
@@ -27,14 +32,19 @@
 /// How large a fleet is. Each count is at least 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
+    /// Services, each with routes of its own.
     pub services: usize,
+    /// Routes of all services together.
     pub routes: usize,
-    /// At most 990,000: a share has a smallest step.
+    /// Tenants; at most 990,000, as a share has a smallest step.
     pub tenants: usize,
+    /// Zones, among which the pools are spread.
     pub zones: usize,
+    /// Pools.
     pub pools: usize,
-    /// Of all pools together.
+    /// Members of all pools together.
     pub members: usize,
+    /// Where there are limits.
     pub limits: Limited,
 }
 
@@ -53,6 +63,7 @@
     }
 
     /// The same shape with a part of the routes, tenants, services, pools and members; zones stay.
+    #[must_use]
     pub fn part(self, fraction: f64) -> Self {
         let of = |count: usize| ((count as f64 * fraction).round() as usize).max(1);
         Self {
@@ -65,7 +76,7 @@
         }
     }
 
-    /// What tickets of a route name, so that this route is the one that takes them.
+    /// An entity whose requests this route takes.
     pub fn entity(&self, route: usize) -> String {
         format!("s{}/r{route}/1", route % self.services)
     }
@@ -82,12 +93,19 @@
         })
     }
 
-    /// The same with the members' addresses as told, by their numbers from 0.
+    /// As [`Size::rain`], with the members' addresses by their numbers from 0.
     pub fn rain_to(&self, address: impl Fn(usize) -> String) -> String {
-        let mut text = String::from(
-            "rain 1\n\ntype check {\n  repeat: rerunnable\n  goal: 3.1 s\n  outer-limit: 7.8 s\n}\n\n\
-             type register {\n  repeat: exclusive\n  goal: 2.3 s\n  outer-limit: 6.2 s\n  benefit: 3\n}\n\n",
-        );
+        let mut text = String::from(HEAD);
+        self.write_limits(&mut text);
+        self.write_tenants(&mut text);
+        self.write_pools(&mut text, address);
+        for route in 0..self.routes {
+            self.write_route(&mut text, route);
+        }
+        text
+    }
+
+    fn write_limits(&self, text: &mut String) {
         if self.limits != Limited::None {
             text.push_str("limits tenant {\n  rate: 300 tickets/s\n  burst: 150 tickets\n}\n\n");
         }
@@ -96,16 +114,25 @@
                 "limits route {\n  rate: 100 tickets/s\n  burst: 50 tickets\n  per: tenant\n}\n\n",
             );
         }
-        // Writing to a string cannot fail.
+    }
+
+    // Writing to a string cannot fail, here and below.
+    fn write_tenants(&self, text: &mut String) {
         let step = 99 * STEPS_OF_PERCENT / self.tenants;
+        let (percent, fraction) = (step / STEPS_OF_PERCENT, step % STEPS_OF_PERCENT);
         for tenant in 0..self.tenants {
-            let (whole, rest) = (step / STEPS_OF_PERCENT, step % STEPS_OF_PERCENT);
-            let _ = writeln!(text, "tenant t{tenant} {{\n  share: {whole}.{rest:04} %");
+            let _ = writeln!(
+                text,
+                "tenant t{tenant} {{\n  share: {percent}.{fraction:04} %"
+            );
             if self.limits != Limited::None {
                 text.push_str("  limits: tenant\n");
             }
             text.push_str("}\n");
         }
+    }
+
+    fn write_pools(&self, text: &mut String, address: impl Fn(usize) -> String) {
         for pool in 0..self.pools {
             let _ = writeln!(text, "pool p{pool} {{\n  zone: z{}", pool % self.zones);
             for member in (pool..self.members).step_by(self.pools) {
@@ -117,36 +144,41 @@
             }
             text.push_str("}\n");
         }
-        for route in 0..self.routes {
-            let _ = write!(
+    }
+
+    fn write_route(&self, text: &mut String, route: usize) {
+        let service = route % self.services;
+        let _ = write!(
+            text,
+            "route r{route} {{\n  match {{\n    entity: \"s{service}/r{route}/*\"\n"
+        );
+        if route.is_multiple_of(OWN_TENANTS) {
+            let names = self.tenants_of(route).join(", ");
+            let _ = writeln!(text, "    tenant: {names}");
+        }
+        let (first, second) = (route % self.pools, (route + 1) % self.pools);
+        if first == second {
+            let _ = writeln!(text, "  }}\n  to: p{first}");
+        } else {
+            let _ = writeln!(
                 text,
-                "route r{route} {{\n  match {{\n    entity: \"s{}/r{route}/*\"\n",
-                route % self.services
+                "  }}\n  to: p{first} 70 %, p{second} 30 %\n  split-by: entity"
             );
-            if route % OWN_TENANTS == 0 {
-                let first = route * TENANTS_OF_ROUTE;
-                let mut named: Vec<usize> = (first..first + TENANTS_OF_ROUTE)
-                    .map(|k| k % self.tenants)
-                    .collect();
-                named.sort_unstable();
-                named.dedup();
-                let names: Vec<String> = named.iter().map(|tenant| format!("t{tenant}")).collect();
-                let _ = writeln!(text, "    tenant: {}", names.join(", "));
-            }
-            let (first, second) = (route % self.pools, (route + 1) % self.pools);
-            if first == second {
-                let _ = writeln!(text, "  }}\n  to: p{first}");
-            } else {
-                let _ = writeln!(
-                    text,
-                    "  }}\n  to: p{first} 70 %, p{second} 30 %\n  split-by: entity"
-                );
-            }
-            if self.limits == Limited::PerTenantOnRoutes {
-                text.push_str("  limits: route\n");
-            }
-            text.push_str("}\n");
         }
-        text
+        if self.limits == Limited::PerTenantOnRoutes {
+            text.push_str("  limits: route\n");
+        }
+        text.push_str("}\n");
+    }
+
+    /// The tenants that a route of its own names.
+    fn tenants_of(&self, route: usize) -> Vec<String> {
+        let first = route * TENANTS_OF_ROUTE;
+        let mut tenants: Vec<usize> = (first..first + TENANTS_OF_ROUTE)
+            .map(|tenant| tenant % self.tenants)
+            .collect();
+        tenants.sort_unstable();
+        tenants.dedup();
+        tenants.iter().map(|tenant| format!("t{tenant}")).collect()
     }
 }
--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -5,7 +5,7 @@
 use super::{limits, settings, Effort, Named, Place, Row, Sizes};
 use crate::process::{free_port, program};
 use rainstand_protocol::thrift;
-use rainstand_test_servers::node::Make;
+use rainstand_test_servers::server::TestServerOptions;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::fs;
@@ -255,9 +255,9 @@
 /// Idle connections that each had a request, at a node and at a forwarder.
 fn idle(sizes: &Sizes, effort: &Effort, place: &Place, agent: SocketAddr) -> io::Result<Vec<Row>> {
     let mut rows = Vec::new();
-    let behind = Make {
+    let behind = TestServerOptions {
         forget_runs: true,
-        ..Make::default()
+        ..TestServerOptions::default()
     }
     .start();
     for role in ["node", "forwarder"] {
@@ -309,7 +309,7 @@
         }
         rows.push(row);
     }
-    behind.end();
+    behind.kill();
     Ok(rows)
 }
 
--- a/examples/forwarder/three_nodes.rs
+++ b/examples/forwarder/three_nodes.rs
@@ -14,9 +14,9 @@
 )]
 
 use rainstand_invariants::Kind;
-use rainstand_test_servers::caller::{Ask, Caller, Told};
-use rainstand_test_servers::node::Make;
+use rainstand_test_servers::caller::{Call, Caller, Reply};
 use rainstand_test_servers::script::Script;
+use rainstand_test_servers::server::TestServerOptions;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -33,12 +33,12 @@
     ];
     for (port, text) in (5071..).zip(scripts) {
         let script = Script::read(text).map_err(std::io::Error::other)?;
-        let at = Some(SocketAddr::from(([127, 0, 0, 1], port)));
-        Make {
+        let address = Some(SocketAddr::from(([127, 0, 0, 1], port)));
+        TestServerOptions {
             script,
-            at,
+            address,
             seed: u64::from(port),
-            ..Make::default()
+            ..TestServerOptions::default()
         }
         .start();
     }
@@ -63,17 +63,19 @@
             ("register", Kind::Exclusive)
         };
         caller
-            .ask(&Ask {
-                route,
+            .send(&Call {
+                request_class: route,
                 kind,
-                ..Ask::default()
+                ..Call::default()
             })
             .await?;
-        let words = match caller.next().await?.1 {
-            Told::Honoured(body) => format!("honoured: {}", String::from_utf8_lossy(&body)),
-            Told::Dismissed { pause, .. } => format!("dismissed, come back in {pause:?}"),
-            Told::GivenUp => "given up".into(),
-            Told::Exception(why) => why,
+        let words = match caller.next_reply().await?.1 {
+            Reply::Served(body) => format!("honoured: {}", String::from_utf8_lossy(&body)),
+            Reply::Rejected { retry_after, .. } => {
+                format!("dismissed, come back in {retry_after:?}")
+            }
+            Reply::Failed => "given up".into(),
+            Reply::Exception(why) => why,
         };
         println!("{n:>2} {route:<9} {words}");
     }
