--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -26,7 +26,7 @@
 pub(super) struct PendingRequest {
     shard: u16,
     command: Command,
-    /// When it times out, or, in the background, is given up.
+    /// When it times out, or, in the background, is abandoned.
     deadline: Duration,
     retry_at: Duration,
     /// Nobody waits for the outcome any more.
