--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,14 +1,13 @@
 //! Routing and limits together, while configurations change under running requests.
 //!
-//! A request that came in under a version finishes under it: its route, its times and the counts that it
-//! stands in, all of which it carries, so that of versions but the present one no more is kept than how many requests
-//! they have. Buckets of limits belong to no version: they are known by name ([`crate::token_buckets`]), made when first
-//! used, and a version that limits the same place for the same key goes on with what is there, under its own rule:
-//! what was let in stays let in. A version that has no more requests and is not the present one is dropped with
-//! whatever only it knew.
+//! A request that was admitted under a version finishes under it. It carries its route, its times and the buckets that
+//! count it, so that of an earlier version only its number of requests in flight is retained. Buckets of limits belong
+//! to no version: they are known by name ([`crate::token_buckets`]) and created on first use, and a version that limits
+//! the same scope by the same key continues with the bucket that exists, under its own rule. An earlier version without
+//! requests in flight is dropped.
 //!
-//! Invariants: versions stand in order of number, the last is the present one and always there; `open_requests`
-//! of a version is the number of its [`RouteDecision`]s out there; a bucket of a limit of the present version is under that
+//! Invariants: versions are in order of number, and the last is the current one; `open_requests` of a version is the
+//! number of its [`RouteDecision`]s that were not handed back; a bucket of a limit of the current version has that
 //! limit's rule.
 
 mod limits;
@@ -37,7 +36,7 @@
 const NO_BUCKET: u32 = u32::MAX;
 
 /// An admitted request's route. It must be handed back with [`Router::on_completed`] exactly once.
-#[must_use = "a way that is not given back keeps its version and its places for ever"]
+#[must_use = "a decision that is not handed back holds its version and its places for ever"]
 #[derive(Debug)]
 pub struct RouteDecision {
     /// The version under which it was admitted.
@@ -130,7 +129,7 @@
 /// Routing and limits of the current version. See the module's documentation.
 #[derive(Debug)]
 pub struct Router {
-    /// Of the present version.
+    /// Of the current version.
     table: Table,
     versions: VecDeque<OpenVersion>,
     buckets: Buckets,
@@ -149,7 +148,7 @@
 ];
 
 impl Router {
-    /// `seed`: for splits by chance.
+    /// `seed`: for random splits.
     ///
     /// # Errors
     /// As [`Table::new`].
@@ -157,7 +156,7 @@
         Self::of(configuration.clone(), seed)
     }
 
-    /// As above, without a copy of the configuration.
+    /// As [`Router::new`], without a copy of the configuration.
     ///
     /// # Errors
     /// As [`Table::of`].
@@ -180,7 +179,7 @@
     /// Installs a new version for requests from now on; returns its number.
     ///
     /// # Errors
-    /// The reason; the present version stays and nothing has changed.
+    /// The reason; the current version stays and nothing has changed.
     pub fn install(
         &mut self,
         configuration: &Configuration,
@@ -189,7 +188,7 @@
         self.install_owned(configuration.clone(), now)
     }
 
-    /// As above, without a copy of the configuration.
+    /// As [`Router::install`], without a copy of the configuration.
     ///
     /// # Errors
     /// As [`Router::install`].
@@ -219,7 +218,7 @@
     /// Installs an update of the current version as a new one, at the cost of what it changes ([`crate::table_update`]).
     ///
     /// # Errors
-    /// The reason; the present version stays and nothing has changed.
+    /// The reason; the current version stays and nothing has changed.
     pub fn apply(
         &mut self,
         changes: &[TableChange],
@@ -274,12 +273,12 @@
         self.buckets.sweep(now);
     }
 
-    /// Fewer buckets than [`crate::token_buckets::MAX_BUCKETS`]; those that are in use stay.
-    pub fn bound_buckets(&mut self, most: usize) {
-        self.buckets.set_max(most);
+    /// Sets a lower bound of buckets than [`crate::token_buckets::MAX_BUCKETS`]; those that are in use stay.
+    pub fn bound_buckets(&mut self, max: usize) {
+        self.buckets.set_max(max);
     }
 
-    /// The present version's table: indices of requests are those of it.
+    /// The current version's table, whose indices requests have.
     pub fn table(&self) -> &Table {
         &self.table
     }
@@ -309,7 +308,7 @@
         }
     }
 
-    /// Decides about a request: its route, or when to come back. A pool whose own limits are exceeded is passed over as
+    /// Decides about a request: its route, or when to come back. A pool whose own limits are exceeded is skipped as
     /// if it were unusable. A rejected request takes nothing from any limit.
     ///
     /// `usable`: whether a pool, by its index in the current table, can take requests.
@@ -364,8 +363,8 @@
             counts,
             ..
         } = self;
-        // The earliest time at which a pool that was passed over for its limits has capacity.
-        let passed_over: Cell<Option<Duration>> = Cell::new(None);
+        // The earliest time at which a pool that was skipped for its limits has capacity.
+        let skipped_until: Cell<Option<Duration>> = Cell::new(None);
         let has_capacity = |pool: u16| {
             if !usable(pool) {
                 return false;
@@ -374,15 +373,17 @@
             let checked = check_limit(table, buckets, scope, usize::from(pool), request, pool, now);
             let Err(exceeded) = checked else { return true };
             let after = retry_after_exceeded(exceeded, now);
-            let earliest = passed_over.get().map_or(after, |before| before.min(after));
-            passed_over.set(Some(earliest));
+            let earliest = skipped_until
+                .get()
+                .map_or(after, |before| before.min(after));
+            skipped_until.set(Some(earliest));
             false
         };
         let error = match table.place(request, chance, has_capacity) {
             Ok(placement) => return Ok(placement),
             Err(error) => error,
         };
-        let (reason, after, route) = match (error, passed_over.get()) {
+        let (reason, after, route) = match (error, skipped_until.get()) {
             (RoutingError::NoRoute, _) => {
                 counts.no_route += 1;
                 (RejectReason::NoRoute, retry_after::NO_ROUTE, None)
@@ -440,7 +441,7 @@
         Err(self.rejected(placement, RejectReason::Limit(scope), after))
     }
 
-    /// Takes the request into the buckets of its limits. New buckets are made for all of them or for none.
+    /// Counts the request in the buckets of its limits. New buckets are created for all of them or for none.
     fn acquire_buckets(
         &mut self,
         now: Duration,
@@ -448,7 +449,7 @@
         limits: AppliedLimits,
     ) -> Result<[u32; LIMIT_SCOPES], Rejected> {
         let keys = || limits.iter().flatten().map(|limit| limit.key);
-        if !self.buckets.make_room(keys, now) {
+        if !self.buckets.ensure_capacity(keys, now) {
             self.counts.no_bucket += 1;
             return Err(self.rejected(placement, RejectReason::NoBucket, retry_after::NO_BUCKET));
         }
@@ -484,7 +485,7 @@
         }
         self.counts.completed += 1;
         let Some(at) = self.find(version) else {
-            debug_assert!(false, "a way without its version");
+            debug_assert!(false, "a decision without its version");
             return;
         };
         self.versions[at].open_requests -= 1;
--- a/crates/routing/src/router/limits.rs
+++ b/crates/routing/src/router/limits.rs
@@ -62,7 +62,7 @@
     Ok(Some(limit))
 }
 
-/// Rules by [`Key::place`], which the buckets of a limit have in common.
+/// Rules by [`Key::limit`], which the buckets of a limit have in common.
 #[derive(Default)]
 pub(super) struct ScopeRules(pub(super) HashMap<u64, LimitRule>);
 
@@ -70,7 +70,7 @@
     fn add(&mut self, table: &Table, at: LimitScope, name: &str, limits: Option<u16>) {
         if let Some(limits) = limits {
             let (rule, per) = table.limits[usize::from(limits)];
-            self.0.insert(Key::new(at, name, per, None).place, rule);
+            self.0.insert(Key::new(at, name, per, None).limit, rule);
         }
     }
 
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,9 +1,9 @@
-//! Which members of a large pool a forwarder knows, without any talk among forwarders.
+//! Which members of a large pool a forwarder uses (subsetting), without communication among forwarders.
 //!
-//! In rounds: the members are put in an order by chance that is the same for a whole round of forwarders, and each
-//! forwarder of the round takes its own stretch. Over whole rounds every member is known to the same number of
-//! forwarders. By score: each forwarder takes the members that score highest for its name; a member that comes or goes
-//! changes little, but some members are known to few forwarders, which shows as uneven load.
+//! In rounds: the members are shuffled in the same way for all forwarders of a round, and each of these takes its own
+//! slice. Over complete rounds every member is used by the same number of forwarders. By score: each forwarder takes the
+//! members that score highest for its name; a member that is added or removed changes little, but some members are used
+//! by few forwarders, which makes the load uneven.
 //!
 //! Invariant: a subset holds `know` different members, or all if there are no more.
 
@@ -11,8 +11,8 @@
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{Configuration, Pool};
 
-/// Leaves each pool that says how many members a forwarder knows with those of forwarder number `me`, in rounds: all that
-/// is decided and shown later is about them. Pools differ in their order, so that a forwarder's luck does not repeat.
+/// Reduces each pool with a configured subset size to the members of forwarder number `me`, in rounds: decisions and
+/// reports are about them alone. Pools are shuffled differently, so that an uneven subset does not repeat.
 ///
 /// ```
 /// use rainstand_config::{load, source::Memory};
@@ -34,7 +34,7 @@
         .for_each(|pool| reduce_pool(pool, me));
 }
 
-/// The same for one pool with all its members, as a change names it.
+/// As [`reduce`], for one pool with all its members, as an update of the table has it.
 pub fn reduce_pool(pool: &mut Pool, me: usize) {
     let know = usize::try_from(pool.know).unwrap_or(usize::MAX);
     let mine = in_rounds(pool.members.len(), know, me, name_hash(&pool.name));
@@ -47,11 +47,11 @@
     pool.members = known.map(|(_, member)| member).collect();
 }
 
-/// The members that forwarder number `me` knows, in rounds, in order of their places.
+/// The indices of the members that forwarder number `me` uses, in rounds, in ascending order.
 ///
 /// ```
 /// use rainstand_routing::subset::in_rounds;
-/// // Ten members, two each: five forwarders are a round, and together know each member once.
+/// // Ten members, two each: five forwarders are a round, and together use each member once.
 /// let mut all: Vec<usize> = (0..5).flat_map(|me| in_rounds(10, 2, me, 7)).collect();
 /// all.sort();
 /// assert_eq!(all, (0..10).collect::<Vec<_>>());
@@ -74,7 +74,7 @@
     mine
 }
 
-/// The members that score highest for a forwarder's name, in order of their places. `marks`: of the members
+/// The indices of the members that score highest for a forwarder's name, in ascending order. `marks`: of the members
 /// ([`crate::weighted_split::name_hash`]).
 pub fn by_score(marks: &[u64], know: usize, me: &str) -> Vec<usize> {
     if know == 0 || know >= marks.len() {
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -5,13 +5,13 @@
 //! is idle: no request is in flight and its full burst is available. It then equals a new one to the nanosecond, so
 //! freeing it lets nobody gain a burst.
 //!
-//! Idle ones are found by a hand that goes round, as a clock's: each new bucket moves it on by `SLOTS_PER_NEW_BUCKET`, so of all
-//! there are at most half are idle ones that were left lying while others came; and each look at the time by an
-//! `TICKS_PER_SWEEP`th of all. At the bound a request that needs one more looks at `MAX_SLOTS_SEARCHED` of them, then it is turned
-//! away with a reason of its own, to come back when the looks have been around.
+//! Idle buckets are found by a sweep over the slots. Each new bucket advances it by `SLOTS_PER_NEW_BUCKET`, so at most
+//! half of all buckets are idle ones that the sweep has not met; each tick advances it by one part in
+//! `TICKS_PER_SWEEP` of all slots. At the bound, a request that needs one more bucket searches `MAX_SLOTS_SEARCHED`
+//! slots and is then rejected with a reason of its own, to come back when the sweep has visited all.
 //!
-//! Invariants: `index` names each slot that is in use by its key, `free` each that is not; a slot with somebody
-//! inside stays where it is, so that a request can hold it by its place.
+//! Invariants: `index` has each slot in use by its key, `free` each other slot; a slot with a request in flight keeps
+//! its index, by which the request holds it.
 
 use crate::rate_limit::{Bucket, LimitExceeded, LimitRule, LimitScope};
 use crate::weighted_split::name_hash;
@@ -19,35 +19,35 @@
 use rainstand_config::schema::Per;
 use std::time::Duration;
 
-/// Buckets in use at once, some 128 bytes each with their place in the index.
+/// Buckets in use at once, some 128 bytes each with their entry in the index.
 pub const MAX_BUCKETS: usize = 1 << 20;
-/// Room that is there from the start: with fewer in use nothing on a request's way allocates.
+/// Slots that are allocated from the start: with fewer in use nothing on the path of a request allocates.
 const INITIAL_CAPACITY: usize = 512;
-/// Slots that the hand looks at for each new bucket: more than one, or it never gets ahead.
+/// Slots that the sweep visits for each new bucket: more than one, or it would never gain on new ones.
 const SLOTS_PER_NEW_BUCKET: usize = 2;
-/// Slots looked at for a request that is turned away else: some microseconds.
+/// Slots searched for a request that would be rejected: some microseconds.
 const MAX_SLOTS_SEARCHED: usize = 64;
-/// So many looks go round all slots. There are ten a second, and who was turned away comes back in one.
+/// Ticks in which the sweep visits all slots. There are ten a second; a rejected caller comes back after one second.
 const TICKS_PER_SWEEP: usize = 8;
 
-/// What a bucket is known by over versions, as hashes of names: 64 bits each, so that of 23,000 keys at a place two
-/// are taken for one with a chance of one in 70 thousand million.
+/// Identity of a bucket across versions, as hashes of names: with 64 bits, two of 23,000 keys of one limit collide
+/// with a probability of one in 70 thousand million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Key {
-    /// The kind and name of the place where the limit stands, and what it is kept by.
-    pub(crate) place: u64,
-    /// The name of that; 0 where it is not kept by anything, or by a tenant that nobody knows.
-    of: u64,
+    /// The limit: kind and name of its scope, and the kind of its key.
+    pub(crate) limit: u64,
+    /// The name that it is keyed by; 0 where there is none, or for all unknown tenants.
+    keyed_by: u64,
 }
 
 impl Key {
-    /// `of`: the name of what the limit is kept by.
-    pub(crate) fn new(at: LimitScope, name: &str, per: Per, of: Option<&str>) -> Self {
+    /// The bucket of the limit at a scope and name; `keyed_by`: the name of the request's key, where the limit has one.
+    pub(crate) fn new(scope: LimitScope, name: &str, per: Per, keyed_by: Option<&str>) -> Self {
         // Not as the hash's seed: with names of three letters another seed came to the hash of another name.
-        let kind = ((at as u64) << 8 | per as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let kind = ((scope as u64) << 8 | per as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         Self {
-            place: name_hash(name) ^ kind,
-            of: of.map_or(0, name_hash),
+            limit: name_hash(name) ^ kind,
+            keyed_by: keyed_by.map_or(0, name_hash),
         }
     }
 }
@@ -66,8 +66,9 @@
     index: HashMap<Key, u32>,
     slots: Vec<Slot>,
     free: Vec<u32>,
-    hand: usize,
-    most: usize,
+    /// The slot that the sweep visited last.
+    sweep_position: usize,
+    max: usize,
 }
 
 impl Default for Buckets {
@@ -76,16 +77,16 @@
             index: HashMap::with_capacity(2 * INITIAL_CAPACITY),
             slots: Vec::with_capacity(INITIAL_CAPACITY),
             free: Vec::with_capacity(INITIAL_CAPACITY),
-            hand: 0,
-            most: MAX_BUCKETS,
+            sweep_position: 0,
+            max: MAX_BUCKETS,
         }
     }
 }
 
 impl Buckets {
     /// Sets the number of buckets; at most [`MAX_BUCKETS`].
-    pub(crate) fn set_max(&mut self, most: usize) {
-        self.most = most.min(MAX_BUCKETS);
+    pub(crate) fn set_max(&mut self, max: usize) {
+        self.max = max.min(MAX_BUCKETS);
     }
 
     /// Buckets in use.
@@ -98,7 +99,7 @@
         self.slots.len()
     }
 
-    /// Whether a request may come in now; nothing changes. A bucket that is not there is whole.
+    /// Whether a request would be admitted now; nothing changes. A bucket that does not exist is full.
     ///
     /// # Errors
     /// As [`Bucket::check`].
@@ -114,30 +115,30 @@
         }
     }
 
-    /// Whether there is room for all of these, after idle ones have been looked for where some are new.
-    pub(crate) fn make_room<K: Iterator<Item = Key>>(
+    /// Whether there is capacity for all of these, after idle buckets were reclaimed where some are new.
+    pub(crate) fn ensure_capacity<K: Iterator<Item = Key>>(
         &mut self,
         keys: impl Fn() -> K,
         now: Duration,
     ) -> bool {
         let new = |all: &Self| keys().filter(|key| !all.index.contains_key(key)).count();
-        let mut looked = SLOTS_PER_NEW_BUCKET * new(self);
-        if looked == 0 {
+        let mut searched = SLOTS_PER_NEW_BUCKET * new(self);
+        if searched == 0 {
             return true;
         }
-        self.reclaim_idle(looked, now);
-        // Counted anew each time: the hand may have given back one of them.
-        while self.in_use() + new(self) > self.most {
-            if looked >= MAX_SLOTS_SEARCHED {
+        self.reclaim_idle(searched, now);
+        // Counted again each time: one of them may have been reclaimed.
+        while self.in_use() + new(self) > self.max {
+            if searched >= MAX_SLOTS_SEARCHED {
                 return false;
             }
             self.reclaim_idle(SLOTS_PER_NEW_BUCKET, now);
-            looked += SLOTS_PER_NEW_BUCKET;
+            searched += SLOTS_PER_NEW_BUCKET;
         }
         true
     }
 
-    /// Lets a request in; the caller looked before, and made room. The slot that it holds until it leaves.
+    /// Admits a request, after [`Buckets::check`] and [`Buckets::ensure_capacity`]; the slot that it holds until its end.
     pub(crate) fn acquire(&mut self, key: Key, rule: &LimitRule, now: Duration) -> u32 {
         let Self {
             index, slots, free, ..
@@ -165,11 +166,11 @@
         self.slots[slot as usize].bucket.release();
     }
 
-    /// A version's rules, by `Key::place`: what is there goes on under them. A bucket of a place that they do not
-    /// name keeps its own until it is idle.
+    /// Applies a version's rules, by `Key::limit`, to existing buckets. A bucket of a limit that they do not name keeps
+    /// its rule until it is idle.
     pub(crate) fn set_rules(&mut self, rules: &HashMap<u64, LimitRule>, now: Duration) {
         for slot in self.slots.iter_mut().filter(|slot| slot.used) {
-            if let Some(rule) = rules.get(&slot.key.place) {
+            if let Some(rule) = rules.get(&slot.key.limit) {
                 slot.bucket.set_rules(&slot.rule, rule, now);
                 slot.rule = *rule;
             }
@@ -181,25 +182,22 @@
         self.reclaim_idle(self.slots.len().div_ceil(TICKS_PER_SWEEP), now);
         if self.in_use() == 0 && self.slots.len() > INITIAL_CAPACITY {
             *self = Self {
-                most: self.most,
+                max: self.max,
                 ..Self::default()
             };
         }
     }
 
-    /// Looks at the next slots, and gives back those that are idle.
-    fn reclaim_idle(&mut self, looked: usize, now: Duration) {
-        for _ in 0..looked.min(self.slots.len()) {
-            self.hand = if self.hand + 1 < self.slots.len() {
-                self.hand + 1
-            } else {
-                0
-            };
-            let slot = &mut self.slots[self.hand];
+    /// Visits the next `count` slots, and frees those whose buckets are idle.
+    fn reclaim_idle(&mut self, count: usize, now: Duration) {
+        for _ in 0..count.min(self.slots.len()) {
+            let next = self.sweep_position + 1;
+            self.sweep_position = if next < self.slots.len() { next } else { 0 };
+            let slot = &mut self.slots[self.sweep_position];
             if slot.used && slot.bucket.is_idle(&slot.rule, now) {
                 slot.used = false;
                 self.index.remove(&slot.key);
-                self.free.push(self.hand as u32);
+                self.free.push(self.sweep_position as u32);
             }
         }
     }
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -1,21 +1,21 @@
-//! What one forwarder may send to a member that warms up, or may: its part of what all of them may send.
+//! What one forwarder may send to a member that warms up, or may be cold: its part of what all forwarders may send.
 //!
-//! A member that just started falls under the sum of what all forwarders send it, and none of them knows the others.
-//! So each has its part of the budget, the member's rate for its age over the number of senders, and of that
-//! nothing is saved: a turn comes up each time the sum of the part passes a whole number, and is lost if it was
-//! not used soon. Where the first turn lies is chance, so thirty senders with a third of a turn each make ten, not
-//! thirty; and a pause of all does not end in a turn of each.
+//! A member that just started would be overloaded by the sum of what all forwarders send it, and none of them knows the
+//! others. So each has its part of the budget, the member's rate at its age over the number of senders, and nothing of
+//! it is saved up: a turn comes up each time the integral of the part passes a whole number, and expires if it is not
+//! used soon. The phase of the first turn is random, so thirty senders with a third of a turn each send ten requests,
+//! not thirty; and a pause of all does not end with one request of each.
 //!
-//! Only who has been in touch with a member without a gap knows that it is the same one as before. A process that just
-//! started, or that let its last connection go, knows nothing of it: it may be cold, and so it gets the part of one
-//! that has just started, for as long as it takes to know better.
+//! Only a process that has been connected to a member without a gap knows that it is the same one as before. One that
+//! just started, or closed its last connection, knows nothing of it: the member may be cold, and gets the part of one
+//! that has just started, until it has been connected for its warm-up time.
 //!
-//! Invariant: between two times the turns of all senders are in the mean what the ramp allows between them,
-//! whoever joins, leaves, hears late or forgets; a turn is used once.
+//! Invariant: between two times the turns of all senders are in the mean what the warm-up allows between them, whichever
+//! senders join, leave, learn late or restart; a turn is used once.
 
 use std::time::Duration;
 
-/// A member that just started gets this part of a warm one's calls: never nothing, or it would not warm at all.
+/// A member that just started gets this part of a warm one's requests: never none, or it would not warm up at all.
 pub const INITIAL_SHARE: f64 = 0.05;
 /// Senders that are assumed where the configuration names no number: more than most fleets have, so that it errs
 /// toward warming slowly.
@@ -70,11 +70,11 @@
     }
 }
 
-/// See the module's head.
+/// The turns of one forwarder at one member. See the module's documentation.
 #[derive(Clone, Debug)]
 pub struct WarmUpLimiter {
     rule: WarmUpRule,
-    /// In touch without a gap since then.
+    /// Connected without a gap since then.
     since: Option<Duration>,
     /// The sum is `level` at `from`, when something was last learned.
     from: Duration,
@@ -84,7 +84,7 @@
 }
 
 impl WarmUpLimiter {
-    /// Nothing is known of the member. `phase`: by chance, from 0 up to 1.
+    /// Nothing is known of the member. `phase`: random, from 0 up to 1.
     pub fn new(rule: WarmUpRule, phase: f64, now: Duration) -> Self {
         Self {
             rule,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// No connection is left: who answers there next may have just started.
+    /// No connection is left: what answers there next may have just started.
     pub fn on_disconnected(&mut self, now: Duration) {
         if self.since.is_some() {
             self.turn(now);
