--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -1,67 +1,77 @@
-//! How an [`AdmissionController`] is put together from its parts.
+//! How an [`AdmissionController`] is assembled from its components, and takes new settings while it runs.
 
+use super::fleet_load::FleetLoad;
 use super::health::HealthMonitor;
+use super::idle_connections::IdleConnections;
 use super::scheduling::ClassQueue;
+use super::stalls::StallClock;
 use super::{
     AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
 };
 use crate::host::RequestClass;
 use crate::in_flight::InFlightRequests;
-use crate::options::DownstreamShare;
 use std::collections::VecDeque;
-use std::time::Duration;
 
-/// The parts of an [`AdmissionController`], each made from its own few settings.
-pub struct Parts {
+/// The components of an [`AdmissionController`] that are made from settings of their own.
+pub struct Components {
     /// What each tenant may spend and has spent.
     pub quotas: TenantQuotas,
     /// How many requests may run at once.
-    pub limit: ConcurrencyLimiter,
+    pub limiter: ConcurrencyLimiter,
     /// Requests in flight with their timers and memory.
-    pub in_flight: InFlightRequests<AdmissionController>,
+    pub in_flight: InFlightRequests,
     /// The rate of downstream calls.
     pub downstream: DownstreamLimiter,
     /// What callers learn of the node's load.
     pub advertiser: LoadAdvertiser,
 }
 
-impl DownstreamLimiter {
-    /// Of the first node on its machine: nothing that this one does not know of is held downstream, so it has its whole
-    /// share at once. `share` as in [`DownstreamLimiter::new`].
-    pub fn without_predecessor(share: Option<DownstreamShare>) -> Self {
-        Self {
-            head_start: 1.0,
-            ..Self::new(share)
-        }
-    }
-}
-
 impl AdmissionController {
     /// A controller that has not begun. `by_work`: value is counted for each unit of work, not for each
     /// request.
-    pub fn new(classes: Vec<RequestClass>, by_work: bool, parts: Parts) -> Self {
-        let by_account = vec![VecDeque::new(); parts.quotas.spent.len()];
-        let queues = vec![
-            ClassQueue {
-                by_account,
-                ..ClassQueue::default()
-            };
-            classes.len()
-        ];
+    pub fn new(classes: Vec<RequestClass>, by_work: bool, components: Components) -> Self {
+        let Components {
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+        } = components;
+        let queues = vec![ClassQueue::new(quotas.accounts()); classes.len()];
+        let idle_connections = IdleConnections::new(advertiser.options.clients);
         Self {
             classes,
             by_work,
-            quotas: parts.quotas,
-            limiter: parts.limit,
-            in_flight: parts.in_flight,
-            downstream: parts.downstream,
-            advertiser: parts.advertiser,
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+            idle_connections,
+            fleet_load: FleetLoad::default(),
             health: HealthMonitor::default(),
+            stalls: StallClock::new(),
+            shutdown: None,
             queues,
             awaiting_call: VecDeque::new(),
             cores_busy: false,
-            stalled: Duration::ZERO,
-            next_tick: Duration::MAX,
         }
     }
+
+    /// New settings under load, from a controller made of them; requests in flight and all that was learned
+    /// stay. Other counts of classes or tenants, which the reader of settings refuses, change neither.
+    pub fn reconfigure(&mut self, new: AdmissionController) {
+        let same_classes = new.classes.len() == self.classes.len();
+        if same_classes && new.quotas.tenants() == self.quotas.tenants() {
+            self.classes = new.classes;
+            self.by_work = new.by_work;
+            self.quotas.set_rates(new.quotas);
+        }
+        self.limiter.set_overload_factor(&new.limiter);
+        let (calling, time_limits) = (self.in_flight.calling(), self.in_flight.reserved());
+        self.downstream
+            .set_share(&new.downstream, calling, time_limits);
+        self.advertiser.options = new.advertiser.options;
+        self.idle_connections.cap(new.advertiser.options.clients);
+    }
 }
