--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -68,7 +68,7 @@
             self.quotas.set_rates(new.quotas);
         }
         self.limiter.set_overload_factor(&new.limiter);
-        let (calling, time_limits) = (self.in_flight.calling(), self.in_flight.reserved());
+        let (calling, time_limits) = (self.in_flight.calling(), self.in_flight.call_time_limits());
         self.downstream
             .set_share(&new.downstream, calling, time_limits);
         self.advertiser.options = new.advertiser.options;
--- a/src/choice/completion.rs
+++ b/src/choice/completion.rs
@@ -17,7 +17,7 @@
 
     /// Nobody waits for the request any more: frees what can be freed now, the rest when its run ends.
     pub(super) fn abandon(&mut self, host: &mut dyn Host, index: usize) {
-        self.in_flight.set_timer(index, None);
+        self.in_flight.clear_timer(index);
         let Some(request) = self.in_flight.get(index) else {
             return;
         };
--- a/src/choice/downstream_calls.rs
+++ b/src/choice/downstream_calls.rs
@@ -106,7 +106,7 @@
             start_by = start_by.min(request.call_requested + wait);
         }
         self.in_flight.set_stage(index, Stage::AwaitingCall);
-        self.in_flight.set_timer(index, Some(start_by));
+        self.in_flight.set_timer(index, start_by);
         self.awaiting_call.push_back(index);
     }
 
--- a/src/choice/load_shedding.rs
+++ b/src/choice/load_shedding.rs
@@ -36,7 +36,7 @@
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or_default();
         loop {
-            let out_of_memory = self.in_flight.memory_with(now, None) > SAFETY_SHARE;
+            let out_of_memory = self.in_flight.memory_share(now) > SAFETY_SHARE;
             let overloaded = is_overloaded(self.cores_busy, self.queue_wait(), shortest_objective);
             if !out_of_memory && !overloaded {
                 return;
--- a/src/choice/scheduling.rs
+++ b/src/choice/scheduling.rs
@@ -157,7 +157,7 @@
     ) {
         let request = self.in_flight.expect(index);
         self.queues[request.class_index].push(request.account, index);
-        self.in_flight.set_timer(index, Some(start_by));
+        self.in_flight.set_timer(index, start_by);
         self.shed_load(now, host);
         self.dispatch(now, host);
     }
@@ -176,7 +176,7 @@
             let Some(&index) = self.queues[next.class].by_account[next.account].front() else {
                 return;
             };
-            if self.in_flight.memory_with(now, Some(index)) > SAFETY_SHARE {
+            if self.in_flight.memory_share_with_run(now, index) > SAFETY_SHARE {
                 return;
             }
             for queue in &mut self.queues {
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -224,7 +224,7 @@
 
     /// Removes a request with its timer and memory; a cached result stays until its time.
     pub fn remove(&mut self, index: usize) -> Option<Request> {
-        self.set_timer(index, None);
+        self.clear_timer(index);
         let request = self.requests.get_mut(index)?.take()?;
         self.counts[request.stage as usize] -= 1;
         self.used_kb -= request.held_kb
@@ -236,28 +236,32 @@
         Some(request)
     }
 
-    /// Sets the timer of a request, in place of the one before; `None` clears it.
-    pub fn set_timer(&mut self, index: usize, at: Option<Duration>) {
-        let Some(request) = self.get(index) else {
-            return;
-        };
-        let before = std::mem::replace(&mut request.timer, at);
-        if let Some(before) = before {
-            self.timers.remove(&(before, index));
-        }
-        if let Some(at) = at {
+    /// Sets the timer of a request, in place of the one before.
+    pub fn set_timer(&mut self, index: usize, at: Duration) {
+        self.clear_timer(index);
+        if let Some(request) = self.get(index) {
+            request.timer = Some(at);
             self.timers.insert((at, index));
         }
     }
 
+    /// Clears the timer of a request, if it has one.
+    pub fn clear_timer(&mut self, index: usize) {
+        let timer = self.get(index).and_then(|request| request.timer.take());
+        if let Some(at) = timer {
+            self.timers.remove(&(at, index));
+        }
+    }
+
     /// Sets the timer of a request to its deadline.
     pub fn set_timer_to_deadline(&mut self, index: usize) {
-        let deadline = self.get(index).map(|request| request.deadline);
-        self.set_timer(index, deadline);
+        if let Some(deadline) = self.get(index).map(|request| request.deadline) {
+            self.set_timer(index, deadline);
+        }
     }
 
     /// The longest that all calls in progress may occupy the downstream tier together, linger not counted.
-    pub fn reserved(&self) -> Duration {
+    pub fn call_time_limits(&self) -> Duration {
         let calling = self
             .requests
             .iter()
@@ -274,7 +278,7 @@
             };
             request.deadline = request.deadline.min(latest);
             if request.timer.is_none_or(|at| at > latest) {
-                self.set_timer(index, Some(latest));
+                self.set_timer(index, latest);
             }
         }
     }
@@ -282,7 +286,7 @@
     /// The next request whose timer has expired; the timer is cleared.
     pub fn next_expired(&mut self, now: Duration) -> Option<usize> {
         let index = self.timers.first().filter(|timer| timer.0 <= now)?.1;
-        self.set_timer(index, None);
+        self.clear_timer(index);
         Some(index)
     }
 
@@ -304,16 +308,25 @@
         cached_until.is_some_and(|until| self.cached.remove(&(until, index)) && until > now)
     }
 
-    /// Share of the memory in use, were request `running` to run too.
+    /// Share of the memory in use.
+    pub fn memory_share(&mut self, now: Duration) -> f64 {
+        self.memory_share_with(now, 0.0)
+    }
+
+    /// Share of the memory in use, were the run of request `index` to begin too.
     ///
     /// # Panics
     /// If that request is not in flight.
-    pub fn memory_with(&mut self, now: Duration, running: Option<usize>) -> f64 {
+    pub fn memory_share_with_run(&mut self, now: Duration, index: usize) -> f64 {
+        let more_kb = self.expect(index).held_kb * (self.run_factor - 1.0);
+        self.memory_share_with(now, more_kb)
+    }
+
+    fn memory_share_with(&mut self, now: Duration, more_kb: f64) -> f64 {
         while self.cached.first().is_some_and(|entry| entry.0 < now) {
             self.cached.pop_first();
         }
-        let more =
-            running.map_or(0.0, |index| self.expect(index).held_kb) * (self.run_factor - 1.0);
-        (self.used_kb + more + self.cached.len() as f64 * self.entry_kb) / self.memory_kb
+        let cached_kb = self.cached.len() as f64 * self.entry_kb;
+        (self.used_kb + more_kb + cached_kb) / self.memory_kb
     }
 }
