--- a/crates/node/src/ticker.rs
+++ b/crates/node/src/ticker.rs
@@ -52,7 +52,7 @@
     let machine = Machine {
         began: now.saturating_sub(ago),
         is_cold,
-        had_node: ago > FIRST_START_MAX_AGE,
+        had_predecessor: ago > FIRST_START_MAX_AGE,
     };
     let start = config.start(machine).map_err(|_| "settings")?;
     drop(reloaded);
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -69,7 +69,7 @@
     /// It was cold then, whatever the settings say.
     pub is_cold: bool,
     /// An earlier process of this node may have worked on it.
-    pub had_node: bool,
+    pub had_predecessor: bool,
 }
 
 /// Request classes or tenants, with their indices by name.
@@ -114,7 +114,7 @@
             clients,
         };
         // A machine that comes up cold does so in the place of one that worked until then.
-        let downstream = if machine.had_node || cold_start.is_some() {
+        let downstream = if machine.had_predecessor || cold_start.is_some() {
             DownstreamLimiter::new(share)
         } else {
             DownstreamLimiter::without_predecessor(share)
