--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Two cores, two tenants of one ticket a second over two servers, types by `Repeats`.
+/// Two cores, two tenants of one request a second over two servers, types by `Repeats`.
 pub struct Rig {
     pub node: AdmissionController,
     pub orders: Orders,
@@ -80,7 +80,7 @@
     pub share: Option<DownstreamShare>,
     pub marked: bool,
     pub callers: usize,
-    /// A second traffic type, of three times the benefit, that is nothing without its call.
+    /// A second request class, of three times the value, that is nothing without its call.
     pub dear: bool,
 }
 
@@ -202,7 +202,7 @@
         self.at_call(ix);
     }
 
-    /// A ticket that comes, runs for so long and ends well.
+    /// A request that comes, runs for so long and ends well.
     pub fn serve(&mut self, a: Arrival, span: u64) {
         self.arrive(0, a);
         self.pass(ms(span));
@@ -218,7 +218,7 @@
             .on_call_finished(self.now, &mut self.orders, ix, outcome);
     }
 
-    /// Time passes in beats of 20 ms, each with the gauge.
+    /// Time passes in ticks of 20 ms, each with the gauge.
     pub fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -1,4 +1,4 @@
-//! The design: what a run is charged, who is dismissed and told what, how many run.
+//! The design: what a run is charged, who is rejected with which retry-after, how many run.
 
 #![allow(
     missing_docs,
@@ -34,7 +34,7 @@
 
 #[test]
 fn only_a_tenant_over_its_quota_is_rejected_and_only_under_overload() {
-    // (what was spent by tenant, busy, waited unread, tenant, dismissed)
+    // (what was spent by tenant, busy, waited unread, tenant, rejected)
     let cases: [Case; 5] = [
         (&[(0, 900), (1, 100)], true, 400, 0, true),
         (&[(0, 900), (1, 100)], true, 400, 1, false),
@@ -66,7 +66,7 @@
 
 #[test]
 fn one_charge_beyond_a_small_quota_is_tolerated() {
-    // (runs in a row by a tenant whose slice holds two, dismissed)
+    // (runs in a row by a tenant whose slice holds two, rejected)
     for (runs, dismissed) in [(3, false), (6, true)] {
         let mut rig = Rig::new(Settings::default()).at(0.0);
         for turn in 0..12 + runs {
@@ -267,7 +267,7 @@
 /// itajai-exchange, archiv-lehota-later: half of a run waits on disk, and cores stood free behind a full limit.
 #[test]
 fn disk_waits_raise_the_limit_but_a_single_lagging_gauge_does_not() {
-    // (how many of ten beats show one of two runs off the cores, runs that go in hand of the tickets that wait)
+    // (how many of ten ticks show one of two runs off the cores, runs that go in hand of the requests that wait)
     for (off, ran) in [(0, 2), (2, 2), (10, 3)] {
         let mut rig = Rig::new(Settings::default());
         (0..2).for_each(|ix| rig.tenant(ix, ix));
@@ -283,7 +283,7 @@
     }
 }
 
-/// With a walk over all tenants for each of them one of these tickets took seconds, and a minute is a hundred times
+/// With a walk over all tenants for each of them one of these requests took seconds, and a minute is a hundred times
 /// what all of them take.
 #[test]
 fn the_cost_of_a_request_does_not_grow_with_the_square_of_tenants() {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -29,7 +29,7 @@
         .take()
         .join(", ")
         .contains("set_health false, advertise_load 1"));
-    // Two seconds of a ticket each 100 ms: about one in five is let through.
+    // Two seconds of a request each 100 ms: about one in five is let through.
     let mut through = 0;
     for _ in 0..20 {
         rig.tenant(0, 0);
@@ -59,7 +59,7 @@
 
 #[test]
 fn requests_that_never_start_use_no_quota_and_no_run_time_sample() {
-    // The flood would make an overspender many times over of the tenant whose name it bears.
+    // The flood would put the tenant whose name it bears far over its quota.
     let mut rig = Rig::new(Settings::default());
     for _ in 0..30 {
         rig.tenant(0, 0);
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_request_read_too_late_for_its_objective_is_rejected_on_busy_cores() {
-    // (gauge, waited unread, dismissed); runs take 500 ms of a goal time of 2 s
+    // (gauge, waited unread, rejected); runs take 500 ms of a latency objective of 2 s
     for (busy, waited, dismissed) in [(1.0, 1_600, 1), (1.0, 200, 0), (0.3, 1_600, 0)] {
         let mut rig = Rig::new(Settings::default()).at(0.3);
         (0..3).for_each(|_| rig.serve(Arrival::default(), 500));
@@ -124,7 +124,7 @@
 fn a_request_without_time_for_its_usual_run_is_rejected_on_busy_cores() {
     // (usual hint, gauge, hint of the size, patience, begun); a usual one runs 400 ms. A start needs one
     // and a half usual runs before it is due: runs spread far above their mean on two slowed cores, and
-    // on lakes-preview and sicily-prices at full size a fifth of the answers came after the goal time.
+    // on lakes-preview and sicily-prices at full size a fifth of the answers came after the latency objective.
     let cases = [
         (100, 1.0, 100, 1_000, true),
         (100, 1.0, 100, 500, false),
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_rejection_is_terminal_only_when_the_fleet_seems_overloaded() {
-    // (tries are marked, this one is a further try, many before were, nowhere else)
+    // (retries are marked, this one is a retry, many before were, another node is discouraged)
     let cases = [
         (true, false, false, false),
         (true, true, false, true),
@@ -372,7 +372,7 @@
 /// the share of five seconds.
 #[test]
 fn past_a_quarter_of_the_share_calls_go_one_at_a_time() {
-    // (share, calls out at once of two tickets that stand)
+    // (share, calls out at once of two requests that stand)
     for (share, at_once) in [(0.75, 1), (8.0, 2)] {
         let share = shared(share, ms(5_000), ms(200));
         let mut rig = Rig::new(Settings {
@@ -393,7 +393,7 @@
     }
 }
 
-/// mvd-reparti at full size: types that keep most of their benefit without a call took two thirds of the
+/// mvd-reparti at full size: types that keep most of their value without a call took two thirds of the
 /// calls while the one that loses all without went short.
 #[test]
 fn less_valuable_calls_wait_while_more_valuable_ones_are_short() {
@@ -446,8 +446,8 @@
 
 #[test]
 fn idle_connections_close_sooner_while_many_are_open_even_if_much_is_rejected() {
-    // (callers, cores gauge, open connections, dismissed of four, the span asked for last, ms)
-    // Hundreds of callers each come seldom: a table kept full while dismissing only slows the node and
+    // (callers, cores gauge, open connections, rejected of four, the span asked for last, ms)
+    // Hundreds of callers each come seldom: a table kept full while rejecting only slows the node and
     // turns callers away unread (lakes-preview and sicily-prices at full size).
     let cases = [
         (900, 0.95, 11.0, 0, None),
@@ -466,7 +466,7 @@
         let mut last = None;
         for turn in 0..16 {
             rig.pass(ms(200));
-            // Without any patience left a ticket can only be dismissed.
+            // Without any patience left a request can only be rejected.
             let patience = Some(ms(if turn % 4 < dismissed { 0 } else { 2_000 }));
             rig.arrive(
                 0,
@@ -488,17 +488,17 @@
 
 #[test]
 fn the_tenant_with_the_most_excess_demand_is_shed_first() {
-    // (tickets of tenant 0 that come after five of tenant 1, whether any of its own is dismissed)
+    // (requests of tenant 0 that come after five of tenant 1, whether any of its own is rejected)
     for (asked, sheds) in [(30, true), (3, false)] {
         let (shed, repeat) = (far_more(asked, false), far_more(asked, true));
         assert_eq!(!shed.is_empty(), sheds, "{asked}: {shed:?}");
         assert!(shed.iter().all(|&ix| ix >= 5), "{asked}: {shed:?}");
-        // Further tries of what was dismissed are not asked anew: else the shed feeds on itself (ia32db0).
+        // Retries of what was rejected are not asked anew: else the shed feeds on itself (ia32db0).
         assert!(repeat.is_empty(), "{asked} further tries: {repeat:?}");
     }
 }
 
-/// Which tickets are dismissed when tenant 0 sends `asked` after five of tenant 1, first tries or further.
+/// Which requests are rejected when tenant 0 sends `asked` after five of tenant 1, first tries or further.
 fn far_more(asked: usize, again: bool) -> Vec<usize> {
     let mut rig = Rig::new(Settings::default()).at(0.0);
     (0..8).for_each(|turn| {
@@ -529,7 +529,7 @@
 
 #[test]
 fn extreme_settings_give_sane_decisions() {
-    // (quotas over the fleet, servers, cores, survived tickets a core, memory in kB, begins tickets)
+    // (quotas over the fleet, servers, cores, survived requests a core, memory in kB, begins requests)
     type Case = (&'static [f64], usize, usize, f64, f64, bool);
     let cases: [Case; 7] = [
         (&[1.0], 0, 1, 6.0, 1e4, true),
@@ -637,8 +637,8 @@
     );
 }
 
-/// What a ticket was taken in as holds to its end: new settings that give its type another effect, or another worth without
-/// its call, are for tickets that come after them.
+/// What a request was taken in as holds to its end: new settings that give its type another effect, or another worth without
+/// its call, are for requests that come after them.
 #[test]
 fn a_request_in_flight_is_handled_by_the_class_it_arrived_with() {
     let exclusive = || Settings {
@@ -700,7 +700,7 @@
     }
 }
 
-/// A type that was ticketed may be exclusive by new settings: what is known to have run is not run again.
+/// A class that was idempotent with a key may be non-idempotent by new settings: what is known to have run is not run again.
 #[test]
 fn a_known_repeat_of_a_non_idempotent_request_is_not_run() {
     let mut rig = Rig::new(Settings {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -263,7 +263,7 @@
 
 #[test]
 fn memory_use_never_exceeds_its_bound() {
-    // 20 kB a ticket held, 80 kB running, of 200 kB; four fifths are used.
+    // 20 kB a request held, 80 kB running, of 200 kB; four fifths are used.
     let mut rig = Rig::new(Settings {
         memory_kb: 200.0,
         ..Settings::default()
@@ -282,7 +282,7 @@
 }
 
 /// Full days of mvd-reparti: the ledger, up to eight times slower, held more than all shares add up to for
-/// five seconds, as each node of 212 with a share of 0.54 held one call for as long as its ticket had time.
+/// five seconds, as each node of 212 with a share of 0.54 held one call for as long as its request had time.
 #[test]
 fn downstream_usage_stays_below_the_nodes_share_in_every_window() {
     let (over, lingers) = (ms(5_000), ms(200));
--- a/tests/shared_below.rs
+++ b/tests/shared_below.rs
@@ -24,7 +24,7 @@
 /// The window of that mean, and how long a call given up stays below, ms.
 const OVER: u64 = 5_000;
 const LINGERS: u64 = 200;
-/// Tickets a second at each node, and how long it is played, ms.
+/// Requests a second at each node, and how long it is played, ms.
 const ASKED: u64 = 50;
 const LASTS: u64 = 16_000;
 /// When some of the nodes start anew, ms: their calls end as given up, and nobody knows of them.
@@ -47,7 +47,7 @@
     rig: Rig,
     next: usize,
     stalled: Vec<bool>,
-    /// Calls that are out: the ticket, when it ends, how.
+    /// Calls that are out: the request, when it ends, how.
     out: Vec<(usize, u64, Outcome)>,
 }
 
