--- a/src/choice.rs
+++ b/src/choice.rs
@@ -101,8 +101,7 @@
     /// The first call: sets the health that checks are answered with, and asks for the first tick.
     pub fn begin(&mut self, now: Duration, host: &mut dyn Host) {
         host.set_health(true);
-        host.wake(TICK_INTERVAL);
-        self.stalls.begin(now);
+        self.request_tick(now, host);
         self.health.begin(now);
         self.limiter.start_round(now);
     }
@@ -195,7 +194,7 @@
         if let Some(stall) = self.stalls.on_tick(now) {
             self.health.on_stall(stall);
         }
-        host.wake(TICK_INTERVAL);
+        self.request_tick(now, host);
         self.cores_busy = overload::cores_are_busy(gauges);
         let running = self.in_flight.running();
         let any_queued = self.in_flight.queued() > 0;
@@ -208,6 +207,11 @@
         self.dispatch(now, host);
     }
 
+    fn request_tick(&mut self, now: Duration, host: &mut dyn Host) {
+        self.stalls.on_tick_requested(now);
+        host.wake(TICK_INTERVAL);
+    }
+
     fn update_health(&mut self, now: Duration, running: usize) {
         let usual_runs = self.queues.iter().map(|queue| queue.usual_run(None));
         let slowest = usual_runs.max().unwrap_or_default();
--- a/src/choice/stalls.rs
+++ b/src/choice/stalls.rs
@@ -21,15 +21,14 @@
         }
     }
 
-    /// The first tick is asked for.
-    pub(super) fn begin(&mut self, now: Duration) {
+    /// The next tick is asked for.
+    pub(super) fn on_tick_requested(&mut self, now: Duration) {
         self.next_tick = now + TICK_INTERVAL;
     }
 
-    /// A tick came, and the next one is asked for. How long the process stood still before it, if it did.
+    /// A tick came. How long the process stood still before it, if it did.
     pub(super) fn on_tick(&mut self, now: Duration) -> Option<Duration> {
         let late = now.saturating_sub(self.next_tick);
-        self.next_tick = now + TICK_INTERVAL;
         let stall = Some(late).filter(|late| *late > TICK_INTERVAL);
         self.total += stall.unwrap_or_default();
         stall
