--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,6 @@
 //! `rainstand`, the operators' command line.
 
 mod ask;
-mod attach;
 mod cluster_client;
 mod config;
 mod config_file;
@@ -9,6 +8,7 @@
 mod error;
 mod forward;
 mod lab;
+mod log;
 mod output;
 mod pcap;
 mod replica;
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -28,7 +28,7 @@
 /// Exceptions on a connection on which nothing was served yet, past which it ends: two full sets of open requests.
 const MAX_EXCEPTIONS: u64 = 64;
 
-/// Bodies of requests in hand may take this part of the memory: an eighth.
+/// Bodies of requests in flight may take this part of the memory: an eighth.
 const BODY_MEMORY_FRACTION: usize = 8;
 
 /// Memory booked for a held request, in KB, by the protocol; exclusive.
@@ -50,7 +50,7 @@
     context: &NodeContext,
     conn: &Rc<Connection>,
     frame: &[u8],
-) -> Result<(), thrift::Flaw> {
+) -> Result<(), thrift::ReasonCode> {
     let message = thrift::message(frame)?;
     let (name, seq) = (message.name, message.seq);
     let send_exception = |code, text: &str| {
@@ -67,11 +67,11 @@
     match name {
         b"process" if message.oneway => count(&context.counts.exceptions),
         b"process" => {
-            let (fields, body) = thrift::process_args(message.args).map_err(unreadable)?;
+            let process = thrift::process_args(message.args).map_err(unreadable)?;
             if conn.open_requests.borrow().contains_key(&seq) {
                 return Err("seq_repeated");
             }
-            if let Err(refusal) = handle_request(context, conn, seq, fields, body) {
+            if let Err(refusal) = handle_request(context, conn, seq, process) {
                 send_exception(thrift::INTERNAL_ERROR, refusal);
             }
         }
@@ -177,12 +177,10 @@
 }
 
 impl<'a> ParsedRequest<'a> {
-    fn parse(
-        fields: Option<Vec<(&'a [u8], &'a [u8])>>,
-        body: Option<&'a [u8]>,
-    ) -> Result<Self, Refusal> {
-        let fields = Fields(fields.ok_or("fields: missing")?);
-        let body = body
+    fn parse(process: thrift::ProcessArgs<'a>) -> Result<Self, Refusal> {
+        let fields = Fields(process.fields.ok_or("fields: missing")?);
+        let body = process
+            .body
             .filter(|body| body.len() <= MAX_BODY_BYTES)
             .ok_or("body: missing or too long")?;
         let trace = parse_trace(&fields).ok_or("trace: no 16 hex digits")?;
@@ -284,7 +282,7 @@
             .patience
             .unwrap_or(limits.deadline.saturating_sub(request.waited));
         let deadline = now + time_left;
-        // All tries of a request carry the same nonce. Without one, the entity names it where retries are told apart.
+        // All attempts of a request carry the same nonce. Without one, the entity identifies it where retries are recognized.
         let name = request
             .nonce
             .or(request.entity.filter(|_| limits.key_window.is_some()));
@@ -363,10 +361,9 @@
     context: &NodeContext,
     conn: &Rc<Connection>,
     seq: i32,
-    fields: Option<Vec<(&[u8], &[u8])>>,
-    body: Option<&[u8]>,
+    process: thrift::ProcessArgs<'_>,
 ) -> Result<(), Refusal> {
-    let parsed = ParsedRequest::parse(fields, body)?;
+    let parsed = ParsedRequest::parse(process)?;
     if conn.open_requests.borrow().len() >= MAX_OPEN_REQUESTS {
         return Err("too many open tickets on this connection");
     }
--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -9,7 +9,7 @@
 use super::GroupMember;
 use crate::frames::{CommandRequest, CommandResponse, FrameBody};
 use crate::idempotency::{ClaimOutcome, Command, Operation};
-use crate::placement::shard_of;
+use crate::placement::{shard_of, SHARD_OF_REGISTERS};
 use prost::Message as _;
 use rainstand_raft::ReplicaId;
 use std::time::Duration;
@@ -20,15 +20,13 @@
 const MAX_WAITING_PROPOSALS: usize = 32_768;
 /// How long a request is retried in the background.
 const BACKGROUND_TIMEOUT: Duration = Duration::from_mins(1);
-/// The shard of registers and published versions.
-const SHARD_OF_REGISTERS: u16 = 0;
 
 /// A request without a final outcome.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     shard: u16,
     command: Command,
-    /// When it times out, or, in the background, is given up.
+    /// When it times out, or, in the background, is abandoned.
     deadline: Duration,
     retry_at: Duration,
     /// Nobody waits for the outcome any more.
