--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -3,10 +3,10 @@
 
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::lex::unquote;
-use crate::parse::Parsed;
+use crate::lexer::unquote;
+use crate::parser::ParsedFile;
 use crate::source::{Sources, Span};
-use crate::tree::{Element, Kind, Node};
+use crate::syntax::{SyntaxElement, SyntaxKind, SyntaxNode};
 use crate::{Finding, Findings};
 use std::borrow::Cow;
 
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Atom<'t> {
-    pub kind: Kind,
+    pub kind: SyntaxKind,
     pub at: Span,
     /// As written, quotes and all.
     pub text: &'t str,
@@ -82,11 +82,11 @@
     /// What a word or text says.
     pub fn said(&self) -> Option<Name<'t>> {
         match self.kind {
-            Kind::Word => Some(Name {
+            SyntaxKind::Word => Some(Name {
                 text: Cow::Borrowed(self.text),
                 at: self.at,
             }),
-            Kind::Text => Some(Name {
+            SyntaxKind::Text => Some(Name {
                 text: said(self.text),
                 at: self.at,
             }),
@@ -104,7 +104,11 @@
 }
 
 /// The blocks of one file.
-pub fn read<'t>(sources: &'t Sources, parsed: &Parsed, findings: &mut Findings) -> Vec<Block<'t>> {
+pub fn read<'t>(
+    sources: &'t Sources,
+    parsed: &ParsedFile,
+    findings: &mut Findings,
+) -> Vec<Block<'t>> {
     let mut reader = Reader {
         text: sources.text(parsed.file),
         parsed,
@@ -114,8 +118,8 @@
     let mut blocks = Vec::new();
     for node in root.children() {
         match node.kind() {
-            Kind::Block => blocks.extend(reader.block(&node)),
-            Kind::Entry => {
+            SyntaxKind::Block => blocks.extend(reader.block(&node)),
+            SyntaxKind::Entry => {
                 let at = reader.span(node.text_range());
                 let words = format!("`{}` stands in no block", shorten(reader.slice(at)));
                 reader
@@ -130,7 +134,7 @@
 
 struct Reader<'t, 'f> {
     text: &'t str,
-    parsed: &'f Parsed,
+    parsed: &'f ParsedFile,
     findings: &'f mut Findings,
 }
 
@@ -147,9 +151,9 @@
         &self.text[at.start as usize..at.end as usize]
     }
 
-    fn name(&mut self, kind: Kind, at: Span) -> Name<'t> {
+    fn name(&mut self, kind: SyntaxKind, at: Span) -> Name<'t> {
         let written = self.slice(at);
-        if kind != Kind::Text {
+        if kind != SyntaxKind::Text {
             return Name {
                 text: Cow::Borrowed(written),
                 at,
@@ -181,21 +185,21 @@
         }
     }
 
-    fn block(&mut self, node: &Node) -> Option<Block<'t>> {
-        let mut head: Vec<(Kind, Span)> = Vec::new();
+    fn block(&mut self, node: &SyntaxNode) -> Option<Block<'t>> {
+        let mut head: Vec<(SyntaxKind, Span)> = Vec::new();
         let (mut entries, mut blocks, mut opened) = (Vec::new(), Vec::new(), false);
         for part in node.children_with_tokens() {
             match part {
-                Element::Token(token) => match token.kind() {
-                    Kind::Open => opened = true,
-                    kind @ (Kind::Word | Kind::Text) if !opened => {
+                SyntaxElement::Token(token) => match token.kind() {
+                    SyntaxKind::Open => opened = true,
+                    kind @ (SyntaxKind::Word | SyntaxKind::Text) if !opened => {
                         head.push((kind, self.span(token.text_range())));
                     }
                     _ => {}
                 },
-                Element::Node(child) => match child.kind() {
-                    Kind::Entry => entries.extend(self.entry(&child)),
-                    Kind::Block => blocks.extend(self.block(&child)),
+                SyntaxElement::Node(child) => match child.kind() {
+                    SyntaxKind::Entry => entries.extend(self.entry(&child)),
+                    SyntaxKind::Block => blocks.extend(self.block(&child)),
                     _ => {}
                 },
             }
@@ -205,7 +209,7 @@
         let kind = self.name(kind, at);
         let (mut name, mut base) = (None, None);
         let mut next = head.next();
-        if next.is_some_and(|(kind, at)| kind == Kind::Text || self.slice(at) != "from") {
+        if next.is_some_and(|(kind, at)| kind == SyntaxKind::Text || self.slice(at) != "from") {
             name = next.map(|(kind, at)| self.name(kind, at));
             next = head.next();
         }
@@ -221,16 +225,18 @@
         })
     }
 
-    fn entry(&mut self, node: &Node) -> Option<Entry<'t>> {
+    fn entry(&mut self, node: &SyntaxNode) -> Option<Entry<'t>> {
         let mut key = None;
         let mut values = Vec::new();
         for part in node.children_with_tokens() {
             match part {
-                Element::Token(token) if key.is_none() && token.kind() == Kind::Word => {
+                SyntaxElement::Token(token)
+                    if key.is_none() && token.kind() == SyntaxKind::Word =>
+                {
                     let at = self.span(token.text_range());
-                    key = Some(self.name(Kind::Word, at));
+                    key = Some(self.name(SyntaxKind::Word, at));
                 }
-                Element::Node(child) if child.kind() == Kind::Value => {
+                SyntaxElement::Node(child) if child.kind() == SyntaxKind::Value => {
                     values.extend(self.value(&child))
                 }
                 _ => {}
@@ -240,16 +246,19 @@
     }
 
     /// Nothing if it is empty: that was told when it was parsed.
-    fn value(&mut self, node: &Node) -> Option<Value<'t>> {
+    fn value(&mut self, node: &SyntaxNode) -> Option<Value<'t>> {
         let mut atoms = Vec::with_capacity(2);
-        for token in node.children_with_tokens().filter_map(Element::into_token) {
+        for token in node
+            .children_with_tokens()
+            .filter_map(SyntaxElement::into_token)
+        {
             let kind = token.kind();
             if kind.is_trivia() {
                 continue;
             }
             let at = self.span(token.text_range());
             let text = self.slice(at);
-            if kind == Kind::Text {
+            if kind == SyntaxKind::Text {
                 self.look_at_escapes(text, at);
             }
             atoms.push(Atom { kind, at, text });
@@ -258,7 +267,7 @@
             end: atoms.last()?.at.end,
             ..atoms.first()?.at
         };
-        if atoms.iter().any(|atom| atom.kind == Kind::OpenText) {
+        if atoms.iter().any(|atom| atom.kind == SyntaxKind::OpenText) {
             return None;
         }
         Some(Value {
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -2,8 +2,8 @@
 //! their own, amounts with one blank before their unit. Comments stay where they are. A file in this form
 //! is not changed by it, and its meaning never is.
 
-use crate::lex::{lex, Lexed, Token};
-use crate::parse::parse;
+use crate::lexer::{lex, LexedToken, Token};
+use crate::parser::parse;
 use crate::source::FileId;
 use crate::{Finding, Findings};
 
@@ -35,7 +35,7 @@
 
 struct Writer<'t> {
     text: &'t str,
-    tokens: &'t [Lexed],
+    tokens: &'t [LexedToken],
     out: String,
     depth: usize,
     /// Where the line now written begins in `out`.
@@ -49,7 +49,7 @@
 }
 
 impl<'t> Writer<'t> {
-    fn new(text: &'t str, tokens: &'t [Lexed]) -> Self {
+    fn new(text: &'t str, tokens: &'t [LexedToken]) -> Self {
         let out = String::with_capacity(text.len() + text.len() / 8);
         Self {
             text,
--- a/crates/config/src/include.rs
+++ b/crates/config/src/include.rs
@@ -4,17 +4,21 @@
 //! link. Each file is read once, however often it is included.
 
 use crate::codes::Code;
-use crate::lex::unquote;
-use crate::parse::{parse, Parsed};
+use crate::lexer::unquote;
+use crate::parser::{parse, Inclusion, ParsedFile};
 use crate::source::{FileId, Files, Sources, Span, Trouble, LARGEST, LARGEST_SUM, MOST_FILES};
-use crate::tree::Kind;
+use crate::syntax::SyntaxKind;
 use crate::{Finding, Findings};
 use foldhash::{HashMap, HashMapExt};
 use std::path::{Component, Path, PathBuf};
 
 /// Reads the first file and all that it includes, each once, and parses them. Files come in the order in
 /// which they are first included, each before those that it includes.
-pub fn gather(files: &dyn Files, first: &str, findings: &mut Findings) -> (Sources, Vec<Parsed>) {
+pub fn gather(
+    files: &dyn Files,
+    first: &str,
+    findings: &mut Findings,
+) -> (Sources, Vec<ParsedFile>) {
     let mut reader = Reader {
         files,
         root: Path::new(first)
@@ -75,7 +79,7 @@
     root: PathBuf,
     real_root: Option<PathBuf>,
     sources: Sources,
-    parsed: Vec<Parsed>,
+    parsed: Vec<ParsedFile>,
     /// What was read, by identity.
     read: HashMap<PathBuf, FileId>,
     /// The files being read, outermost first, with the place of the include that led to the next.
@@ -106,9 +110,10 @@
             let folder = step.folder.clone();
             if let Some((path, identity, text)) = self.find(at, &folder, &written) {
                 let included = FileId(self.sources.len() as u32);
-                self.parsed[at.file.0 as usize]
-                    .included
-                    .push((at.start, included));
+                self.parsed[at.file.0 as usize].included.push(Inclusion {
+                    offset: at.start,
+                    file: included,
+                });
                 stack.push(self.enter(path, identity, text));
             }
         }
@@ -133,13 +138,15 @@
         }
     }
 
-    fn includes(&self, parsed: &Parsed) -> Vec<(Span, String)> {
+    fn includes(&self, parsed: &ParsedFile) -> Vec<(Span, String)> {
         let root = parsed.root();
-        let nodes = root.children().filter(|node| node.kind() == Kind::Include);
+        let nodes = root
+            .children()
+            .filter(|node| node.kind() == SyntaxKind::Include);
         let texts = nodes.filter_map(|node| {
             let token = node
                 .children_with_tokens()
-                .find(|part| part.kind() == Kind::Text)?;
+                .find(|part| part.kind() == SyntaxKind::Text)?;
             let range = token.text_range();
             let at = Span {
                 file: parsed.file,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,9 +6,9 @@
 //! | --- | --- |
 //! | [`source`] | files and places in them |
 //! | [`include`] | the includes between files |
-//! | [`lex`] | bytes to tokens |
-//! | [`tree`] | the lossless tree: every byte is in it |
-//! | [`parse`] | tokens to the tree; goes on after an error |
+//! | [`lexer`] | bytes to tokens |
+//! | [`syntax`] | the lossless tree: every byte is in it |
+//! | [`parser`] | tokens to the tree; goes on after an error |
 //! | [`ast`] | the tree without what means nothing |
 //! | [`units`] | exact amounts with their units |
 //! | [`resolve`] | names, defaults, one policy built on another: the message of [`schema`] |
@@ -29,13 +29,6 @@
 //! assert_eq!(found.message, "`goal` wants a time such as `250 ms`; `40 tickets/s` is a rate");
 //! ```
 
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
-
 pub mod ast;
 pub mod check;
 pub mod codes;
@@ -43,15 +36,15 @@
 mod finding;
 pub mod form;
 pub mod include;
-pub mod lex;
+pub mod lexer;
 mod load;
-pub mod parse;
+pub mod parser;
 pub mod report;
 pub mod resolve;
 pub mod schema;
 pub mod source;
 pub mod space;
-pub mod tree;
+pub mod syntax;
 pub mod units;
 
 pub use finding::{Finding, Findings};
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,7 +1,7 @@
 //! Files to a checked message: each layer in turn.
 
 use crate::source::{Files, Sources};
-use crate::{ast, check, include, parse, resolve, schema};
+use crate::{ast, check, include, parser, resolve, schema};
 use crate::{Finding, Findings};
 
 /// What reading a configuration came to.
@@ -20,7 +20,10 @@
 }
 
 /// The blocks of all files as if each file stood where it is first included: routes are in this order.
-fn in_place<'t>(parsed: &[parse::Parsed], blocks: Vec<Vec<ast::Block<'t>>>) -> Vec<ast::Block<'t>> {
+fn in_place<'t>(
+    parsed: &[parser::ParsedFile],
+    blocks: Vec<Vec<ast::Block<'t>>>,
+) -> Vec<ast::Block<'t>> {
     let mut left: Vec<_> = blocks
         .into_iter()
         .map(|of_file| of_file.into_iter().peekable())
@@ -34,13 +37,14 @@
     };
     while let Some((file, next)) = stack.last_mut() {
         let include = parsed[*file].included.get(*next);
-        let before =
-            |block: &ast::Block<'_>| include.is_none_or(|(at, _)| block.kind.at.start < *at);
+        let before = |block: &ast::Block<'_>| {
+            include.is_none_or(|include| block.kind.at.start < include.offset)
+        };
         if let Some(block) = left[*file].next_if(before) {
             all.push(block);
-        } else if let Some((_, included)) = include {
+        } else if let Some(include) = include {
             *next += 1;
-            stack.push((included.0 as usize, 0));
+            stack.push((include.file.0 as usize, 0));
         } else {
             stack.pop();
         }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parser.rs
@@ -1,54 +1,67 @@
-//! Tokens to the lossless tree, by descent. After an error it goes on at the next line or brace, so that
-//! one run tells all that is wrong.
+//! Tokens to the syntax tree, by recursive descent. After an error it resumes at the next line or brace, so that
+//! one run reports all syntax errors.
 //!
-//! Bounds: blocks nest [`DEEPEST`] deep, what is deeper is skipped without recursion; time is linear in the
+//! Bounds: blocks nest [`MAX_BLOCK_DEPTH`] deep, deeper ones are skipped without recursion; time is linear in the
 //! tokens, since every step takes at least one.
 
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::lex::{lex, Lexed, Token};
+use crate::lexer::{lex, LexedToken, Token};
 use crate::source::{FileId, Span};
-use crate::tree::{Kind, Node, Rain};
+use crate::syntax::{RainLanguage, SyntaxKind, SyntaxNode};
 use crate::{Finding, Findings};
 use rowan::{GreenNode, GreenNodeBuilder, Language};
 
-/// Levels of blocks: the language uses two, and the rest is room for a clear error.
-const DEEPEST: usize = 8;
-/// Findings told of one file: past this many the file is something else than a configuration.
-const MOST_FINDINGS: usize = 200;
+/// Levels of blocks: the language uses two; the others are parsed for a clear error.
+const MAX_BLOCK_DEPTH: usize = 8;
+/// Findings reported for one file: with more it is probably no configuration.
+const MAX_FINDINGS_PER_FILE: usize = 200;
 
-/// One file's tree.
+/// The syntax tree of one file.
 #[derive(Clone, Debug)]
-pub struct Parsed {
+pub struct ParsedFile {
+    /// The file.
     pub file: FileId,
+    /// Its tree, without positions; [`ParsedFile::root`] adds them.
     pub green: GreenNode,
-    /// Where other files are read into this one: the place of the include, and the file.
-    pub included: Vec<(u32, FileId)>,
+    /// Files whose first include is in this file, in its order; filled by [`crate::include`].
+    pub included: Vec<Inclusion>,
 }
 
-impl Parsed {
-    pub fn root(&self) -> Node {
-        Node::new_root(self.green.clone())
+/// A file that is read where another one includes it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Inclusion {
+    /// Where the include's path begins, in bytes of the including file.
+    pub offset: u32,
+    /// The included file.
+    pub file: FileId,
+}
+
+impl ParsedFile {
+    /// The node of the file.
+    pub fn root(&self) -> SyntaxNode {
+        SyntaxNode::new_root(self.green.clone())
     }
 }
 
-/// Reads one file's text; what is wrong is added to `findings`.
-pub fn parse(file: FileId, text: &str, findings: &mut Findings) -> Parsed {
+/// Parses one file's text; syntax errors are added to `findings`, at most [`MAX_FINDINGS_PER_FILE`] and a last one
+/// that says so.
+pub fn parse(file: FileId, text: &str, findings: &mut Findings) -> ParsedFile {
     let tokens = lex(text);
     let before = findings.made();
     let mut parser = Parser {
         file,
         text,
         tokens: &tokens,
-        at: 0,
+        next: 0,
         start: 0,
         builder: GreenNodeBuilder::new(),
         findings,
-        told_to: before + MOST_FINDINGS,
+        report_limit: before + MAX_FINDINGS_PER_FILE,
     };
     parser.file();
     let green = parser.builder.finish();
-    Parsed {
+    ParsedFile {
         file,
         green,
         included: Vec::new(),
@@ -58,23 +71,27 @@
 struct Parser<'t> {
     file: FileId,
     text: &'t str,
-    tokens: &'t [Lexed],
-    /// The next token, and where it begins.
-    at: usize,
+    tokens: &'t [LexedToken],
+    /// Index of the next token.
+    next: usize,
+    /// The byte at which the next token begins.
     start: u32,
     builder: GreenNodeBuilder<'static>,
     findings: &'t mut Findings,
-    /// Length of `findings` at which no more is told.
-    told_to: usize,
+    /// Number of findings at which no more are reported.
+    report_limit: usize,
 }
 
 impl Parser<'_> {
     fn peek(&self) -> Option<Token> {
-        self.tokens.get(self.at).map(|next| next.token)
+        self.tokens.get(self.next).map(|next| next.token)
     }
 
     fn span(&self) -> Span {
-        let end = self.tokens.get(self.at).map_or(self.start, |next| next.end);
+        let end = self
+            .tokens
+            .get(self.next)
+            .map_or(self.start, |next| next.end);
         Span {
             file: self.file,
             start: self.start,
@@ -88,42 +105,48 @@
     }
 
     fn bump(&mut self) {
-        if let Some(next) = self.tokens.get(self.at) {
-            let kind = Rain::kind_to_raw(Kind::from(next.token));
+        if let Some(next) = self.tokens.get(self.next) {
+            let kind = RainLanguage::kind_to_raw(SyntaxKind::from(next.token));
             self.builder
                 .token(kind, &self.text[self.start as usize..next.end as usize]);
             self.start = next.end;
-            self.at += 1;
+            self.next += 1;
+        }
+    }
+
+    /// Takes blanks and comments of this line.
+    fn skip_blanks(&mut self) {
+        while let Some(Token::Space | Token::Comment) = self.peek() {
+            self.bump();
         }
     }
 
-    /// Blanks and comments; over line ends too where `lines`.
-    fn trivia(&mut self, lines: bool) {
+    /// Takes blanks, comments and line ends.
+    fn skip_trivia(&mut self) {
         while let Some(token) = self.peek() {
             match token {
-                Token::Space | Token::Comment => self.bump(),
-                Token::Newline if lines => self.bump(),
+                Token::Space | Token::Comment | Token::Newline => self.bump(),
                 _ => break,
             }
         }
     }
 
-    fn open(&mut self, kind: Kind) {
-        self.builder.start_node(Rain::kind_to_raw(kind));
+    fn start_node(&mut self, kind: SyntaxKind) {
+        self.builder.start_node(RainLanguage::kind_to_raw(kind));
     }
 
-    fn close(&mut self) {
+    fn finish_node(&mut self) {
         self.builder.finish_node();
     }
 
-    fn tell(&mut self, finding: Finding) {
-        match self.findings.made().cmp(&self.told_to) {
+    fn report(&mut self, finding: Finding) {
+        match self.findings.made().cmp(&self.report_limit) {
             std::cmp::Ordering::Less => {
                 self.findings.push(finding);
             }
             std::cmp::Ordering::Equal => {
                 let words = format!(
-                    "more than {MOST_FINDINGS} syntax errors in this file; the rest is not told"
+                    "more than {MAX_FINDINGS_PER_FILE} syntax errors in this file; the rest is not told"
                 );
                 self.findings
                     .push(Finding::new(Code::TooMany, finding.at, words));
@@ -132,8 +155,8 @@
         }
     }
 
-    /// What stands next, in words.
-    fn found(&self) -> String {
+    /// The next token, in words.
+    fn describe_next(&self) -> String {
         match self.peek() {
             None => "the end of the file".into(),
             Some(Token::Newline) => "the end of the line".into(),
@@ -143,36 +166,36 @@
 
     fn expected(&mut self, code: Code, what: &str) {
         if self.peek() == Some(Token::Unknown) {
-            self.odd_character();
+            self.unexpected_character();
             return;
         }
         let finding = Finding::new(
             code,
             self.span(),
-            format!("expected {what}, found {}", self.found()),
+            format!("expected {what}, found {}", self.describe_next()),
         );
-        self.tell(finding);
+        self.report(finding);
     }
 
-    fn odd_character(&mut self) {
+    fn unexpected_character(&mut self) {
         let words = format!("`{}` means nothing here", shorten(self.next_text()));
         let help =
             "outside texts and comments only ASCII letters, digits and `{}:,;.+-/%_` are read";
-        self.tell(Finding::new(Code::Character, self.span(), words).help(help));
+        self.report(Finding::new(Code::Character, self.span(), words).help(help));
     }
 
     fn file(&mut self) {
-        self.open(Kind::File);
-        self.trivia(true);
-        let mut headed = false;
+        self.start_node(SyntaxKind::File);
+        self.skip_trivia();
+        let mut has_header = false;
         if self.peek() == Some(Token::Word)
             && self.next_text() == "rain"
             && self.after_word_is_number()
         {
             self.header();
-            headed = true;
+            has_header = true;
         }
-        if !headed {
+        if !has_header {
             let at = Span {
                 end: self.start,
                 ..self.span()
@@ -182,62 +205,62 @@
                 at,
                 "the file does not begin with its version",
             );
-            self.tell(finding.help("write `rain 1` as its first line"));
+            self.report(finding.help("write `rain 1` as its first line"));
         }
         loop {
-            self.trivia(true);
+            self.skip_trivia();
             match self.peek() {
                 None => break,
                 Some(Token::Close) => {
                     let at = self.span();
-                    self.tell(Finding::new(
+                    self.report(Finding::new(
                         Code::StrayBrace,
                         at,
                         "this `}` closes nothing",
                     ));
-                    self.open(Kind::Skipped);
+                    self.start_node(SyntaxKind::Skipped);
                     self.bump();
-                    self.close();
+                    self.finish_node();
                 }
                 Some(_) => self.item(0),
             }
         }
-        self.close();
+        self.finish_node();
     }
 
-    /// The first token behind the next that is no blank is a number.
+    /// Whether the first token behind the next that is no blank is a number.
     fn after_word_is_number(&self) -> bool {
-        let after = self.tokens[self.at + 1..]
+        let after = self.tokens[self.next + 1..]
             .iter()
             .find(|next| next.token != Token::Space);
         after.is_some_and(|next| next.token == Token::Number)
     }
 
     fn header(&mut self) {
-        self.open(Kind::Header);
+        self.start_node(SyntaxKind::Header);
         self.bump();
-        self.trivia(false);
+        self.skip_blanks();
         if self.next_text() != "1" {
             let words = format!("version {} of the language is not known", self.next_text());
             let at = self.span();
-            self.tell(Finding::new(Code::Version, at, words).help("this program reads `rain 1`"));
+            self.report(Finding::new(Code::Version, at, words).help("this program reads `rain 1`"));
         }
         self.bump();
-        self.close();
+        self.finish_node();
         self.end_of_line("the end of the line behind the version");
     }
 
-    /// A block, an entry or an include; `depth` blocks stand round it.
+    /// A block, an entry or an include within `depth` blocks.
     fn item(&mut self, depth: usize) {
         match self.peek() {
             Some(Token::Word) if depth == 0 && self.next_text() == "include" => self.include(),
             Some(Token::Word) => self.block_or_entry(depth),
             // A pool's name before its colon may be a text; as the start of an item it is not.
-            _ => self.odd_start(),
+            _ => self.unexpected_item_start(),
         }
     }
 
-    fn odd_start(&mut self) {
+    fn unexpected_item_start(&mut self) {
         match self.peek() {
             Some(Token::Semicolon) => {
                 self.bump();
@@ -245,15 +268,15 @@
             }
             Some(Token::Open) => {
                 self.expected(Code::Expected, "a block's kind before its `{`");
-                self.open(Kind::Skipped);
+                self.start_node(SyntaxKind::Skipped);
                 self.skip_braces();
-                self.close();
+                self.finish_node();
                 return;
             }
             Some(Token::Slash) => {
                 let words = "expected a block or an entry, found `/`";
                 let finding = Finding::new(Code::Expected, self.span(), words);
-                self.tell(finding.help("a comment begins with `#`"));
+                self.report(finding.help("a comment begins with `#`"));
             }
             _ => self.expected(
                 Code::Expected,
@@ -264,29 +287,29 @@
     }
 
     fn include(&mut self) {
-        self.open(Kind::Include);
+        self.start_node(SyntaxKind::Include);
         self.bump();
-        self.trivia(false);
+        self.skip_blanks();
         match self.peek() {
             Some(Token::Text) => self.bump(),
-            Some(Token::OpenText) => self.open_text(),
+            Some(Token::OpenText) => self.unterminated_string(),
             _ => {
                 self.expected(
                     Code::Expected,
                     "a path such as `\"pools.rain\"` behind `include`",
                 );
-                self.close();
+                self.finish_node();
                 self.skip_line();
                 return;
             }
         }
-        self.close();
+        self.finish_node();
         self.end_of_line("the end of the line behind the path");
     }
 
-    fn open_text(&mut self) {
+    fn unterminated_string(&mut self) {
         let at = self.span();
-        self.tell(Finding::new(
+        self.report(Finding::new(
             Code::OpenText,
             at,
             "this text has no closing `\"` on its line",
@@ -298,19 +321,19 @@
         let mark = self.builder.checkpoint();
         let word = self.span();
         self.bump();
-        self.trivia(false);
+        self.skip_blanks();
         match self.peek() {
             Some(Token::Colon) => {
                 self.builder
-                    .start_node_at(mark, Rain::kind_to_raw(Kind::Entry));
+                    .start_node_at(mark, RainLanguage::kind_to_raw(SyntaxKind::Entry));
                 self.bump();
                 self.values();
-                self.close();
+                self.finish_node();
                 self.end_of_line("the end of the line or `;` behind the value");
             }
             Some(Token::Open | Token::Word | Token::Text | Token::OpenText) => {
                 self.block_head();
-                let mut kind = Kind::Block;
+                let mut kind = SyntaxKind::Block;
                 match self.peek() {
                     Some(Token::Open) => self.body(word, depth),
                     _ => {
@@ -320,44 +343,49 @@
                         self.skip_line();
                         // Within a block it is more likely an entry without its colon.
                         kind = if depth == 0 {
-                            Kind::Block
+                            SyntaxKind::Block
                         } else {
-                            Kind::Skipped
+                            SyntaxKind::Skipped
                         };
                     }
                 }
-                self.builder.start_node_at(mark, Rain::kind_to_raw(kind));
-                self.close();
+                self.builder
+                    .start_node_at(mark, RainLanguage::kind_to_raw(kind));
+                self.finish_node();
             }
             Some(Token::Unknown) => {
-                self.odd_character();
+                self.unexpected_character();
                 self.skip_line();
             }
             _ => {
-                let words = format!("`{}` is followed by {}", self.word_at(word), self.found());
+                let words = format!(
+                    "`{}` is followed by {}",
+                    self.text_of(word),
+                    self.describe_next()
+                );
                 let finding = Finding::new(Code::NoColon, word, words);
-                self.tell(finding.help("an entry is `key: value`, a block is `kind name { … }`"));
+                self.report(finding.help("an entry is `key: value`, a block is `kind name { … }`"));
                 self.skip_line();
             }
         }
     }
 
-    fn word_at(&self, span: Span) -> &str {
+    fn text_of(&self, span: Span) -> &str {
         &self.text[span.start as usize..span.end as usize]
     }
 
-    /// The name and what the block is built on.
+    /// The name and the base of a block.
     fn block_head(&mut self) {
         if matches!(self.peek(), Some(Token::Word | Token::Text)) && self.next_text() != "from" {
             self.bump();
-            self.trivia(false);
+            self.skip_blanks();
         } else if self.peek() == Some(Token::OpenText) {
-            self.open_text();
-            self.trivia(false);
+            self.unterminated_string();
+            self.skip_blanks();
         }
         if self.peek() == Some(Token::Word) && self.next_text() == "from" {
             self.bump();
-            self.trivia(false);
+            self.skip_blanks();
             match self.peek() {
                 Some(Token::Word | Token::Text) => self.bump(),
                 _ => self.expected(
@@ -365,29 +393,29 @@
                     "the name of what this is built on behind `from`",
                 ),
             }
-            self.trivia(false);
+            self.skip_blanks();
         }
     }
 
     fn body(&mut self, kind: Span, depth: usize) {
         let brace = self.span();
-        if depth + 1 > DEEPEST {
-            let words = format!("blocks nest more than {DEEPEST} deep here");
-            self.tell(Finding::new(Code::TooDeep, brace, words));
-            self.open(Kind::Skipped);
+        if depth + 1 > MAX_BLOCK_DEPTH {
+            let words = format!("blocks nest more than {MAX_BLOCK_DEPTH} deep here");
+            self.report(Finding::new(Code::TooDeep, brace, words));
+            self.start_node(SyntaxKind::Skipped);
             self.skip_braces();
-            self.close();
+            self.finish_node();
             return;
         }
         self.bump();
         loop {
-            self.trivia(true);
+            self.skip_trivia();
             match self.peek() {
                 None => {
                     let at = self.span();
-                    let words = format!("the block `{}` is not closed", self.word_at(kind));
+                    let words = format!("the block `{}` is not closed", self.text_of(kind));
                     let finding = Finding::new(Code::NotClosed, at, words);
-                    self.tell(finding.also(brace, "opened here").help("a `}` is missing"));
+                    self.report(finding.also(brace, "opened here").help("a `}` is missing"));
                     return;
                 }
                 Some(Token::Close) => {
@@ -402,20 +430,20 @@
     /// Values with commas between them; a line may end behind a comma.
     fn values(&mut self) {
         loop {
-            self.trivia(false);
+            self.skip_blanks();
             self.value();
-            self.trivia(false);
+            self.skip_blanks();
             if self.peek() != Some(Token::Comma) {
                 return;
             }
             self.bump();
-            self.trivia(true);
+            self.skip_trivia();
         }
     }
 
     fn value(&mut self) {
-        self.open(Kind::Value);
-        let from = self.at;
+        self.start_node(SyntaxKind::Value);
+        let from = self.next;
         loop {
             match self.peek() {
                 Some(
@@ -428,20 +456,20 @@
                     | Token::Slash
                     | Token::Percent,
                 ) => self.bump(),
-                Some(Token::OpenText) => self.open_text(),
-                Some(Token::Space) if self.goes_on() => self.bump(),
+                Some(Token::OpenText) => self.unterminated_string(),
+                Some(Token::Space) if self.value_continues() => self.bump(),
                 _ => break,
             }
         }
-        if self.at == from {
+        if self.next == from {
             self.expected(Code::NoValue, "a value");
         }
-        self.close();
+        self.finish_node();
     }
 
-    /// Behind the blanks stands more of the same value.
-    fn goes_on(&self) -> bool {
-        let after = self.tokens[self.at..]
+    /// Whether more of the same value stands behind the blanks.
+    fn value_continues(&self) -> bool {
+        let after = self.tokens[self.next..]
             .iter()
             .find(|next| next.token != Token::Space);
         after.is_some_and(|next| {
@@ -460,7 +488,7 @@
     }
 
     fn end_of_line(&mut self, what: &str) {
-        self.trivia(false);
+        self.skip_blanks();
         match self.peek() {
             None | Some(Token::Newline | Token::Close) => {}
             Some(Token::Semicolon) => self.bump(),
@@ -473,7 +501,7 @@
 
     /// To the end of the line, or to a brace that belongs to what is round it.
     fn skip_line(&mut self) {
-        self.open(Kind::Skipped);
+        self.start_node(SyntaxKind::Skipped);
         loop {
             match self.peek() {
                 None | Some(Token::Newline | Token::Close) => break,
@@ -484,7 +512,7 @@
                 Some(_) => self.bump(),
             }
         }
-        self.close();
+        self.finish_node();
     }
 
     /// From `{` to the `}` that closes it, however deep, without recursion.
--- a/crates/config/src/resolve/experiment.rs
+++ b/crates/config/src/resolve/experiment.rs
@@ -12,7 +12,7 @@
 use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
-use crate::tree::Kind as Leaf;
+use crate::syntax::SyntaxKind;
 use crate::units::{self, Dimension, PERCENT};
 use crate::Finding;
 use fault::fault;
@@ -185,7 +185,7 @@
         }
         return (0, 0, false);
     };
-    if value.atoms.iter().any(|atom| atom.kind == Leaf::To) {
+    if value.atoms.iter().any(|atom| atom.kind == SyntaxKind::To) {
         let (least, most) = r
             .range("work", Dimension::Time, false, &must(LONGEST))
             .unwrap_or((None, None));
--- a/crates/config/src/resolve/policies.rs
+++ b/crates/config/src/resolve/policies.rs
@@ -2,7 +2,7 @@
 
 use super::{must, or, Bounds, Reader, LONGEST, MOST_TRIES, SECOND};
 use crate::schema::{self, Per, Proof};
-use crate::tree::Kind as Leaf;
+use crate::syntax::SyntaxKind;
 use crate::units::{Dimension, ONE, PERCENT};
 
 pub(super) fn limits(r: &mut Reader<'_, '_, '_, '_>) -> schema::Limits {
@@ -73,7 +73,7 @@
     let is_share = value
         .atoms
         .last()
-        .is_some_and(|atom| atom.kind == Leaf::Percent);
+        .is_some_and(|atom| atom.kind == SyntaxKind::Percent);
     if is_share {
         let share = r.share(key, must(ONE));
         return Some(schema::Stage { share, fixed_ns: 0 });
--- a/crates/config/src/resolve/reader.rs
+++ b/crates/config/src/resolve/reader.rs
@@ -6,7 +6,7 @@
 use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
-use crate::tree::Kind as Leaf;
+use crate::syntax::SyntaxKind;
 use crate::units::{self, Dimension, ONE};
 use crate::Finding;
 use foldhash::{HashSet, HashSetExt};
@@ -274,7 +274,11 @@
             Dimension::Size => "1 KiB .. 64 KiB",
             _ => "20 ms .. 200 ms",
         };
-        let Some(cut) = value.atoms.iter().position(|atom| atom.kind == Leaf::To) else {
+        let Some(cut) = value
+            .atoms
+            .iter()
+            .position(|atom| atom.kind == SyntaxKind::To)
+        else {
             let words = format!(
                 "`{key}` wants a range such as `{example}`, not `{}`",
                 shorten(value.text)
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -14,7 +14,7 @@
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::source::Span;
-use crate::tree::Kind;
+use crate::syntax::SyntaxKind;
 use crate::Finding;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -149,7 +149,10 @@
 /// A finding that names the amount; what it should have been the caller knows ([`expect`]).
 pub fn amount(atoms: &[Atom<'_>], written: &str, at: Span) -> Result<Amount, Finding> {
     let shown = shorten(written);
-    if let Some(plus) = atoms.iter().find(|atom| matches!(atom.kind, Kind::Plus)) {
+    if let Some(plus) = atoms
+        .iter()
+        .find(|atom| matches!(atom.kind, SyntaxKind::Plus))
+    {
         let finding = Finding::new(
             Code::Sum,
             plus.at,
@@ -162,11 +165,12 @@
     }
     let mut rest = atoms;
     if let [Atom {
-        kind: Kind::Minus, ..
+        kind: SyntaxKind::Minus,
+        ..
     }, after @ ..] = rest
     {
         let code = match after.first() {
-            Some(first) if first.kind == Kind::Number => Code::Negative,
+            Some(first) if first.kind == SyntaxKind::Number => Code::Negative,
             _ => Code::NoNumber,
         };
         return Err(Finding::new(
@@ -177,7 +181,7 @@
     }
     let Some((number, after)) = rest
         .split_first()
-        .filter(|(first, _)| first.kind == Kind::Number)
+        .filter(|(first, _)| first.kind == SyntaxKind::Number)
     else {
         return Err(Finding::new(
             Code::NoNumber,
@@ -188,12 +192,13 @@
     rest = after;
     let (dimension, scale, per) = match rest {
         [] => (Dimension::Factor, ONE, 0),
-        [one] if matches!(one.kind, Kind::Word | Kind::Percent) => {
+        [one] if matches!(one.kind, SyntaxKind::Word | SyntaxKind::Percent) => {
             let (dimension, scale) = unit(one.text).ok_or_else(|| unknown_unit(one))?;
             (dimension, scale, 0)
         }
         [of, Atom {
-            kind: Kind::Slash, ..
+            kind: SyntaxKind::Slash,
+            ..
         }, time] => {
             let (what, _) = unit(of.text).ok_or_else(|| unknown_unit(of))?;
             let (over, per) = unit(time.text).ok_or_else(|| unknown_unit(time))?;
@@ -253,7 +258,7 @@
 /// What a sum of times comes to, in the largest unit that shows it whole.
 fn sum(atoms: &[Atom<'_>]) -> Option<String> {
     let mut all = 0u64;
-    for part in atoms.split(|atom| atom.kind == Kind::Plus) {
+    for part in atoms.split(|atom| atom.kind == SyntaxKind::Plus) {
         let at = part.first()?.at;
         let amount = amount(part, "", at)
             .ok()
@@ -342,7 +347,7 @@
         wanted.called(),
         wanted.example()
     );
-    if atoms.iter().any(|atom| atom.kind == Kind::To) {
+    if atoms.iter().any(|atom| atom.kind == SyntaxKind::To) {
         let words = format!("{want}; `{}` is a range", shorten(text));
         return Err(Finding::new(Code::RangeHere, at, words));
     }
--- a/crates/config/tests/form.rs
+++ b/crates/config/tests/form.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainstand_config::form::{form, WIDTH};
-use rainstand_config::lex::{lex, Token};
+use rainstand_config::lexer::{lex, Token};
 
 #[test]
 fn one_form() {
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parser.rs
@@ -9,7 +9,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainstand_config::parse::parse;
+use rainstand_config::parser::parse;
 use rainstand_config::source::FileId;
 use rainstand_config::Findings;
 
--- a/crates/config/tests/tree.rs
+++ b/crates/config/tests/syntax.rs
@@ -7,12 +7,15 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_config::tree::{Kind, Rain};
+use rainstand_config::syntax::{RainLanguage, SyntaxKind};
 use rowan::Language;
 
 #[test]
 fn kinds_and_their_numbers_agree() {
-    for raw in 0..=Kind::Skipped as u16 {
-        assert_eq!(Rain::kind_from_raw(rowan::SyntaxKind(raw)) as u16, raw);
+    for raw in 0..=SyntaxKind::Skipped as u16 {
+        assert_eq!(
+            RainLanguage::kind_from_raw(rowan::SyntaxKind(raw)) as u16,
+            raw
+        );
     }
 }
