--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -28,8 +28,8 @@
         matches!(
             finding.code,
             Finds::Missing | Finds::Unreadable | Finds::TooLarge | Finds::NotUtf8
-        ) && finding.at.file == FileId(0)
-            && finding.at.end == 0
+        ) && finding.span.file == FileId(0)
+            && finding.span.end == 0
     });
     if cannot_be_read {
         return Ok(Err(Code::Use));
--- a/crates/cli/src/out.rs
+++ b/crates/cli/src/out.rs
@@ -1,7 +1,7 @@
 //! Results to standard output, findings to standard error, and how the program ends.
 
 use rainstand_config::codes::Severity;
-use rainstand_config::source::Sources;
+use rainstand_config::source::{Sources, Span};
 use rainstand_config::{report, Finding};
 use serde::Serialize;
 use std::io::{self, IsTerminal, Write};
@@ -75,26 +75,26 @@
         return report::show(&mut StandardStream::stderr(colour), sources, found);
     }
     for finding in found {
-        let place = |at, message| {
-            let (line, column) = sources.line_column(at);
+        let place = |span: Span, message| {
+            let (line, column) = sources.line_column(span);
             Place {
-                file: sources.path(at.file),
+                file: sources.path(span.file),
                 line,
                 column,
                 message,
             }
         };
         json(&Line {
-            place: place(finding.at, &finding.message),
+            place: place(finding.span, &finding.message),
             code: finding.code.id(),
             severity: match finding.code.severity() {
                 Severity::Error => "error",
                 Severity::Warning => "warning",
             },
             also: finding
-                .also
+                .labels
                 .iter()
-                .map(|(at, words)| place(*at, words))
+                .map(|label| place(label.span, &label.message))
                 .collect(),
             help: finding.help.as_deref(),
         })?;
--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -1,5 +1,5 @@
-//! The tree without what means nothing: blocks, their entries, and the atoms of each value, borrowed from
-//! the text. What has a wrong shape at this level is told here and left out.
+//! The syntax tree without trivia: blocks, their entries, and the atoms of each value, borrowed from the text. What
+//! has a wrong shape at this level is reported here and left out.
 
 use crate::codes::Code;
 use crate::finding::shorten;
@@ -10,92 +10,104 @@
 use crate::{Finding, Findings};
 use std::borrow::Cow;
 
-/// A word or text that stands for something.
+/// A word, or the value of a string, that names something.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name<'t> {
+    /// The name, unquoted.
     pub text: Cow<'t, str>,
-    pub at: Span,
+    /// Where it stands, with its quotes.
+    pub span: Span,
 }
 
+/// A block such as `limits narrow from wide { … }`.
 #[derive(Clone, Debug)]
 pub struct Block<'t> {
+    /// The word that it begins with.
     pub kind: Name<'t>,
+    /// Its own name.
     pub name: Option<Name<'t>>,
-    /// What it is built on.
+    /// The name of the block whose entries it takes over.
     pub base: Option<Name<'t>>,
+    /// Its entries, in the order of the file.
     pub entries: Vec<Entry<'t>>,
+    /// The blocks in it, in the order of the file.
     pub blocks: Vec<Block<'t>>,
 }
 
 impl Block<'_> {
     /// Where to point for the block as a whole: its name, else its kind.
-    pub fn at(&self) -> Span {
-        self.name.as_ref().map_or(self.kind.at, |name| name.at)
+    pub fn span(&self) -> Span {
+        self.name.as_ref().map_or(self.kind.span, |name| name.span)
     }
 
-    /// Where the values of an entry stand, else the block's own place.
-    pub fn place(&self, key: &str) -> Span {
+    /// Where the values of an entry stand; the block's own place if it has no such entry.
+    pub fn span_of(&self, key: &str) -> Span {
         self.entries
             .iter()
             .find(|entry| entry.key.text == key)
-            .map_or(self.at(), Entry::values_at)
+            .map_or(self.span(), Entry::values_span)
     }
 }
 
+/// An entry such as `to: hall 60 %, other 40 %`.
 #[derive(Clone, Debug)]
 pub struct Entry<'t> {
+    /// Its key, a word.
     pub key: Name<'t>,
-    /// At least one, if the file has no syntax error here.
+    /// Its values; at least one, if the file has no syntax error here.
     pub values: Vec<Value<'t>>,
 }
 
 impl Entry<'_> {
-    pub fn values_at(&self) -> Span {
+    /// From the first value to the last; the key if there is none.
+    pub fn values_span(&self) -> Span {
         match (self.values.first(), self.values.last()) {
-            (Some(first), Some(last)) => Span {
-                end: last.at.end,
-                ..first.at
-            },
-            _ => self.key.at,
+            (Some(first), Some(last)) => first.span.to(last.span),
+            _ => self.key.span,
         }
     }
 }
 
-/// One item of an entry's list.
+/// One value of an entry.
 #[derive(Clone, Debug)]
 pub struct Value<'t> {
-    pub at: Span,
+    /// From its first atom to its last.
+    pub span: Span,
     /// As written.
     pub text: &'t str,
+    /// Its tokens without trivia; at least one.
     pub atoms: Vec<Atom<'t>>,
 }
 
+/// A token of a value.
 #[derive(Clone, Debug)]
 pub struct Atom<'t> {
+    /// The kind of token.
     pub kind: SyntaxKind,
-    pub at: Span,
-    /// As written, quotes and all.
+    /// Where it stands.
+    pub span: Span,
+    /// As written, with its quotes.
     pub text: &'t str,
 }
 
 impl<'t> Atom<'t> {
-    /// What a word or text says.
-    pub fn said(&self) -> Option<Name<'t>> {
+    /// The name that a word or string is; none for other tokens.
+    pub fn as_name(&self) -> Option<Name<'t>> {
         match self.kind {
             SyntaxKind::Word => Some(Name {
                 text: Cow::Borrowed(self.text),
-                at: self.at,
+                span: self.span,
             }),
             SyntaxKind::Text => Some(Name {
-                text: said(self.text),
-                at: self.at,
+                text: string_value(self.text),
+                span: self.span,
             }),
             _ => None,
         }
     }
 }
 
-fn said(quoted: &str) -> Cow<'_, str> {
+fn string_value(quoted: &str) -> Cow<'_, str> {
     if quoted.contains('\\') {
         Cow::Owned(unquote(quoted))
     } else {
@@ -103,13 +115,13 @@
     }
 }
 
-/// The blocks of one file.
-pub fn read<'t>(
+/// Lowers one file's tree to its blocks. Entries outside blocks and unknown escapes are added to `findings`.
+pub fn lower<'t>(
     sources: &'t Sources,
     parsed: &ParsedFile,
     findings: &mut Findings,
 ) -> Vec<Block<'t>> {
-    let mut reader = Reader {
+    let mut lowering = Lowering {
         text: sources.text(parsed.file),
         parsed,
         findings,
@@ -118,13 +130,13 @@
     let mut blocks = Vec::new();
     for node in root.children() {
         match node.kind() {
-            SyntaxKind::Block => blocks.extend(reader.block(&node)),
+            SyntaxKind::Block => blocks.extend(lowering.block(&node)),
             SyntaxKind::Entry => {
-                let at = reader.span(node.text_range());
-                let words = format!("`{}` stands in no block", shorten(reader.slice(at)));
-                reader
+                let span = lowering.span(node.text_range());
+                let message = format!("`{}` stands in no block", shorten(lowering.slice(span)));
+                lowering
                     .findings
-                    .push(Finding::new(Code::EntryOutside, at, words));
+                    .push(Finding::new(Code::EntryOutside, span, message));
             }
             _ => {}
         }
@@ -132,13 +144,13 @@
     blocks
 }
 
-struct Reader<'t, 'f> {
+struct Lowering<'t, 'f> {
     text: &'t str,
     parsed: &'f ParsedFile,
     findings: &'f mut Findings,
 }
 
-impl<'t> Reader<'t, '_> {
+impl<'t> Lowering<'t, '_> {
     fn span(&self, range: rowan::TextRange) -> Span {
         Span {
             file: self.parsed.file,
@@ -147,38 +159,38 @@
         }
     }
 
-    fn slice(&self, at: Span) -> &'t str {
-        &self.text[at.start as usize..at.end as usize]
+    fn slice(&self, span: Span) -> &'t str {
+        &self.text[span.start as usize..span.end as usize]
     }
 
-    fn name(&mut self, kind: SyntaxKind, at: Span) -> Name<'t> {
-        let written = self.slice(at);
+    fn name(&mut self, kind: SyntaxKind, span: Span) -> Name<'t> {
+        let written = self.slice(span);
         if kind != SyntaxKind::Text {
             return Name {
                 text: Cow::Borrowed(written),
-                at,
+                span,
             };
         }
-        self.look_at_escapes(written, at);
+        self.check_escapes(written, span);
         Name {
-            text: said(written),
-            at,
+            text: string_value(written),
+            span,
         }
     }
 
-    fn look_at_escapes(&mut self, written: &str, at: Span) {
+    fn check_escapes(&mut self, written: &str, span: Span) {
         let mut chars = written.chars();
         while let Some(c) = chars.next() {
             if c == '\\' {
                 let escaped = chars.next();
                 if !matches!(escaped, Some('"' | '\\')) {
-                    let words = format!(
+                    let message = format!(
                         "`\\{}` is no escape",
                         escaped.map_or(String::new(), String::from)
                     );
-                    let finding = Finding::new(Code::Escape, at, words);
+                    let finding = Finding::new(Code::Escape, span, message);
                     self.findings
-                        .push(finding.help("only `\\\"` and `\\\\` are"));
+                        .push(finding.with_help("only `\\\"` and `\\\\` are"));
                     return;
                 }
             }
@@ -205,16 +217,16 @@
             }
         }
         let mut head = head.into_iter();
-        let (kind, at) = head.next()?;
-        let kind = self.name(kind, at);
+        let (kind, span) = head.next()?;
+        let kind = self.name(kind, span);
         let (mut name, mut base) = (None, None);
         let mut next = head.next();
-        if next.is_some_and(|(kind, at)| kind == SyntaxKind::Text || self.slice(at) != "from") {
-            name = next.map(|(kind, at)| self.name(kind, at));
+        if next.is_some_and(|(kind, span)| kind == SyntaxKind::Text || self.slice(span) != "from") {
+            name = next.map(|(kind, span)| self.name(kind, span));
             next = head.next();
         }
         if next.is_some() {
-            base = head.next().map(|(kind, at)| self.name(kind, at));
+            base = head.next().map(|(kind, span)| self.name(kind, span));
         }
         Some(Block {
             kind,
@@ -233,8 +245,8 @@
                 SyntaxElement::Token(token)
                     if key.is_none() && token.kind() == SyntaxKind::Word =>
                 {
-                    let at = self.span(token.text_range());
-                    key = Some(self.name(SyntaxKind::Word, at));
+                    let span = self.span(token.text_range());
+                    key = Some(self.name(SyntaxKind::Word, span));
                 }
                 SyntaxElement::Node(child) if child.kind() == SyntaxKind::Value => {
                     values.extend(self.value(&child))
@@ -245,7 +257,7 @@
         Some(Entry { key: key?, values })
     }
 
-    /// Nothing if it is empty: that was told when it was parsed.
+    /// None if it is empty, which the parser has reported.
     fn value(&mut self, node: &SyntaxNode) -> Option<Value<'t>> {
         let mut atoms = Vec::with_capacity(2);
         for token in node
@@ -256,23 +268,20 @@
             if kind.is_trivia() {
                 continue;
             }
-            let at = self.span(token.text_range());
-            let text = self.slice(at);
+            let span = self.span(token.text_range());
+            let text = self.slice(span);
             if kind == SyntaxKind::Text {
-                self.look_at_escapes(text, at);
+                self.check_escapes(text, span);
             }
-            atoms.push(Atom { kind, at, text });
+            atoms.push(Atom { kind, span, text });
         }
-        let at = Span {
-            end: atoms.last()?.at.end,
-            ..atoms.first()?.at
-        };
+        let span = atoms.first()?.span.to(atoms.last()?.span);
         if atoms.iter().any(|atom| atom.kind == SyntaxKind::OpenText) {
             return None;
         }
         Some(Value {
-            at,
-            text: self.slice(at),
+            span,
+            text: self.slice(span),
             atoms,
         })
     }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -14,7 +14,7 @@
 
 use crate::ast::Block;
 use crate::codes::Code;
-use crate::resolve::{Resolved, Sort};
+use crate::resolve::{BlockKind, Resolved};
 use crate::schema::Configuration;
 use crate::source::Span;
 use crate::{Finding, Findings};
@@ -71,11 +71,11 @@
 }
 
 impl<'k, 'r, 't> Checker<'k, 'r, 't> {
-    fn block(&self, sort: Sort, at: usize) -> &'r Block<'t> {
-        self.resolved.block(sort, at)
+    fn block(&self, kind: BlockKind, at: usize) -> &'r Block<'t> {
+        self.resolved.block(kind, at)
     }
 
-    fn tell(&mut self, code: Code, at: Span, words: String) -> &mut Finding {
-        self.findings.push(Finding::new(code, at, words))
+    fn report(&mut self, code: Code, span: Span, message: String) -> &mut Finding {
+        self.findings.push(Finding::new(code, span, message))
     }
 }
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -3,17 +3,17 @@
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 
 impl Checker<'_, '_, '_> {
     pub(super) fn pools(&mut self) {
         for (k, pool) in self.all.pools.iter().enumerate() {
-            let block = self.block(Sort::Pool, k);
+            let block = self.block(BlockKind::Pool, k);
             if pool.members.is_empty()
                 && !block.blocks.iter().any(|inner| inner.kind.text == "member")
             {
-                let words = format!("the pool `{}` has no members", shorten(&pool.name));
-                self.tell(Code::NoMembers, block.at(), words);
+                let message = format!("the pool `{}` has no members", shorten(&pool.name));
+                self.report(Code::NoMembers, block.span(), message);
             }
         }
         self.fall_back_rings();
@@ -33,13 +33,12 @@
                         .map(|one| shorten(&all.pools[*one].name))
                         .collect();
                     names.push(names[0].clone());
-                    let words = format!("pools fall back in a ring: {}", names.join(" -> "));
+                    let message = format!("pools fall back in a ring: {}", names.join(" -> "));
                     let last = path[path.len() - 1];
-                    let place = self.block(Sort::Pool, last).place("fall-back");
-                    let first = self.block(Sort::Pool, at).at();
-                    self.tell(Code::FallBackRing, place, words)
-                        .also
-                        .push((first, "back to here".into()));
+                    let place = self.block(BlockKind::Pool, last).span_of("fall-back");
+                    let first = self.block(BlockKind::Pool, at).span();
+                    self.report(Code::FallBackRing, place, message)
+                        .add_label(first, "back to here");
                     break;
                 }
                 if walked_by[at] != usize::MAX {
--- a/crates/config/src/check/quotas.rs
+++ b/crates/config/src/check/quotas.rs
@@ -3,7 +3,7 @@
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 use crate::schema::{Rate, Route};
 use crate::units::{self, ONE};
 use foldhash::{HashMap, HashMapExt};
@@ -71,20 +71,20 @@
             }
             if promised > an_hour(rate) {
                 let a_second = (promised / 3_600) as u64;
-                let words = format!(
+                let message = format!(
                     "the pool `{}` lets in {}; its tenants' quotas come to {}",
                     shorten(name),
                     units::rate(rate.micro_tickets, rate.per_ns),
                     units::rate(a_second, 1_000_000_000)
                 );
                 let limit = self.limits[&*all.pools[k].limits];
-                let other = self.block(Sort::Limits, limit).place("rate");
-                let finding = self.tell(
+                let other = self.block(BlockKind::Limits, limit).span_of("rate");
+                let finding = self.report(
                     Code::PoolTooSmall,
-                    self.block(Sort::Pool, k).place("limits"),
-                    words,
+                    self.block(BlockKind::Pool, k).span_of("limits"),
+                    message,
                 );
-                finding.also.push((other, "the rate".into()));
+                finding.add_label(other, "the rate");
             }
         }
     }
--- a/crates/config/src/check/reachability.rs
+++ b/crates/config/src/check/reachability.rs
@@ -3,8 +3,9 @@
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 use crate::space::{covers, first_match, miss, Earlier, Point, Points};
+use crate::Label;
 
 /// Points tried for one question; past it the question is left open.
 const MOST_POINTS: usize = 20_000;
@@ -14,16 +15,16 @@
         let all = self.all;
         let types = all.types.len();
         let points = Points::of(&[all]);
-        let few = self.resolved.unsure.is_empty()
+        let few = self.resolved.uncertain_routes.is_empty()
             && points.count() <= MOST_POINTS
             && all.routes.len() <= 200;
         let mut earlier = Earlier::new(types);
-        let unsure = &self.resolved.unsure;
+        let uncertain_routes = &self.resolved.uncertain_routes;
         for (k, route) in all
             .routes
             .iter()
             .enumerate()
-            .filter(|(k, _)| !unsure.contains(k))
+            .filter(|(k, _)| !uncertain_routes.contains(k))
         {
             let matched = route.r#match.as_ref();
             let by = earlier
@@ -38,20 +39,19 @@
             earlier.add(k, matched);
         }
         if earlier.budget == 0 {
-            let at = self.block(Sort::Route, all.routes.len() - 1).at();
-            let words = "too many routes to compare all of them: some may be hidden".to_owned();
-            self.tell(Code::TooManyRoutes, at, words);
+            let at = self.block(BlockKind::Route, all.routes.len() - 1).span();
+            let message = "too many routes to compare all of them: some may be hidden".to_owned();
+            self.report(Code::TooManyRoutes, at, message);
         }
     }
 
     pub(super) fn hidden_by(&mut self, k: usize, by: usize) {
         let name = shorten(&self.all.routes[k].name);
-        let words = format!("no ticket reaches `{name}`: an earlier route takes all of them");
-        let other = self.block(Sort::Route, by).at();
-        let at = self.block(Sort::Route, k).at();
-        self.tell(Code::Hidden, at, words)
-            .also
-            .push((other, "this one".into()));
+        let message = format!("no ticket reaches `{name}`: an earlier route takes all of them");
+        let other = self.block(BlockKind::Route, by).span();
+        let at = self.block(BlockKind::Route, k).span();
+        self.report(Code::Hidden, at, message)
+            .add_label(other, "this one");
     }
 
     /// No single route takes all of it, but some together may.
@@ -77,7 +77,7 @@
             self.hidden_by(k, only);
             return;
         }
-        let words = format!(
+        let message = format!(
             "no ticket reaches `{}`: {} earlier routes together take all of them",
             shorten(&route.name),
             by.len()
@@ -85,10 +85,13 @@
         let others: Vec<_> = by
             .iter()
             .take(4)
-            .map(|at| (self.block(Sort::Route, *at).at(), "one of them".to_owned()))
+            .map(|at| Label {
+                span: self.block(BlockKind::Route, *at).span(),
+                message: "one of them".to_owned(),
+            })
             .collect();
-        let at = self.block(Sort::Route, k).at();
-        self.tell(Code::Hidden, at, words).also = others;
+        let at = self.block(BlockKind::Route, k).span();
+        self.report(Code::Hidden, at, message).labels = others;
     }
 
     pub(super) fn tickets_without_route(&mut self) {
@@ -119,7 +122,7 @@
             );
         }
         for (k, point) in left {
-            let mut words = format!(
+            let mut message = format!(
                 "some tickets of `{}` reach no route",
                 shorten(&all.types[k].name)
             );
@@ -136,10 +139,10 @@
                 such.push("further tries".into());
             }
             if !such.is_empty() {
-                words.push_str(&format!(", such as {}", such.join(", ")));
+                message.push_str(&format!(", such as {}", such.join(", ")));
             }
-            let at = self.block(Sort::Type, k).at();
-            let finding = self.tell(Code::NoRoute, at, words);
+            let at = self.block(BlockKind::Type, k).span();
+            let finding = self.report(Code::NoRoute, at, message);
             finding.help = Some("a last route without `match` takes what is left".into());
         }
     }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -4,7 +4,7 @@
 use crate::ast::Block;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 use crate::schema::{Attempts, Match, Proof, RepeatKind, Route};
 use crate::source::Span;
 use crate::units::{self, ONE};
@@ -45,7 +45,7 @@
     pub(super) fn route(&mut self, k: usize) {
         let all = self.all;
         let route = &all.routes[k];
-        let block = self.block(Sort::Route, k);
+        let block = self.block(BlockKind::Route, k);
         let sum = route
             .to
             .iter()
@@ -57,21 +57,21 @@
             && route.to.iter().all(|target| target.share > 0)
             && sum != ONE
         {
-            let words = format!(
+            let message = format!(
                 "the shares of this route add up to {}, not 100 %",
                 units::share(sum)
             );
-            self.tell(Code::SplitSum, block.place("to"), words);
+            self.report(Code::SplitSum, block.span_of("to"), message);
         }
         for name in &route.fall_back {
             if route.to.len() == 1 && route.to[0].pool == *name {
-                let words = format!(
+                let message = format!(
                     "the route falls back on `{}`, where it leads already",
                     shorten(name)
                 );
-                let other = block.place("to");
-                let finding = self.tell(Code::FallBackSelf, block.place("fall-back"), words);
-                finding.also.push((other, "leads there".into()));
+                let other = block.span_of("to");
+                let finding = self.report(Code::FallBackSelf, block.span_of("fall-back"), message);
+                finding.add_label(other, "leads there");
             }
         }
         if route.split_by() == crate::schema::SplitBy::Chance
@@ -81,8 +81,8 @@
                 .as_ref()
                 .is_some_and(|matched| !matched.entities.is_empty())
         {
-            let words = "tickets of one entity go to several pools by chance".to_owned();
-            let finding = self.tell(Code::OneEntity, block.place("split-by"), words);
+            let message = "tickets of one entity go to several pools by chance".to_owned();
+            let finding = self.report(Code::OneEntity, block.span_of("split-by"), message);
             finding.help = Some("write `split-by: entity`".into());
         }
         self.attempts(route, block);
@@ -96,7 +96,7 @@
             .get(&*route.attempts)
             .map(|at| &all.attempts[*at]);
         if let Some(own) = own {
-            self.proof(route, own, block.place("attempts"));
+            self.proof(route, own, block.span_of("attempts"));
         }
         let pools = route
             .to
@@ -115,18 +115,19 @@
             else {
                 continue;
             };
-            let place = self.block(Sort::Pool, at).place("attempts");
+            let place = self.block(BlockKind::Pool, at).span_of("attempts");
             self.proof(route, below, place);
             if let Some(own) = own.filter(|own| own.tries > 1 && below.tries > 1) {
-                let words = format!(
+                let message = format!(
                     "{} tries by the route and {} by the pool `{}` make {} of one ticket",
                     own.tries,
                     below.tries,
                     shorten(&pool.name),
                     own.tries * below.tries
                 );
-                let finding = self.tell(Code::AttemptsMultiply, block.place("attempts"), words);
-                finding.also.push((place, "the pool's attempts".into()));
+                let finding =
+                    self.report(Code::AttemptsMultiply, block.span_of("attempts"), message);
+                finding.add_label(place, "the pool's attempts");
                 finding.help = Some("leave the attempts to one of the two".into());
             }
         }
@@ -165,13 +166,13 @@
                 ),
                 _ => ("ticketed", "write `proof: mark` or `proof: not-run`"),
             };
-            let words = format!(
+            let message = format!(
                 "`{}` would repeat tickets of the {called} type `{name}`{and} without proof",
                 shorten(&policy.name)
             );
-            let other = self.block(Sort::Type, first).place("repeat");
-            let finding = self.tell(code, at, words);
-            finding.also.push((other, format!("{called} here")));
+            let other = self.block(BlockKind::Type, first).span_of("repeat");
+            let finding = self.report(code, at, message);
+            finding.add_label(other, format!("{called} here"));
             finding.help = Some(help.into());
         }
     }
@@ -186,7 +187,7 @@
             .min_by_key(|at| all.types[*at].goal_ns);
         let Some(shortest) = shortest else { return };
         let goal = all.types[shortest].goal_ns;
-        let goal_place = self.block(Sort::Type, shortest).place("goal");
+        let goal_place = self.block(BlockKind::Type, shortest).span_of("goal");
         let name = shorten(&all.types[shortest].name);
         if let Some(budget) = self.budgets.get(&*route.budget).map(|at| &all.budgets[*at]) {
             let stages = [
@@ -203,16 +204,14 @@
                 .map(|stage| stage.fixed_ns.saturating_add(part(stage.share)));
             let all_stages = parts.fold(0u64, u64::saturating_add);
             if all_stages > goal {
-                let words = format!(
+                let message = format!(
                     "the stages of `{}` take {}; `{name}` has {}",
                     shorten(&budget.name),
                     units::time(all_stages),
                     units::time(goal)
                 );
-                let finding = self.tell(Code::BudgetTooLong, block.place("budget"), words);
-                finding
-                    .also
-                    .push((goal_place, "the shortest goal time of this route".into()));
+                let finding = self.report(Code::BudgetTooLong, block.span_of("budget"), message);
+                finding.add_label(goal_place, "the shortest goal time of this route");
             }
         }
         if let Some(policy) = self
@@ -224,16 +223,14 @@
                 .wait_most_ns
                 .saturating_mul(policy.tries.saturating_sub(1));
             if policy.tries > 1 && waits >= goal {
-                let words = format!(
+                let message = format!(
                     "waits of `{}` come to {}; `{name}` has {}",
                     shorten(&policy.name),
                     units::time(waits),
                     units::time(goal)
                 );
-                let finding = self.tell(Code::WaitsTooLong, block.place("attempts"), words);
-                finding
-                    .also
-                    .push((goal_place, "the shortest goal time of this route".into()));
+                let finding = self.report(Code::WaitsTooLong, block.span_of("attempts"), message);
+                finding.add_label(goal_place, "the shortest goal time of this route");
             }
         }
     }
--- a/crates/config/src/check/shares.rs
+++ b/crates/config/src/check/shares.rs
@@ -3,7 +3,7 @@
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 use crate::schema::{OnFailure, RepeatKind, TrafficType};
 use crate::units::{self, ONE};
 use foldhash::{HashMap, HashMapExt};
@@ -13,7 +13,7 @@
     pub(super) fn over_whole(
         &mut self,
         code: Code,
-        sort: Sort,
+        kind: BlockKind,
         shares: &[(usize, u64)],
         what: &str,
     ) {
@@ -25,15 +25,15 @@
                 let all = shares
                     .iter()
                     .fold(0u64, |all, (_, share)| all.saturating_add(*share));
-                let words = format!("{what} add up to {}", units::share(all));
+                let message = format!("{what} add up to {}", units::share(all));
                 let first = shares
                     .iter()
                     .find(|(_, share)| *share > 0)
                     .map_or(*k, |(first, _)| *first);
-                let other = self.block(sort, first).place("share");
-                let finding = self.tell(code, self.block(sort, *k).place("share"), words);
+                let other = self.block(kind, first).span_of("share");
+                let finding = self.report(code, self.block(kind, *k).span_of("share"), message);
                 if first != *k {
-                    finding.also.push((other, "the first of them".into()));
+                    finding.add_label(other, "the first of them");
                 }
             }
         }
@@ -49,7 +49,7 @@
             .collect();
         self.over_whole(
             Code::TenantShares,
-            Sort::Tenant,
+            BlockKind::Tenant,
             &shares,
             "the shares of all tenants",
         );
@@ -74,16 +74,16 @@
                 .into_iter()
                 .find(|of| matches!(of.repeat(), RepeatKind::Exclusive | RepeatKind::Ticketed));
             if let Some(of) = found {
-                let words = format!(
+                let message = format!(
                     "`{}` would get a partial answer that hides whether its effect took place",
                     shorten(&of.name)
                 );
                 let other = self
-                    .block(Sort::Type, self.types[&*of.name])
-                    .place("repeat");
-                let at = self.block(Sort::Dependency, k).place("on-failure");
-                let finding = self.tell(Code::PartialExclusive, at, words);
-                finding.also.push((other, "not rerunnable".into()));
+                    .block(BlockKind::Type, self.types[&*of.name])
+                    .span_of("repeat");
+                let at = self.block(BlockKind::Dependency, k).span_of("on-failure");
+                let finding = self.report(Code::PartialExclusive, at, message);
+                finding.add_label(other, "not rerunnable");
                 finding.help = Some("name the types it is for, or write `give-up`".into());
             }
         }
@@ -100,7 +100,7 @@
         }
         self.over_whole(
             Code::DependencyShares,
-            Sort::Dependency,
+            BlockKind::Dependency,
             &general,
             "the shares for all types",
         );
@@ -112,7 +112,12 @@
                 shares.extend(&general);
                 shares.sort_unstable();
                 let what = format!("the shares for `{}`", shorten(name));
-                self.over_whole(Code::DependencyShares, Sort::Dependency, &shares, &what);
+                self.over_whole(
+                    Code::DependencyShares,
+                    BlockKind::Dependency,
+                    &shares,
+                    &what,
+                );
             }
         }
     }
--- a/crates/config/src/check/unused.rs
+++ b/crates/config/src/check/unused.rs
@@ -3,7 +3,7 @@
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::resolve::Sort;
+use crate::resolve::BlockKind;
 use crate::Finding;
 use foldhash::{HashSet, HashSetExt};
 
@@ -13,24 +13,34 @@
         if all.routes.is_empty() {
             return;
         }
-        let mut used: HashSet<(Sort, &str)> = HashSet::new();
+        let mut used: HashSet<(BlockKind, &str)> = HashSet::new();
         for route in &all.routes {
             used.extend([
-                (Sort::Limits, &*route.limits),
-                (Sort::Attempts, &*route.attempts),
-                (Sort::Budget, &*route.budget),
-                (Sort::RetryAfter, &*route.retry_after),
+                (BlockKind::Limits, &*route.limits),
+                (BlockKind::Attempts, &*route.attempts),
+                (BlockKind::Budget, &*route.budget),
+                (BlockKind::RetryAfter, &*route.retry_after),
             ]);
-            used.extend(route.to.iter().map(|target| (Sort::Pool, &*target.pool)));
-            used.extend(route.fall_back.iter().map(|name| (Sort::Pool, &**name)));
+            used.extend(
+                route
+                    .to
+                    .iter()
+                    .map(|target| (BlockKind::Pool, &*target.pool)),
+            );
+            used.extend(
+                route
+                    .fall_back
+                    .iter()
+                    .map(|name| (BlockKind::Pool, &**name)),
+            );
         }
         for pool in &all.pools {
             used.extend([
-                (Sort::Health, &*pool.health),
-                (Sort::Limits, &*pool.limits),
-                (Sort::Attempts, &*pool.attempts),
-                (Sort::RetryAfter, &*pool.retry_after),
-                (Sort::Pool, &*pool.fall_back),
+                (BlockKind::Health, &*pool.health),
+                (BlockKind::Limits, &*pool.limits),
+                (BlockKind::Attempts, &*pool.attempts),
+                (BlockKind::RetryAfter, &*pool.retry_after),
+                (BlockKind::Pool, &*pool.fall_back),
             ]);
         }
         let limits = all
@@ -38,28 +48,32 @@
             .iter()
             .map(|one| &one.limits)
             .chain(all.tenants.iter().map(|one| &one.limits));
-        used.extend(limits.map(|name| (Sort::Limits, &**name)));
-        for sort in Sort::ALL.into_iter().filter(|sort| sort.is_policy()) {
-            let of_sort = &self.resolved.blocks[sort as usize];
-            let bases: HashSet<&str> = of_sort
+        used.extend(limits.map(|name| (BlockKind::Limits, &**name)));
+        for kind in BlockKind::ALL.into_iter().filter(|kind| kind.is_policy()) {
+            let of_kind = &self.resolved.blocks[kind as usize];
+            let bases: HashSet<&str> = of_kind
                 .iter()
                 .filter_map(|block| block.base.as_ref())
                 .map(|base| &*base.text)
                 .collect();
-            for block in of_sort {
+            for block in of_kind {
                 let Some(name) = &block.name else { continue };
-                if !used.contains(&(sort, &*name.text)) && !bases.contains(&*name.text) {
-                    let words =
-                        format!("nothing uses the {} `{}`", sort.word(), shorten(&name.text));
+                if !used.contains(&(kind, &*name.text)) && !bases.contains(&*name.text) {
+                    let message =
+                        format!("nothing uses the {} `{}`", kind.word(), shorten(&name.text));
                     self.findings
-                        .push(Finding::new(Code::UnusedPolicy, block.at(), words));
+                        .push(Finding::new(Code::UnusedPolicy, block.span(), message));
                 }
             }
         }
         for (k, pool) in all.pools.iter().enumerate() {
-            if !used.contains(&(Sort::Pool, &*pool.name)) {
-                let words = format!("no route leads to the pool `{}`", shorten(&pool.name));
-                self.tell(Code::UnusedPool, self.block(Sort::Pool, k).at(), words);
+            if !used.contains(&(BlockKind::Pool, &*pool.name)) {
+                let message = format!("no route leads to the pool `{}`", shorten(&pool.name));
+                self.report(
+                    Code::UnusedPool,
+                    self.block(BlockKind::Pool, k).span(),
+                    message,
+                );
             }
         }
     }
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -1,105 +1,137 @@
-//! What is wrong with a configuration, and where.
+//! Findings (the diagnostics of this language): what is wrong with a configuration, and where.
 
 use crate::codes::{Code, Severity};
 use crate::source::Span;
 
-/// One thing that is wrong, where, and what else belongs to it.
+/// A diagnostic: one thing that is wrong, where, and what else belongs to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
+    /// What is wrong, as a stable code.
     pub code: Code,
-    pub at: Span,
+    /// Where.
+    pub span: Span,
+    /// What is wrong, in one line.
     pub message: String,
-    /// The other half of a conflict, each with its own words.
-    pub also: Vec<(Span, String)>,
+    /// Other places that belong to it, such as the other half of a conflict.
+    pub labels: Vec<Label>,
     /// What to do about it, where that can be said.
     pub help: Option<String>,
 }
 
+/// A place that belongs to a finding, with what is there.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Label {
+    /// The place.
+    pub span: Span,
+    /// What is there, in a few words.
+    pub message: String,
+}
+
 impl Finding {
-    pub fn new(code: Code, at: Span, message: impl Into<String>) -> Self {
+    /// A finding without labels and help.
+    pub fn new(code: Code, span: Span, message: impl Into<String>) -> Self {
         Self {
             code,
-            at,
+            span,
             message: message.into(),
-            also: Vec::new(),
+            labels: Vec::new(),
             help: None,
         }
     }
 
-    pub fn also(mut self, at: Span, words: impl Into<String>) -> Self {
-        self.also.push((at, words.into()));
+    /// With another place that belongs to it.
+    #[must_use]
+    pub fn with_label(mut self, span: Span, message: impl Into<String>) -> Self {
+        self.add_label(span, message);
         self
     }
 
-    pub fn help(mut self, words: impl Into<String>) -> Self {
-        self.help = Some(words.into());
+    /// Adds another place that belongs to it.
+    pub fn add_label(&mut self, span: Span, message: impl Into<String>) {
+        let message = message.into();
+        self.labels.push(Label { span, message });
+    }
+
+    /// With what to do about it.
+    #[must_use]
+    pub fn with_help(mut self, help: impl Into<String>) -> Self {
+        self.help = Some(help.into());
         self
     }
 
+    /// Whether the configuration is refused for it.
     pub fn is_error(&self) -> bool {
         self.code.severity() == Severity::Error
     }
 }
 
-/// Findings of one configuration that are kept: more than anybody reads. The rest is counted.
-const MOST_FINDINGS: usize = 5_000;
+/// Findings of one configuration that are retained; the others are counted.
+const MAX_FINDINGS: usize = 5_000;
 
-/// Findings as they are made, in bounded memory.
+/// Collects findings in bounded memory.
 #[derive(Debug, Default)]
 pub struct Findings {
-    kept: Vec<Finding>,
-    more: usize,
-    errors: bool,
-    /// The last one, if it was not kept.
-    spare: Option<Finding>,
+    retained: Vec<Finding>,
+    /// How many were not retained.
+    dropped: usize,
+    has_errors: bool,
+    /// The last finding that was not retained, for callers that add to it.
+    last_dropped: Option<Finding>,
 }
 
 impl Findings {
-    /// Adds one; it can still be added to.
+    /// Adds a finding and returns it, so that labels and help can be added.
     pub fn push(&mut self, finding: Finding) -> &mut Finding {
-        self.errors |= finding.is_error();
-        if self.kept.len() >= MOST_FINDINGS {
-            self.more += 1;
-            return self.spare.insert(finding);
+        self.has_errors |= finding.is_error();
+        if self.retained.len() >= MAX_FINDINGS {
+            self.dropped += 1;
+            return self.last_dropped.insert(finding);
         }
-        self.kept.push(finding);
-        let last = self.kept.len() - 1;
-        &mut self.kept[last]
+        self.retained.push(finding);
+        let last = self.retained.len() - 1;
+        &mut self.retained[last]
     }
 
-    /// How many were made.
-    pub fn made(&self) -> usize {
-        self.kept.len() + self.more
+    /// How many were added, retained or not.
+    pub fn count(&self) -> usize {
+        self.retained.len() + self.dropped
     }
 
+    /// Whether any of those added is an error.
     pub fn has_errors(&self) -> bool {
-        self.errors
+        self.has_errors
     }
 
-    /// In order of file, place and code; none twice.
+    /// All retained findings in order of file, place and code, none twice; a last one says how many were dropped.
     pub fn into_vec(self) -> Vec<Finding> {
-        let Self { mut kept, more, .. } = self;
-        kept.sort_by(|a, b| {
-            let key = |f: &Finding| (f.at.file, f.at.start, f.code);
+        let Self {
+            mut retained,
+            dropped,
+            ..
+        } = self;
+        retained.sort_by(|a, b| {
+            let key = |f: &Finding| (f.span.file, f.span.start, f.code);
             key(a).cmp(&key(b)).then_with(|| a.message.cmp(&b.message))
         });
-        kept.dedup_by(|a, b| a.at == b.at && a.code == b.code && a.message == b.message);
-        if let Some(last) = kept.last().filter(|_| more > 0) {
-            let words = format!("{more} more findings are not told");
-            kept.push(Finding::new(Code::TooMany, last.at, words));
+        retained.dedup_by(|a, b| a.span == b.span && a.code == b.code && a.message == b.message);
+        if let Some(last) = retained.last().filter(|_| dropped > 0) {
+            let message = format!("{dropped} more findings are not told");
+            retained.push(Finding::new(Code::TooMany, last.span, message));
         }
-        kept
+        retained
     }
 }
 
-/// At most 40 characters of what stood there, spaces not counted: enough to know it again, and the same text
-/// however it is spaced.
+/// Characters, blanks not counted, of a source text that a message quotes.
+const MAX_QUOTED_CHARACTERS: usize = 40;
+
+/// The beginning of a source text for a message: at most [`MAX_QUOTED_CHARACTERS`], so that a text is cut at the same
+/// place however it is spaced.
 pub(crate) fn shorten(text: &str) -> String {
-    const MOST: usize = 40;
     match text
         .char_indices()
         .filter(|(_, c)| !c.is_whitespace())
-        .nth(MOST)
+        .nth(MAX_QUOTED_CHARACTERS)
     {
         Some((cut, _)) => format!("{}…", &text[..cut]),
         None => text.to_owned(),
--- a/crates/config/src/include.rs
+++ b/crates/config/src/include.rs
@@ -64,12 +64,13 @@
             format!("`{path}` cannot be read: {why}"),
         ),
         Trouble::TooLarge(size) => {
-            let words = format!("`{path}` has {size} bytes; {LARGEST} are read at most");
-            Finding::new(Code::TooLarge, at, words).help("split it into files that are included")
+            let message = format!("`{path}` has {size} bytes; {LARGEST} are read at most");
+            Finding::new(Code::TooLarge, at, message)
+                .with_help("split it into files that are included")
         }
         Trouble::NotUtf8(byte) => {
-            let words = format!("`{path}` is not UTF-8: byte {byte} belongs to no character");
-            Finding::new(Code::NotUtf8, at, words).help("save it as UTF-8")
+            let message = format!("`{path}` is not UTF-8: byte {byte} belongs to no character");
+            Finding::new(Code::NotUtf8, at, message).with_help("save it as UTF-8")
         }
     }
 }
@@ -171,7 +172,7 @@
                 let finding = Finding::new(Code::Outside, at, why);
                 let help =
                     "all files of a configuration lie in or below the folder of its first file";
-                self.findings.push(finding.help(help));
+                self.findings.push(finding.with_help(help));
                 return None;
             }
         };
@@ -195,9 +196,10 @@
                 format!("{shown} (the same file)")
             };
             names.push(&again);
-            let words = format!("files include each other in a ring: {}", names.join(" -> "));
-            self.findings
-                .push(Finding::new(Code::Ring, at, words).help("leave out one of these includes"));
+            let message = format!("files include each other in a ring: {}", names.join(" -> "));
+            self.findings.push(
+                Finding::new(Code::Ring, at, message).with_help("leave out one of these includes"),
+            );
             return None;
         }
         if self.read.contains_key(&identity) {
@@ -208,17 +210,17 @@
             .as_ref()
             .is_some_and(|root| !identity.starts_with(root))
         {
-            let words = format!("`{shown}` is a link out of the configuration's folder");
-            self.findings.push(Finding::new(Code::Outside, at, words));
+            let message = format!("`{shown}` is a link out of the configuration's folder");
+            self.findings.push(Finding::new(Code::Outside, at, message));
             return None;
         }
         if self.sources.len() >= MOST_FILES || self.bytes > LARGEST_SUM {
             if !std::mem::replace(&mut self.full, true) {
-                let words = format!(
+                let message = format!(
                     "over {MOST_FILES} files or {LARGEST_SUM} bytes; no more is read from here"
                 );
                 self.findings
-                    .push(Finding::new(Code::TooManyFiles, at, words));
+                    .push(Finding::new(Code::TooManyFiles, at, message));
             }
             return None;
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -25,7 +25,7 @@
 //! let files = Memory::new([("a.rain", "rain 1\ntype check {\n  repeat: rerunnable\n  goal: 40 tickets/s\n}\n")]);
 //! let outcome = load(&files, "a.rain");
 //! let found = outcome.findings.iter().find(|finding| finding.code.id() == "U202").unwrap();
-//! assert_eq!(outcome.sources.line_column(found.at), (4, 9));
+//! assert_eq!(outcome.sources.line_column(found.span), (4, 9));
 //! assert_eq!(found.message, "`goal` wants a time such as `250 ms`; `40 tickets/s` is a rate");
 //! ```
 
@@ -47,5 +47,5 @@
 pub mod syntax;
 pub mod units;
 
-pub use finding::{Finding, Findings};
+pub use finding::{Finding, Findings, Label};
 pub use load::{load, Outcome};
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -38,7 +38,7 @@
     while let Some((file, next)) = stack.last_mut() {
         let include = parsed[*file].included.get(*next);
         let before = |block: &ast::Block<'_>| {
-            include.is_none_or(|include| block.kind.at.start < include.offset)
+            include.is_none_or(|include| block.kind.span.start < include.offset)
         };
         if let Some(block) = left[*file].next_if(before) {
             all.push(block);
@@ -61,7 +61,7 @@
     let (sources, parsed) = include::gather(files, first, &mut findings);
     let blocks: Vec<_> = parsed
         .iter()
-        .map(|file| ast::read(&sources, file, &mut findings))
+        .map(|file| ast::lower(&sources, file, &mut findings))
         .collect();
     let blocks = in_place(&parsed, blocks);
     let mut resolved = resolve::resolve(&sources, &blocks, &mut findings);
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -48,7 +48,7 @@
 /// that says so.
 pub fn parse(file: FileId, text: &str, findings: &mut Findings) -> ParsedFile {
     let tokens = lex(text);
-    let before = findings.made();
+    let before = findings.count();
     let mut parser = Parser {
         file,
         text,
@@ -140,16 +140,16 @@
     }
 
     fn report(&mut self, finding: Finding) {
-        match self.findings.made().cmp(&self.report_limit) {
+        match self.findings.count().cmp(&self.report_limit) {
             std::cmp::Ordering::Less => {
                 self.findings.push(finding);
             }
             std::cmp::Ordering::Equal => {
-                let words = format!(
+                let message = format!(
                     "more than {MAX_FINDINGS_PER_FILE} syntax errors in this file; the rest is not told"
                 );
                 self.findings
-                    .push(Finding::new(Code::TooMany, finding.at, words));
+                    .push(Finding::new(Code::TooMany, finding.span, message));
             }
             std::cmp::Ordering::Greater => {}
         }
@@ -178,10 +178,10 @@
     }
 
     fn unexpected_character(&mut self) {
-        let words = format!("`{}` means nothing here", shorten(self.next_text()));
+        let message = format!("`{}` means nothing here", shorten(self.next_text()));
         let help =
             "outside texts and comments only ASCII letters, digits and `{}:,;.+-/%_` are read";
-        self.report(Finding::new(Code::Character, self.span(), words).help(help));
+        self.report(Finding::new(Code::Character, self.span(), message).with_help(help));
     }
 
     fn file(&mut self) {
@@ -205,7 +205,7 @@
                 at,
                 "the file does not begin with its version",
             );
-            self.report(finding.help("write `rain 1` as its first line"));
+            self.report(finding.with_help("write `rain 1` as its first line"));
         }
         loop {
             self.skip_trivia();
@@ -241,9 +241,11 @@
         self.bump();
         self.skip_blanks();
         if self.next_text() != "1" {
-            let words = format!("version {} of the language is not known", self.next_text());
+            let message = format!("version {} of the language is not known", self.next_text());
             let at = self.span();
-            self.report(Finding::new(Code::Version, at, words).help("this program reads `rain 1`"));
+            self.report(
+                Finding::new(Code::Version, at, message).with_help("this program reads `rain 1`"),
+            );
         }
         self.bump();
         self.finish_node();
@@ -274,9 +276,9 @@
                 return;
             }
             Some(Token::Slash) => {
-                let words = "expected a block or an entry, found `/`";
-                let finding = Finding::new(Code::Expected, self.span(), words);
-                self.report(finding.help("a comment begins with `#`"));
+                let message = "expected a block or an entry, found `/`";
+                let finding = Finding::new(Code::Expected, self.span(), message);
+                self.report(finding.with_help("a comment begins with `#`"));
             }
             _ => self.expected(
                 Code::Expected,
@@ -358,13 +360,15 @@
                 self.skip_line();
             }
             _ => {
-                let words = format!(
+                let message = format!(
                     "`{}` is followed by {}",
                     self.text_of(word),
                     self.describe_next()
                 );
-                let finding = Finding::new(Code::NoColon, word, words);
-                self.report(finding.help("an entry is `key: value`, a block is `kind name { … }`"));
+                let finding = Finding::new(Code::NoColon, word, message);
+                self.report(
+                    finding.with_help("an entry is `key: value`, a block is `kind name { … }`"),
+                );
                 self.skip_line();
             }
         }
@@ -400,8 +404,8 @@
     fn body(&mut self, kind: Span, depth: usize) {
         let brace = self.span();
         if depth + 1 > MAX_BLOCK_DEPTH {
-            let words = format!("blocks nest more than {MAX_BLOCK_DEPTH} deep here");
-            self.report(Finding::new(Code::TooDeep, brace, words));
+            let message = format!("blocks nest more than {MAX_BLOCK_DEPTH} deep here");
+            self.report(Finding::new(Code::TooDeep, brace, message));
             self.start_node(SyntaxKind::Skipped);
             self.skip_braces();
             self.finish_node();
@@ -413,9 +417,13 @@
             match self.peek() {
                 None => {
                     let at = self.span();
-                    let words = format!("the block `{}` is not closed", self.text_of(kind));
-                    let finding = Finding::new(Code::NotClosed, at, words);
-                    self.report(finding.also(brace, "opened here").help("a `}` is missing"));
+                    let message = format!("the block `{}` is not closed", self.text_of(kind));
+                    let finding = Finding::new(Code::NotClosed, at, message);
+                    self.report(
+                        finding
+                            .with_label(brace, "opened here")
+                            .with_help("a `}` is missing"),
+                    );
                     return;
                 }
                 Some(Token::Close) => {
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -1,8 +1,7 @@
-//! Findings as a person reads them (the line shown, with marks) and as a program does (one JSON object a
-//! line: `file`, `line`, `column`, `code`, `severity`, `message`, and where there are any `also`, `help`).
+//! Findings as a person reads them: the source line with marks, or one line of text.
 
 use crate::codes::Severity;
-use crate::source::{FileId, Sources};
+use crate::source::{FileId, Sources, Span};
 use crate::Finding;
 use codespan_reporting::diagnostic::{Diagnostic, Label};
 use codespan_reporting::files::{Error, Files};
@@ -10,8 +9,8 @@
 use std::fmt::Write as _;
 use std::ops::Range;
 
-/// Characters of a line that are shown; a longer one is told without its text.
-const WIDEST: usize = 400;
+/// Bytes of a source line that is shown; a finding in a longer one is written as [`plain`] text.
+const MAX_LINE_BYTES: usize = 400;
 
 impl<'a> Files<'a> for Sources {
     type FileId = u32;
@@ -39,7 +38,7 @@
     }
 }
 
-/// Writes findings with the lines they are about and a mark under each place.
+/// Writes findings with the source lines they are about and a mark under each place.
 ///
 /// # Errors
 /// Those of the stream.
@@ -54,59 +53,61 @@
         ..Config::default()
     };
     for finding in findings {
-        let places = std::iter::once(&finding.at).chain(finding.also.iter().map(|(at, _)| at));
-        let wide = sources.text(finding.at.file).is_empty()
-            || places.clone().any(|at| {
-                let line = sources.line_of(at.file, at.start as usize);
-                sources
-                    .line_bytes(at.file, line)
-                    .is_some_and(|range| range.len() > WIDEST)
-            });
-        if wide {
-            // There is no line to show, or it would fill the screen.
+        if has_lines_to_show(sources, finding) {
+            term::emit_to_write_style(out, &config, sources, &diagnostic(finding))
+                .map_err(|e| std::io::Error::other(e.to_string()))?;
+        } else {
             writeln!(out, "{}", plain(sources, finding))?;
-            continue;
         }
-        let mut labels = vec![Label::primary(
-            finding.at.file.0,
-            finding.at.start as usize..finding.at.end as usize,
-        )];
-        labels.extend(finding.also.iter().map(|(at, words)| {
-            Label::secondary(at.file.0, at.start as usize..at.end as usize).with_message(words)
-        }));
-        let diagnostic = match finding.code.severity() {
-            Severity::Error => Diagnostic::error(),
-            Severity::Warning => Diagnostic::warning(),
-        };
-        let mut diagnostic = diagnostic
-            .with_code(finding.code.id())
-            .with_message(&finding.message)
-            .with_labels(labels);
-        if let Some(help) = &finding.help {
-            diagnostic = diagnostic.with_notes(vec![format!("help: {help}")]);
-        }
-        term::emit_to_write_style(out, &config, sources, &diagnostic)
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
     }
     Ok(())
 }
 
-/// One line: `file:line:column: code: message`.
+/// Whether the file has text and none of the lines would fill the screen.
+fn has_lines_to_show(sources: &Sources, finding: &Finding) -> bool {
+    let labels = finding.labels.iter().map(|label| label.span);
+    let is_wide = |span: Span| {
+        let line = sources.line_of(span.file, span.start as usize);
+        sources
+            .line_bytes(span.file, line)
+            .is_some_and(|range| range.len() > MAX_LINE_BYTES)
+    };
+    !sources.text(finding.span.file).is_empty()
+        && !std::iter::once(finding.span).chain(labels).any(is_wide)
+}
+
+fn diagnostic(finding: &Finding) -> Diagnostic<u32> {
+    let bytes = |span: Span| span.start as usize..span.end as usize;
+    let mut labels = vec![Label::primary(finding.span.file.0, bytes(finding.span))];
+    labels.extend(finding.labels.iter().map(|label| {
+        Label::secondary(label.span.file.0, bytes(label.span)).with_message(&label.message)
+    }));
+    let notes = finding.help.iter().map(|help| format!("help: {help}"));
+    let diagnostic = match finding.code.severity() {
+        Severity::Error => Diagnostic::error(),
+        Severity::Warning => Diagnostic::warning(),
+    };
+    diagnostic
+        .with_code(finding.code.id())
+        .with_message(&finding.message)
+        .with_labels(labels)
+        .with_notes(notes.collect())
+}
+
+/// One line: `file:line:column: code: message`, then the labels and the help.
 pub fn plain(sources: &Sources, finding: &Finding) -> String {
-    let (line, column) = sources.line_column(finding.at);
+    let position = |span: Span| {
+        let (line, column) = sources.line_column(span);
+        format!("{}:{line}:{column}", sources.path(span.file))
+    };
     let mut text = format!(
-        "{}:{line}:{column}: {}: {}",
-        sources.path(finding.at.file),
+        "{}: {}: {}",
+        position(finding.span),
         finding.code.id(),
         finding.message
     );
-    for (at, words) in &finding.also {
-        let (line, column) = sources.line_column(*at);
-        let _ = write!(
-            text,
-            " [{}:{line}:{column}: {words}]",
-            sources.path(at.file)
-        );
+    for label in &finding.labels {
+        let _ = write!(text, " [{}: {}]", position(label.span), label.message);
     }
     if let Some(help) = &finding.help {
         let _ = write!(text, " ({help})");
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -1,8 +1,11 @@
-//! Blocks to the message of the schema: names, defaults, one policy built on another.
+//! Lowers blocks to the message of the schema: names, defaults, one policy built on another.
 //!
-//! Beside the message stand the blocks that its parts came from, in the same order, so that the checker
-//! can point at them. Lists are brought into order only after the checks.
+//! Beside the message stand the blocks that its lists were made from, in the same order, so that the checker
+//! can point at them. Lists are sorted only after the checks.
+
+mod amounts;
 mod block_kind;
+mod bounds;
 mod control;
 mod dependency;
 mod experiment;
@@ -16,7 +19,7 @@
 mod tenant;
 mod traffic_type;
 
-pub use block_kind::Sort;
+pub use block_kind::BlockKind;
 
 use crate::ast::{Block, Name};
 use crate::codes::Code;
@@ -26,196 +29,226 @@
 use crate::units::ONE;
 use crate::{Finding, Findings};
 use foldhash::{HashMap, HashSet, HashSetExt};
-use reader::{must, or, Bounds, Reader};
+use reader::BlockReader;
 
-const SECOND: u64 = 1_000_000_000;
-/// No time in a configuration is longer: what waits a week is no ticket.
-const LONGEST: u64 = 7 * 24 * 3_600 * SECOND;
-/// Tries of one ticket: more only makes a bad time worse.
-const MOST_TRIES: u64 = 10;
+const MILLISECOND_NS: u64 = 1_000_000;
+const SECOND_NS: u64 = 1_000_000_000;
+/// The longest time in a configuration: a week.
+const MAX_DURATION_NS: u64 = 7 * 24 * 3_600 * SECOND_NS;
+/// Attempts of one request.
+const MAX_TRIES: u64 = 10;
 /// Weight of a member, or benefit of a type, against another.
-const MOST_FACTOR: u64 = 1_000_000 * ONE;
-/// Blocks of one kind: what runs tells them apart by two bytes.
-const MOST_THINGS: usize = 65_000;
-/// Bytes of an entity pattern: longer than any number that tickets are about.
-const LONGEST_PATTERN: usize = 256;
-/// Bytes of a name: it is told in logs and answers.
-const LONGEST_NAME: usize = 128;
-/// Policies below one another.
-const DEEPEST_BASE: usize = 16;
-/// Unknown names for which the nearest known one is looked up: it costs a walk over all names.
-const MOST_LOOKUPS: usize = 100;
+const MAX_FACTOR: u64 = 1_000_000 * ONE;
+/// Blocks of one kind: routing tables hold their indices in two bytes.
+const MAX_BLOCKS_PER_KIND: usize = 65_000;
+/// Bytes of an entity pattern.
+const MAX_PATTERN_BYTES: usize = 256;
+/// Bytes of a name, which logs and answers repeat.
+const MAX_NAME_BYTES: usize = 128;
+/// Policies that one is built on, directly or not.
+const MAX_BASE_DEPTH: usize = 16;
+/// Unknown names for which the nearest known one is looked up: each costs a walk over all names.
+const MAX_SUGGESTIONS: usize = 100;
 
 type Blocks<'r, 't> = Vec<&'r Block<'t>>;
 
 /// The message, and the blocks that its lists were made from.
 pub struct Resolved<'r, 't> {
+    /// The message, with its lists in the order of the files.
     pub configuration: schema::Configuration,
-    /// By [`Sort`]; each as long as its list in the message.
-    pub blocks: [Blocks<'r, 't>; Sort::ALL.len()],
-    /// Routes whose match has errors: what they take is not known.
-    pub unsure: HashSet<usize>,
+    /// By [`BlockKind`]; each as long as its list in the message.
+    pub blocks: [Blocks<'r, 't>; BlockKind::ALL.len()],
+    /// Indices of routes whose match has findings, so that it is not known what they match.
+    pub uncertain_routes: HashSet<usize>,
 }
 
 impl<'r, 't> Resolved<'r, 't> {
-    pub fn block(&self, sort: Sort, at: usize) -> &'r Block<'t> {
-        self.blocks[sort as usize][at]
+    /// The block that an item of a list in the message was made from.
+    ///
+    /// # Panics
+    /// If there is no such item.
+    pub fn block(&self, kind: BlockKind, index: usize) -> &'r Block<'t> {
+        self.blocks[kind as usize][index]
     }
 }
 
 /// The known name nearest to a wrong one, if one is near enough to have been meant.
 pub fn nearest<'n>(wrong: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
-    let most = (wrong.chars().count() / 3).clamp(1, 3);
-    let near = known.filter(|name| name.len().abs_diff(wrong.len()) <= 2 * most);
+    let max_distance = (wrong.chars().count() / 3).clamp(1, 3);
+    let near = known.filter(|name| name.len().abs_diff(wrong.len()) <= 2 * max_distance);
     let rated = near.map(|name| (strsim::damerau_levenshtein(wrong, name), name));
     rated
-        .filter(|(far, _)| *far <= most)
+        .filter(|(distance, _)| *distance <= max_distance)
         .min()
         .map(|(_, name)| name)
 }
 
+/// Lowers the blocks of a configuration to its message. What cannot be read is added to `findings`, and stands in the
+/// message as if it were left out.
 pub fn resolve<'r, 't>(
     sources: &Sources,
     blocks: &'r [Block<'t>],
     findings: &mut Findings,
 ) -> Resolved<'r, 't> {
-    let mut sorted: [Blocks<'r, 't>; Sort::ALL.len()] = Default::default();
-    let mut names: Names<'r> = Default::default();
-    for block in blocks {
-        let Some(sort) = Sort::of(&block.kind.text) else {
-            let words = format!("`{}` is no kind of block", shorten(&block.kind.text));
-            let finding = Finding::new(Code::UnknownKind, block.kind.at, words);
-            let near = nearest(&block.kind.text, Sort::ALL.into_iter().map(Sort::word));
-            let all = Sort::ALL.map(Sort::word).join(", ");
-            findings.push(match near {
-                Some(near) => finding.help(format!("perhaps `{near}`?")),
-                None => finding.help(format!("kinds: {all}")),
-            });
-            continue;
-        };
-        let Some(name) = &block.name else {
-            let words = format!("this {} has no name", sort.word());
-            findings.push(Finding::new(Code::NoName, block.kind.at, words));
-            continue;
-        };
-        if name.text.len() > LONGEST_NAME {
-            let words = format!(
-                "a name is at most {LONGEST_NAME} bytes; this one has {}",
-                name.text.len()
-            );
-            findings.push(Finding::new(Code::TooMuch, name.at, words));
-            continue;
-        }
-        let of_sort = &mut sorted[sort as usize];
-        if of_sort.len() >= MOST_THINGS {
-            let words = format!("more than {MOST_THINGS} blocks of kind `{}`", sort.word());
-            findings.push(Finding::new(Code::TooManyThings, name.at, words));
-            break;
-        }
-        if let Some(first) = names[sort as usize].get(&*name.text) {
-            let words = format!(
-                "the {} `{}` is defined a second time",
-                sort.word(),
-                shorten(&name.text)
-            );
-            let finding = Finding::new(Code::NameTwice, name.at, words);
-            findings.push(finding.also(of_sort[*first].at(), "first defined here"));
-            continue;
-        }
-        names[sort as usize].insert(&name.text, of_sort.len());
-        of_sort.push(block);
-    }
-    let unsure = HashSet::new();
-    let mut maker = Maker {
+    let index = BlockIndex::build(blocks, findings);
+    let mut resolver = Resolver {
         sources,
-        names: &names,
-        sorted: &sorted,
-        lookups: 0,
-        unsure,
+        index: &index,
+        suggestions: 0,
+        uncertain_routes: HashSet::new(),
         findings,
     };
-    let configuration = maker.configuration();
-    let unsure = maker.unsure;
+    let configuration = resolver.configuration();
+    let uncertain_routes = resolver.uncertain_routes;
     Resolved {
         configuration,
-        blocks: sorted,
-        unsure,
+        blocks: index.blocks,
+        uncertain_routes,
     }
 }
 
-type Names<'r> = [HashMap<&'r str, usize>; Sort::ALL.len()];
+/// The blocks of all files by kind, and by name.
+#[derive(Default)]
+struct BlockIndex<'r, 't> {
+    /// By [`BlockKind`], in the order of the files.
+    blocks: [Blocks<'r, 't>; BlockKind::ALL.len()],
+    /// By [`BlockKind`]: the index in `blocks` of each name.
+    names: [HashMap<&'r str, usize>; BlockKind::ALL.len()],
+}
 
-struct Maker<'m, 'r, 't> {
-    sources: &'m Sources,
-    names: &'m Names<'r>,
-    sorted: &'m [Blocks<'r, 't>; Sort::ALL.len()],
-    lookups: usize,
-    unsure: HashSet<usize>,
-    findings: &'m mut Findings,
+impl<'r, 't> BlockIndex<'r, 't> {
+    /// Takes the blocks that have a known kind and a name of their own; the others are reported.
+    fn build(blocks: &'r [Block<'t>], findings: &mut Findings) -> Self {
+        let mut index = Self::default();
+        for block in blocks {
+            let Some(kind) = BlockKind::from_word(&block.kind.text) else {
+                findings.push(unknown_kind(&block.kind));
+                continue;
+            };
+            let name = match valid_name(kind, block) {
+                Ok(name) => name,
+                Err(finding) => {
+                    findings.push(finding);
+                    continue;
+                }
+            };
+            if index.of_kind(kind).len() >= MAX_BLOCKS_PER_KIND {
+                let message = format!(
+                    "more than {MAX_BLOCKS_PER_KIND} blocks of kind `{}`",
+                    kind.word()
+                );
+                findings.push(Finding::new(Code::TooManyThings, name.span, message));
+                break;
+            }
+            if let Some(first) = index.find(kind, &name.text) {
+                let message = format!(
+                    "the {} `{}` is defined a second time",
+                    kind.word(),
+                    shorten(&name.text)
+                );
+                let finding = Finding::new(Code::NameTwice, name.span, message);
+                findings.push(finding.with_label(first.span(), "first defined here"));
+                continue;
+            }
+            index.add(kind, &name.text, block);
+        }
+        index
+    }
+
+    fn add(&mut self, kind: BlockKind, name: &'r str, block: &'r Block<'t>) {
+        let of_kind = &mut self.blocks[kind as usize];
+        self.names[kind as usize].insert(name, of_kind.len());
+        of_kind.push(block);
+    }
+
+    fn of_kind(&self, kind: BlockKind) -> &[&'r Block<'t>] {
+        &self.blocks[kind as usize]
+    }
+
+    fn position(&self, kind: BlockKind, name: &str) -> Option<usize> {
+        self.names[kind as usize].get(name).copied()
+    }
+
+    fn find(&self, kind: BlockKind, name: &str) -> Option<&'r Block<'t>> {
+        self.position(kind, name)
+            .map(|index| self.blocks[kind as usize][index])
+    }
+}
+
+fn unknown_kind(word: &Name<'_>) -> Finding {
+    let message = format!("`{}` is no kind of block", shorten(&word.text));
+    let finding = Finding::new(Code::UnknownKind, word.span, message);
+    let words = BlockKind::ALL.map(BlockKind::word);
+    match nearest(&word.text, words.into_iter()) {
+        Some(near) => finding.with_help(format!("perhaps `{near}`?")),
+        None => finding.with_help(format!("kinds: {}", words.join(", "))),
+    }
 }
 
-impl<'r, 't> Maker<'_, 'r, 't> {
-    fn each<T>(&mut self, sort: Sort, make: fn(&mut Reader<'_, '_, 'r, 't>) -> T) -> Vec<T> {
-        let blocks = &self.sorted[sort as usize];
-        blocks
-            .iter()
-            .map(|block| self.read(sort, block, make))
-            .collect()
+fn valid_name<'r, 't>(kind: BlockKind, block: &'r Block<'t>) -> Result<&'r Name<'t>, Finding> {
+    let Some(name) = &block.name else {
+        let message = format!("this {} has no name", kind.word());
+        return Err(Finding::new(Code::NoName, block.kind.span, message));
+    };
+    if name.text.len() > MAX_NAME_BYTES {
+        let message = format!(
+            "a name is at most {MAX_NAME_BYTES} bytes; this one has {}",
+            name.text.len()
+        );
+        return Err(Finding::new(Code::TooMuch, name.span, message));
     }
+    Ok(name)
+}
+
+struct Resolver<'m, 'r, 't> {
+    sources: &'m Sources,
+    index: &'m BlockIndex<'r, 't>,
+    /// Unknown names for which the nearest known one was looked up.
+    suggestions: usize,
+    uncertain_routes: HashSet<usize>,
+    findings: &'m mut Findings,
+}
 
-    fn read<T>(
+impl<'r, 't> Resolver<'_, 'r, 't> {
+    fn each<T>(
         &mut self,
-        sort: Sort,
-        block: &'r Block<'t>,
-        make: fn(&mut Reader<'_, '_, 'r, 't>) -> T,
-    ) -> T {
-        let chain = self.chain(sort, block);
-        let mut reader = Reader {
-            maker: self,
-            chain,
-            asked: Vec::new(),
-            holds: &[],
-        };
-        let made = make(&mut reader);
-        reader.end();
-        made
+        kind: BlockKind,
+        make: fn(&mut BlockReader<'_, '_, 'r, 't>) -> T,
+    ) -> Vec<T> {
+        let mut all = Vec::with_capacity(self.index.of_kind(kind).len());
+        for block in self.index.of_kind(kind) {
+            let chain = self.base_chain(kind, block);
+            all.push(BlockReader::read(self, chain, make));
+        }
+        all
     }
 
-    /// The block, then what it is built on, then what that is built on.
-    fn chain(&mut self, sort: Sort, block: &'r Block<'t>) -> Blocks<'r, 't> {
+    /// The block, then its base, then the base of that.
+    fn base_chain(&mut self, kind: BlockKind, block: &'r Block<'t>) -> Blocks<'r, 't> {
         let mut chain = vec![block];
         while let Some(base) = &chain[chain.len() - 1].base {
-            if !sort.is_policy() {
-                let words = format!("a {} cannot be built on another", sort.word());
+            if !kind.is_policy() {
+                let message = format!("a {} cannot be built on another", kind.word());
                 self.findings
-                    .push(Finding::new(Code::NoBase, base.at, words));
+                    .push(Finding::new(Code::NoBase, base.span, message));
                 break;
             }
-            let Some(below) = self.known(sort, base) else {
+            let Some(below) = self.lookup(kind, base) else {
                 break;
             };
-            let below = self.sorted[sort as usize][below];
+            let below = self.index.of_kind(kind)[below];
             if let Some(begin) = chain.iter().position(|link| std::ptr::eq(*link, below)) {
-                // Told once, by the block that stands first in the ring.
+                // Reported once, for the block that stands first in the ring.
                 if begin == 0 {
-                    let names: Vec<_> =
-                        chain.iter().filter_map(|link| link.name.as_ref()).collect();
-                    let names: Vec<_> = names.iter().map(|name| shorten(&name.text)).collect();
-                    let words = format!(
-                        "{} are built on each other in a ring: {} -> {}",
-                        sort.word(),
-                        names.join(" -> "),
-                        names[0]
-                    );
-                    self.findings
-                        .push(Finding::new(Code::BaseRing, base.at, words));
+                    self.findings.push(base_ring(kind, &chain, base));
                 }
                 break;
             }
-            if chain.len() > DEEPEST_BASE {
-                let words = format!("stands on more than {DEEPEST_BASE} others, one on the next");
+            if chain.len() > MAX_BASE_DEPTH {
+                let message =
+                    format!("stands on more than {MAX_BASE_DEPTH} others, one on the next");
                 self.findings
-                    .push(Finding::new(Code::BaseDeep, block.at(), words));
+                    .push(Finding::new(Code::BaseDeep, block.span(), message));
                 break;
             }
             chain.push(below);
@@ -223,52 +256,71 @@
         chain
     }
 
-    /// The index of a name that something refers to.
-    fn known(&mut self, sort: Sort, name: &Name<'_>) -> Option<usize> {
-        if let Some(at) = self.names[sort as usize].get(&*name.text) {
-            return Some(*at);
+    /// The index of the block that a name refers to; a name without block is reported.
+    fn lookup(&mut self, kind: BlockKind, name: &Name<'_>) -> Option<usize> {
+        let found = self.index.position(kind, &name.text);
+        if found.is_none() {
+            let message = format!("there is no {} `{}`", kind.word(), shorten(&name.text));
+            let finding = Finding::new(Code::UnknownName, name.span, message);
+            let finding = self.with_suggestion(finding, kind, &name.text);
+            self.findings.push(finding);
+        }
+        found
+    }
+
+    fn with_suggestion(&mut self, finding: Finding, kind: BlockKind, wrong: &str) -> Finding {
+        self.suggestions += 1;
+        if self.suggestions > MAX_SUGGESTIONS {
+            return finding;
+        }
+        let names = self.index.names[kind as usize].keys().copied();
+        if let Some(near) = nearest(wrong, names) {
+            let defined = self.index.find(kind, near).map(Block::span);
+            return finding
+                .with_label(defined.unwrap_or_default(), "defined here")
+                .with_help(format!("perhaps `{near}`?"));
         }
-        let words = format!("there is no {} `{}`", sort.word(), shorten(&name.text));
-        let mut finding = Finding::new(Code::UnknownName, name.at, words);
-        self.lookups += 1;
-        if self.lookups <= MOST_LOOKUPS {
-            let names = self.names[sort as usize].keys().copied();
-            if let Some(near) = nearest(&name.text, names) {
-                let at = self.sorted[sort as usize][self.names[sort as usize][near]].at();
-                finding = finding
-                    .also(at, "defined here")
-                    .help(format!("perhaps `{near}`?"));
-            } else if let Some(other) = Sort::ALL
-                .into_iter()
-                .find(|other| self.names[*other as usize].contains_key(&*name.text))
-            {
-                let at = self.sorted[other as usize][self.names[other as usize][&*name.text]].at();
-                finding = finding.also(at, format!("this is a {}", other.word()));
+        let mut others = BlockKind::ALL.into_iter();
+        let same_name = others.find_map(|other| Some((other, self.index.find(other, wrong)?)));
+        match same_name {
+            Some((other, block)) => {
+                finding.with_label(block.span(), format!("this is a {}", other.word()))
             }
+            None => finding,
         }
-        self.findings.push(finding);
-        None
     }
 
     fn configuration(&mut self) -> schema::Configuration {
         schema::Configuration {
             version: schema::VERSION,
-            types: self.each(Sort::Type, traffic_type::traffic_type),
-            tenants: self.each(Sort::Tenant, tenant::tenant),
-            pools: self.each(Sort::Pool, pool::pool),
-            dependencies: self.each(Sort::Dependency, dependency::dependency),
-            limits: self.each(Sort::Limits, policies::limits),
-            attempts: self.each(Sort::Attempts, policies::attempts),
-            budgets: self.each(Sort::Budget, policies::budget),
-            health: self.each(Sort::Health, policies::health),
-            retry_after: self.each(Sort::RetryAfter, policies::retry_after),
-            routes: self.each(Sort::Route, route::route),
-            recordings: self.each(Sort::Recording, observability::recording),
-            logs: self.each(Sort::Log, observability::log),
-            experiments: self.each(Sort::Experiment, experiment::experiment),
-            groups: self.each(Sort::Group, group::group),
-            rigs: self.each(Sort::Rig, rig::rig),
-            controls: self.each(Sort::Control, control::control),
+            types: self.each(BlockKind::Type, traffic_type::traffic_type),
+            tenants: self.each(BlockKind::Tenant, tenant::tenant),
+            pools: self.each(BlockKind::Pool, pool::pool),
+            dependencies: self.each(BlockKind::Dependency, dependency::dependency),
+            limits: self.each(BlockKind::Limits, policies::limits),
+            attempts: self.each(BlockKind::Attempts, policies::attempts),
+            budgets: self.each(BlockKind::Budget, policies::budget),
+            health: self.each(BlockKind::Health, policies::health),
+            retry_after: self.each(BlockKind::RetryAfter, policies::retry_after),
+            routes: self.each(BlockKind::Route, route::route),
+            recordings: self.each(BlockKind::Recording, observability::recording),
+            logs: self.each(BlockKind::Log, observability::log),
+            experiments: self.each(BlockKind::Experiment, experiment::experiment),
+            groups: self.each(BlockKind::Group, group::group),
+            rigs: self.each(BlockKind::Rig, rig::rig),
+            controls: self.each(BlockKind::Control, control::control),
         }
     }
 }
+
+fn base_ring(kind: BlockKind, chain: &[&Block<'_>], base: &Name<'_>) -> Finding {
+    let names = chain.iter().filter_map(|link| link.name.as_ref());
+    let names: Vec<_> = names.map(|name| shorten(&name.text)).collect();
+    let message = format!(
+        "{} are built on each other in a ring: {} -> {}",
+        kind.word(),
+        names.join(" -> "),
+        names[0]
+    );
+    Finding::new(Code::BaseRing, base.span, message)
+}
--- a/crates/config/src/resolve/dependency.rs
+++ b/crates/config/src/resolve/dependency.rs
@@ -1,21 +1,24 @@
-//! `dependency` blocks: what nodes call downstream.
+//! `dependency` blocks: downstream services that nodes call.
 
-use super::{must, Reader, Sort};
+use super::bounds::required;
+use super::reader::{BlockReader, Keyword};
+use super::BlockKind;
 use crate::schema::{self, OnFailure};
 use crate::units::ONE;
 
-pub(super) fn dependency(r: &mut Reader<'_, '_, '_, '_>) -> schema::Dependency {
-    let words = [
-        ("give-up", OnFailure::GiveUp),
-        ("leave-out", OnFailure::LeaveOut),
-        ("partial", OnFailure::Partial),
-    ];
+const ON_FAILURE: [Keyword<OnFailure>; 3] = [
+    ("give-up", OnFailure::GiveUp),
+    ("leave-out", OnFailure::LeaveOut),
+    ("partial", OnFailure::Partial),
+];
+
+pub(super) fn dependency(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::Dependency {
     schema::Dependency {
         name: r.name(),
-        types: r.references("for", Sort::Type),
-        share: r.share("share", must(ONE)),
+        types: r.references("for", BlockKind::Type),
+        share: r.share("share", required(ONE)),
         on_failure: r
-            .word("on-failure", &words, None)
+            .required_keyword("on-failure", &ON_FAILURE)
             .unwrap_or(OnFailure::Unspecified)
             .into(),
     }
--- a/crates/config/src/resolve/experiment.rs
+++ b/crates/config/src/resolve/experiment.rs
@@ -1,92 +1,38 @@
-//! `experiment` blocks: a fleet, its load, what goes wrong, and what is varied; the model plays them.
+//! `experiment` blocks: a fleet, its load, what goes wrong, and what is varied; the fleet model plays them.
 
 mod fault;
 mod fleet;
 mod traffic;
 mod vary;
 
-use super::reader::{must, or, Bounds, Reader};
-use super::{Sort, LONGEST, MOST_TRIES, SECOND};
-use crate::ast::Block;
+use super::bounds::{optional, required};
+use super::reader::BlockReader;
+use super::{BlockKind, MAX_DURATION_NS, MAX_TRIES, SECOND_NS};
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
 use crate::syntax::SyntaxKind;
-use crate::units::{self, Dimension, PERCENT};
+use crate::units::{Dimension, PERCENT};
 use crate::Finding;
 use fault::fault;
-use fleet::{below, fleet, forwarders, network};
-use traffic::{from, load, traffic};
+use fleet::{downstream, fleet, forwarders, network};
+use traffic::{load, source, traffic};
 use vary::vary;
 
-/// Nodes, forwarders or dispatchers of one experiment: what the model was measured with, a few times over.
-const MOST_PARTS: u64 = 100_000;
-/// Plays of all varied values together.
-const MOST_POINTS: usize = 4_096;
-/// No run lasts longer on its virtual clock.
-const LONGEST_RUN: u64 = 24 * 3_600 * SECOND;
+/// Nodes, forwarders or dispatchers of one experiment.
+const MAX_PARTS: u64 = 100_000;
+/// Tickets that a node or a forwarder may hold.
+const MAX_TICKETS: u64 = 1 << 20;
+/// Plays of one experiment: the product of the numbers of its varied values.
+const MAX_PLAYS: usize = 4_096;
+const MAX_SEEDS: u64 = 10_000;
+/// The longest run on the virtual clock: a day.
+const MAX_RUN_NS: u64 = 24 * 3_600 * SECOND_NS;
+const DEFAULT_LOAD: u64 = 60 * PERCENT;
 
-const YES_NO: [(&str, bool); 2] = [("yes", true), ("no", false)];
-
-type R<'a, 'm, 'w, 'r, 't> = &'a mut Reader<'m, 'w, 'r, 't>;
-
-/// Blocks of one kind that stand in this one, each read by `make`.
-fn inner<'t, T>(
-    r: &mut Reader<'_, '_, '_, 't>,
-    kind: &str,
-    make: impl Fn(&mut Reader<'_, '_, '_, 't>) -> T,
-) -> Vec<(T, Span)> {
-    let block = r.block();
-    let mut all = Vec::new();
-    for one in block.blocks.iter().filter(|one| one.kind.text == kind) {
-        if let Some(base) = &one.base {
-            let words = format!("a {kind} cannot be built on another");
-            r.tell(Finding::new(Code::NoBase, base.at, words));
-        }
-        let mut reader = Reader {
-            maker: r.maker,
-            chain: vec![one],
-            asked: Vec::new(),
-            holds: &[],
-        };
-        let made = make(&mut reader);
-        reader.end();
-        all.push((made, one.kind.at));
-    }
-    all
-}
-
-/// The only block of a kind; as if it were empty where there is none.
-fn only<'t, T: Default>(
-    r: &mut Reader<'_, '_, '_, 't>,
-    kind: &str,
-    make: impl Fn(&mut Reader<'_, '_, '_, 't>) -> T,
-) -> Option<T> {
-    let mut all = inner(r, kind, make);
-    if all.len() > 1 {
-        let words = format!("this experiment has a `{kind}` already");
-        r.tell(Finding::new(Code::NameTwice, all[1].1, words).also(all[0].1, "the first one"));
-    }
-    (!all.is_empty()).then(|| all.swap_remove(0).0)
-}
-
-/// The name of an inner block, which must be that of a block of this sort.
-fn named(r: R<'_, '_, '_, '_, '_>, sort: Sort) -> String {
-    let block: &Block<'_> = r.block();
-    match &block.name {
-        Some(name) if r.maker.known(sort, name).is_some() => name.text.clone().into_owned(),
-        Some(_) => String::new(),
-        None => {
-            let words = format!("this {} has no name", block.kind.text);
-            r.tell(Finding::new(Code::NoName, block.kind.at, words));
-            String::new()
-        }
-    }
-}
-
-pub(super) fn experiment(r: &mut Reader<'_, '_, '_, '_>) -> schema::Experiment {
-    r.holds = &[
+pub(super) fn experiment(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::Experiment {
+    r.allowed_blocks = &[
         "fleet",
         "forwarders",
         "network",
@@ -97,116 +43,161 @@
         "fault",
         "vary",
     ];
-    let at = r.block().at();
     let fleet = only(r, "fleet", fleet);
     if fleet.is_none() {
-        let words = format!("the experiment `{}` has no `fleet`", shorten(&r.name()));
-        r.tell(Finding::new(Code::KeyMissing, at, words).help("write `fleet { nodes: 10 }`"));
-    }
-    let traffic = inner(r, "traffic", traffic);
-    let from = inner(r, "from", from);
-    for (what, none) in [("traffic", traffic.is_empty()), ("from", from.is_empty())] {
-        if none {
-            let words = format!("the experiment `{}` has no `{what}`", shorten(&r.name()));
-            r.tell(Finding::new(Code::KeyMissing, at, words));
-        }
+        let finding = missing_block(r, "fleet");
+        r.report(finding.with_help("write `fleet { nodes: 10 }`"));
     }
-    let mut load = inner(r, "load", load);
-    if load.is_empty() {
-        load.push((
-            schema::LoadPart {
-                from_ns: 0,
-                share: 60 * PERCENT,
-            },
-            at,
-        ));
-    }
-    for two in load.windows(2) {
-        if two[0].0.from_ns >= two[1].0.from_ns {
-            let finding = Finding::new(
-                Code::RangeOrder,
-                two[1].1,
-                "this load begins before the one above it",
-            );
-            r.tell(finding.also(two[0].1, "the one above"));
+    let traffic = values(r.inner_blocks("traffic", traffic));
+    let sources = values(r.inner_blocks("from", source));
+    for (kind, is_empty) in [
+        ("traffic", traffic.is_empty()),
+        ("from", sources.is_empty()),
+    ] {
+        if is_empty {
+            let finding = missing_block(r, kind);
+            r.report(finding);
         }
     }
-    let vary = inner(r, "vary", vary);
-    let points: usize = vary
-        .iter()
-        .map(|(one, _)| one.values.len().max(one.words.len()).max(1))
-        .product();
-    if points > MOST_POINTS {
-        let words = format!("varied values come to {points} plays; {MOST_POINTS} are the most");
-        r.tell(Finding::new(Code::TooMuch, at, words));
-    }
-    let zero = Bounds {
-        default: Some(0),
-        zero: true,
-        most: LONGEST,
-    };
+    let load = load_parts(r);
+    let vary = varied(r);
     schema::Experiment {
         name: r.name(),
-        lasts_ns: r.time("lasts", or(10 * SECOND, LONGEST_RUN)),
-        seeds: r.whole("seeds", or(5, 10_000)),
-        dispatchers: r.whole("dispatchers", or(4, MOST_PARTS)),
-        tries: r.whole("tries", or(3, MOST_TRIES)),
-        heeds: r.word("heeds", &YES_NO, Some(true)).unwrap_or(true),
-        marks: r.word("marks", &YES_NO, Some(true)).unwrap_or(true),
-        second_copy_ns: r.time("second-copy", zero),
+        lasts_ns: r.time("lasts", optional(10 * SECOND_NS, MAX_RUN_NS)),
+        seeds: r.integer("seeds", optional(5, MAX_SEEDS)),
+        dispatchers: r.integer("dispatchers", optional(4, MAX_PARTS)),
+        tries: r.integer("tries", optional(3, MAX_TRIES)),
+        heeds: r.yes_no("heeds", true),
+        marks: r.yes_no("marks", true),
+        second_copy_ns: r.time("second-copy", optional(0, MAX_DURATION_NS).or_zero()),
         late_list_ns: r.time(
             "late-list",
-            Bounds {
-                default: Some(2 * SECOND),
-                zero: true,
-                most: LONGEST,
-            },
+            optional(2 * SECOND_NS, MAX_DURATION_NS).or_zero(),
         ),
         fleet,
         forwarders: only(r, "forwarders", forwarders),
         network: only(r, "network", network),
-        below: only(r, "below", below),
-        traffic: traffic.into_iter().map(|(one, _)| one).collect(),
-        from: from.into_iter().map(|(one, _)| one).collect(),
-        load: load.into_iter().map(|(one, _)| one).collect(),
-        faults: inner(r, "fault", fault)
-            .into_iter()
-            .map(|(one, _)| one)
-            .collect(),
-        vary: vary.into_iter().map(|(one, _)| one).collect(),
+        below: only(r, "below", downstream),
+        traffic,
+        from: sources,
+        load,
+        faults: values(r.inner_blocks("fault", fault)),
+        vary,
     }
 }
 
-/// `20 ms`, `about 20 ms` or `10 ms .. 30 ms`: both ends, and whether by chance.
-fn work(r: &mut Reader<'_, '_, '_, '_>) -> (u64, u64, bool) {
-    let Some(value) = r.single("work") else {
-        if r.entry("work").is_none() {
-            r.missing("work");
+fn values<T>(blocks: Vec<(T, Span)>) -> Vec<T> {
+    blocks.into_iter().map(|(value, _)| value).collect()
+}
+
+fn missing_block(r: &BlockReader<'_, '_, '_, '_>, kind: &str) -> Finding {
+    let message = format!("the experiment `{}` has no `{kind}`", shorten(&r.name()));
+    Finding::new(Code::KeyMissing, r.block().span(), message)
+}
+
+/// The first block of a kind, which should be the only one.
+fn only<'w, 'r, 't, T>(
+    r: &mut BlockReader<'_, 'w, 'r, 't>,
+    kind: &str,
+    make: impl Fn(&mut BlockReader<'_, 'w, 'r, 't>) -> T,
+) -> Option<T> {
+    let mut all = r.inner_blocks(kind, make).into_iter();
+    let (first, first_span) = all.next()?;
+    if let Some((_, second_span)) = all.next() {
+        let message = format!("this experiment has a `{kind}` already");
+        let finding = Finding::new(Code::NameTwice, second_span, message);
+        r.report(finding.with_label(first_span, "the first one"));
+    }
+    Some(first)
+}
+
+/// The parts of the load, in the order of time; one from the beginning if none is written.
+fn load_parts(r: &mut BlockReader<'_, '_, '_, '_>) -> Vec<schema::LoadPart> {
+    let parts = r.inner_blocks("load", load);
+    for pair in parts.windows(2) {
+        let ((before, before_span), (after, after_span)) = (&pair[0], &pair[1]);
+        if before.from_ns >= after.from_ns {
+            let message = "this load begins before the one above it";
+            let finding = Finding::new(Code::RangeOrder, *after_span, message);
+            r.report(finding.with_label(*before_span, "the one above"));
         }
-        return (0, 0, false);
+    }
+    if parts.is_empty() {
+        return vec![schema::LoadPart {
+            from_ns: 0,
+            share: DEFAULT_LOAD,
+        }];
+    }
+    values(parts)
+}
+
+fn varied(r: &mut BlockReader<'_, '_, '_, '_>) -> Vec<schema::Vary> {
+    let all = values(r.inner_blocks("vary", vary));
+    let plays: usize = all
+        .iter()
+        .map(|one| one.values.len().max(one.words.len()).max(1))
+        .product();
+    if plays > MAX_PLAYS {
+        let message = format!("varied values come to {plays} plays; {MAX_PLAYS} are the most");
+        let span = r.block().span();
+        r.report(Finding::new(Code::TooMuch, span, message));
+    }
+    all
+}
+
+/// The name of an inner block, which must be that of a block of this kind at the top of a file.
+fn referenced_name(r: &mut BlockReader<'_, '_, '_, '_>, kind: BlockKind) -> String {
+    let block = r.block();
+    match &block.name {
+        Some(name) if r.resolver.lookup(kind, name).is_some() => name.text.clone().into_owned(),
+        Some(_) => String::new(),
+        None => {
+            let message = format!("this {} has no name", block.kind.text);
+            r.report(Finding::new(Code::NoName, block.kind.span, message));
+            String::new()
+        }
+    }
+}
+
+/// How long the work of one request takes.
+#[derive(Clone, Copy, Default)]
+struct Work {
+    min_ns: u64,
+    max_ns: u64,
+    /// Both ends are the mean of a random time.
+    is_random: bool,
+}
+
+/// `20 ms`, `about 20 ms` or `10 ms .. 30 ms`.
+fn work(r: &mut BlockReader<'_, '_, '_, '_>) -> Work {
+    let Some(value) = r.single("work") else {
+        r.report_if_missing("work");
+        return Work::default();
     };
+    let bounds = required(MAX_DURATION_NS);
     if value.atoms.iter().any(|atom| atom.kind == SyntaxKind::To) {
-        let (least, most) = r
-            .range("work", Dimension::Time, false, &must(LONGEST))
-            .unwrap_or((None, None));
-        return (least.unwrap_or(0), most.unwrap_or(0), false);
+        let range = r.time_range("work", &bounds);
+        return Work {
+            min_ns: range.min.unwrap_or(0),
+            max_ns: range.max.unwrap_or(0),
+            is_random: false,
+        };
     }
-    let about = value
-        .atoms
-        .first()
-        .is_some_and(|first| first.text == "about");
-    let atoms = &value.atoms[usize::from(about)..];
+    let is_random = value.atoms.first().is_some_and(|atom| atom.text == "about");
+    let atoms = &value.atoms[usize::from(is_random)..];
     let (Some(first), Some(last)) = (atoms.first(), atoms.last()) else {
-        let words = "`about` wants the mean: `work: about 20 ms`";
-        r.tell(Finding::new(Code::KeyMissing, value.at, words));
-        return (0, 0, about);
-    };
-    let at = Span {
-        end: last.at.end,
-        ..first.at
+        let message = "`about` wants the mean: `work: about 20 ms`";
+        r.report(Finding::new(Code::KeyMissing, value.span, message));
+        return Work {
+            is_random,
+            ..Work::default()
+        };
     };
-    let text = r.maker.sources.slice(at);
-    let found = units::expect_of("work", Dimension::Time, atoms, text, at);
-    let span = r.within("work", found, at, &must(LONGEST));
-    (span, span, about)
+    let span = first.span.to(last.span);
+    let mean_ns = r.amount_in("work", Dimension::Time, atoms, span, &bounds);
+    Work {
+        min_ns: mean_ns,
+        max_ns: mean_ns,
+        is_random,
+    }
 }
--- a/crates/config/src/resolve/experiment/fault.rs
+++ b/crates/config/src/resolve/experiment/fault.rs
@@ -1,112 +1,85 @@
 //! What goes wrong in an experiment.
 
-use super::{LONGEST_RUN, MOST_PARTS};
+use super::{MAX_PARTS, MAX_RUN_NS};
 use crate::codes::Code;
-use crate::resolve::reader::{must, Bounds, Reader};
-use crate::resolve::LONGEST;
+use crate::resolve::bounds::{optional, required};
+use crate::resolve::reader::{BlockReader, Keyword};
+use crate::resolve::MAX_DURATION_NS;
 use crate::schema::{self, TroubleKind};
-use crate::units::{Dimension, ONE};
+use crate::units::ONE;
 use crate::Finding;
 
-pub(super) fn fault(r: &mut Reader<'_, '_, '_, '_>) -> schema::ModelFault {
-    let kinds = [
-        ("die", TroubleKind::Die),
-        ("slow", TroubleKind::Slow),
-        ("hang", TroubleKind::Hang),
-        ("stand-still", TroubleKind::StandStill),
-        ("fail-fast", TroubleKind::FailFast),
-        ("neighbour", TroubleKind::Neighbour),
-        ("lie", TroubleKind::Lie),
-        ("deploy", TroubleKind::Deploy),
-        ("partition", TroubleKind::Partition),
-        ("flood", TroubleKind::Flood),
-        ("clock-jump", TroubleKind::ClockJump),
-        ("below-dies", TroubleKind::BelowDies),
-    ];
-    let at = r.block().kind.at;
+/// How many times slower, or how many times the load.
+const MAX_TIMES: u64 = 1_000 * ONE;
+const MAX_CORES: u64 = 1_024 * ONE;
+const MAX_HALLS: u64 = 64;
+
+const KINDS: [Keyword<TroubleKind>; 12] = [
+    ("die", TroubleKind::Die),
+    ("slow", TroubleKind::Slow),
+    ("hang", TroubleKind::Hang),
+    ("stand-still", TroubleKind::StandStill),
+    ("fail-fast", TroubleKind::FailFast),
+    ("neighbour", TroubleKind::Neighbour),
+    ("lie", TroubleKind::Lie),
+    ("deploy", TroubleKind::Deploy),
+    ("partition", TroubleKind::Partition),
+    ("flood", TroubleKind::Flood),
+    ("clock-jump", TroubleKind::ClockJump),
+    ("below-dies", TroubleKind::BelowDies),
+];
+
+/// A fault. Each key is asked for only where it means something, so that it is unknown elsewhere.
+pub(super) fn fault(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::ModelFault {
     let kind = r
-        .word("what", &kinds, None)
+        .required_keyword("what", &KINDS)
         .unwrap_or(TroubleKind::TroubleUnspecified);
-    let from_ns = r.time(
-        "at",
-        Bounds {
-            default: None,
-            zero: true,
-            most: LONGEST_RUN,
-        },
-    );
-    let lasts_ns = r.time("lasts", must(LONGEST_RUN));
-    // Each key only where it means something: elsewhere it is unknown, and told as such.
-    let wants = |kinds: &[TroubleKind]| kinds.contains(&kind);
-    use TroubleKind::*;
-    let times = if wants(&[Slow, Flood]) {
-        r.amount("times", Dimension::Factor, must(1_000 * ONE))
-    } else {
-        0
-    };
-    let cores = if wants(&[Neighbour]) {
-        r.amount("cores", Dimension::Factor, must(1_024 * ONE))
-    } else {
-        0
-    };
-    let span_ns = if wants(&[FailFast, Lie, Deploy, ClockJump]) {
-        r.time("span", must(LONGEST))
-    } else {
-        0
-    };
-    let tenant = if wants(&[Flood]) {
-        let said = r.text("tenant", "the name of a tenant of this experiment");
-        if said.is_none() && r.entry("tenant").is_none() {
-            r.missing("tenant");
-        }
-        said.map_or(String::new(), |name| name.text.into_owned())
-    } else {
-        String::new()
-    };
     let mut made = schema::ModelFault {
         kind: kind.into(),
-        from_ns,
-        lasts_ns,
-        times,
-        cores,
-        span_ns,
-        tenant,
+        from_ns: r.time("at", required(MAX_RUN_NS).or_zero()),
+        lasts_ns: r.time("lasts", required(MAX_RUN_NS)),
         ..schema::ModelFault::default()
     };
-    if wants(&[BelowDies]) {
-        made.first = r.whole("first", must(MOST_PARTS));
-    } else if !wants(&[Flood, Partition, ClockJump]) {
-        made.share = r.share(
-            "share",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: ONE,
-            },
-        );
-        made.first = r.whole(
-            "first",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: MOST_PARTS,
-            },
-        );
-        let hall = r.single("hall").is_some();
-        let number = r.whole(
-            "hall",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: 64,
-            },
-        );
-        made.hall = hall.then_some(number as u32);
-        let ways = u32::from(made.share > 0) + u32::from(made.first > 0) + u32::from(hall);
-        if ways != 1 {
-            let words = "a fault meets nodes by one of `share`, `first` and `hall`";
-            r.tell(Finding::new(Code::KeyMissing, at, words).help("write `share: 20 %`"));
-        }
+    read_extent(r, kind, &mut made);
+    match kind {
+        TroubleKind::BelowDies => made.first = r.integer("first", required(MAX_PARTS)),
+        TroubleKind::Flood | TroubleKind::Partition | TroubleKind::ClockJump => {}
+        _ => read_nodes(r, &mut made),
     }
     made
 }
+
+/// How bad it is.
+fn read_extent(
+    r: &mut BlockReader<'_, '_, '_, '_>,
+    kind: TroubleKind,
+    fault: &mut schema::ModelFault,
+) {
+    match kind {
+        TroubleKind::Slow => fault.times = r.factor("times", required(MAX_TIMES)),
+        TroubleKind::Neighbour => fault.cores = r.factor("cores", required(MAX_CORES)),
+        TroubleKind::FailFast | TroubleKind::Lie | TroubleKind::Deploy | TroubleKind::ClockJump => {
+            fault.span_ns = r.time("span", required(MAX_DURATION_NS))
+        }
+        TroubleKind::Flood => {
+            fault.times = r.factor("times", required(MAX_TIMES));
+            fault.tenant = r.required_name("tenant", "the name of a tenant of this experiment");
+        }
+        _ => {}
+    }
+}
+
+/// Which nodes it meets, by one of three keys.
+fn read_nodes(r: &mut BlockReader<'_, '_, '_, '_>, fault: &mut schema::ModelFault) {
+    fault.share = r.share("share", optional(0, ONE).or_zero());
+    fault.first = r.integer("first", optional(0, MAX_PARTS).or_zero());
+    let has_hall = r.single("hall").is_some();
+    let hall = r.integer("hall", optional(0, MAX_HALLS).or_zero());
+    fault.hall = has_hall.then_some(hall as u32);
+    let keys = [fault.share > 0, fault.first > 0, has_hall];
+    if keys.into_iter().filter(|given| *given).count() != 1 {
+        let message = "a fault meets nodes by one of `share`, `first` and `hall`";
+        let finding = Finding::new(Code::KeyMissing, r.block().kind.span, message);
+        r.report(finding.with_help("write `share: 20 %`"));
+    }
+}
--- a/crates/config/src/resolve/experiment/traffic.rs
+++ b/crates/config/src/resolve/experiment/traffic.rs
@@ -1,63 +1,47 @@
-//! The load of an experiment: traffic by type, its sources, and how much of it.
+//! The load of an experiment: its traffic by class, where it comes from, and how much there is.
 
-use super::{named, work, LONGEST_RUN, YES_NO};
-use crate::resolve::reader::{or, Bounds, Reader};
-use crate::resolve::{Sort, MOST_FACTOR};
+use super::{referenced_name, work, MAX_RUN_NS};
+use crate::resolve::bounds::{optional, required};
+use crate::resolve::reader::BlockReader;
+use crate::resolve::{BlockKind, MAX_FACTOR};
 use crate::schema;
-use crate::units::{Dimension, ONE};
+use crate::units::ONE;
 
-pub(super) fn traffic(r: &mut Reader<'_, '_, '_, '_>) -> schema::ModelTraffic {
-    let name = named(r, Sort::Type);
-    let (work_least_ns, work_most_ns, by_chance) = work(r);
+/// Load as a share of what all cores can do.
+const MAX_LOAD: u64 = 1_000 * ONE;
+
+pub(super) fn traffic(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::ModelTraffic {
+    let name = referenced_name(r, BlockKind::Type);
+    let work = work(r);
     schema::ModelTraffic {
         name,
-        part: r.amount("part", Dimension::Factor, or(ONE, MOST_FACTOR)),
-        work_least_ns,
-        work_most_ns,
-        by_chance,
-        calls: r.word("calls", &YES_NO, Some(false)).unwrap_or(false),
-        poorer: r.share(
-            "poorer",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: ONE,
-            },
-        ),
+        part: r.factor("part", optional(ONE, MAX_FACTOR)),
+        work_least_ns: work.min_ns,
+        work_most_ns: work.max_ns,
+        by_chance: work.is_random,
+        calls: r.yes_no("calls", false),
+        poorer: r.share("poorer", optional(0, ONE).or_zero()),
     }
 }
 
-pub(super) fn from(r: &mut Reader<'_, '_, '_, '_>) -> schema::ModelSource {
-    let stranger = r.word("stranger", &YES_NO, Some(false)).unwrap_or(false);
+/// A tenant, or somebody whom the configuration does not name.
+pub(super) fn source(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::ModelSource {
+    let stranger = r.yes_no("stranger", false);
     let name = if stranger {
         r.name()
     } else {
-        named(r, Sort::Tenant)
+        referenced_name(r, BlockKind::Tenant)
     };
     schema::ModelSource {
         name,
-        part: r.amount("part", Dimension::Factor, or(ONE, MOST_FACTOR)),
+        part: r.factor("part", optional(ONE, MAX_FACTOR)),
         stranger,
     }
 }
 
-pub(super) fn load(r: &mut Reader<'_, '_, '_, '_>) -> schema::LoadPart {
+pub(super) fn load(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::LoadPart {
     schema::LoadPart {
-        from_ns: r.time(
-            "from",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: LONGEST_RUN,
-            },
-        ),
-        share: r.share(
-            "of-cores",
-            Bounds {
-                default: None,
-                zero: true,
-                most: 1_000 * ONE,
-            },
-        ),
+        from_ns: r.time("from", optional(0, MAX_RUN_NS).or_zero()),
+        share: r.share("of-cores", required(MAX_LOAD).or_zero()),
     }
 }
--- a/crates/config/src/resolve/pool.rs
+++ b/crates/config/src/resolve/pool.rs
@@ -1,149 +1,81 @@
 //! `pool` blocks and their members.
 
-use super::{or, Bounds, Reader, Sort, LONGEST, MOST_FACTOR, MOST_THINGS};
+use super::bounds::optional;
+use super::reader::{BlockReader, DuplicateLabel};
+use super::{BlockKind, MAX_BLOCKS_PER_KIND, MAX_DURATION_NS, MAX_FACTOR};
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::schema;
 use crate::source::Span;
-use crate::units::{Dimension, ONE};
+use crate::units::ONE;
 use crate::Finding;
 use foldhash::{HashMap, HashMapExt};
 use std::net::SocketAddr;
 
-pub(super) fn pool(r: &mut Reader<'_, '_, '_, '_>) -> schema::Pool {
-    r.holds = &["member"];
-    let block = r.block();
-    let mut members = Vec::new();
-    let mut names: HashMap<String, Span> = HashMap::new();
-    let mut addresses: HashMap<SocketAddr, Span> = HashMap::new();
-    let zone = r
-        .text("zone", "a zone's name")
-        .map_or(String::new(), |zone| zone.text.into_owned());
-    for inner in block
-        .blocks
-        .iter()
-        .filter(|inner| inner.kind.text == "member")
-    {
-        let mut reader = Reader {
-            maker: r.maker,
-            chain: vec![inner],
-            asked: Vec::new(),
-            holds: &[],
-        };
-        let mut made = member(&mut reader, &mut addresses);
-        reader.end();
-        if made.zone.is_empty() {
-            made.zone.clone_from(&zone);
-        }
-        if let Some(base) = &inner.base {
-            r.tell(Finding::new(
-                Code::NoBase,
-                base.at,
-                "a member cannot be built on another",
-            ));
-        }
-        if inner.name.is_none() {
-            r.tell(Finding::new(
-                Code::NoName,
-                inner.kind.at,
-                "this member has no name",
-            ));
-        } else if let Some(first) = names.get(&made.name) {
-            let words = format!(
-                "the member `{}` is defined a second time",
-                shorten(&made.name)
-            );
-            let finding = Finding::new(Code::NameTwice, inner.at(), words);
-            r.tell(finding.also(*first, "first defined here"));
-        } else {
-            names.insert(made.name.clone(), inner.at());
-            members.push(made);
-        }
-    }
+/// The addresses of the members of one block, each with where it is written.
+pub(super) type Addresses = HashMap<SocketAddr, Span>;
+
+pub(super) fn pool(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::Pool {
+    r.allowed_blocks = &["member"];
+    let zone = r.optional_name("zone", "a zone's name");
+    let mut addresses = Addresses::new();
+    let members = r.members(DuplicateLabel::First, |r| member(r, &zone, &mut addresses));
+    let count = optional(0, MAX_BLOCKS_PER_KIND as u64).or_zero();
     schema::Pool {
         name: r.name(),
         members,
-        health: r.reference("health", Sort::Health),
-        limits: r.reference("limits", Sort::Limits),
-        attempts: r.reference("attempts", Sort::Attempts),
-        retry_after: r.reference("retry-after", Sort::RetryAfter),
-        fall_back: r.reference("fall-back", Sort::Pool),
-        know: r.whole(
-            "know",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: MOST_THINGS as u64,
-            },
-        ),
+        health: r.reference("health", BlockKind::Health),
+        limits: r.reference("limits", BlockKind::Limits),
+        attempts: r.reference("attempts", BlockKind::Attempts),
+        retry_after: r.reference("retry-after", BlockKind::RetryAfter),
+        fall_back: r.reference("fall-back", BlockKind::Pool),
+        know: r.integer("know", count),
         warm_rate: r.rate("warm-rate"),
-        senders: r.whole(
-            "senders",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: MOST_THINGS as u64,
-            },
-        ),
-    }
-}
-
-/// The address of a member that no other one of its block has; empty where there is none.
-pub(super) fn address(
-    r: &mut Reader<'_, '_, '_, '_>,
-    taken: &mut HashMap<SocketAddr, Span>,
-) -> String {
-    let mut address = String::new();
-    match r.text("address", "an address such as `\"10.0.0.1:5050\"`") {
-        Some(written) => match written.text.parse::<SocketAddr>() {
-            Ok(parsed) if parsed.port() == 0 || parsed.ip().is_unspecified() => {
-                let words = format!("`{parsed}` is no node's address and port");
-                r.tell(Finding::new(Code::Address, written.at, words));
-            }
-            Ok(parsed) => {
-                if let Some(first) = taken.insert(parsed, written.at) {
-                    let words = format!("`{parsed}` is another member's address too");
-                    let finding = Finding::new(Code::AddressTwice, written.at, words);
-                    r.tell(finding.also(first, "the other member"));
-                }
-                address = parsed.to_string();
-            }
-            Err(_) => {
-                let words = format!("`{}` is no address and port", shorten(&written.text));
-                let finding = Finding::new(Code::Address, written.at, words);
-                r.tell(
-                    finding.help("write numbers, such as `\"10.0.0.1:5050\"` or `\"[::1]:5050\"`"),
-                );
-            }
-        },
-        None => {
-            if r.entry("address").is_none() {
-                r.missing("address");
-            }
-        }
+        senders: r.integer("senders", count),
     }
-    address
 }
 
-pub(super) fn member(
-    r: &mut Reader<'_, '_, '_, '_>,
-    taken: &mut HashMap<SocketAddr, Span>,
+/// A member; one without a zone of its own is in that of its pool.
+fn member(
+    r: &mut BlockReader<'_, '_, '_, '_>,
+    pool_zone: &str,
+    addresses: &mut Addresses,
 ) -> schema::Member {
-    let address = address(r, taken);
+    let address = address(r, addresses);
+    let mut zone = r.optional_name("zone", "a zone's name");
+    if zone.is_empty() {
+        pool_zone.clone_into(&mut zone);
+    }
     schema::Member {
         name: r.name(),
         address,
-        zone: r
-            .text("zone", "a zone's name")
-            .map_or(String::new(), |zone| zone.text.into_owned()),
-        weight: r.amount("weight", Dimension::Factor, or(ONE, MOST_FACTOR)),
-        warm_up_ns: r.time(
-            "warm-up",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: LONGEST,
-            },
-        ),
+        zone,
+        weight: r.factor("weight", optional(ONE, MAX_FACTOR)),
+        warm_up_ns: r.time("warm-up", optional(0, MAX_DURATION_NS).or_zero()),
+    }
+}
+
+/// The address of a member, which no other member of its block may have; empty if it has none.
+pub(super) fn address(r: &mut BlockReader<'_, '_, '_, '_>, taken: &mut Addresses) -> String {
+    let Some(written) = r.single_name("address", "an address such as `\"10.0.0.1:5050\"`") else {
+        r.report_if_missing("address");
+        return String::new();
+    };
+    let Ok(address) = written.text.parse::<SocketAddr>() else {
+        let message = format!("`{}` is no address and port", shorten(&written.text));
+        let help = "write numbers, such as `\"10.0.0.1:5050\"` or `\"[::1]:5050\"`";
+        r.report(Finding::new(Code::Address, written.span, message).with_help(help));
+        return String::new();
+    };
+    if address.port() == 0 || address.ip().is_unspecified() {
+        let message = format!("`{address}` is no node's address and port");
+        r.report(Finding::new(Code::Address, written.span, message));
+        return String::new();
+    }
+    if let Some(first) = taken.insert(address, written.span) {
+        let message = format!("`{address}` is another member's address too");
+        let finding = Finding::new(Code::AddressTwice, written.span, message);
+        r.report(finding.with_label(first, "the other member"));
     }
+    address.to_string()
 }
--- a/crates/config/src/resolve/reader.rs
+++ b/crates/config/src/resolve/reader.rs
@@ -1,55 +1,57 @@
-//! Reads the entries of one block, each with what it may be.
+//! Reads the entries and inner blocks of one block. What no reader has asked for is unknown, and reported at the end.
 
-use super::{nearest, Blocks, Maker, Sort, MOST_FACTOR, SECOND};
-use crate::ast::{Atom, Block, Entry, Name, Value};
+use super::{nearest, BlockKind, Blocks, Resolver};
+use crate::ast::{Block, Entry, Name, Value};
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::schema;
 use crate::source::Span;
-use crate::syntax::SyntaxKind;
-use crate::units::{self, Dimension, ONE};
 use crate::Finding;
-use foldhash::{HashSet, HashSetExt};
+use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
-/// What an amount may be.
-pub(super) struct Bounds {
-    pub(super) default: Option<u64>,
-    pub(super) zero: bool,
-    pub(super) most: u64,
+/// A reader of one block's entries.
+pub(super) struct BlockReader<'m, 'w, 'r, 't> {
+    pub(super) resolver: &'m mut Resolver<'w, 'r, 't>,
+    /// The block, then its base, then the base of that.
+    chain: Blocks<'r, 't>,
+    /// The keys that were asked for, which are those that the block may have.
+    known_keys: Vec<&'static str>,
+    /// Kinds of blocks that may stand in this one.
+    pub(super) allowed_blocks: &'static [&'static str],
 }
 
-/// An amount that must be given.
-pub(super) const fn must(most: u64) -> Bounds {
-    Bounds {
-        default: None,
-        zero: false,
-        most,
-    }
-}
+/// A word that an entry may have as its value, and what it means.
+pub(super) type Keyword<T> = (&'static str, T);
 
-/// An amount that may be left out.
-pub(super) const fn or(default: u64, most: u64) -> Bounds {
-    Bounds {
-        default: Some(default),
-        zero: false,
-        most,
-    }
+/// Which earlier definition a second one of the same name points to, if there are more than two.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum DuplicateLabel {
+    First,
+    Latest,
 }
 
-/// Reads one block's entries; what nobody asked for is unknown.
-pub(super) struct Reader<'m, 'w, 'r, 't> {
-    pub(super) maker: &'m mut Maker<'w, 'r, 't>,
-    pub(super) chain: Blocks<'r, 't>,
-    pub(super) asked: Vec<&'static str>,
-    /// Kinds of blocks that may stand in this one.
-    pub(super) holds: &'static [&'static str],
-}
+impl<'w, 'r, 't> BlockReader<'_, 'w, 'r, 't> {
+    /// Reads the first block of `chain` by `make`; the others are what it is built on, nearest first.
+    pub(super) fn read<T>(
+        resolver: &mut Resolver<'w, 'r, 't>,
+        chain: Blocks<'r, 't>,
+        make: impl FnOnce(&mut BlockReader<'_, 'w, 'r, 't>) -> T,
+    ) -> T {
+        let mut reader = BlockReader {
+            resolver,
+            chain,
+            known_keys: Vec::new(),
+            allowed_blocks: &[],
+        };
+        let made = make(&mut reader);
+        reader.finish();
+        made
+    }
 
-impl<'r, 't> Reader<'_, '_, 'r, 't> {
     pub(super) fn block(&self) -> &'r Block<'t> {
         self.chain[0]
     }
 
+    /// The block's name; empty if it has none.
     pub(super) fn name(&self) -> String {
         self.block()
             .name
@@ -57,13 +59,13 @@
             .map_or(String::new(), |name| name.text.clone().into_owned())
     }
 
-    pub(super) fn tell(&mut self, finding: Finding) {
-        self.maker.findings.push(finding);
+    pub(super) fn report(&mut self, finding: Finding) {
+        self.resolver.findings.push(finding);
     }
 
-    /// The entry of a key, the block's own before what it is built on.
+    /// The entry of a key, the block's own before that of its base.
     pub(super) fn entry(&mut self, key: &'static str) -> Option<&'r Entry<'t>> {
-        self.asked.push(key);
+        self.known_keys.push(key);
         self.chain
             .iter()
             .find_map(|block| block.entries.iter().find(|entry| entry.key.text == key))
@@ -73,313 +75,301 @@
     pub(super) fn single(&mut self, key: &'static str) -> Option<&'r Value<'t>> {
         let entry = self.entry(key)?;
         if let Some(second) = entry.values.get(1) {
-            let words = format!("`{key}` takes one value; here stand {}", entry.values.len());
-            self.tell(Finding::new(Code::ListHere, second.at, words));
+            let message = format!("`{key}` takes one value; here stand {}", entry.values.len());
+            self.report(Finding::new(Code::ListHere, second.span, message));
         }
         entry.values.first()
     }
 
-    pub(super) fn missing(&mut self, key: &'static str) {
+    /// Reports that a key is missing. Not so for an entry without a value, which the parser has reported.
+    pub(super) fn report_if_missing(&mut self, key: &'static str) {
+        if self.entry(key).is_some() {
+            return;
+        }
         let block = self.block();
-        let words = format!(
+        let message = format!(
             "the {} `{}` has no `{key}`",
             block.kind.text,
             shorten(&self.name())
         );
-        self.tell(Finding::new(Code::KeyMissing, block.at(), words));
+        self.report(Finding::new(Code::KeyMissing, block.span(), message));
     }
 
-    pub(super) fn within(
+    /// A value that is a name alone, as a word or a string; `expected` says of what, for the message.
+    pub(super) fn value_as_name(
         &mut self,
         key: &str,
-        found: Result<units::Amount, Finding>,
-        at: Span,
-        bounds: &Bounds,
-    ) -> u64 {
-        let amount = match found {
-            Ok(amount) => amount,
-            Err(finding) => {
-                self.tell(finding);
-                return bounds.default.unwrap_or(0);
-            }
-        };
-        if amount.steps == 0 && !bounds.zero {
-            self.tell(Finding::new(
-                Code::Zero,
-                at,
-                format!("`{key}` cannot be zero"),
-            ));
-        } else if amount.steps > bounds.most {
-            let most = match amount.dimension {
-                Dimension::Time => units::time(bounds.most),
-                Dimension::Share => units::share(bounds.most),
-                Dimension::Factor => units::factor(bounds.most),
-                Dimension::Size => units::size(bounds.most),
-                Dimension::Tickets => format!("{} tickets", bounds.most),
-                Dimension::Rate => units::rate(bounds.most, amount.per),
-            };
-            let shown = shorten(self.maker.sources.slice(at));
-            let words = format!("`{key}` is at most {most}; `{shown}` is more");
-            self.tell(Finding::new(Code::TooMuch, at, words));
-        }
-        amount.steps
-    }
-
-    pub(super) fn amount(&mut self, key: &'static str, wanted: Dimension, bounds: Bounds) -> u64 {
-        match self.single(key) {
-            Some(value) => self.within(key, units::expect(key, wanted, value), value.at, &bounds),
-            None => {
-                // An entry without a value was told when it was parsed.
-                if bounds.default.is_none() && self.entry(key).is_none() {
-                    self.missing(key);
-                }
-                bounds.default.unwrap_or(0)
+        value: &Value<'t>,
+        expected: &str,
+    ) -> Option<Name<'t>> {
+        if let [only] = &value.atoms[..] {
+            if let Some(name) = only.as_name() {
+                return Some(name);
             }
         }
+        let message = format!("`{key}` wants {expected}, not `{}`", shorten(value.text));
+        self.report(Finding::new(Code::NotName, value.span, message));
+        None
     }
 
-    pub(super) fn time(&mut self, key: &'static str, bounds: Bounds) -> u64 {
-        self.amount(key, Dimension::Time, bounds)
-    }
-
-    pub(super) fn share(&mut self, key: &'static str, bounds: Bounds) -> u64 {
-        self.amount(key, Dimension::Share, bounds)
-    }
-
-    pub(super) fn rate(&mut self, key: &'static str) -> Option<schema::Rate> {
+    /// The name that an entry gives, with its place.
+    pub(super) fn single_name(&mut self, key: &'static str, expected: &str) -> Option<Name<'t>> {
         let value = self.single(key)?;
-        let found = units::expect(key, Dimension::Rate, value);
-        let per_ns = found.as_ref().map_or(SECOND, |amount| amount.per);
-        let micro_tickets = self.within(key, found, value.at, &or(0, MOST_FACTOR * 1_000));
-        Some(schema::Rate {
-            micro_tickets,
-            per_ns,
-        })
+        self.value_as_name(key, value, expected)
     }
 
-    /// A plain whole number.
-    pub(super) fn whole(&mut self, key: &'static str, bounds: Bounds) -> u64 {
-        let place = self.single(key).map(|value| value.at);
-        let wide = Bounds {
-            default: bounds.default.map(|d| d * ONE),
-            zero: bounds.zero,
-            most: bounds.most * ONE,
-        };
-        let found = self.amount(key, Dimension::Factor, wide);
-        if let (Some(at), true) = (place, !found.is_multiple_of(ONE)) {
-            self.tell(Finding::new(
-                Code::Digits,
-                at,
-                format!("`{key}` is a whole number"),
-            ));
-        }
-        found / ONE
+    /// The name that an entry gives; empty if it is left out.
+    pub(super) fn optional_name(&mut self, key: &'static str, expected: &str) -> String {
+        self.single_name(key, expected)
+            .map_or(String::new(), |name| name.text.into_owned())
     }
 
-    /// A name alone, as a word or a text.
-    pub(super) fn said(&mut self, key: &str, value: &Value<'t>, what: &str) -> Option<Name<'t>> {
-        match &value.atoms[..] {
-            [one] if one.said().is_some() => one.said(),
-            _ => {
-                let words = format!("`{key}` wants {what}, not `{}`", shorten(value.text));
-                self.tell(Finding::new(Code::NotName, value.at, words));
-                None
-            }
+    /// The name that an entry must give.
+    pub(super) fn required_name(&mut self, key: &'static str, expected: &str) -> String {
+        let name = self.single_name(key, expected);
+        if name.is_none() {
+            self.report_if_missing(key);
         }
+        name.map_or(String::new(), |name| name.text.into_owned())
     }
 
-    pub(super) fn reference(&mut self, key: &'static str, sort: Sort) -> String {
+    /// The name of a block that an entry refers to; empty if there is no such entry or no such block.
+    pub(super) fn reference(&mut self, key: &'static str, kind: BlockKind) -> String {
         let Some(value) = self.single(key) else {
             return String::new();
         };
-        let what = format!("the name of a {}", sort.word());
-        match self.said(key, value, &what) {
-            Some(name) if self.maker.known(sort, &name).is_some() => name.text.into_owned(),
+        let expected = format!("the name of a {}", kind.word());
+        match self.value_as_name(key, value, &expected) {
+            Some(name) if self.resolver.lookup(kind, &name).is_some() => name.text.into_owned(),
             _ => String::new(),
         }
     }
 
-    pub(super) fn references(&mut self, key: &'static str, sort: Sort) -> Vec<String> {
+    /// The names of blocks that an entry refers to, but those that are not known.
+    pub(super) fn references(&mut self, key: &'static str, kind: BlockKind) -> Vec<String> {
         let Some(entry) = self.entry(key) else {
             return Vec::new();
         };
-        let what = format!("names of {}s", sort.word());
+        let expected = format!("names of {}s", kind.word());
         let mut found = Vec::new();
         for value in &entry.values {
-            if let Some(name) = self.said(key, value, &what) {
-                if self.maker.known(sort, &name).is_some() {
-                    found.push((name.text.into_owned(), value.at));
+            if let Some(name) = self.value_as_name(key, value, &expected) {
+                if self.resolver.lookup(kind, &name).is_some() {
+                    found.push((name.text.into_owned(), value.span));
                 }
             }
         }
-        self.once_each(key, &found);
+        self.reject_duplicates(key, found.iter().map(|(name, span)| (name.as_str(), *span)));
         found.into_iter().map(|(name, _)| name).collect()
     }
 
-    pub(super) fn once_each(&mut self, key: &str, items: &[(String, Span)]) {
+    /// Reports each item of a list that stands in it before.
+    pub(super) fn reject_duplicates<'n>(
+        &mut self,
+        key: &str,
+        items: impl Iterator<Item = (&'n str, Span)>,
+    ) {
         let mut seen = HashSet::new();
-        for (name, at) in items {
+        for (name, span) in items {
             if !seen.insert(name) {
-                let words = format!("`{key}` names `{}` twice", shorten(name));
-                self.tell(Finding::new(Code::ItemTwice, *at, words));
+                let message = format!("`{key}` names `{}` twice", shorten(name));
+                self.report(Finding::new(Code::ItemTwice, span, message));
             }
         }
     }
 
-    /// One of a few words; `T::default` means nothing was said.
-    pub(super) fn word<T: Copy>(
+    /// What one of a few words means; the default if the entry is left out or has another word.
+    pub(super) fn keyword_or<T: Copy>(
         &mut self,
         key: &'static str,
-        words: &[(&'static str, T)],
-        default: Option<T>,
+        keywords: &[Keyword<T>],
+        default: T,
+    ) -> T {
+        self.single(key)
+            .and_then(|value| self.keyword_of(key, keywords, value))
+            .unwrap_or(default)
+    }
+
+    /// What one of a few words means, in an entry that must be there.
+    pub(super) fn required_keyword<T: Copy>(
+        &mut self,
+        key: &'static str,
+        keywords: &[Keyword<T>],
     ) -> Option<T> {
-        let Some(value) = self.single(key) else {
-            if default.is_none() && self.entry(key).is_none() {
-                self.missing(key);
+        match self.single(key) {
+            Some(value) => self.keyword_of(key, keywords, value),
+            None => {
+                self.report_if_missing(key);
+                None
             }
-            return default;
-        };
-        let found = words.iter().find(|(word, _)| *word == value.text);
+        }
+    }
+
+    fn keyword_of<T: Copy>(
+        &mut self,
+        key: &str,
+        keywords: &[Keyword<T>],
+        value: &Value<'t>,
+    ) -> Option<T> {
+        let found = keywords.iter().find(|(word, _)| *word == value.text);
         if found.is_none() {
-            let all: Vec<_> = words.iter().map(|(word, _)| format!("`{word}`")).collect();
-            let says = format!(
+            let words = keywords.iter().map(|(word, _)| *word);
+            let all: Vec<_> = words.clone().map(|word| format!("`{word}`")).collect();
+            let message = format!(
                 "`{key}` is one of {}, not `{}`",
                 all.join(", "),
                 shorten(value.text)
             );
-            let mut finding = Finding::new(Code::UnknownWord, value.at, says);
-            if let Some(near) = nearest(value.text, words.iter().map(|(word, _)| *word)) {
-                finding = finding.help(format!("perhaps `{near}`?"));
+            let mut finding = Finding::new(Code::UnknownWord, value.span, message);
+            if let Some(near) = nearest(value.text, words) {
+                finding = finding.with_help(format!("perhaps `{near}`?"));
             }
-            self.tell(finding);
+            self.report(finding);
         }
-        found.map(|(_, meant)| *meant).or(default)
+        found.map(|(_, meaning)| *meaning)
     }
 
-    pub(super) fn text(&mut self, key: &'static str, what: &str) -> Option<Name<'t>> {
-        let value = self.single(key)?;
-        self.said(key, value, what)
+    /// `yes` or `no`.
+    pub(super) fn yes_no(&mut self, key: &'static str, default: bool) -> bool {
+        self.keyword_or(key, &[("yes", true), ("no", false)], default)
     }
 
-    /// Both ends of `a .. b`; an open end is `None` where `open` allows it.
-    pub(super) fn range(
+    /// Reads a block that stands in this one.
+    pub(super) fn inner<T>(
         &mut self,
-        key: &'static str,
-        wanted: Dimension,
-        open: bool,
-        bounds: &Bounds,
-    ) -> Option<(Option<u64>, Option<u64>)> {
-        let value = self.single(key)?;
-        let example = match wanted {
-            Dimension::Size => "1 KiB .. 64 KiB",
-            _ => "20 ms .. 200 ms",
-        };
-        let Some(cut) = value
-            .atoms
-            .iter()
-            .position(|atom| atom.kind == SyntaxKind::To)
-        else {
-            let words = format!(
-                "`{key}` wants a range such as `{example}`, not `{}`",
-                shorten(value.text)
-            );
-            self.tell(Finding::new(Code::NoRange, value.at, words));
-            return None;
-        };
-        let (before, after) = (&value.atoms[..cut], &value.atoms[cut + 1..]);
-        let found = self.maker.findings.made();
-        let least = self.end_of_range(key, wanted, before, open, value.at, bounds);
-        let most = self.end_of_range(key, wanted, after, open, value.at, bounds);
-        let good = self.maker.findings.made() == found;
-        if let (Some(least), Some(most), true) = (least, most, good) {
-            if least > most {
-                let words = format!("`{}` begins above its end", shorten(value.text));
-                self.tell(Finding::new(Code::RangeOrder, value.at, words));
-            }
+        block: &'r Block<'t>,
+        make: impl FnOnce(&mut BlockReader<'_, 'w, 'r, 't>) -> T,
+    ) -> T {
+        BlockReader::read(self.resolver, vec![block], make)
+    }
+
+    /// Reads the blocks of one kind that stand in this one; each comes with the place of its first word.
+    pub(super) fn inner_blocks<T>(
+        &mut self,
+        kind: &str,
+        make: impl Fn(&mut BlockReader<'_, 'w, 'r, 't>) -> T,
+    ) -> Vec<(T, Span)> {
+        let block = self.block();
+        let mut all = Vec::new();
+        for inner in block.blocks.iter().filter(|one| one.kind.text == kind) {
+            self.reject_base(inner);
+            all.push((self.inner(inner, &make), inner.kind.span));
         }
-        Some((least, most))
+        all
     }
 
-    pub(super) fn end_of_range(
+    /// Reads the `member` blocks in this one, but those without a name or with that of an earlier one.
+    pub(super) fn members<T>(
         &mut self,
-        key: &str,
-        wanted: Dimension,
-        atoms: &[Atom<'t>],
-        open: bool,
-        whole: Span,
-        bounds: &Bounds,
-    ) -> Option<u64> {
-        let (Some(first), Some(last)) = (atoms.first(), atoms.last()) else {
-            if !open {
-                let words = format!("`{key}` wants both ends of its range");
-                self.tell(Finding::new(Code::NoRange, whole, words));
+        duplicates: DuplicateLabel,
+        mut make: impl FnMut(&mut BlockReader<'_, 'w, 'r, 't>) -> T,
+    ) -> Vec<T> {
+        let block = self.block();
+        let mut members = Vec::new();
+        let mut names: HashMap<&str, Span> = HashMap::new();
+        for inner in block.blocks.iter().filter(|one| one.kind.text == "member") {
+            let made = self.inner(inner, &mut make);
+            self.reject_base(inner);
+            let Some(name) = &inner.name else {
+                let message = "this member has no name";
+                self.report(Finding::new(Code::NoName, inner.kind.span, message));
+                continue;
+            };
+            let Some(earlier) = names.get(&*name.text).copied() else {
+                names.insert(&name.text, name.span);
+                members.push(made);
+                continue;
+            };
+            let message = format!(
+                "the member `{}` is defined a second time",
+                shorten(&name.text)
+            );
+            let finding = Finding::new(Code::NameTwice, name.span, message);
+            self.report(finding.with_label(earlier, "first defined here"));
+            if duplicates == DuplicateLabel::Latest {
+                names.insert(&name.text, name.span);
             }
-            return None;
-        };
-        let at = Span {
-            end: last.at.end,
-            ..first.at
-        };
-        let text = self.maker.sources.slice(at);
-        let found = units::expect_of(key, wanted, atoms, text, at);
-        Some(self.within(key, found, at, bounds))
+        }
+        members
     }
 
-    /// Tells of all that nobody asked for.
-    pub(super) fn end(self) {
-        let Reader {
-            maker,
-            chain,
-            asked,
-            holds,
-        } = self;
-        let block = chain[0];
-        let mut order: Vec<&Entry<'_>> = block.entries.iter().collect();
-        order.sort_by(|a, b| {
-            a.key
-                .text
-                .cmp(&b.key.text)
-                .then(a.key.at.start.cmp(&b.key.at.start))
-        });
-        for pair in order.windows(2) {
-            if pair[0].key.text == pair[1].key.text {
-                let words = format!("`{}` is given twice", shorten(&pair[1].key.text));
-                let finding = Finding::new(Code::KeyTwice, pair[1].key.at, words);
-                maker
-                    .findings
-                    .push(finding.also(pair[0].key.at, "given here before"));
-            }
+    pub(super) fn report_too_many_members(&mut self, members: usize, max: usize) {
+        if members > max {
+            let message = format!("{members} members; {max} are the most");
+            let span = self.block().span();
+            self.report(Finding::new(Code::TooMuch, span, message));
+        }
+    }
+
+    /// The first block of a kind, if it is another than this one.
+    pub(super) fn earlier_block(&self, kind: BlockKind) -> Option<Span> {
+        let first = self.resolver.index.of_kind(kind).first()?;
+        Some(first.span()).filter(|span| *span != self.block().span())
+    }
+
+    fn reject_base(&mut self, inner: &Block<'t>) {
+        if let Some(base) = &inner.base {
+            let message = format!("a {} cannot be built on another", inner.kind.text);
+            self.report(Finding::new(Code::NoBase, base.span, message));
+        }
+    }
+
+    /// Reports keys given twice, and keys and blocks that nothing asked for.
+    fn finish(self) {
+        let findings = &mut *self.resolver.findings;
+        let block = self.chain[0];
+        for finding in duplicate_keys(block) {
+            findings.push(finding);
         }
         for entry in &block.entries {
-            if asked.contains(&&*entry.key.text) {
-                continue;
+            if !self.known_keys.contains(&&*entry.key.text) {
+                findings.push(unknown_key(block, entry, &self.known_keys));
             }
-            let words = format!(
-                "a {} has no key `{}`",
-                block.kind.text,
-                shorten(&entry.key.text)
-            );
-            let finding = Finding::new(Code::UnknownKey, entry.key.at, words);
-            let near = nearest(&entry.key.text, asked.iter().copied());
-            let mut all = asked.clone();
-            all.sort_unstable();
-            all.dedup();
-            maker.findings.push(match near {
-                Some(near) => finding.help(format!("perhaps `{near}`?")),
-                None => finding.help(format!("keys: {}", all.join(", "))),
-            });
         }
         for inner in &block.blocks {
-            if !holds.contains(&&*inner.kind.text) {
-                let words = format!(
+            if !self.allowed_blocks.contains(&&*inner.kind.text) {
+                let message = format!(
                     "a block `{}` cannot stand in a {}",
                     shorten(&inner.kind.text),
                     block.kind.text
                 );
-                maker
-                    .findings
-                    .push(Finding::new(Code::BlockHere, inner.kind.at, words));
+                findings.push(Finding::new(Code::BlockHere, inner.kind.span, message));
             }
         }
     }
 }
+
+fn duplicate_keys(block: &Block<'_>) -> Vec<Finding> {
+    let mut order: Vec<&Entry<'_>> = block.entries.iter().collect();
+    order.sort_by(|a, b| {
+        a.key
+            .text
+            .cmp(&b.key.text)
+            .then(a.key.span.start.cmp(&b.key.span.start))
+    });
+    order
+        .windows(2)
+        .filter(|pair| pair[0].key.text == pair[1].key.text)
+        .map(|pair| {
+            let message = format!("`{}` is given twice", shorten(&pair[1].key.text));
+            Finding::new(Code::KeyTwice, pair[1].key.span, message)
+                .with_label(pair[0].key.span, "given here before")
+        })
+        .collect()
+}
+
+fn unknown_key(block: &Block<'_>, entry: &Entry<'_>, known_keys: &[&'static str]) -> Finding {
+    let message = format!(
+        "a {} has no key `{}`",
+        block.kind.text,
+        shorten(&entry.key.text)
+    );
+    let finding = Finding::new(Code::UnknownKey, entry.key.span, message);
+    if let Some(near) = nearest(&entry.key.text, known_keys.iter().copied()) {
+        return finding.with_help(format!("perhaps `{near}`?"));
+    }
+    let mut all = known_keys.to_vec();
+    all.sort_unstable();
+    all.dedup();
+    finding.with_help(format!("keys: {}", all.join(", ")))
+}
--- a/crates/config/src/resolve/rig.rs
+++ b/crates/config/src/resolve/rig.rs
@@ -1,22 +1,26 @@
-//! `rig` blocks: processes of the program on loopback, and the faults between them.
+//! `rig` blocks: runs of the testbed, that is processes of the program on loopback and the faults between them.
 
-use super::{must, or, Bounds, Reader, LONGEST, SECOND};
+use super::bounds::{optional, required};
+use super::reader::{BlockReader, Keyword};
+use super::{MAX_DURATION_NS, MILLISECOND_NS, SECOND_NS};
 use crate::codes::Code;
 use crate::schema::{self, RigDisk, RigLink, RigTrouble};
-use crate::units::{Dimension, ONE, PERCENT};
+use crate::units::{ONE, PERCENT};
 use crate::Finding;
 
-/// Nodes and callers of one rig: processes that one machine runs side by side.
-const MOST_NODES: u64 = 16;
-const MOST_CALLERS: u64 = 64;
-/// No run lasts longer, and no kind of fault comes more often in it.
-const LONGEST_RUN: u64 = 3_600 * SECOND;
-const MOST_TIMES: u64 = 1_000;
-const MS: u64 = 1_000_000;
+/// Nodes, and sites, of one run: processes that one machine runs side by side.
+const MAX_NODES: u64 = 16;
+const MAX_CALLERS: u64 = 64;
+const MAX_SHARDS: u64 = 1_024;
+/// Replicas of one shard.
+const MAX_COPIES: u64 = 7;
+const MAX_RUN_NS: u64 = 3_600 * SECOND_NS;
+/// The longest time that a node takes for one request.
+const MAX_WORK_NS: u64 = 60 * SECOND_NS;
+/// How often one fault may come in a run.
+const MAX_TIMES: u64 = 1_000;
 
-const YES_NO: [(&str, bool); 2] = [("yes", true), ("no", false)];
-
-const KINDS: [(&str, RigTrouble); 23] = [
+const FAULT_KINDS: [Keyword<RigTrouble>; 23] = [
     ("cut", RigTrouble::Cut),
     ("cut-one-way", RigTrouble::CutOneWay),
     ("half-open", RigTrouble::HalfOpen),
@@ -42,152 +46,116 @@
     ("clock-step", RigTrouble::ClockStep),
 ];
 
-pub(super) fn rig(r: &mut Reader<'_, '_, '_, '_>) -> schema::Rig {
-    r.holds = &["fault"];
-    let block = r.block();
-    let mut faults = Vec::new();
-    for inner in block
-        .blocks
-        .iter()
-        .filter(|inner| inner.kind.text == "fault")
-    {
-        if let Some(base) = &inner.base {
-            r.tell(Finding::new(
-                Code::NoBase,
-                base.at,
-                "a fault cannot be built on another",
-            ));
-        }
-        let mut reader = Reader {
-            maker: r.maker,
-            chain: vec![inner],
-            asked: Vec::new(),
-            holds: &[],
-        };
-        faults.push(fault(&mut reader));
-        reader.end();
-    }
-    let run = Bounds {
-        default: None,
-        zero: true,
-        most: 60 * SECOND,
-    };
-    let run = r
-        .range("run", Dimension::Time, false, &run)
-        .unwrap_or((None, None));
+const LINKS: [Keyword<RigLink>; 3] = [
+    ("callers", RigLink::Callers),
+    ("agent", RigLink::Agent),
+    ("peers", RigLink::Peers),
+];
+
+const DISKS: [Keyword<RigDisk>; 4] = [
+    ("same", RigDisk::Same),
+    ("empty", RigDisk::Empty),
+    ("old", RigDisk::Old),
+    ("another", RigDisk::Another),
+];
+
+pub(super) fn rig(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::Rig {
+    r.allowed_blocks = &["fault"];
+    let faults = r.inner_blocks("fault", fault);
+    let work = r.time_range("run", &required(MAX_WORK_NS).or_zero());
     let made = schema::Rig {
         name: r.name(),
-        lasts_ns: r.time("lasts", or(4 * SECOND, LONGEST_RUN)),
-        nodes: r.whole("nodes", or(3, MOST_NODES)),
-        callers: r.whole("callers", or(3, MOST_CALLERS)),
-        every_ns: r.time("every", or(10 * MS, LONGEST)),
-        keyed: r.share(
-            "keyed",
-            Bounds {
-                default: Some(80 * PERCENT),
-                zero: true,
-                most: ONE,
-            },
-        ),
-        repeats: r.share(
-            "repeats",
-            Bounds {
-                default: Some(30 * PERCENT),
-                zero: true,
-                most: ONE,
-            },
-        ),
-        r#move: r.word("move", &YES_NO, Some(true)).unwrap_or(true),
-        within_ns: r.time("within", or(SECOND, LONGEST)),
-        slack_ns: r.time("slack", or(500 * MS, LONGEST)),
-        sites: r.whole("sites", or(1, MOST_NODES)),
-        run_least_ns: run.0.unwrap_or(MS),
-        run_most_ns: run.1.unwrap_or(5 * MS),
-        shards: r.whole(
-            "shards",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: 1_024,
-            },
-        ),
-        copies: r.whole("copies", or(3, 7)),
-        faults,
+        lasts_ns: r.time("lasts", optional(4 * SECOND_NS, MAX_RUN_NS)),
+        nodes: r.integer("nodes", optional(3, MAX_NODES)),
+        callers: r.integer("callers", optional(3, MAX_CALLERS)),
+        every_ns: r.time("every", optional(10 * MILLISECOND_NS, MAX_DURATION_NS)),
+        keyed: r.share("keyed", optional(80 * PERCENT, ONE).or_zero()),
+        repeats: r.share("repeats", optional(30 * PERCENT, ONE).or_zero()),
+        r#move: r.yes_no("move", true),
+        within_ns: r.time("within", optional(SECOND_NS, MAX_DURATION_NS)),
+        slack_ns: r.time("slack", optional(500 * MILLISECOND_NS, MAX_DURATION_NS)),
+        sites: r.integer("sites", optional(1, MAX_NODES)),
+        run_least_ns: work.min.unwrap_or(MILLISECOND_NS),
+        run_most_ns: work.max.unwrap_or(5 * MILLISECOND_NS),
+        shards: r.integer("shards", optional(0, MAX_SHARDS).or_zero()),
+        copies: r.integer("copies", optional(3, MAX_COPIES)),
+        faults: faults.into_iter().map(|(fault, _)| fault).collect(),
     };
     if made.shards > 0 && (made.copies.is_multiple_of(2) || made.copies > made.nodes) {
-        let words = format!("{} copies on {} nodes", made.copies, made.nodes);
-        let finding = Finding::new(Code::GroupSize, block.at(), words);
-        r.tell(finding.help("write 3, 5 or 7 copies, and at least as many nodes"));
+        let message = format!("{} copies on {} nodes", made.copies, made.nodes);
+        let finding = Finding::new(Code::GroupSize, r.block().span(), message);
+        r.report(finding.with_help("write 3, 5 or 7 copies, and at least as many nodes"));
     }
     made
 }
 
-fn fault(r: &mut Reader<'_, '_, '_, '_>) -> schema::RigFault {
+fn acts_on_link(kind: RigTrouble) -> bool {
+    matches!(
+        kind,
+        RigTrouble::Cut
+            | RigTrouble::CutOneWay
+            | RigTrouble::HalfOpen
+            | RigTrouble::Reset
+            | RigTrouble::Delay
+            | RigTrouble::Throttle
+            | RigTrouble::Stall
+            | RigTrouble::Twice
+    )
+}
+
+/// What happens in a moment lasts no time; everything else must say how long.
+fn is_momentary(kind: RigTrouble) -> bool {
+    matches!(
+        kind,
+        RigTrouble::Reset | RigTrouble::Twice | RigTrouble::Torn
+    )
+}
+
+fn has_span(kind: RigTrouble) -> bool {
+    matches!(
+        kind,
+        RigTrouble::Delay | RigTrouble::DiskSlow | RigTrouble::ClockStep
+    )
+}
+
+/// A fault. Each key is asked for only where it means something, so that it is unknown elsewhere.
+fn fault(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::RigFault {
     let kind = r
-        .word("what", &KINDS, None)
+        .required_keyword("what", &FAULT_KINDS)
         .unwrap_or(RigTrouble::Unspecified);
-    let drawn = r.entry("at").is_none();
-    let from = r.time(
-        "at",
-        Bounds {
-            default: Some(0),
-            zero: true,
-            most: LONGEST_RUN,
-        },
-    );
-    use RigTrouble::*;
-    let wants = |kinds: &[RigTrouble]| kinds.contains(&kind);
-    let links = [
-        ("callers", RigLink::Callers),
-        ("agent", RigLink::Agent),
-        ("peers", RigLink::Peers),
-    ];
-    let disks = [
-        ("same", RigDisk::Same),
-        ("empty", RigDisk::Empty),
-        ("old", RigDisk::Old),
-        ("another", RigDisk::Another),
-    ];
-    let on_link = wants(&[
-        Cut, CutOneWay, HalfOpen, Reset, Delay, Throttle, Stall, Twice,
-    ]);
-    // What happens in a moment lasts no time; the rest must say how long.
-    let moment = wants(&[Reset, Twice, Torn]);
-    let span = wants(&[Delay, DiskSlow, ClockStep]);
+    let has_time = r.entry("at").is_some();
+    let from_ns = r.time("at", optional(0, MAX_RUN_NS).or_zero());
+    let link = if acts_on_link(kind) {
+        r.required_keyword("link", &LINKS)
+            .unwrap_or(RigLink::Unspecified)
+    } else {
+        RigLink::Unspecified
+    };
+    let lasts_ns = if is_momentary(kind) {
+        0
+    } else {
+        r.time("lasts", required(MAX_RUN_NS))
+    };
+    let node = r.integer("node", optional(0, MAX_NODES));
+    let times = r.integer("times", optional(1, MAX_TIMES));
+    let span_ns = if has_span(kind) {
+        r.time("span", required(MAX_DURATION_NS))
+    } else {
+        0
+    };
+    let disk = if matches!(kind, RigTrouble::Kill | RigTrouble::Chase) {
+        r.keyword_or("disk", &DISKS, RigDisk::Same)
+    } else {
+        RigDisk::Unspecified
+    };
     schema::RigFault {
         kind: kind.into(),
-        link: if on_link {
-            r.word("link", &links, None).unwrap_or(RigLink::Unspecified)
-        } else {
-            RigLink::Unspecified
-        }
-        .into(),
-        from_ns: (!drawn).then_some(from),
-        lasts_ns: if moment {
-            0
-        } else {
-            r.time("lasts", must(LONGEST_RUN))
-        },
-        node: r.whole(
-            "node",
-            Bounds {
-                default: Some(0),
-                zero: false,
-                most: MOST_NODES,
-            },
-        ),
-        times: r.whole("times", or(1, MOST_TIMES)),
-        span_ns: if span {
-            r.time("span", must(LONGEST))
-        } else {
-            0
-        },
-        disk: if wants(&[Kill, Chase]) {
-            r.word("disk", &disks, Some(RigDisk::Same))
-                .unwrap_or(RigDisk::Same)
-        } else {
-            RigDisk::Unspecified
-        }
-        .into(),
+        link: link.into(),
+        from_ns: has_time.then_some(from_ns),
+        lasts_ns,
+        node,
+        times,
+        span_ns,
+        disk: disk.into(),
     }
 }
--- a/crates/config/src/resolve/tenant.rs
+++ b/crates/config/src/resolve/tenant.rs
@@ -1,14 +1,16 @@
-//! `tenant` blocks.
+//! `tenant` blocks: who sends requests, and what each may have.
 
-use super::{or, Reader, Sort};
+use super::bounds::optional;
+use super::reader::BlockReader;
+use super::BlockKind;
 use crate::schema;
 use crate::units::ONE;
 
-pub(super) fn tenant(r: &mut Reader<'_, '_, '_, '_>) -> schema::Tenant {
+pub(super) fn tenant(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::Tenant {
     schema::Tenant {
         name: r.name(),
-        share: r.share("share", or(0, ONE)),
+        share: r.share("share", optional(0, ONE)),
         quota: r.rate("quota"),
-        limits: r.reference("limits", Sort::Limits),
+        limits: r.reference("limits", BlockKind::Limits),
     }
 }
--- a/crates/config/src/resolve/traffic_type.rs
+++ b/crates/config/src/resolve/traffic_type.rs
@@ -1,61 +1,71 @@
-//! `type` blocks: what is promised to tickets of a kind, and whether they may run twice.
+//! `type` blocks: what is promised to requests of a class, and whether they may run twice.
 
-use super::{must, or, Bounds, Reader, Sort, LONGEST, MOST_FACTOR};
+use super::bounds::{optional, required};
+use super::reader::{BlockReader, Keyword};
+use super::{BlockKind, MAX_DURATION_NS, MAX_FACTOR};
+use crate::ast::{Atom, Value};
 use crate::codes::Code;
 use crate::schema::{self, RepeatKind};
-use crate::source::Span;
-use crate::units::{self, Dimension, ONE};
+use crate::units::{Dimension, ONE};
 use crate::Finding;
 
-pub(super) fn traffic_type(r: &mut Reader<'_, '_, '_, '_>) -> schema::TrafficType {
-    // `repeat: ticketed 5 s` carries its window, so it is taken apart before the word is looked up.
-    let (mut repeat, mut window_ns) = (RepeatKind::Unspecified, 0);
-    let ticketed = r
-        .single("repeat")
-        .and_then(|value| match value.atoms.split_first() {
-            Some((first, rest)) if first.text == "ticketed" => Some((value, rest)),
-            _ => None,
-        });
-    if let Some((value, rest)) = ticketed {
-        repeat = RepeatKind::Ticketed;
-        if let (Some(first), Some(last)) = (rest.first(), rest.last()) {
-            let at = Span {
-                end: last.at.end,
-                ..first.at
-            };
-            let text = r.maker.sources.slice(at);
-            let found = units::expect_of("repeat: ticketed", Dimension::Time, rest, text, at);
-            window_ns = r.within("repeat: ticketed", found, at, &must(LONGEST));
-        } else {
-            let words = "`ticketed` wants its window: how long a repeat is told apart";
-            r.tell(
-                Finding::new(Code::KeyMissing, value.at, words)
-                    .help("write `repeat: ticketed 9 s`"),
-            );
-        }
-    } else {
-        let words = [
-            ("rerunnable", RepeatKind::Rerunnable),
-            ("ticketed", RepeatKind::Ticketed),
-            ("exclusive", RepeatKind::Exclusive),
-        ];
-        repeat = r.word("repeat", &words, None).unwrap_or(repeat);
-    }
+const REPEAT_KINDS: [Keyword<RepeatKind>; 3] = [
+    ("rerunnable", RepeatKind::Rerunnable),
+    ("ticketed", RepeatKind::Ticketed),
+    ("exclusive", RepeatKind::Exclusive),
+];
+
+/// Whether a request may run twice; a repeat of a ticketed one is recognised within its window.
+struct Repeat {
+    kind: RepeatKind,
+    window_ns: u64,
+}
+
+pub(super) fn traffic_type(r: &mut BlockReader<'_, '_, '_, '_>) -> schema::TrafficType {
+    let repeat = repeat(r);
     schema::TrafficType {
         name: r.name(),
-        repeat: repeat.into(),
-        window_ns,
-        goal_ns: r.time("goal", must(LONGEST)),
-        outer_limit_ns: r.time("outer-limit", must(LONGEST)),
-        benefit: r.amount("benefit", Dimension::Factor, or(ONE, MOST_FACTOR)),
-        late: r.share(
-            "late",
-            Bounds {
-                default: Some(0),
-                zero: true,
-                most: ONE,
-            },
-        ),
-        limits: r.reference("limits", Sort::Limits),
+        repeat: repeat.kind.into(),
+        window_ns: repeat.window_ns,
+        goal_ns: r.time("goal", required(MAX_DURATION_NS)),
+        outer_limit_ns: r.time("outer-limit", required(MAX_DURATION_NS)),
+        benefit: r.factor("benefit", optional(ONE, MAX_FACTOR)),
+        late: r.share("late", optional(0, ONE).or_zero()),
+        limits: r.reference("limits", BlockKind::Limits),
+    }
+}
+
+/// `rerunnable`, `exclusive`, or `ticketed 9 s` with its window.
+fn repeat(r: &mut BlockReader<'_, '_, '_, '_>) -> Repeat {
+    if let Some(value) = r.single("repeat") {
+        if let [word, window @ ..] = &value.atoms[..] {
+            if word.text == "ticketed" {
+                return Repeat {
+                    kind: RepeatKind::Ticketed,
+                    window_ns: window_ns(r, value, window),
+                };
+            }
+        }
     }
+    let kind = r.required_keyword("repeat", &REPEAT_KINDS);
+    Repeat {
+        kind: kind.unwrap_or(RepeatKind::Unspecified),
+        window_ns: 0,
+    }
+}
+
+fn window_ns<'t>(
+    r: &mut BlockReader<'_, '_, '_, 't>,
+    value: &Value<'t>,
+    window: &[Atom<'t>],
+) -> u64 {
+    let (Some(first), Some(last)) = (window.first(), window.last()) else {
+        let message = "`ticketed` wants its window: how long a repeat is told apart";
+        let finding = Finding::new(Code::KeyMissing, value.span, message);
+        r.report(finding.with_help("write `repeat: ticketed 9 s`"));
+        return 0;
+    };
+    let span = first.span.to(last.span);
+    let bounds = required(MAX_DURATION_NS);
+    r.amount_in("repeat: ticketed", Dimension::Time, window, span, &bounds)
 }
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -16,11 +16,24 @@
 /// A place: bytes `start` up to `end` of a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Span {
+    /// The file.
     pub file: FileId,
+    /// Its first byte.
     pub start: u32,
+    /// The byte behind its last one.
     pub end: u32,
 }
 
+impl Span {
+    /// From the beginning of this one to the end of a later one of the same file.
+    pub(crate) fn to(self, last: Span) -> Span {
+        Span {
+            end: last.end,
+            ..self
+        }
+    }
+}
+
 /// Why a file cannot be had.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Trouble {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -81,7 +81,7 @@
 pub struct Amount {
     pub dimension: Dimension,
     pub steps: u64,
-    pub per: u64,
+    pub per_ns: u64,
 }
 
 /// A unit's dimension and its size in that dimension's smallest step. Public for the tests of [`exact`].
@@ -155,11 +155,11 @@
     {
         let finding = Finding::new(
             Code::Sum,
-            plus.at,
+            plus.span,
             format!("`{shown}` is a sum; one amount is wanted"),
         );
         return Err(match sum(atoms) {
-            Some(all) => finding.help(format!("write `{all}`")),
+            Some(all) => finding.with_help(format!("write `{all}`")),
             None => finding,
         });
     }
@@ -203,22 +203,22 @@
             let (what, _) = unit(of.text).ok_or_else(|| unknown_unit(of))?;
             let (over, per) = unit(time.text).ok_or_else(|| unknown_unit(time))?;
             if what != Dimension::Tickets || over != Dimension::Time {
-                let words = format!("`{}/{}` is no unit of a rate", of.text, time.text);
+                let message = format!("`{}/{}` is no unit of a rate", of.text, time.text);
                 let help = "a rate is written `tickets/s`, `tickets/min` or `tickets/h`";
-                return Err(Finding::new(Code::UnknownUnit, of.at, words).help(help));
+                return Err(Finding::new(Code::UnknownUnit, of.span, message).with_help(help));
             }
             (Dimension::Rate, ONE, per)
         }
         [first, ..] => {
-            let words = format!("`{shown}` is not one amount: a number, then its unit");
-            return Err(Finding::new(Code::NotOne, first.at, words));
+            let message = format!("`{shown}` is not one amount: a number, then its unit");
+            return Err(Finding::new(Code::NotOne, first.span, message));
         }
     };
     match exact(number.text, scale) {
         Ok(steps) => Ok(Amount {
             dimension,
             steps,
-            per,
+            per_ns: per,
         }),
         Err(Code::Overflow) => Err(Finding::new(
             Code::Overflow,
@@ -246,12 +246,14 @@
 fn unknown_unit(atom: &Atom<'_>) -> Finding {
     let finding = Finding::new(
         Code::UnknownUnit,
-        atom.at,
+        atom.span,
         format!("`{}` is no unit", shorten(atom.text)),
     );
     match nearest_unit(atom.text) {
-        Some(near) => finding.help(format!("perhaps `{near}`?")),
-        None => finding.help("units: ns us ms s min h, tickets, tickets/s, %, B KiB MiB GiB TiB"),
+        Some(near) => finding.with_help(format!("perhaps `{near}`?")),
+        None => {
+            finding.with_help("units: ns us ms s min h, tickets, tickets/s, %, B KiB MiB GiB TiB")
+        }
     }
 }
 
@@ -259,7 +261,7 @@
 fn sum(atoms: &[Atom<'_>]) -> Option<String> {
     let mut all = 0u64;
     for part in atoms.split(|atom| atom.kind == SyntaxKind::Plus) {
-        let at = part.first()?.at;
+        let at = part.first()?.span;
         let amount = amount(part, "", at)
             .ok()
             .filter(|a| a.dimension == Dimension::Time)?;
@@ -331,7 +333,7 @@
 
 /// An amount of the dimension that `key` wants.
 pub fn expect(key: &str, wanted: Dimension, value: &Value<'_>) -> Result<Amount, Finding> {
-    expect_of(key, wanted, &value.atoms, value.text, value.at)
+    expect_of(key, wanted, &value.atoms, value.text, value.span)
 }
 
 /// As [`expect`], for a part of a value.
@@ -348,8 +350,8 @@
         wanted.example()
     );
     if atoms.iter().any(|atom| atom.kind == SyntaxKind::To) {
-        let words = format!("{want}; `{}` is a range", shorten(text));
-        return Err(Finding::new(Code::RangeHere, at, words));
+        let message = format!("{want}; `{}` is a range", shorten(text));
+        return Err(Finding::new(Code::RangeHere, at, message));
     }
     let found = amount(atoms, text, at).map_err(|mut finding| {
         if finding.code == Code::NoNumber {
@@ -362,20 +364,20 @@
     }
     let shown = shorten(text);
     if found.dimension == Dimension::Factor {
-        let words = format!("{want}; `{shown}` has no unit");
+        let message = format!("{want}; `{shown}` has no unit");
         let offered = UNITS
             .iter()
             .filter(|known| known.1 == wanted)
             .map(|known| known.0);
-        let finding = Finding::new(Code::NoUnit, at, words);
+        let finding = Finding::new(Code::NoUnit, at, message);
         let offered: Vec<_> = offered.filter(|name| *name != "ticket").collect();
         let offered = if wanted == Dimension::Rate {
             "tickets/s".to_owned()
         } else {
             offered.join(", ")
         };
-        return Err(finding.help(format!("units here: {offered}")));
+        return Err(finding.with_help(format!("units here: {offered}")));
     }
-    let words = format!("{want}; `{shown}` is {}", found.dimension.called());
-    Err(Finding::new(Code::WrongUnit, at, words))
+    let message = format!("{want}; `{shown}` is {}", found.dimension.called());
+    Err(Finding::new(Code::WrongUnit, at, message))
 }
