--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -7,7 +7,7 @@
 use rainstand_config::diff::diff;
 use rainstand_config::form::form;
 use rainstand_config::schema;
-use rainstand_config::source::{Disk, Files, Sources, Trouble};
+use rainstand_config::source::{Disk, Files, SourceMap};
 use rainstand_routing::explain::{explain, Explanation};
 use rainstand_routing::table::{PlacementReason, Request, RoutingError, Table};
 use serde_json::json;
@@ -185,20 +185,12 @@
 fn write_form(file: &str, check_only: bool) -> io::Result<Code> {
     let text = match Disk.read(Path::new(file)) {
         Ok(text) => text,
-        Err(trouble) => {
-            let why = match trouble {
-                Trouble::Missing => "there is no such file".to_owned(),
-                Trouble::Unreadable(why) => why,
-                Trouble::TooLarge(size) => format!("{size} bytes are too many"),
-                Trouble::NotUtf8(byte) => format!("not UTF-8: byte {byte} belongs to no character"),
-            };
-            return Ok(unreadable(file, why));
-        }
+        Err(error) => return Ok(unreadable(file, error)),
     };
     let formed = match form(&text) {
         Ok(formed) => formed,
         Err(findings) => {
-            let sources = Sources::of_one(file, text);
+            let sources = SourceMap::from_text(file, text);
             out::findings(&sources, &findings, false)?;
             eprintln!("{file}: left as it is");
             return Ok(Code::Found);
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -5,13 +5,13 @@
 use rainstand_config::diff::Change;
 use rainstand_config::load;
 use rainstand_config::schema::{self, Configuration};
-use rainstand_config::source::{Disk, FileId, Sources};
+use rainstand_config::source::{Disk, FileId, SourceMap};
 use rainstand_routing::table::Table;
 use serde_json::json;
 use std::io::{self, Write};
 use std::path::Path;
 
-pub type Read = Result<(Configuration, Sources, usize), Code>;
+pub type Read = Result<(Configuration, SourceMap, usize), Code>;
 
 /// A configuration in any of its three forms, with its sources and the number of warnings. What is wrong
 /// is told here.
@@ -19,7 +19,7 @@
     let ending = Path::new(file).extension().and_then(|e| e.to_str());
     if file != "-" && ending != Some("rain") {
         return Ok(
-            read_compiled(file, ending == Some("pb")).map(|made| (made, Sources::default(), 0))
+            read_compiled(file, ending == Some("pb")).map(|made| (made, SourceMap::default(), 0))
         );
     }
     let outcome = load(&Disk, file);
--- a/crates/cli/src/out.rs
+++ b/crates/cli/src/out.rs
@@ -1,7 +1,7 @@
 //! Results to standard output, findings to standard error, and how the program ends.
 
 use rainstand_config::codes::Severity;
-use rainstand_config::source::{Sources, Span};
+use rainstand_config::source::{SourceMap, Span};
 use rainstand_config::{report, Finding};
 use serde::Serialize;
 use std::io::{self, IsTerminal, Write};
@@ -65,7 +65,7 @@
 }
 
 /// Findings with the lines they are about, in colour if a person looks.
-pub fn findings(sources: &Sources, found: &[Finding], as_json: bool) -> io::Result<()> {
+pub fn findings(sources: &SourceMap, found: &[Finding], as_json: bool) -> io::Result<()> {
     if !as_json {
         let colour = if io::stderr().is_terminal() {
             ColorChoice::Auto
--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -5,7 +5,7 @@
 use crate::finding::shorten;
 use crate::lexer::unquote;
 use crate::parser::ParsedFile;
-use crate::source::{Sources, Span};
+use crate::source::{SourceMap, Span};
 use crate::syntax::{SyntaxElement, SyntaxKind, SyntaxNode};
 use crate::{Finding, Findings};
 use std::borrow::Cow;
@@ -117,7 +117,7 @@
 
 /// Lowers one file's tree to its blocks. Entries outside blocks and unknown escapes are added to `findings`.
 pub fn lower<'t>(
-    sources: &'t Sources,
+    sources: &'t SourceMap,
     parsed: &ParsedFile,
     findings: &mut Findings,
 ) -> Vec<Block<'t>> {
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,12 +1,13 @@
 //! Files to a checked message: each layer in turn.
 
-use crate::source::{Files, Sources};
+use crate::include::LoadedFiles;
+use crate::source::{Files, SourceMap};
 use crate::{ast, check, include, parser, resolve, schema};
 use crate::{Finding, Findings};
 
 /// What reading a configuration came to.
 pub struct Outcome {
-    pub sources: Sources,
+    pub sources: SourceMap,
     /// In order of file, place and code; none twice.
     pub findings: Vec<Finding>,
     /// There only if no finding is an error.
@@ -58,7 +59,7 @@
 /// they need not be mended one at a time, but never on names or values that could not be read.
 pub fn load(files: &dyn Files, first: &str) -> Outcome {
     let mut findings = Findings::default();
-    let (sources, parsed) = include::gather(files, first, &mut findings);
+    let LoadedFiles { sources, parsed } = include::load_files(files, first, &mut findings);
     let blocks: Vec<_> = parsed
         .iter()
         .map(|file| ast::lower(&sources, file, &mut findings))
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -1,7 +1,7 @@
 //! Findings as a person reads them: the source line with marks, or one line of text.
 
 use crate::codes::Severity;
-use crate::source::{FileId, Sources, Span};
+use crate::source::{FileId, SourceMap, Span};
 use crate::Finding;
 use codespan_reporting::diagnostic::{Diagnostic, Label};
 use codespan_reporting::files::{Error, Files};
@@ -12,7 +12,7 @@
 /// Bytes of a source line that is shown; a finding in a longer one is written as [`plain`] text.
 const MAX_LINE_BYTES: usize = 400;
 
-impl<'a> Files<'a> for Sources {
+impl<'a> Files<'a> for SourceMap {
     type FileId = u32;
     type Name = &'a str;
     type Source = &'a str;
@@ -44,7 +44,7 @@
 /// Those of the stream.
 pub fn show(
     out: &mut dyn WriteColor,
-    sources: &Sources,
+    sources: &SourceMap,
     findings: &[Finding],
 ) -> std::io::Result<()> {
     let config = Config {
@@ -64,7 +64,7 @@
 }
 
 /// Whether the file has text and none of the lines would fill the screen.
-fn has_lines_to_show(sources: &Sources, finding: &Finding) -> bool {
+fn has_lines_to_show(sources: &SourceMap, finding: &Finding) -> bool {
     let labels = finding.labels.iter().map(|label| label.span);
     let is_wide = |span: Span| {
         let line = sources.line_of(span.file, span.start as usize);
@@ -95,7 +95,7 @@
 }
 
 /// One line: `file:line:column: code: message`, then the labels and the help.
-pub fn plain(sources: &Sources, finding: &Finding) -> String {
+pub fn plain(sources: &SourceMap, finding: &Finding) -> String {
     let position = |span: Span| {
         let (line, column) = sources.line_column(span);
         format!("{}:{line}:{column}", sources.path(span.file))
--- a/crates/config/src/resolve.rs
+++ b/crates/config/src/resolve.rs
@@ -25,7 +25,7 @@
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::schema;
-use crate::source::Sources;
+use crate::source::SourceMap;
 use crate::units::ONE;
 use crate::{Finding, Findings};
 use foldhash::{HashMap, HashSet, HashSetExt};
@@ -86,7 +86,7 @@
 /// Lowers the blocks of a configuration to its message. What cannot be read is added to `findings`, and stands in the
 /// message as if it were left out.
 pub fn resolve<'r, 't>(
-    sources: &Sources,
+    sources: &SourceMap,
     blocks: &'r [Block<'t>],
     findings: &mut Findings,
 ) -> Resolved<'r, 't> {
@@ -201,7 +201,7 @@
 }
 
 struct Resolver<'m, 'r, 't> {
-    sources: &'m Sources,
+    sources: &'m SourceMap,
     index: &'m BlockIndex<'r, 't>,
     /// Unknown names for which the nearest known one was looked up.
     suggestions: usize,
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,19 +1,19 @@
-//! Files, and places in them.
+//! Where files come from, the source map of those that were read, and spans in them.
 
-use foldhash::{HashMap, HashMapExt};
+use foldhash::HashMap;
+use std::io::Read;
 use std::path::{Path, PathBuf};
+use std::{fs, io};
+use thiserror::Error;
 
-/// Bytes of one file: a configuration of 100,000 lines stays under it.
-pub const LARGEST: u64 = 16 << 20;
-/// Files of one configuration.
-pub const MOST_FILES: usize = 2_000;
-/// Bytes of all files of one configuration.
-pub const LARGEST_SUM: u64 = 64 << 20;
+/// The largest file that is read, in bytes.
+pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
+/// A file of a [`SourceMap`], by the order of reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FileId(pub u32);
 
-/// A place: bytes `start` up to `end` of a file.
+/// A place in a file, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Span {
     /// The file.
@@ -34,221 +34,240 @@
     }
 }
 
-/// Why a file cannot be had.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+/// Why a file cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ReadError {
+    /// There is none of this name.
+    #[error("there is no such file")]
     Missing,
-    /// In the system's words.
+    /// The system refuses it, in its own words, or it is no regular file.
+    #[error("{0}")]
     Unreadable(String),
-    /// Its size in bytes.
+    /// It is larger than [`MAX_FILE_BYTES`]; its size in bytes.
+    #[error("{0} bytes are too many")]
     TooLarge(u64),
-    /// Where the first byte is that belongs to no character.
+    /// It is not UTF-8; the first byte that belongs to no character.
+    #[error("not UTF-8: byte {0} belongs to no character")]
     NotUtf8(usize),
 }
 
-/// Where files come from. Paths are as [`crate::include::gather`] makes them: the first one as given, others joined to
-/// its folder without `.` or `..`.
+impl From<io::Error> for ReadError {
+    fn from(error: io::Error) -> Self {
+        match error.kind() {
+            io::ErrorKind::NotFound => ReadError::Missing,
+            _ => ReadError::Unreadable(error.to_string()),
+        }
+    }
+}
+
+/// Where files come from. Paths are as [`crate::include::load_files`] makes them: the first one as given, others joined
+/// to its folder without `.` or `..`.
 pub trait Files {
-    /// What tells one file from another: links followed, so that a file has one name.
-    fn identity(&self, path: &Path) -> Result<PathBuf, Trouble>;
-    fn read(&self, path: &Path) -> Result<String, Trouble>;
+    /// What tells one file from another: its path with all links followed.
+    ///
+    /// # Errors
+    /// If there is no such file, or the system does not say.
+    fn identity(&self, path: &Path) -> Result<PathBuf, ReadError>;
+
+    /// The text of a file.
+    ///
+    /// # Errors
+    /// If it cannot be read, is too large or is not UTF-8.
+    fn read(&self, path: &Path) -> Result<String, ReadError>;
 }
 
-/// Files on disk; `-` is standard input, which has no folder but the present one.
+/// Files on disk; `-` is standard input, which stands in the current folder.
 pub struct Disk;
 
 impl Files for Disk {
-    fn identity(&self, path: &Path) -> Result<PathBuf, Trouble> {
-        if path == Path::new("-") {
-            return Ok(std::fs::canonicalize(".")
-                .map_err(|e| trouble(&e))?
-                .join("-"));
+    fn identity(&self, path: &Path) -> Result<PathBuf, ReadError> {
+        if is_standard_input(path) {
+            return Ok(fs::canonicalize(".")?.join("-"));
         }
-        std::fs::canonicalize(path).map_err(|e| trouble(&e))
+        Ok(fs::canonicalize(path)?)
     }
 
-    fn read(&self, path: &Path) -> Result<String, Trouble> {
-        use std::io::Read;
-        let mut bytes = Vec::new();
-        if path == Path::new("-") {
-            std::io::stdin()
-                .take(LARGEST + 1)
-                .read_to_end(&mut bytes)
-                .map_err(|e| trouble(&e))?;
+    fn read(&self, path: &Path) -> Result<String, ReadError> {
+        let bytes = if is_standard_input(path) {
+            read_bounded(io::stdin())?
         } else {
-            let file = std::fs::File::open(path).map_err(|e| trouble(&e))?;
-            let kind = file.metadata().map_err(|e| trouble(&e))?;
-            if !kind.is_file() {
-                return Err(Trouble::Unreadable("not a regular file".into()));
+            let file = fs::File::open(path)?;
+            let metadata = file.metadata()?;
+            if !metadata.is_file() {
+                return Err(ReadError::Unreadable("not a regular file".into()));
             }
-            if kind.len() > LARGEST {
-                return Err(Trouble::TooLarge(kind.len()));
+            if metadata.len() > MAX_FILE_BYTES {
+                return Err(ReadError::TooLarge(metadata.len()));
             }
-            file.take(LARGEST + 1)
-                .read_to_end(&mut bytes)
-                .map_err(|e| trouble(&e))?;
-        }
-        if bytes.len() as u64 > LARGEST {
-            return Err(Trouble::TooLarge(bytes.len() as u64));
-        }
-        String::from_utf8(bytes).map_err(|e| Trouble::NotUtf8(e.utf8_error().valid_up_to()))
+            read_bounded(file)?
+        };
+        String::from_utf8(bytes).map_err(|e| ReadError::NotUtf8(e.utf8_error().valid_up_to()))
     }
 }
 
-fn trouble(error: &std::io::Error) -> Trouble {
-    match error.kind() {
-        std::io::ErrorKind::NotFound => Trouble::Missing,
-        _ => Trouble::Unreadable(error.to_string()),
+fn is_standard_input(path: &Path) -> bool {
+    path == Path::new("-")
+}
+
+fn read_bounded(from: impl Read) -> Result<Vec<u8>, ReadError> {
+    let mut bytes = Vec::new();
+    from.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+    if bytes.len() as u64 > MAX_FILE_BYTES {
+        return Err(ReadError::TooLarge(bytes.len() as u64));
     }
+    Ok(bytes)
 }
 
 /// Files in memory, for tests and tools.
 pub struct Memory(HashMap<PathBuf, String>);
 
 impl Memory {
+    /// Files by their paths.
     pub fn new<P: Into<PathBuf>, T: Into<String>>(files: impl IntoIterator<Item = (P, T)>) -> Self {
-        let mut all = HashMap::new();
-        all.extend(
+        let files = files.into_iter();
+        Self(
             files
-                .into_iter()
-                .map(|(path, text)| (path.into(), text.into())),
-        );
-        Self(all)
+                .map(|(path, text)| (path.into(), text.into()))
+                .collect(),
+        )
     }
 }
 
 impl Files for Memory {
-    fn identity(&self, path: &Path) -> Result<PathBuf, Trouble> {
+    fn identity(&self, path: &Path) -> Result<PathBuf, ReadError> {
         if self.0.contains_key(path) {
             Ok(path.to_owned())
         } else {
-            Err(Trouble::Missing)
+            Err(ReadError::Missing)
         }
     }
 
-    fn read(&self, path: &Path) -> Result<String, Trouble> {
-        self.0.get(path).cloned().ok_or(Trouble::Missing)
+    fn read(&self, path: &Path) -> Result<String, ReadError> {
+        self.0.get(path).cloned().ok_or(ReadError::Missing)
     }
 }
 
-struct Source {
+struct SourceFile {
     path: String,
     text: String,
-    /// Where each line begins.
-    lines: Vec<u32>,
-    /// Characters that begin before each block of [`BLOCK`] bytes: columns of a line of 5 MB are not counted
-    /// from its start each time.
-    characters: Vec<u32>,
+    /// The byte at which each line begins.
+    line_starts: Vec<u32>,
+    /// Characters that begin before each block of [`BLOCK_BYTES`], so that a column in a line of megabytes is not
+    /// counted from its start each time.
+    characters_before_block: Vec<u32>,
 }
 
 /// Bytes between two counts of characters.
-const BLOCK: usize = 1 << 12;
+const BLOCK_BYTES: usize = 1 << 12;
 
-/// Bytes that begin a character.
-fn begin(bytes: &[u8]) -> u32 {
+/// How many characters begin in these bytes.
+fn count_characters(bytes: &[u8]) -> u32 {
     bytes.iter().filter(|byte| **byte & 0xc0 != 0x80).count() as u32
 }
 
-impl Source {
+impl SourceFile {
     /// Characters that begin before a byte.
     fn characters_before(&self, byte: usize) -> u32 {
-        let block = (byte / BLOCK).min(self.characters.len() - 1);
-        self.characters[block] + begin(&self.text.as_bytes()[block * BLOCK..byte])
+        let block = (byte / BLOCK_BYTES).min(self.characters_before_block.len() - 1);
+        self.characters_before_block[block]
+            + count_characters(&self.text.as_bytes()[block * BLOCK_BYTES..byte])
     }
 }
 
-/// All files that were read, by [`FileId`].
+/// The source map: all files that were read, by [`FileId`].
 #[derive(Default)]
-pub struct Sources(Vec<Source>);
+pub struct SourceMap(Vec<SourceFile>);
 
-impl Sources {
+impl SourceMap {
     pub(crate) fn add(&mut self, path: String, text: String) -> FileId {
-        let lines = std::iter::once(0).chain(
-            text.bytes()
-                .zip(1u32..)
-                .filter(|(b, _)| *b == b'\n')
-                .map(|(_, n)| n),
-        );
-        let lines = lines.collect();
-        let mut characters = vec![0];
-        for block in text.as_bytes().chunks(BLOCK) {
-            characters.push(characters[characters.len() - 1] + begin(block));
+        let line_ends = text.bytes().zip(1u32..).filter(|(byte, _)| *byte == b'\n');
+        let line_starts = std::iter::once(0)
+            .chain(line_ends.map(|(_, next)| next))
+            .collect();
+        let mut characters_before_block = vec![0];
+        let mut characters = 0;
+        for block in text.as_bytes().chunks(BLOCK_BYTES) {
+            characters += count_characters(block);
+            characters_before_block.push(characters);
         }
-        self.0.push(Source {
+        self.0.push(SourceFile {
             path,
             text,
-            lines,
-            characters,
+            line_starts,
+            characters_before_block,
         });
         FileId(self.0.len() as u32 - 1)
     }
 
-    /// One file, for a tool that looks at it alone.
-    pub fn of_one(path: &str, text: String) -> Self {
+    fn file(&self, file: FileId) -> Option<&SourceFile> {
+        self.0.get(file.0 as usize)
+    }
+
+    /// A map of one file, for a tool that looks at it alone.
+    pub fn from_text(path: &str, text: String) -> Self {
         let mut sources = Self::default();
         sources.add(path.to_owned(), text);
         sources
     }
 
+    /// How many files there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether no file was read.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// As it was given or included; for messages.
+    /// A file's path as it was given or included, for messages; `?` for an unknown file.
     pub fn path(&self, file: FileId) -> &str {
-        self.0
-            .get(file.0 as usize)
-            .map_or("?", |source| &source.path)
+        self.file(file).map_or("?", |source| &source.path)
     }
 
+    /// A file's text; empty for an unknown file.
     pub fn text(&self, file: FileId) -> &str {
-        self.0
-            .get(file.0 as usize)
-            .map_or("", |source| &source.text)
+        self.file(file).map_or("", |source| &source.text)
     }
 
+    /// The text of a span; empty for one that is in no file.
     pub fn slice(&self, span: Span) -> &str {
         self.text(span.file)
             .get(span.start as usize..span.end as usize)
             .unwrap_or("")
     }
 
-    /// Line and column of a place's start, both from 1; columns count characters.
+    /// Line and column of a span's start, both from 1; columns count characters.
     pub fn line_column(&self, span: Span) -> (usize, usize) {
-        let Some(source) = self.0.get(span.file.0 as usize) else {
+        let Some(source) = self.file(span.file) else {
             return (1, 1);
         };
         let line = source
-            .lines
+            .line_starts
             .partition_point(|start| *start <= span.start)
             .max(1);
-        let from = source.lines[line - 1] as usize;
+        let from = source.line_starts[line - 1] as usize;
         let upto = (span.start as usize).min(source.text.len());
         let column = source.characters_before(upto) - source.characters_before(from);
         (line, column as usize + 1)
     }
 
-    /// The line, from 0, in which a byte stands.
+    /// The line, from 0, that a byte is in.
     pub fn line_of(&self, file: FileId, byte: usize) -> usize {
         let lines = self
-            .0
-            .get(file.0 as usize)
-            .map_or(&[][..], |source| &source.lines);
+            .file(file)
+            .map_or(&[][..], |source| &source.line_starts);
         lines
             .partition_point(|start| *start as usize <= byte)
             .saturating_sub(1)
     }
 
-    /// The bytes of a line, from 0, with its end.
+    /// The bytes of a line, from 0, with its line end.
     pub fn line_bytes(&self, file: FileId, line: usize) -> Option<std::ops::Range<usize>> {
-        let source = self.0.get(file.0 as usize)?;
-        let start = *source.lines.get(line)? as usize;
+        let source = self.file(file)?;
+        let start = *source.line_starts.get(line)? as usize;
         let end = source
-            .lines
+            .line_starts
             .get(line + 1)
             .map_or(source.text.len(), |end| *end as usize);
         Some(start..end)
@@ -256,6 +275,6 @@
 
     /// Lines in all files together.
     pub fn lines(&self) -> usize {
-        self.0.iter().map(|source| source.lines.len()).sum()
+        self.0.iter().map(|source| source.line_starts.len()).sum()
     }
 }
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -11,7 +11,7 @@
 )]
 
 use rainstand_config::codes::Code;
-use rainstand_config::source::{Disk, Files, Memory, Trouble};
+use rainstand_config::source::{Disk, Files, Memory, ReadError};
 use rainstand_config::{load, report, Outcome};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -22,16 +22,16 @@
 struct WithBig(Memory);
 
 impl Files for WithBig {
-    fn identity(&self, path: &Path) -> Result<PathBuf, Trouble> {
+    fn identity(&self, path: &Path) -> Result<PathBuf, ReadError> {
         if path.ends_with("big.rain") {
             return Ok(path.to_owned());
         }
         self.0.identity(path)
     }
 
-    fn read(&self, path: &Path) -> Result<String, Trouble> {
+    fn read(&self, path: &Path) -> Result<String, ReadError> {
         if path.ends_with("big.rain") {
-            return Err(Trouble::TooLarge(50 << 20));
+            return Err(ReadError::TooLarge(50 << 20));
         }
         self.0.read(path)
     }
--- a/crates/config/tests/include.rs
+++ b/crates/config/tests/include.rs
@@ -7,13 +7,13 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_config::include::gather;
+use rainstand_config::include::load_files;
 use rainstand_config::source::Memory;
 use rainstand_config::Findings;
 
 fn codes(files: &[(&str, &str)]) -> (Vec<&'static str>, Vec<String>, usize) {
     let mut findings = Findings::default();
-    let (sources, _) = gather(
+    let loaded = load_files(
         &Memory::new(files.iter().copied()),
         files[0].0,
         &mut findings,
@@ -23,7 +23,7 @@
     (
         findings.iter().map(|f| f.code.id()).collect(),
         words,
-        sources.len(),
+        loaded.sources.len(),
     )
 }
 
@@ -73,10 +73,10 @@
         })
         .collect();
     let mut findings = Findings::default();
-    let (sources, _) = gather(&Memory::new(files), "0.rain", &mut findings);
+    let loaded = load_files(&Memory::new(files), "0.rain", &mut findings);
     let findings = findings.into_vec();
     assert_eq!(
-        (sources.len(), findings.len(), findings[0].code.id()),
+        (loaded.sources.len(), findings.len(), findings[0].code.id()),
         (1_000, 1, "S001")
     );
 }
--- a/crates/config/tests/source.rs
+++ b/crates/config/tests/source.rs
@@ -7,11 +7,11 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_config::source::{FileId, Sources, Span};
+use rainstand_config::source::{FileId, SourceMap, Span};
 
 #[test]
 fn places_count_characters() {
-    let sources = Sources::of_one("a", "# æø\nab: å x\n".into());
+    let sources = SourceMap::from_text("a", "# æø\nab: å x\n".into());
     let file = FileId(0);
     let x = sources.text(file).find('x').unwrap() as u32;
     assert_eq!(
