--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -3,9 +3,9 @@
 use crate::config_file::{read, replace, tell_changes, unreadable};
 use crate::out::{self, Code};
 use clap::{Args, Subcommand};
-use rainstand_config::codes::Code as Finds;
+use rainstand_config::codes::{Code as Finds, Examples};
 use rainstand_config::diff::diff;
-use rainstand_config::form::form;
+use rainstand_config::formatter::format;
 use rainstand_config::schema;
 use rainstand_config::source::{Disk, Files, SourceMap};
 use rainstand_routing::explain::{explain, Explanation};
@@ -187,7 +187,7 @@
         Ok(text) => text,
         Err(error) => return Ok(unreadable(file, error)),
     };
-    let formed = match form(&text) {
+    let formed = match format(&text) {
         Ok(formed) => formed,
         Err(findings) => {
             let sources = SourceMap::from_text(file, text);
@@ -423,13 +423,18 @@
             "no such code; `rainstand config why --all` lists them",
         ));
     };
-    let mut text = format!("{}: {}\n\n{}\n", code.id(), code.title(), code.why());
-    let (wrong, right) = code.examples();
+    let mut text = format!(
+        "{}: {}\n\n{}\n",
+        code.id(),
+        code.title(),
+        code.explanation()
+    );
+    let Examples { wrong, right } = code.examples();
     for (name, lines) in [("Wrong", wrong), ("Right", right)] {
         if !lines.is_empty() {
             text.push_str(&format!("\n{name}:\n"));
             // In the form that people write.
-            let formed = form(&format!("rain 1\n{lines}"));
+            let formed = format(&format!("rain 1\n{lines}"));
             let shown = formed
                 .as_deref()
                 .map_or(lines, |formed| formed.trim_start_matches("rain 1\n"));
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -63,11 +63,7 @@
     };
     let made = made.and_then(|made| match Table::new(&made) {
         Ok(_) => Ok(made),
-        Err(refused) => Err(schema::Refused {
-            line: 0,
-            column: 0,
-            why: refused.to_string(),
-        }),
+        Err(refused) => Err(schema::DecodeError::binary(refused)),
     });
     made.map_err(|refused| {
         eprintln!("rainstand: {file}:{refused}");
@@ -110,7 +106,7 @@
         out::json(&match change {
             Change::Added { what } => json!({"change": "added", "what": what}),
             Change::Removed { what } => json!({"change": "removed", "what": what}),
-            Change::Otherwise {
+            Change::ValueChanged {
                 what,
                 key,
                 before,
@@ -118,16 +114,15 @@
             } => {
                 json!({"change": "otherwise", "what": what, "key": key, "before": before, "after": after})
             }
-            Change::Elsewhere {
-                tickets,
+            Change::Rerouted {
+                requests,
                 before,
                 after,
-                pools,
             } => json!({
-                "change": "elsewhere", "tickets": tickets, "before": before, "after": after,
-                "pools_before": pools.0, "pools_after": pools.1,
+                "change": "elsewhere", "tickets": requests, "before": before.route, "after": after.route,
+                "pools_before": before.pools, "pools_after": after.pools,
             }),
-            Change::Order { before, after } => {
+            Change::Reordered { before, after } => {
                 json!({"change": "order", "before": before, "after": after})
             }
         })?;
--- a/crates/config/benches/check.rs
+++ b/crates/config/benches/check.rs
@@ -9,7 +9,7 @@
 )]
 
 use rainstand_config::source::Memory;
-use rainstand_config::{diff::diff, form::form, load};
+use rainstand_config::{diff::diff, formatter::format, load};
 use std::fmt::Write;
 
 fn main() {
@@ -96,7 +96,7 @@
         .bench(|| {
             files
                 .iter()
-                .map(|(_, text)| form(text).map_or(0, |formed| formed.len()))
+                .map(|(_, text)| format(text).map_or(0, |formed| formed.len()))
                 .sum::<usize>()
         });
 }
--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,12 +1,5 @@
 //! Compiles `proto/rainstand.proto` to Rust types and to the descriptors that the text form is read by.
 
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "a test target: clippy's default lints hold"
-)]
-
 use prost::Message;
 use std::{env, error::Error, fs, path::Path};
 
--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -249,7 +249,7 @@
                     key = Some(self.name(SyntaxKind::Word, span));
                 }
                 SyntaxElement::Node(child) if child.kind() == SyntaxKind::Value => {
-                    values.extend(self.value(&child))
+                    values.extend(self.value(&child));
                 }
                 _ => {}
             }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,8 +1,10 @@
-//! What the four rules and plain sense ask of a configuration, beyond its form.
+//! Checks what a configuration means, beyond its form: the four rules of the platform, and plain contradictions.
 //!
-//! Each check walks the message once, or looks things up by name; the only one that compares routes with
-//! each other has a budget of comparisons ([`crate::space::Earlier`]) and says when it is spent.
+//! Each check walks the message once, or looks things up by name. Only the one that compares routes with each
+//! other has a budget of comparisons ([`crate::matching::EarlierRoutes`]) and reports when it is spent.
 
+mod attempts;
+mod dependencies;
 mod policies;
 mod pools;
 mod quotas;
@@ -20,6 +22,7 @@
 use crate::{Finding, Findings};
 use foldhash::{HashMap, HashMapExt};
 
+/// Adds what is wrong with the meaning of a configuration to `findings`.
 pub fn check(resolved: &Resolved<'_, '_>, findings: &mut Findings) {
     let all = &resolved.configuration;
     let mut checker = Checker {
@@ -30,31 +33,34 @@
         attempts: by_name(all.attempts.iter().map(|one| &one.name)),
         budgets: by_name(all.budgets.iter().map(|one| &one.name)),
         limits: by_name(all.limits.iter().map(|one| &one.name)),
-        taken: vec![false; all.types.len()],
+        exhausted_types: vec![false; all.types.len()],
         findings,
     };
-    checker.types();
-    checker.tenants();
-    checker.dependencies();
-    checker.policies();
-    checker.pools();
-    for at in 0..all.routes.len() {
-        checker.route(at);
-        checker.taken_by(at);
-    }
-    checker.quotas();
-    checker.hidden_routes();
+    checker.check_types();
+    checker.check_tenant_shares();
+    checker.check_partial_answers();
+    checker.check_dependency_shares();
+    checker.check_policies();
+    checker.check_pools();
+    checker.check_routes();
+    checker.check_quotas();
+    checker.check_hidden_routes();
     // What could not be read may well be what makes these good.
     if !checker.findings.has_errors() {
-        checker.tickets_without_route();
-        checker.unused();
+        checker.check_unrouted_types();
+        checker.check_unused();
     }
 }
 
+/// The index of each name.
 fn by_name<'c>(names: impl Iterator<Item = &'c String>) -> HashMap<&'c str, usize> {
-    let mut map = HashMap::new();
-    map.extend(names.enumerate().map(|(at, name)| (name.as_str(), at)));
-    map
+    let mut indices = HashMap::new();
+    indices.extend(
+        names
+            .enumerate()
+            .map(|(index, name)| (name.as_str(), index)),
+    );
+    indices
 }
 
 struct Checker<'k, 'r, 't> {
@@ -65,17 +71,18 @@
     attempts: HashMap<&'k str, usize>,
     budgets: HashMap<&'k str, usize>,
     limits: HashMap<&'k str, usize>,
-    /// Types of which the routes looked at so far leave no ticket.
-    taken: Vec<bool>,
+    /// By traffic type: the routes before the one being checked take all of its requests.
+    exhausted_types: Vec<bool>,
     findings: &'k mut Findings,
 }
 
-impl<'k, 'r, 't> Checker<'k, 'r, 't> {
-    fn block(&self, kind: BlockKind, at: usize) -> &'r Block<'t> {
-        self.resolved.block(kind, at)
+impl<'r, 't> Checker<'_, 'r, 't> {
+    /// The block that an item of the message was made from.
+    fn block(&self, kind: BlockKind, index: usize) -> &'r Block<'t> {
+        self.resolved.block(kind, index)
     }
 
-    fn report(&mut self, code: Code, span: Span, message: String) -> &mut Finding {
+    fn report(&mut self, code: Code, span: Span, message: impl Into<String>) -> &mut Finding {
         self.findings.push(Finding::new(code, span, message))
     }
 }
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -6,51 +6,53 @@
 use crate::resolve::BlockKind;
 
 impl Checker<'_, '_, '_> {
-    pub(super) fn pools(&mut self) {
-        for (k, pool) in self.all.pools.iter().enumerate() {
-            let block = self.block(BlockKind::Pool, k);
-            if pool.members.is_empty()
-                && !block.blocks.iter().any(|inner| inner.kind.text == "member")
-            {
+    pub(super) fn check_pools(&mut self) {
+        for (index, pool) in self.all.pools.iter().enumerate() {
+            let block = self.block(BlockKind::Pool, index);
+            // A member that could not be read is one too.
+            let has_member = block.blocks.iter().any(|inner| inner.kind.text == "member");
+            if pool.members.is_empty() && !has_member {
                 let message = format!("the pool `{}` has no members", shorten(&pool.name));
                 self.report(Code::NoMembers, block.span(), message);
             }
         }
-        self.fall_back_rings();
+        self.check_fall_back_rings();
     }
 
     /// Every pool has at most one fall-back, so each walk ends or comes to a ring; each pool is walked once.
-    pub(super) fn fall_back_rings(&mut self) {
-        let all = self.all;
-        let mut walked_by = vec![usize::MAX; all.pools.len()];
-        for start in 0..all.pools.len() {
-            let (mut at, mut path): (usize, Vec<usize>) = (start, Vec::new());
-            loop {
-                if walked_by[at] == start {
-                    let begin = path.iter().position(|one| *one == at).unwrap_or(0);
-                    let mut names: Vec<String> = path[begin..]
-                        .iter()
-                        .map(|one| shorten(&all.pools[*one].name))
-                        .collect();
-                    names.push(names[0].clone());
-                    let message = format!("pools fall back in a ring: {}", names.join(" -> "));
-                    let last = path[path.len() - 1];
-                    let place = self.block(BlockKind::Pool, last).span_of("fall-back");
-                    let first = self.block(BlockKind::Pool, at).span();
-                    self.report(Code::FallBackRing, place, message)
-                        .add_label(first, "back to here");
+    fn check_fall_back_rings(&mut self) {
+        let pools = &self.all.pools;
+        let mut walked_from = vec![None; pools.len()];
+        for start in 0..pools.len() {
+            let mut path = Vec::new();
+            let mut next = Some(start);
+            while let Some(pool) = next {
+                if walked_from[pool] == Some(start) {
+                    self.report_fall_back_ring(&path, pool);
                     break;
                 }
-                if walked_by[at] != usize::MAX {
+                if walked_from[pool].is_some() {
                     break;
                 }
-                walked_by[at] = start;
-                path.push(at);
-                match self.pools.get(&*all.pools[at].fall_back) {
-                    Some(next) => at = *next,
-                    None => break,
-                }
+                walked_from[pool] = Some(start);
+                path.push(pool);
+                next = self.pools.get(&*pools[pool].fall_back).copied();
             }
         }
     }
+
+    /// `path` ends at the pool that falls back on `first`, which is in it.
+    fn report_fall_back_ring(&mut self, path: &[usize], first: usize) {
+        let begin = path.iter().position(|pool| *pool == first).unwrap_or(0);
+        let ring = path[begin..].iter().chain([&first]);
+        let names: Vec<_> = ring
+            .map(|pool| shorten(&self.all.pools[*pool].name))
+            .collect();
+        let message = format!("pools fall back in a ring: {}", names.join(" -> "));
+        let last = path[path.len() - 1];
+        let span = self.block(BlockKind::Pool, last).span_of("fall-back");
+        let first_span = self.block(BlockKind::Pool, first).span();
+        self.report(Code::FallBackRing, span, message)
+            .add_label(first_span, "back to here");
+    }
 }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,237 +1,176 @@
-//! A route alone: its split, its fall-backs, its attempts and its times.
+//! A route alone: its split, its fall-backs and its times.
 
+use super::policies::stages;
 use super::Checker;
 use crate::ast::Block;
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::resolve::BlockKind;
-use crate::schema::{Attempts, Match, Proof, RepeatKind, Route};
+use crate::schema::{Attempts, Budget, Match, Route, SplitBy};
 use crate::source::Span;
 use crate::units::{self, ONE};
 
+/// The shortest latency objective among the types of a route.
+struct ShortestGoal {
+    goal_ns: u64,
+    /// Where it is written.
+    span: Span,
+    /// The name of the type, shortened.
+    type_name: String,
+}
+
 impl<'k, 'r, 't> Checker<'k, 'r, 't> {
-    /// The types of which a ticket may come to a route.
+    pub(super) fn check_routes(&mut self) {
+        for (index, route) in self.all.routes.iter().enumerate() {
+            let block = self.block(BlockKind::Route, index);
+            self.check_split(route, block);
+            self.check_fall_back(route, block);
+            self.check_chance(route, block);
+            self.check_attempts(route, block);
+            if let Some(goal) = self.shortest_goal(route) {
+                self.check_budget_time(route, block, &goal);
+                self.check_wait_time(route, block, &goal);
+            }
+            self.note_exhausted_types(route);
+        }
+    }
+
+    /// The types of which a request may reach a route.
     pub(super) fn types_of(&self, route: &'k Route) -> Vec<usize> {
-        let named = match &route.r#match {
-            Some(matched) if !matched.types.is_empty() => matched
-                .types
-                .iter()
-                .filter_map(|name| self.types.get(&**name))
-                .copied()
-                .collect(),
-            _ => (0..self.all.types.len()).collect::<Vec<_>>(),
+        let types: Vec<usize> = match &route.r#match {
+            Some(matched) if !matched.types.is_empty() => {
+                let names = matched.types.iter();
+                names
+                    .filter_map(|name| self.types.get(&**name).copied())
+                    .collect()
+            }
+            _ => (0..self.all.types.len()).collect(),
         };
-        named.into_iter().filter(|at| !self.taken[*at]).collect()
+        let is_left = |index: &usize| !self.exhausted_types[*index];
+        types.into_iter().filter(is_left).collect()
     }
 
     /// A route that asks for nothing but the type leaves none of it to later ones.
-    pub(super) fn taken_by(&mut self, k: usize) {
-        let route = &self.all.routes[k];
-        let by_type_alone = route.r#match.as_ref().is_none_or(|matched| {
-            let types = matched.types.clone();
-            *matched
-                == Match {
-                    types,
-                    ..Match::default()
-                }
+    fn note_exhausted_types(&mut self, route: &'k Route) {
+        let is_by_type_alone = route.r#match.as_ref().is_none_or(|matched| {
+            let types_alone = Match {
+                types: matched.types.clone(),
+                ..Match::default()
+            };
+            *matched == types_alone
         });
-        if by_type_alone {
-            for at in self.types_of(route) {
-                self.taken[at] = true;
+        if is_by_type_alone {
+            for index in self.types_of(route) {
+                self.exhausted_types[index] = true;
             }
         }
     }
 
-    pub(super) fn route(&mut self, k: usize) {
-        let all = self.all;
-        let route = &all.routes[k];
-        let block = self.block(BlockKind::Route, k);
-        let sum = route
-            .to
-            .iter()
-            .fold(0u64, |sum, target| sum.saturating_add(target.share));
-        let listed = block.entries.iter().find(|entry| entry.key.text == "to");
+    fn check_split(&mut self, route: &Route, block: &'r Block<'t>) {
+        let entry = block.entries.iter().find(|entry| entry.key.text == "to");
         // Where a target could not be read the sum says nothing.
-        if listed.is_some_and(|entry| entry.values.len() == route.to.len())
+        let all_read = entry.is_some_and(|entry| entry.values.len() == route.to.len())
             && !route.to.is_empty()
-            && route.to.iter().all(|target| target.share > 0)
-            && sum != ONE
-        {
+            && route.to.iter().all(|target| target.share > 0);
+        let shares = route.to.iter().map(|target| target.share);
+        let sum = shares.fold(0u64, u64::saturating_add);
+        if all_read && sum != ONE {
             let message = format!(
                 "the shares of this route add up to {}, not 100 %",
                 units::share(sum)
             );
             self.report(Code::SplitSum, block.span_of("to"), message);
         }
-        for name in &route.fall_back {
-            if route.to.len() == 1 && route.to[0].pool == *name {
-                let message = format!(
-                    "the route falls back on `{}`, where it leads already",
-                    shorten(name)
-                );
-                let other = block.span_of("to");
-                let finding = self.report(Code::FallBackSelf, block.span_of("fall-back"), message);
-                finding.add_label(other, "leads there");
-            }
+    }
+
+    fn check_fall_back(&mut self, route: &Route, block: &'r Block<'t>) {
+        let [only] = &route.to[..] else { return };
+        for name in route.fall_back.iter().filter(|name| **name == only.pool) {
+            let message = format!(
+                "the route falls back on `{}`, where it leads already",
+                shorten(name)
+            );
+            self.report(Code::FallBackSelf, block.span_of("fall-back"), message)
+                .add_label(block.span_of("to"), "leads there");
         }
-        if route.split_by() == crate::schema::SplitBy::Chance
-            && route.to.len() > 1
-            && route
-                .r#match
-                .as_ref()
-                .is_some_and(|matched| !matched.entities.is_empty())
-        {
-            let message = "tickets of one entity go to several pools by chance".to_owned();
+    }
+
+    fn check_chance(&mut self, route: &Route, block: &'r Block<'t>) {
+        let names_entities = route
+            .r#match
+            .as_ref()
+            .is_some_and(|matched| !matched.entities.is_empty());
+        if route.split_by() == SplitBy::Chance && route.to.len() > 1 && names_entities {
+            let message = "tickets of one entity go to several pools by chance";
             let finding = self.report(Code::OneEntity, block.span_of("split-by"), message);
             finding.help = Some("write `split-by: entity`".into());
         }
-        self.attempts(route, block);
-        self.times(route, block);
     }
 
-    pub(super) fn attempts(&mut self, route: &'k Route, block: &'r Block<'t>) {
-        let all = self.all;
-        let own = self
-            .attempts
-            .get(&*route.attempts)
-            .map(|at| &all.attempts[*at]);
-        if let Some(own) = own {
-            self.proof(route, own, block.span_of("attempts"));
-        }
-        let pools = route
-            .to
-            .iter()
-            .map(|target| &target.pool)
-            .chain(&route.fall_back);
-        for name in pools {
-            let Some(at) = self.pools.get(&**name).copied() else {
-                continue;
-            };
-            let pool = &all.pools[at];
-            let Some(below) = self
-                .attempts
-                .get(&*pool.attempts)
-                .map(|at| &all.attempts[*at])
-            else {
-                continue;
-            };
-            let place = self.block(BlockKind::Pool, at).span_of("attempts");
-            self.proof(route, below, place);
-            if let Some(own) = own.filter(|own| own.tries > 1 && below.tries > 1) {
-                let message = format!(
-                    "{} tries by the route and {} by the pool `{}` make {} of one ticket",
-                    own.tries,
-                    below.tries,
-                    shorten(&pool.name),
-                    own.tries * below.tries
-                );
-                let finding =
-                    self.report(Code::AttemptsMultiply, block.span_of("attempts"), message);
-                finding.add_label(place, "the pool's attempts");
-                finding.help = Some("leave the attempts to one of the two".into());
-            }
-        }
+    fn shortest_goal(&self, route: &'k Route) -> Option<ShortestGoal> {
+        let goal_ns = |index: &usize| self.all.types[*index].goal_ns;
+        let shortest = self
+            .types_of(route)
+            .into_iter()
+            .filter(|index| goal_ns(index) > 0)
+            .min_by_key(goal_ns)?;
+        Some(ShortestGoal {
+            goal_ns: goal_ns(&shortest),
+            span: self.block(BlockKind::Type, shortest).span_of("goal"),
+            type_name: shorten(&self.all.types[shortest].name),
+        })
     }
 
-    /// Rule 2: whether all types of a route may be repeated as a policy says.
-    pub(super) fn proof(&mut self, route: &'k Route, policy: &Attempts, at: Span) {
-        if policy.tries < 2 || policy.proof() == Proof::NotRun {
+    /// The stages of a route's budget fit its shortest latency objective.
+    fn check_budget_time(&mut self, route: &'k Route, block: &'r Block<'t>, goal: &ShortestGoal) {
+        let Some(index) = self.budgets.get(&*route.budget) else {
             return;
-        }
-        let types = self.types_of(route);
-        for (kind, code) in [
-            (RepeatKind::Exclusive, Code::ExclusiveRepeat),
-            (RepeatKind::Ticketed, Code::TicketedRepeat),
-        ] {
-            if kind == RepeatKind::Ticketed && policy.proof() == Proof::Mark {
-                continue;
-            }
-            let mut wrong = types
-                .iter()
-                .filter(|at| self.all.types[**at].repeat() == kind);
-            let Some(first) = wrong.next().copied() else {
-                continue;
-            };
-            let more = wrong.count();
-            let name = shorten(&self.all.types[first].name);
-            let and = if more > 0 {
-                format!(" (and {more} more)")
-            } else {
-                String::new()
-            };
-            let (called, help) = match kind {
-                RepeatKind::Exclusive => (
-                    "exclusive",
-                    "write `proof: not-run`, or match other types only",
-                ),
-                _ => ("ticketed", "write `proof: mark` or `proof: not-run`"),
-            };
+        };
+        let budget = &self.all.budgets[*index];
+        let stages_ns = budget_ns(budget, goal.goal_ns);
+        if stages_ns > goal.goal_ns {
             let message = format!(
-                "`{}` would repeat tickets of the {called} type `{name}`{and} without proof",
-                shorten(&policy.name)
+                "the stages of `{}` take {}; `{}` has {}",
+                shorten(&budget.name),
+                units::time(stages_ns),
+                goal.type_name,
+                units::time(goal.goal_ns)
             );
-            let other = self.block(BlockKind::Type, first).span_of("repeat");
-            let finding = self.report(code, at, message);
-            finding.add_label(other, format!("{called} here"));
-            finding.help = Some(help.into());
+            self.report(Code::BudgetTooLong, block.span_of("budget"), message)
+                .add_label(goal.span, "the shortest goal time of this route");
         }
     }
 
-    /// Whether stages and waits fit the shortest goal time of the route's types.
-    pub(super) fn times(&mut self, route: &'k Route, block: &'r Block<'t>) {
-        let all = self.all;
-        let types = self.types_of(route);
-        let shortest = types
-            .into_iter()
-            .filter(|at| all.types[*at].goal_ns > 0)
-            .min_by_key(|at| all.types[*at].goal_ns);
-        let Some(shortest) = shortest else { return };
-        let goal = all.types[shortest].goal_ns;
-        let goal_place = self.block(BlockKind::Type, shortest).span_of("goal");
-        let name = shorten(&all.types[shortest].name);
-        if let Some(budget) = self.budgets.get(&*route.budget).map(|at| &all.budgets[*at]) {
-            let stages = [
-                budget.forward,
-                budget.queue,
-                budget.run,
-                budget.call,
-                budget.answer,
-            ];
-            let part = |share: u64| (u128::from(goal) * u128::from(share) / u128::from(ONE)) as u64;
-            let parts = stages
-                .iter()
-                .flatten()
-                .map(|stage| stage.fixed_ns.saturating_add(part(stage.share)));
-            let all_stages = parts.fold(0u64, u64::saturating_add);
-            if all_stages > goal {
-                let message = format!(
-                    "the stages of `{}` take {}; `{name}` has {}",
-                    shorten(&budget.name),
-                    units::time(all_stages),
-                    units::time(goal)
-                );
-                let finding = self.report(Code::BudgetTooLong, block.span_of("budget"), message);
-                finding.add_label(goal_place, "the shortest goal time of this route");
-            }
-        }
-        if let Some(policy) = self
-            .attempts
-            .get(&*route.attempts)
-            .map(|at| &all.attempts[*at])
-        {
-            let waits = policy
-                .wait_most_ns
-                .saturating_mul(policy.tries.saturating_sub(1));
-            if policy.tries > 1 && waits >= goal {
-                let message = format!(
-                    "waits of `{}` come to {}; `{name}` has {}",
-                    shorten(&policy.name),
-                    units::time(waits),
-                    units::time(goal)
-                );
-                let finding = self.report(Code::WaitsTooLong, block.span_of("attempts"), message);
-                finding.add_label(goal_place, "the shortest goal time of this route");
-            }
+    /// The waits between a route's attempts fit its shortest latency objective.
+    fn check_wait_time(&mut self, route: &'k Route, block: &'r Block<'t>, goal: &ShortestGoal) {
+        let Some(policy) = self.attempts_named(&route.attempts) else {
+            return;
+        };
+        let waits = policy.tries.saturating_sub(1);
+        let waits_ns = policy.wait_most_ns.saturating_mul(waits);
+        if policy.tries > 1 && waits_ns >= goal.goal_ns {
+            let message = format!(
+                "waits of `{}` come to {}; `{}` has {}",
+                shorten(&policy.name),
+                units::time(waits_ns),
+                goal.type_name,
+                units::time(goal.goal_ns)
+            );
+            self.report(Code::WaitsTooLong, block.span_of("attempts"), message)
+                .add_label(goal.span, "the shortest goal time of this route");
         }
     }
+
+    pub(super) fn attempts_named(&self, name: &str) -> Option<&'k Attempts> {
+        let index = self.attempts.get(name)?;
+        Some(&self.all.attempts[*index])
+    }
+}
+
+/// What all stages of a budget take of a latency objective, ns.
+fn budget_ns(budget: &Budget, goal_ns: u64) -> u64 {
+    let part = |share: u64| (u128::from(goal_ns) * u128::from(share) / u128::from(ONE)) as u64;
+    stages(budget)
+        .map(|stage| stage.fixed_ns.saturating_add(part(stage.share)))
+        .fold(0, u64::saturating_add)
 }
--- a/crates/config/src/check/shares.rs
+++ b/crates/config/src/check/shares.rs
@@ -1,53 +1,35 @@
-//! Shares of tenants and dependencies, which may not add up to more than 100 %, and what a dependency's failure may do.
+//! Shares of tenants and dependencies, which may not add up to more than 100 %.
 
 use super::Checker;
 use crate::codes::Code;
 use crate::finding::shorten;
 use crate::resolve::BlockKind;
-use crate::schema::{OnFailure, RepeatKind, TrafficType};
 use crate::units::{self, ONE};
 use foldhash::{HashMap, HashMapExt};
 
-impl Checker<'_, '_, '_> {
-    /// Tells of the item with which a sum of shares goes over 100 %.
-    pub(super) fn over_whole(
-        &mut self,
-        code: Code,
-        kind: BlockKind,
-        shares: &[(usize, u64)],
-        what: &str,
-    ) {
-        let mut sum = 0u64;
-        for (k, share) in shares {
-            let before = sum;
-            sum = sum.saturating_add(*share);
-            if before <= ONE && sum > ONE {
-                let all = shares
-                    .iter()
-                    .fold(0u64, |all, (_, share)| all.saturating_add(*share));
-                let message = format!("{what} add up to {}", units::share(all));
-                let first = shares
-                    .iter()
-                    .find(|(_, share)| *share > 0)
-                    .map_or(*k, |(first, _)| *first);
-                let other = self.block(kind, first).span_of("share");
-                let finding = self.report(code, self.block(kind, *k).span_of("share"), message);
-                if first != *k {
-                    finding.add_label(other, "the first of them");
-                }
-            }
-        }
-    }
+/// The share of an item, in millionths, with the item's index in the message.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ItemShare {
+    index: usize,
+    share: u64,
+}
 
-    pub(super) fn tenants(&mut self) {
-        let shares: Vec<_> = self
-            .all
-            .tenants
-            .iter()
-            .map(|one| one.share)
-            .enumerate()
+fn saturating_sum(shares: &[ItemShare]) -> u64 {
+    shares
+        .iter()
+        .fold(0, |sum, one| sum.saturating_add(one.share))
+}
+
+impl Checker<'_, '_, '_> {
+    pub(super) fn check_tenant_shares(&mut self) {
+        let tenants = self.all.tenants.iter().enumerate();
+        let shares: Vec<_> = tenants
+            .map(|(index, tenant)| ItemShare {
+                index,
+                share: tenant.share,
+            })
             .collect();
-        self.over_whole(
+        self.check_sum(
             Code::TenantShares,
             BlockKind::Tenant,
             &shares,
@@ -55,70 +37,62 @@
         );
     }
 
-    pub(super) fn dependencies(&mut self) {
-        let all = self.all;
-        for (k, one) in all.dependencies.iter().enumerate() {
-            if one.on_failure() != OnFailure::Partial {
-                continue;
-            }
-            let named: Vec<&TrafficType> = if one.types.is_empty() {
-                all.types.iter().collect()
-            } else {
-                one.types
-                    .iter()
-                    .filter_map(|name| self.types.get(&**name))
-                    .map(|at| &all.types[*at])
-                    .collect()
+    /// Dependencies for all types count for each type.
+    pub(super) fn check_dependency_shares(&mut self) {
+        let mut by_type: HashMap<&str, Vec<ItemShare>> = HashMap::new();
+        let mut of_all_types = Vec::new();
+        for (index, dependency) in self.all.dependencies.iter().enumerate() {
+            let share = ItemShare {
+                index,
+                share: dependency.share,
             };
-            let found = named
-                .into_iter()
-                .find(|of| matches!(of.repeat(), RepeatKind::Exclusive | RepeatKind::Ticketed));
-            if let Some(of) = found {
-                let message = format!(
-                    "`{}` would get a partial answer that hides whether its effect took place",
-                    shorten(&of.name)
-                );
-                let other = self
-                    .block(BlockKind::Type, self.types[&*of.name])
-                    .span_of("repeat");
-                let at = self.block(BlockKind::Dependency, k).span_of("on-failure");
-                let finding = self.report(Code::PartialExclusive, at, message);
-                finding.add_label(other, "not rerunnable");
-                finding.help = Some("name the types it is for, or write `give-up`".into());
+            if dependency.types.is_empty() {
+                of_all_types.push(share);
             }
-        }
-        // Those for all types count for each; one type at a time is looked at where some are for few.
-        let mut by_type: HashMap<&str, Vec<(usize, u64)>> = HashMap::new();
-        let mut general = Vec::new();
-        for (k, one) in all.dependencies.iter().enumerate() {
-            if one.types.is_empty() {
-                general.push((k, one.share));
-            }
-            for name in &one.types {
-                by_type.entry(name).or_default().push((k, one.share));
+            for name in &dependency.types {
+                by_type.entry(name).or_default().push(share);
             }
         }
-        self.over_whole(
-            Code::DependencyShares,
-            BlockKind::Dependency,
-            &general,
-            "the shares for all types",
-        );
-        let sum: u64 = general.iter().map(|(_, share)| share).sum();
-        let mut named: Vec<_> = by_type.into_iter().collect();
-        named.sort_unstable();
-        for (name, mut shares) in named {
-            if sum <= ONE && shares.iter().map(|(_, share)| share).sum::<u64>() + sum > ONE {
-                shares.extend(&general);
+        let (code, kind) = (Code::DependencyShares, BlockKind::Dependency);
+        self.check_sum(code, kind, &of_all_types, "the shares for all types");
+        let plain_sum = |shares: &[ItemShare]| shares.iter().map(|one| one.share).sum::<u64>();
+        let sum_of_all_types = plain_sum(&of_all_types);
+        if sum_of_all_types > ONE {
+            return;
+        }
+        let mut by_type: Vec<_> = by_type.into_iter().collect();
+        by_type.sort_unstable();
+        for (name, mut shares) in by_type {
+            if plain_sum(&shares) + sum_of_all_types > ONE {
+                shares.extend(&of_all_types);
                 shares.sort_unstable();
-                let what = format!("the shares for `{}`", shorten(name));
-                self.over_whole(
-                    Code::DependencyShares,
-                    BlockKind::Dependency,
-                    &shares,
-                    &what,
-                );
+                let subject = format!("the shares for `{}`", shorten(name));
+                self.check_sum(code, kind, &shares, &subject);
             }
         }
     }
+
+    /// Reports the item with which a sum of shares goes over 100 %.
+    fn check_sum(&mut self, code: Code, kind: BlockKind, shares: &[ItemShare], subject: &str) {
+        let mut running_sum = 0u64;
+        let over = shares.iter().find(|one| {
+            running_sum = running_sum.saturating_add(one.share);
+            running_sum > ONE
+        });
+        let Some(over) = over else { return };
+        let message = format!(
+            "{subject} add up to {}",
+            units::share(saturating_sum(shares))
+        );
+        let first = shares
+            .iter()
+            .find(|one| one.share > 0)
+            .map_or(over.index, |one| one.index);
+        let first_span = self.block(kind, first).span_of("share");
+        let span = self.block(kind, over.index).span_of("share");
+        let finding = self.report(code, span, message);
+        if first != over.index {
+            finding.add_label(first_span, "the first of them");
+        }
+    }
 }
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -1,48 +1,61 @@
 //! The stable codes of findings, and what each means, with a small wrong and right example.
 //!
-//! A code keeps its meaning for ever; one that is no longer told is not used again. Every example is
+//! A code keeps its meaning for ever; one that is no longer reported is not used again. Every example is
 //! tested: the wrong one gives its code, the right one gives no finding at all.
 
-/// How bad it is.
+/// How bad a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
     /// The configuration is refused.
     Error,
-    /// It is taken, but somebody should look.
+    /// The configuration is accepted, but somebody should look at it.
     Warning,
 }
 
+/// Lines of a file, under its `rain 1`, that show what a code means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Examples {
+    /// Lines that give the code.
+    pub wrong: &'static str,
+    /// Similar lines that give no finding.
+    pub right: &'static str,
+}
+
 macro_rules! codes {
-    ($($name:ident $id:literal $title:literal $why:literal wrong $wrong:expr, right $right:expr;)*) => {
+    ($($name:ident $id:literal $title:literal $explanation:literal wrong $wrong:expr, right $right:expr;)*) => {
+        /// The kind of a finding.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Code { $(#[doc = $title] $name),* }
 
         impl Code {
+            /// All codes, in the order of their ids.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            /// Such as `U202`.
+            /// Its stable id, such as `U202`.
             pub fn id(self) -> &'static str {
                 match self { $(Code::$name => $id),* }
             }
 
+            /// What is wrong, in a few words.
             pub fn title(self) -> &'static str {
                 match self { $(Code::$name => $title),* }
             }
 
-            /// Why it is asked for.
-            pub fn why(self) -> &'static str {
-                match self { $(Code::$name => $why),* }
+            /// Why it is wrong, or what to do.
+            pub fn explanation(self) -> &'static str {
+                match self { $(Code::$name => $explanation),* }
             }
 
-            /// Lines under `rain 1` that give this code, and like ones that do not; none where it takes files.
-            pub fn examples(self) -> (&'static str, &'static str) {
-                match self { $(Code::$name => ($wrong, $right)),* }
+            /// A wrong and a right example; both empty where it takes files.
+            pub fn examples(self) -> Examples {
+                match self { $(Code::$name => Examples { wrong: $wrong, right: $right }),* }
             }
         }
     };
 }
 
 impl Code {
+    /// Whether findings of the code are errors or warnings.
     pub fn severity(self) -> Severity {
         if self.id().starts_with('W') {
             Severity::Warning
@@ -51,6 +64,7 @@
         }
     }
 
+    /// The code of an id, in any case of letters.
     pub fn find(id: &str) -> Option<Code> {
         Self::ALL
             .iter()
@@ -59,8 +73,8 @@
     }
 }
 
-/// Something whole round which small right examples are built.
-macro_rules! whole {
+/// A complete configuration with some lines more, so that a right example gives no finding.
+macro_rules! complete {
     ($($more:literal)*) => {
         concat!(
             "type check { repeat: rerunnable; goal: 3 s; outer-limit: 7 s }\n",
@@ -140,50 +154,50 @@
 
     NoUnit "U201" "a number without its unit"
         "Units are written out: `250` could be seconds, milliseconds or tickets."
-        wrong "limits l { burst: 12 }\n", right whole!("limits l { rate: 9 tickets/s; burst: 12 tickets }" "route r { to: hall; limits: l }");
+        wrong "limits l { burst: 12 }\n", right complete!("limits l { rate: 9 tickets/s; burst: 12 tickets }" "route r { to: hall; limits: l }");
     WrongUnit "U202" "another kind of amount"
         "A rate stands where a time belongs, or the like. Nothing is converted."
-        wrong "type t { repeat: rerunnable; goal: 40 tickets/s; outer-limit: 7 s }\n", right whole!("route r { to: hall }");
+        wrong "type t { repeat: rerunnable; goal: 40 tickets/s; outer-limit: 7 s }\n", right complete!("route r { to: hall }");
     UnknownUnit "U203" "unknown unit"
         "Times are in ns, us, ms, s, min, h; sizes in B, KiB, MiB, GiB, TiB; shares in %; rates in tickets/s, tickets/min, tickets/h."
-        wrong "limits l { rate: 40 requests/s }\n", right whole!("limits l { rate: 40 tickets/s }" "route r { to: hall; limits: l }");
+        wrong "limits l { rate: 40 requests/s }\n", right complete!("limits l { rate: 40 tickets/s }" "route r { to: hall; limits: l }");
     Zero "U204" "a zero that makes no sense"
         "A goal time of nothing, or a limit that lets nothing through: leave the entry out, or remove the route."
-        wrong "limits l { rate: 0 tickets/s }\n", right whole!("limits l { rate: 1 tickets/s }" "route r { to: hall; limits: l }");
+        wrong "limits l { rate: 0 tickets/s }\n", right complete!("limits l { rate: 1 tickets/s }" "route r { to: hall; limits: l }");
     Negative "U205" "less than nothing"
         "No amount in a configuration is negative."
-        wrong "limits l { at-once: -5 tickets }\n", right whole!("limits l { at-once: 5 tickets }" "route r { to: hall; limits: l }");
+        wrong "limits l { at-once: -5 tickets }\n", right complete!("limits l { at-once: 5 tickets }" "route r { to: hall; limits: l }");
     Overflow "U206" "more than can be counted"
         "Times reach 584 years in nanoseconds; everything else fits 64 bits too."
-        wrong "limits l { burst: 99999999999999999999 tickets }\n", right whole!("limits l { rate: 9 tickets/s; burst: 9999 tickets }" "route r { to: hall; limits: l }");
+        wrong "limits l { burst: 99999999999999999999 tickets }\n", right complete!("limits l { rate: 9 tickets/s; burst: 9999 tickets }" "route r { to: hall; limits: l }");
     Digits "U207" "digits would be lost"
         "The amount is finer than the smallest step in which it is kept. It is refused, not rounded."
-        wrong "limits l { burst: 1.5 tickets }\n", right whole!("limits l { rate: 9 tickets/s; burst: 2 tickets }" "route r { to: hall; limits: l }");
+        wrong "limits l { burst: 1.5 tickets }\n", right complete!("limits l { rate: 9 tickets/s; burst: 2 tickets }" "route r { to: hall; limits: l }");
     Sum "U208" "a sum"
         "An amount is one number and one unit, so that two files can be compared line by line."
-        wrong "type t { repeat: rerunnable; goal: 2 s + 300 ms; outer-limit: 7 s }\n", right whole!("route r { to: hall }");
+        wrong "type t { repeat: rerunnable; goal: 2 s + 300 ms; outer-limit: 7 s }\n", right complete!("route r { to: hall }");
     TooMuch "U209" "over its bound"
         "A share over 100 %, more tries than anything needs, a time beyond all waiting."
         wrong "tenant t { share: 130 % }\n", right "tenant t { share: 30 % }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
     RangeOrder "U210" "a range the wrong way round"
         "The smaller end comes first."
-        wrong "retry-after r { bounds: 2 s .. 1 s }\n", right whole!("retry-after r { bounds: 1 s .. 2 s }" "route q { to: hall; retry-after: r }");
+        wrong "retry-after r { bounds: 2 s .. 1 s }\n", right complete!("retry-after r { bounds: 1 s .. 2 s }" "route q { to: hall; retry-after: r }");
     RangeHere "U211" "a range where one amount belongs"
         "Only `wait`, `bounds`, `back-after` and `size` are ranges."
-        wrong "type t { repeat: rerunnable; goal: 1 s .. 2 s; outer-limit: 7 s }\n", right whole!("route r { to: hall }");
+        wrong "type t { repeat: rerunnable; goal: 1 s .. 2 s; outer-limit: 7 s }\n", right complete!("route r { to: hall }");
     NoRange "U212" "one amount where a range belongs"
         "Write both ends with `..` between them."
-        wrong "attempts a { wait: 20 ms }\n", right whole!("attempts a { wait: 20 ms .. 80 ms }" "route r { match { type: check }; to: hall; attempts: a }" "route rest { to: hall }");
+        wrong "attempts a { wait: 20 ms }\n", right complete!("attempts a { wait: 20 ms .. 80 ms }" "route r { match { type: check }; to: hall; attempts: a }" "route rest { to: hall }");
     NoNumber "U213" "a word where an amount belongs"
         "The message names what is wanted."
-        wrong "limits l { rate: fast }\n", right whole!("limits l { rate: 50 tickets/s }" "route r { to: hall; limits: l }");
+        wrong "limits l { rate: fast }\n", right complete!("limits l { rate: 50 tickets/s }" "route r { to: hall; limits: l }");
     NotOne "U214" "more than one amount"
         "A number is followed by its unit and nothing else."
-        wrong "limits l { rate: 5 tickets/s 6 }\n", right whole!("limits l { rate: 50 tickets/s }" "route r { to: hall; limits: l }");
+        wrong "limits l { rate: 5 tickets/s 6 }\n", right complete!("limits l { rate: 50 tickets/s }" "route r { to: hall; limits: l }");
 
     UnknownKind "N301" "unknown kind of block"
         "Blocks are type, tenant, pool, dependency, limits, attempts, budget, health, retry-after, route, recording, log, experiment, group and rig."
-        wrong "pol hall { }\n", right whole!("route r { to: hall }");
+        wrong "pol hall { }\n", right complete!("route r { to: hall }");
     UnknownKey "N302" "unknown key"
         "A key that is not known is refused, since a slip would otherwise do nothing in silence."
         wrong "tenant t { shar: 10 % }\n", right "tenant t { share: 10 % }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
@@ -198,10 +212,10 @@
         wrong "route r { to: hal }\npool hall { member a { address: \"10.0.0.1:1\" } }\n", right "route r { to: hall }\npool hall { member a { address: \"10.0.0.1:1\" } }\n";
     KeyMissing "N306" "a key is missing"
         "It has no default that would be right for everybody."
-        wrong "type t { repeat: rerunnable; goal: 3 s }\n", right whole!("route r { to: hall }");
+        wrong "type t { repeat: rerunnable; goal: 3 s }\n", right complete!("route r { to: hall }");
     UnknownWord "N307" "unknown word"
         "The message lists what can stand there."
-        wrong "type t { repeat: always; goal: 3 s; outer-limit: 7 s }\n", right whole!("route r { to: hall }");
+        wrong "type t { repeat: always; goal: 3 s; outer-limit: 7 s }\n", right complete!("route r { to: hall }");
     ListHere "N308" "a list where one value belongs"
         "Only `type`, `tenant`, `entity`, `to`, `fall-back` of a route and `for` take several."
         wrong "tenant t { share: 10 %, 20 % }\n", right "tenant t { share: 10 % }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
@@ -210,7 +224,7 @@
         wrong "route r { to: hall; fall-back: b, b }\npool hall { member a { address: \"10.0.0.1:1\" } }\npool b { member a { address: \"10.0.0.2:1\" } }\n", right "route r { to: hall; fall-back: b }\npool hall { member a { address: \"10.0.0.1:1\" } }\npool b { member a { address: \"10.0.0.2:1\" } }\n";
     BaseRing "N310" "policies built on each other in a ring"
         "The chain is shown. One of them must stand on its own."
-        wrong "limits a from b { }\nlimits b from a { }\n", right whole!("limits a from b { }" "limits b { rate: 50 tickets/s }" "route r { to: hall; limits: a }");
+        wrong "limits a from b { }\nlimits b from a { }\n", right complete!("limits a from b { }" "limits b { rate: 50 tickets/s }" "route r { to: hall; limits: a }");
     NoBase "N311" "cannot be built on another"
         "Only policies can: limits, attempts, budget, health and retry-after."
         wrong "tenant a from b { share: 10 % }\ntenant b { share: 10 % }\n", right "tenant a { share: 10 % }\ntenant b { share: 10 % }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
@@ -244,10 +258,10 @@
         wrong "route a { to: p }\nroute b { match { again: yes }; to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n", right "route b { match { again: yes }; to: p }\nroute a { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
     ExclusiveRepeat "M402" "an exclusive type would be repeated without proof"
         "Rule 2: what may have run is never run again. Only proof that nothing ran (`proof: not-run`) allows a further try."
-        wrong whole!("attempts twice { tries: 2; proof: none }" "route r { to: hall; attempts: twice }"), right whole!("attempts twice { tries: 2; proof: not-run }" "route r { to: hall; attempts: twice }");
+        wrong complete!("attempts twice { tries: 2; proof: none }" "route r { to: hall; attempts: twice }"), right complete!("attempts twice { tries: 2; proof: not-run }" "route r { to: hall; attempts: twice }");
     TicketedRepeat "M403" "a ticketed type would be repeated without its mark"
         "Rule 2: a repeat of a ticketed ticket goes under its mark, or where it is proved that nothing ran."
-        wrong whole!("type k { repeat: ticketed 9 s; goal: 1 s; outer-limit: 5 s }" "attempts twice { tries: 2; proof: none }" "route r { match { type: k }; to: hall; attempts: twice }" "route rest { to: hall }"), right whole!("type k { repeat: ticketed 9 s; goal: 1 s; outer-limit: 5 s }" "attempts twice { tries: 2; proof: mark }" "route r { match { type: k }; to: hall; attempts: twice }" "route rest { to: hall }");
+        wrong complete!("type k { repeat: ticketed 9 s; goal: 1 s; outer-limit: 5 s }" "attempts twice { tries: 2; proof: none }" "route r { match { type: k }; to: hall; attempts: twice }" "route rest { to: hall }"), right complete!("type k { repeat: ticketed 9 s; goal: 1 s; outer-limit: 5 s }" "attempts twice { tries: 2; proof: mark }" "route r { match { type: k }; to: hall; attempts: twice }" "route rest { to: hall }");
     Window "M404" "the window ends before the ticket may"
         "A repeat could come after the mark is forgotten while the first try still runs. The window reaches past the outer limit."
         wrong "type k { repeat: ticketed 2 s; goal: 1 s; outer-limit: 5 s }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n", right "type k { repeat: ticketed 5 s; goal: 1 s; outer-limit: 5 s }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
@@ -256,13 +270,13 @@
         wrong "type k { repeat: rerunnable; goal: 8 s; outer-limit: 5 s }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n", right "type k { repeat: rerunnable; goal: 4 s; outer-limit: 5 s }\nroute r { to: p }\npool p { member a { address: \"10.0.0.1:1\" } }\n";
     BudgetTooLong "M406" "the stages do not fit the time there is"
         "All stages together must fit the goal time of each type that the budget is used for, else the last stage has nothing left."
-        wrong whole!("budget b { queue: 50 %; run: 2500 ms }" "route r { to: hall; budget: b }"), right whole!("budget b { queue: 25 %; run: 1500 ms }" "route r { to: hall; budget: b }");
+        wrong complete!("budget b { queue: 50 %; run: 2500 ms }" "route r { to: hall; budget: b }"), right complete!("budget b { queue: 25 %; run: 1500 ms }" "route r { to: hall; budget: b }");
     AttemptsMultiply "M407" "attempts at two stages multiply"
         "The route and the pool both repeat: three tries each are nine tries of one ticket when all goes badly."
-        wrong whole!("attempts a { tries: 3 }" "pool far { attempts: a; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: far; attempts: a }" "route s { match { again: yes }; to: hall }"), right whole!("attempts a { tries: 3 }" "route r { to: hall; attempts: a }");
+        wrong complete!("attempts a { tries: 3 }" "pool far { attempts: a; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: far; attempts: a }" "route s { match { again: yes }; to: hall }"), right complete!("attempts a { tries: 3 }" "route r { to: hall; attempts: a }");
     PoolTooSmall "M408" "a pool's limit is less than its tenants' quotas"
         "Tenants whose every ticket goes to this pool were promised more, together, than the pool lets in."
-        wrong whole!("limits l { rate: 20 tickets/s }" "pool small { limits: l; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: small; fall-back: hall }"), right whole!("limits l { rate: 40 tickets/s }" "pool large { limits: l; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: large; fall-back: hall }");
+        wrong complete!("limits l { rate: 20 tickets/s }" "pool small { limits: l; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: small; fall-back: hall }"), right complete!("limits l { rate: 40 tickets/s }" "pool large { limits: l; member n2 { address: \"10.0.0.2:1\" } }" "route r { to: large; fall-back: hall }");
     FallBackRing "M409" "pools fall back on each other in a ring"
         "A ticket could go round while all of them are down. The chain is shown."
         wrong "pool a { fall-back: b; member n { address: \"10.0.0.1:1\" } }\npool b { fall-back: a; member n { address: \"10.0.0.2:1\" } }\nroute r { to: a }\n", right "pool a { fall-back: b; member n { address: \"10.0.0.1:1\" } }\npool b { member n { address: \"10.0.0.2:1\" } }\nroute r { to: a }\n";
@@ -280,7 +294,7 @@
         wrong "health h { keep: 0 % }\npool p { health: h; member n { address: \"10.0.0.1:1\" } }\nroute r { to: p }\n", right "health h { keep: 50 % }\npool p { health: h; member n { address: \"10.0.0.1:1\" } }\nroute r { to: p }\n";
     WaitsTooLong "M414" "waits leave no time for a further try"
         "The longest waits between all tries are over the goal time of a type that they are used for."
-        wrong whole!("attempts a { tries: 4; wait: 500 ms .. 1 s }" "route r { to: hall; attempts: a }"), right whole!("attempts a { tries: 2; wait: 500 ms .. 1 s }" "route r { to: hall; attempts: a }");
+        wrong complete!("attempts a { tries: 4; wait: 500 ms .. 1 s }" "route r { to: hall; attempts: a }"), right complete!("attempts a { tries: 2; wait: 500 ms .. 1 s }" "route r { to: hall; attempts: a }");
     NoMembers "M415" "a pool without members"
         "Every ticket sent there would be dismissed."
         wrong "pool p { }\nroute r { to: p }\n", right "pool p { member n { address: \"10.0.0.1:1\" } }\nroute r { to: p }\n";
@@ -289,16 +303,16 @@
         wrong "dependency a { share: 60 %; on-failure: give-up }\ndependency b { share: 50 %; on-failure: give-up }\ntype t { repeat: rerunnable; goal: 3 s; outer-limit: 7 s }\nroute r { to: p }\npool p { member n { address: \"10.0.0.1:1\" } }\n", right "dependency a { share: 50 %; on-failure: give-up }\ndependency b { share: 30 %; on-failure: give-up }\ntype t { repeat: rerunnable; goal: 3 s; outer-limit: 7 s }\nroute r { to: p }\npool p { member n { address: \"10.0.0.1:1\" } }\n";
     PartialExclusive "M417" "a partial answer could hide an effect"
         "An exclusive or ticketed ticket never gets a partial answer: it would hide whether the effect took place."
-        wrong whole!("dependency d { for: register; share: 40 %; on-failure: partial }" "route r { to: hall }"), right whole!("dependency d { for: check; share: 40 %; on-failure: partial }" "route r { to: hall }");
+        wrong complete!("dependency d { for: register; share: 40 %; on-failure: partial }" "route r { to: hall }"), right complete!("dependency d { for: check; share: 40 %; on-failure: partial }" "route r { to: hall }");
     BudgetEmpty "M418" "a budget of no stage"
         "It says nothing about any stage; leave it out."
-        wrong whole!("budget b { }" "route r { to: hall; budget: b }"), right whole!("budget b { queue: 25 % }" "route r { to: hall; budget: b }");
+        wrong complete!("budget b { }" "route r { to: hall; budget: b }"), right complete!("budget b { queue: 25 % }" "route r { to: hall; budget: b }");
     LimitEmpty "M419" "limits that limit nothing"
         "Neither a rate nor tickets at once are given."
-        wrong whole!("limits l { per: tenant }" "route r { to: hall; limits: l }"), right whole!("limits l { per: tenant; at-once: 9 tickets }" "route r { to: hall; limits: l }");
+        wrong complete!("limits l { per: tenant }" "route r { to: hall; limits: l }"), right complete!("limits l { per: tenant; at-once: 9 tickets }" "route r { to: hall; limits: l }");
     BurstAlone "M420" "a burst without a rate"
         "A burst is what a rate lets through at once; without a rate it means nothing."
-        wrong whole!("limits l { burst: 5 tickets; at-once: 9 tickets }" "route r { to: hall; limits: l }"), right whole!("limits l { burst: 5 tickets; rate: 9 tickets/s }" "route r { to: hall; limits: l }");
+        wrong complete!("limits l { burst: 5 tickets; at-once: 9 tickets }" "route r { to: hall; limits: l }"), right complete!("limits l { burst: 5 tickets; rate: 9 tickets/s }" "route r { to: hall; limits: l }");
 
     GroupSize "M421" "copies that make no majority"
         "A shard has 3, 5 or 7 copies, each on a member of its own: an even number survives no more losses than the odd one below it."
@@ -322,16 +336,16 @@
         wrong "group g { member n1 { site: a; address: \"10.0.0.1:1\"; folder: \"/a\" }; member n2 { site: a; address: \"10.0.0.2:1\"; folder: \"/a\" }; member n3 { site: b; address: \"10.0.0.3:1\"; folder: \"/a\" } }\n", right "group g { member n1 { site: a; address: \"10.0.0.1:1\"; folder: \"/a\" }; member n2 { site: b; address: \"10.0.0.2:1\"; folder: \"/a\" }; member n3 { site: c; address: \"10.0.0.3:1\"; folder: \"/a\" } }\n";
     UnusedPolicy "W501" "a policy that nobody uses"
         "Nothing refers to it: a left-over, or a reference was forgotten."
-        wrong whole!("limits l { rate: 9 tickets/s }" "route r { to: hall }"), right whole!("limits l { rate: 9 tickets/s }" "route r { to: hall; limits: l }");
+        wrong complete!("limits l { rate: 9 tickets/s }" "route r { to: hall }"), right complete!("limits l { rate: 9 tickets/s }" "route r { to: hall; limits: l }");
     UnusedPool "W502" "a pool that no route leads to"
         "Its members get no ticket."
-        wrong whole!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { to: hall }"), right whole!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { to: hall; fall-back: far }");
+        wrong complete!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { to: hall }"), right complete!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { to: hall; fall-back: far }");
     NoRoute "W503" "tickets that no route takes"
         "They are dismissed. A last route without a match takes what is left."
-        wrong whole!("route r { match { type: check }; to: hall }"), right whole!("route r { match { type: check }; to: hall }" "route rest { to: hall }");
+        wrong complete!("route r { match { type: check }; to: hall }"), right complete!("route r { match { type: check }; to: hall }" "route rest { to: hall }");
     OneEntity "W504" "a split by chance parts what belongs together"
         "The route matches by entity, but splits by chance: tickets of one entity go to several pools."
-        wrong whole!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { match { entity: \"NO-*\" }; to: hall 50 %, far 50 %; split-by: chance }" "route rest { to: hall }"), right whole!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { match { entity: \"NO-*\" }; to: hall 50 %, far 50 %; split-by: entity }" "route rest { to: hall }");
+        wrong complete!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { match { entity: \"NO-*\" }; to: hall 50 %, far 50 %; split-by: chance }" "route rest { to: hall }"), right complete!("pool far { member n2 { address: \"10.0.0.2:1\" } }" "route r { match { entity: \"NO-*\" }; to: hall 50 %, far 50 %; split-by: entity }" "route rest { to: hall }");
     TooManyRoutes "W505" "not all routes were compared"
         "Looking for hidden routes is bounded in time; past the bound a route may be hidden and nobody told."
         wrong "", right "";
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,93 +1,129 @@
 //! What changed in meaning between two configurations. Files, comments, units and orders that mean nothing
-//! are not in the message that is compared, so they cannot show up; routes are compared by where tickets go.
+//! are not in the message that is compared, so they cannot show up; routes are compared by where requests go.
 
+use crate::matching::{first_match, Sample, Samples};
 use crate::schema::{dynamic, Configuration, Rate, Route};
-use crate::space::{first_match, Point, Points};
 use crate::units;
 use foldhash::{HashMap, HashMapExt};
 use prost_reflect::{DynamicMessage, FieldDescriptor, ReflectMessage, Value};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// Chosen tickets times routes that are tried to tell which tickets go elsewhere: a second at most.
-const MOST_TRIED: usize = 20_000_000;
+/// Samples times routes that are compared to tell which requests take another route; a second at most.
+const MAX_COMPARISONS: usize = 20_000_000;
+/// Names of a list that are shown.
+const MAX_SHOWN_NAMES: usize = 6;
 
 /// One thing that is otherwise in the new configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Such as `pool hall, member n1`.
+    /// Something new.
     Added {
+        /// Such as `pool hall, member n1`.
         what: String,
     },
+    /// Something that is there no more.
     Removed {
+        /// Such as `pool hall, member n1`.
         what: String,
     },
-    /// A key's value; an empty text stands for "not set".
-    Otherwise {
+    /// Another value of a key.
+    ValueChanged {
+        /// Such as `pool hall, member n1`.
         what: String,
+        /// The key, as the schema names it.
         key: String,
+        /// The old value as it is written; empty if it was not set.
         before: String,
+        /// The new value as it is written; empty if it is not set.
         after: String,
     },
-    /// Tickets that another route takes now.
-    Elsewhere {
-        tickets: String,
-        before: Option<String>,
-        after: Option<String>,
-        pools: (String, String),
+    /// Requests that take another route.
+    Rerouted {
+        /// Which requests, in words.
+        requests: String,
+        /// Where they went.
+        before: Destination,
+        /// Where they go.
+        after: Destination,
     },
-    /// Routes in another order, too many to say for which tickets it matters.
-    Order {
+    /// Routes in another order, where there are too many to say for which requests it matters.
+    Reordered {
+        /// The route that came first.
         before: String,
+        /// The route that comes first.
         after: String,
     },
 }
 
-impl std::fmt::Display for Change {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+/// Where a route leads.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Destination {
+    /// The route's name; none if no route takes the requests.
+    pub route: Option<String>,
+    /// The names of its pools, with commas between them.
+    pub pools: String,
+}
+
+impl Destination {
+    fn of(routes: &[Route], index: Option<usize>) -> Self {
+        let Some(index) = index else {
+            return Self::default();
+        };
+        let route = &routes[index];
+        let pools: Vec<_> = route.to.iter().map(|target| &*target.pool).collect();
+        Self {
+            route: Some(route.name.clone()),
+            pools: pools.join(", "),
+        }
+    }
+}
+
+impl fmt::Display for Destination {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.route {
+            Some(route) => write!(out, "route {route} (to {})", self.pools),
+            None => out.write_str("no route"),
+        }
+    }
+}
+
+impl fmt::Display for Change {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Change::Added { what } => write!(out, "+ {what}"),
             Change::Removed { what } => write!(out, "- {what}"),
-            Change::Otherwise {
+            Change::ValueChanged {
                 what,
                 key,
                 before,
                 after,
             } => {
-                let shown = |text: &str| {
-                    if text.is_empty() {
-                        "not set".into()
-                    } else {
-                        format!("`{text}`")
-                    }
-                };
-                write!(
-                    out,
-                    "~ {what}: {key}: {} -> {}",
-                    shown(before),
-                    shown(after)
-                )
+                let (before, after) = (quoted(before), quoted(after));
+                write!(out, "~ {what}: {key}: {before} -> {after}")
             }
-            Change::Elsewhere {
-                tickets,
+            Change::Rerouted {
+                requests,
                 before,
                 after,
-                pools,
-            } => {
-                let shown = |route: &Option<String>, pools: &str| match route {
-                    Some(route) => format!("route {route} (to {pools})"),
-                    None => "no route".into(),
-                };
-                let (before, after) = (shown(before, &pools.0), shown(after, &pools.1));
-                write!(out, "> {tickets}: {before} -> {after}")
-            }
-            Change::Order { before, after } => {
-                write!(out, "> route {after} now comes before {before}; tickets that both match go elsewhere")
-            }
+            } => write!(out, "> {requests}: {before} -> {after}"),
+            Change::Reordered { before, after } => write!(
+                out,
+                "> route {after} now comes before {before}; tickets that both match go elsewhere"
+            ),
         }
     }
 }
 
-/// All changes, in the order of the schema; then where tickets go.
+fn quoted(value: &str) -> String {
+    if value.is_empty() {
+        "not set".into()
+    } else {
+        format!("`{value}`")
+    }
+}
+
+/// All changes, in the order of the schema; then where requests go.
 ///
 /// ```
 /// use rainstand_config::{diff::diff, load, source::Memory};
@@ -103,53 +139,58 @@
     old.put_in_order();
     new.put_in_order();
     let mut changes = Vec::new();
-    let both = (dynamic(&old), dynamic(&new));
-    fields(&both.0, &both.1, "", &mut changes);
-    elsewhere(&old, &new, &mut changes);
+    compare_fields(&dynamic(&old), &dynamic(&new), "", &mut changes);
+    compare_routes(&old, &new, &mut changes);
     changes
 }
 
-fn fields(old: &DynamicMessage, new: &DynamicMessage, path: &str, changes: &mut Vec<Change>) {
+fn compare_fields(
+    old: &DynamicMessage,
+    new: &DynamicMessage,
+    path: &str,
+    changes: &mut Vec<Change>,
+) {
     for field in old.descriptor().fields() {
         let (before, after) = (old.get_field(&field), new.get_field(&field));
         if *before == *after {
             continue;
         }
         match (&*before, &*after) {
-            (Value::List(before), Value::List(after)) if named(&field) => {
-                things(&field, before, after, path, changes);
+            (Value::List(before), Value::List(after)) if has_named_items(&field) => {
+                compare_items(&field, before, after, path, changes);
             }
             // A match stands for the route's own keys; rates and stages are values.
             (Value::Message(before), Value::Message(after)) if field.name() == "match" => {
-                fields(before, after, path, changes);
+                compare_fields(before, after, path, changes);
             }
-            (before, after) => changes.push(Change::Otherwise {
+            (before, after) => changes.push(Change::ValueChanged {
                 what: if path.is_empty() {
                     "configuration".into()
                 } else {
                     path.to_owned()
                 },
-                key: key(&field),
-                before: shown(&field, before),
-                after: shown(&field, after),
+                key: key_of(&field),
+                before: written(&field, before),
+                after: written(&field, after),
             }),
         }
     }
 }
 
-/// Items of the list are told apart by their names.
-fn named(field: &FieldDescriptor) -> bool {
+/// Whether the items of a list are told apart by their names.
+fn has_named_items(field: &FieldDescriptor) -> bool {
     let kind = field.kind();
     kind.as_message()
         .is_some_and(|message| message.get_field_by_name("name").is_some())
 }
 
-fn key(field: &FieldDescriptor) -> String {
+/// The key of a field, without the unit in its name.
+fn key_of(field: &FieldDescriptor) -> String {
     field.name().trim_end_matches("_ns").to_owned()
 }
 
-/// What one item of a list is called.
-fn called(list: &str) -> &str {
+/// The word for one item of a list.
+fn item_word(list: &str) -> &str {
     match list {
         "types" => "type",
         "tenants" => "tenant",
@@ -174,7 +215,7 @@
         .unwrap_or_default()
 }
 
-fn things(
+fn compare_items(
     field: &FieldDescriptor,
     before: &[Value],
     after: &[Value],
@@ -182,7 +223,7 @@
     changes: &mut Vec<Change>,
 ) {
     let what = |name: &str| {
-        let own = format!("{} {name}", called(field.name()));
+        let own = format!("{} {name}", item_word(field.name()));
         if path.is_empty() {
             own
         } else {
@@ -197,7 +238,7 @@
             None => changes.push(Change::Removed { what: what(&name) }),
             Some(other) => {
                 if let (Value::Message(old), Value::Message(new)) = (value, other) {
-                    fields(old, new, &what(&name), changes);
+                    compare_fields(old, new, &what(&name), changes);
                 }
             }
         }
@@ -211,15 +252,14 @@
     }
 }
 
-/// A value as the language writes it; empty if not set.
-fn shown(field: &FieldDescriptor, value: &Value) -> String {
+/// A value as the language writes it; empty if it is not set.
+fn written(field: &FieldDescriptor, value: &Value) -> String {
     match value {
-        Value::U64(0) => String::new(),
+        Value::U64(0) | Value::EnumNumber(0) => String::new(),
         Value::U64(steps) => amount(field, *steps),
         Value::U32(number) => number.to_string(),
         Value::String(text) => text.clone(),
-        Value::Bool(said) => if *said { "yes" } else { "no" }.into(),
-        Value::EnumNumber(0) => String::new(),
+        Value::Bool(value) => if *value { "yes" } else { "no" }.into(),
         Value::EnumNumber(number) => {
             let kind = field.kind();
             let found = kind.as_enum().and_then(|kind| kind.get_value(*number));
@@ -229,10 +269,10 @@
             )
         }
         Value::List(items) => {
-            let items: Vec<_> = items.iter().map(|item| shown(field, item)).collect();
+            let items: Vec<_> = items.iter().map(|item| written(field, item)).collect();
             items.join(", ")
         }
-        Value::Message(message) => inner(message),
+        Value::Message(message) => written_message(message),
         other => format!("{other:?}"),
     }
 }
@@ -249,7 +289,7 @@
 }
 
 /// Rates, stages and targets, which are written as one value.
-fn inner(message: &DynamicMessage) -> String {
+fn written_message(message: &DynamicMessage) -> String {
     if message.descriptor().name() == "Rate" {
         return message
             .transcode_to::<Rate>()
@@ -258,154 +298,143 @@
                 per => units::rate(rate.micro_tickets, per),
             });
     }
-    let parts = message.fields().map(|(field, value)| shown(&field, value));
+    let parts = message
+        .fields()
+        .map(|(field, value)| written(&field, value));
     parts
         .filter(|part| !part.is_empty())
         .collect::<Vec<_>>()
         .join(" ")
 }
 
-/// What a group of tickets has in common.
+/// What requests that are rerouted alike have in common.
 #[derive(Default)]
-struct Group<'p> {
+struct SampleGroup<'p> {
     types: BTreeSet<&'p str>,
     tenants: BTreeSet<&'p str>,
     entities: BTreeSet<&'p str>,
     sizes: BTreeSet<u64>,
-    tries: BTreeSet<bool>,
-    points: usize,
+    retries: BTreeSet<bool>,
+    count: usize,
 }
 
-fn elsewhere(old: &Configuration, new: &Configuration, changes: &mut Vec<Change>) {
-    let sequence = |all: &[Route]| {
-        all.iter()
+/// The indices of the routes that take a request, before and after.
+type RoutePair = (Option<usize>, Option<usize>);
+
+fn compare_routes(old: &Configuration, new: &Configuration, changes: &mut Vec<Change>) {
+    let in_order = |all: &Configuration| -> Vec<_> {
+        let routes = all.routes.iter();
+        routes
             .map(|r| (r.name.clone(), r.r#match.clone()))
-            .collect::<Vec<_>>()
+            .collect()
     };
-    if sequence(&old.routes) == sequence(&new.routes) {
+    if in_order(old) == in_order(new) {
         return;
     }
-    let points = Points::of(&[old, new]);
-    if points
-        .count()
-        .saturating_mul(old.routes.len() + new.routes.len())
-        > MOST_TRIED
-    {
-        order(old, new, changes);
+    let samples = Samples::of(&[old, new]);
+    let routes = old.routes.len() + new.routes.len();
+    if samples.count().saturating_mul(routes) > MAX_COMPARISONS {
+        compare_order(old, new, changes);
         return;
     }
-    let mut groups: BTreeMap<(Option<usize>, Option<usize>), Group<'_>> = BTreeMap::new();
-    for point in points.each() {
-        let (before, after) = (
-            first_match(&old.routes, &point),
-            first_match(&new.routes, &point),
-        );
-        let name = |routes: &'_ [Route], at: Option<usize>| at.map(|at| routes[at].name.clone());
-        if name(&old.routes, before) != name(&new.routes, after) {
-            groups.entry((before, after)).or_default().take(&point);
-        }
-    }
-    let all = Group {
-        types: points.types().iter().map(String::as_str).collect(),
-        tenants: points.tenants().iter().map(String::as_str).collect(),
-        points: points.inner(),
-        ..Group::default()
-    };
-    for ((before, after), group) in groups {
-        let pools = |routes: &[Route], at: Option<usize>| {
-            let to = at.map(|at| {
-                routes[at]
-                    .to
-                    .iter()
-                    .map(|target| target.pool.as_str())
-                    .collect::<Vec<_>>()
-            });
-            to.map_or(String::new(), |to| to.join(", "))
-        };
-        changes.push(Change::Elsewhere {
-            tickets: group.words(&all),
-            before: before.map(|at| old.routes[at].name.clone()),
-            after: after.map(|at| new.routes[at].name.clone()),
-            pools: (pools(&old.routes, before), pools(&new.routes, after)),
+    for ((before, after), group) in rerouted(old, new, &samples) {
+        changes.push(Change::Rerouted {
+            requests: group.describe(&samples),
+            before: Destination::of(&old.routes, before),
+            after: Destination::of(&new.routes, after),
         });
     }
 }
 
-impl<'p> Group<'p> {
-    fn take(&mut self, point: &Point<'p>) {
-        self.types.insert(point.traffic);
-        self.tenants.insert(point.tenant);
-        self.entities.insert(point.entity);
-        self.sizes.insert(point.size);
-        self.tries.insert(point.again);
-        self.points += 1;
+/// The samples that another route takes, by the routes that take them.
+fn rerouted<'p>(
+    old: &Configuration,
+    new: &Configuration,
+    samples: &'p Samples,
+) -> BTreeMap<RoutePair, SampleGroup<'p>> {
+    let mut groups: BTreeMap<RoutePair, SampleGroup<'p>> = BTreeMap::new();
+    for sample in samples.each() {
+        let before = first_match(&old.routes, &sample);
+        let after = first_match(&new.routes, &sample);
+        let name_before = before.map(|index| &old.routes[index].name);
+        let name_after = after.map(|index| &new.routes[index].name);
+        if name_before != name_after {
+            groups.entry((before, after)).or_default().add(&sample);
+        }
     }
+    groups
+}
 
-    /// In words; "some" where not every combination of what is named is in the group.
-    fn words(&self, all: &Group<'_>) -> String {
-        let product = self.types.len()
-            * self.tenants.len()
-            * self.entities.len()
-            * self.sizes.len()
-            * self.tries.len();
-        let inner = self.entities.len() * self.sizes.len() * self.tries.len();
-        let mut words = vec![if product == self.points {
+impl<'p> SampleGroup<'p> {
+    fn add(&mut self, sample: &Sample<'p>) {
+        self.types.insert(sample.class);
+        self.tenants.insert(sample.tenant);
+        self.entities.insert(sample.entity);
+        self.sizes.insert(sample.size);
+        self.retries.insert(sample.is_retry);
+        self.count += 1;
+    }
+
+    /// The group in words; "some" where not every combination of what is named is in it.
+    fn describe(&self, all: &Samples) -> String {
+        let per_pair = self.entities.len() * self.sizes.len() * self.retries.len();
+        let is_product = self.types.len() * self.tenants.len() * per_pair == self.count;
+        let mut words = vec![if is_product {
             "tickets"
         } else {
             "some tickets"
         }
         .to_owned()];
-        let list = |names: &BTreeSet<&str>| {
-            const MOST: usize = 6;
-            let shown: Vec<_> = names
-                .iter()
-                .take(MOST)
-                .map(|name| if name.is_empty() { "(not named)" } else { name })
-                .collect();
-            let more = names.len().saturating_sub(MOST);
-            if more > 0 {
-                format!("{} and {more} more", shown.join(", "))
-            } else {
-                shown.join(", ")
-            }
-        };
-        if self.types.len() < all.types.len() {
-            words.push(format!("of type {}", list(&self.types)));
+        if self.types.len() < all.types().len() {
+            words.push(format!("of type {}", name_list(&self.types)));
         }
-        if self.tenants.len() < all.tenants.len() {
-            words.push(format!("of tenant {}", list(&self.tenants)));
+        if self.tenants.len() < all.tenants().len() {
+            words.push(format!("of tenant {}", name_list(&self.tenants)));
         }
-        if inner < all.points {
-            if self.tries.len() == 1 {
-                words.push(
-                    if self.tries.contains(&true) {
-                        "further tries"
-                    } else {
-                        "first tries"
-                    }
-                    .into(),
-                );
-            }
-            let entities: Vec<_> = self
-                .entities
-                .iter()
-                .filter_map(|entity| in_words(entity))
-                .collect();
-            if entities.len() == self.entities.len() {
-                words.push(format!("about {}", entities.join(", ")));
-            }
-            if let (Some(least), true) = (self.sizes.first(), inner * 2 <= all.points) {
-                if *least > 0 {
-                    words.push(format!("of {} or more", units::size(*least)));
-                }
-            }
+        if per_pair < all.count_per_pair() {
+            self.describe_rest(per_pair, all, &mut words);
         }
         words.join(" ")
     }
+
+    /// Retries, entities and sizes.
+    fn describe_rest(&self, per_pair: usize, all: &Samples, words: &mut Vec<String>) {
+        if self.retries.len() == 1 {
+            let is_retry = self.retries.contains(&true);
+            words.push(
+                if is_retry {
+                    "further tries"
+                } else {
+                    "first tries"
+                }
+                .into(),
+            );
+        }
+        let entities = self.entities.iter();
+        let patterns: Vec<_> = entities.filter_map(|entity| pattern_of(entity)).collect();
+        if patterns.len() == self.entities.len() {
+            words.push(format!("about {}", patterns.join(", ")));
+        }
+        let smallest = self.sizes.first().copied().unwrap_or(0);
+        if smallest > 0 && per_pair * 2 <= all.count_per_pair() {
+            words.push(format!("of {} or more", units::size(smallest)));
+        }
+    }
+}
+
+fn name_list(names: &BTreeSet<&str>) -> String {
+    let shown = names.iter().take(MAX_SHOWN_NAMES);
+    let shown: Vec<_> = shown
+        .map(|name| if name.is_empty() { "(not named)" } else { name })
+        .collect();
+    match names.len().saturating_sub(MAX_SHOWN_NAMES) {
+        0 => shown.join(", "),
+        more => format!("{} and {more} more", shown.join(", ")),
+    }
 }
 
-/// A chosen entity as the pattern that it stands for; none for those that no pattern takes.
-fn in_words(entity: &str) -> Option<String> {
+/// The pattern that a sampled entity stands for; none for those that no pattern takes.
+fn pattern_of(entity: &str) -> Option<String> {
     match entity.strip_suffix('\u{10ffff}') {
         Some("") => None,
         Some(beginning) => Some(format!("{beginning}*")),
@@ -414,24 +443,23 @@
     }
 }
 
-/// Pairs of neighbours that changed places.
-fn order(old: &Configuration, new: &Configuration, changes: &mut Vec<Change>) {
-    let mut place: HashMap<&str, usize> = HashMap::new();
-    place.extend(
-        old.routes
-            .iter()
-            .enumerate()
-            .map(|(at, route)| (route.name.as_str(), at)),
-    );
-    let kept: Vec<_> = new
+/// Reports neighbours that changed places.
+fn compare_order(old: &Configuration, new: &Configuration, changes: &mut Vec<Change>) {
+    let mut old_places: HashMap<&str, usize> = HashMap::new();
+    let old_names = old.routes.iter().map(|route| route.name.as_str());
+    old_places.extend(old_names.enumerate().map(|(place, name)| (name, place)));
+    let in_both: Vec<_> = new
         .routes
         .iter()
-        .filter_map(|r| place.get(&*r.name).map(|at| (*at, &r.name)))
+        .filter_map(|route| Some((*old_places.get(&*route.name)?, &route.name)))
         .collect();
-    for pair in kept.windows(2).filter(|pair| pair[0].0 > pair[1].0) {
-        changes.push(Change::Order {
-            before: pair[1].1.clone(),
-            after: pair[0].1.clone(),
-        });
+    for pair in in_both.windows(2) {
+        let ((first_place, first), (second_place, second)) = (pair[0], pair[1]);
+        if first_place > second_place {
+            changes.push(Change::Reordered {
+                before: second.clone(),
+                after: first.clone(),
+            });
+        }
     }
 }
--- a/crates/config/src/form.rs
+++ b/crates/config/src/formatter.rs
@@ -1,31 +1,31 @@
-//! The one way to write a file: indents of two, one blank line at most, entries of a block on lines of
-//! their own, amounts with one blank before their unit. Comments stay where they are. A file in this form
-//! is not changed by it, and its meaning never is.
+//! The formatter, which knows one way to write a file: indents of two, one blank line at most, entries of a block on
+//! lines of their own, amounts with one blank before their unit. Comments stay where they are. A formatted file is not
+//! changed by it, and the meaning of a file never is.
 
 use crate::lexer::{lex, LexedToken, Token};
 use crate::parser::parse;
 use crate::source::FileId;
 use crate::{Finding, Findings};
 
-/// Columns that a list may reach before it goes on in the next line. Public for the tests of long lists.
-pub const WIDTH: usize = 100;
+/// Columns that a list may reach before it is broken at a comma. Public for the tests of long lists.
+pub const MAX_COLUMNS: usize = 100;
 const INDENT: &str = "  ";
 
-/// The file in its one form.
+/// Formats a file's text.
 ///
 /// # Errors
-/// A file with syntax errors is not touched; what is wrong with it is told.
-pub fn form(text: &str) -> Result<String, Vec<Finding>> {
+/// The findings of a file with syntax errors, which is not formatted.
+pub fn format(text: &str) -> Result<String, Vec<Finding>> {
     let mut findings = Findings::default();
     parse(FileId(0), text, &mut findings);
     if findings.has_errors() {
         return Err(findings.into_vec());
     }
     let tokens = lex(text);
-    Ok(Writer::new(text, &tokens).whole())
+    Ok(Formatter::new(text, &tokens).format())
 }
 
-/// What the next token of a line is written behind.
+/// What is written between two tokens.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Gap {
     None,
@@ -33,22 +33,23 @@
     Line,
 }
 
-struct Writer<'t> {
+struct Formatter<'t> {
     text: &'t str,
     tokens: &'t [LexedToken],
     out: String,
+    /// Blocks that are open.
     depth: usize,
-    /// Where the line now written begins in `out`.
-    line: usize,
-    /// Line ends since the last token that was written.
-    breaks: usize,
-    /// A value stands in this line: commas may break it.
+    /// Where the current line begins in `out`.
+    line_start: usize,
+    /// Line ends in the text since the last token that was written.
+    line_breaks: usize,
+    /// The current line is an entry's, which may be broken at commas.
     in_list: bool,
-    /// The last token but comments was a comma: a list is not over.
-    comma: bool,
+    /// The last token but comments was a comma, so that a list goes on.
+    after_comma: bool,
 }
 
-impl<'t> Writer<'t> {
+impl<'t> Formatter<'t> {
     fn new(text: &'t str, tokens: &'t [LexedToken]) -> Self {
         let out = String::with_capacity(text.len() + text.len() / 8);
         Self {
@@ -56,14 +57,14 @@
             tokens,
             out,
             depth: 0,
-            line: 0,
-            breaks: 0,
+            line_start: 0,
+            line_breaks: 0,
             in_list: false,
-            comma: false,
+            after_comma: false,
         }
     }
 
-    fn whole(mut self) -> String {
+    fn format(mut self) -> String {
         let mut start = 0;
         let mut before: Option<Token> = None;
         for lexed in self.tokens {
@@ -71,7 +72,7 @@
             start = lexed.end as usize;
             match lexed.token {
                 Token::Space => {}
-                Token::Newline => self.breaks += 1,
+                Token::Newline => self.line_breaks += 1,
                 Token::Semicolon => {
                     // The form has no semicolons: each entry has its line.
                     before = Some(Token::Semicolon);
@@ -80,7 +81,7 @@
                     let gap = self.gap(before, token);
                     self.write(gap, before, token, written);
                     before = Some(token);
-                    self.breaks = 0;
+                    self.line_breaks = 0;
                 }
             }
         }
@@ -96,13 +97,13 @@
         };
         match (before, token) {
             // A comment behind something on its line stays there.
-            (_, Token::Comment) if self.breaks == 0 && before != Token::Comment => Gap::Blank,
-            (Token::Comment, _) | (Token::Semicolon, _) => Gap::Line,
+            (_, Token::Comment) if self.line_breaks == 0 && before != Token::Comment => Gap::Blank,
             (Token::Open, Token::Close) => Gap::None,
-            (Token::Open | Token::Close, _) | (_, Token::Close) => Gap::Line,
+            (Token::Comment | Token::Semicolon | Token::Open | Token::Close, _)
+            | (_, Token::Close) => Gap::Line,
             // Behind a comma the list goes on, whatever line it stands on.
             (Token::Comma, _) => Gap::Blank,
-            _ if self.breaks > 0 => Gap::Line,
+            _ if self.line_breaks > 0 => Gap::Line,
             (_, Token::Colon | Token::Comma | Token::Slash) | (Token::Slash | Token::Minus, _) => {
                 Gap::None
             }
@@ -123,23 +124,24 @@
             }
             Gap::Blank => self.out.push(' '),
             Gap::Line => {
-                let list_goes_on = self.in_list && before == Some(Token::Comment) && self.comma;
-                if !list_goes_on {
+                let continues_list =
+                    self.in_list && before == Some(Token::Comment) && self.after_comma;
+                if !continues_list {
                     self.in_list = false;
                 }
                 let opened = before == Some(Token::Open);
-                if self.breaks > 1 && !opened && token != Token::Close && !list_goes_on {
+                if self.line_breaks > 1 && !opened && token != Token::Close && !continues_list {
                     self.out.push('\n');
                 }
-                self.new_line(self.depth + if list_goes_on { 2 } else { 0 });
+                self.new_line(self.depth + if continues_list { 2 } else { 0 });
             }
         }
         if before.is_none() {
-            self.line = self.out.len();
+            self.line_start = self.out.len();
         }
         self.out.push_str(written.trim_end());
         if token != Token::Comment {
-            self.comma = token == Token::Comma;
+            self.after_comma = token == Token::Comma;
         }
         match token {
             Token::Open => self.depth += 1,
@@ -149,12 +151,12 @@
     }
 
     fn too_wide(&self, written: &str) -> bool {
-        self.out[self.line..].chars().count() + 1 + written.chars().count() > WIDTH
+        self.out[self.line_start..].chars().count() + 1 + written.chars().count() > MAX_COLUMNS
     }
 
     fn new_line(&mut self, depth: usize) {
         self.out.push('\n');
-        self.line = self.out.len();
+        self.line_start = self.out.len();
         for _ in 0..depth {
             self.out.push_str(INDENT);
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,8 +13,8 @@
 //! | [`units`] | exact amounts with their units |
 //! | [`resolve`] | names, defaults, one policy built on another: the message of [`schema`] |
 //! | [`check`] | what the four rules and plain sense ask of it |
-//! | [`space`] | which tickets a route can match, decided exactly |
-//! | [`form`] | the one way to write a file |
+//! | [`matching`] | which requests a route can match, decided exactly |
+//! | [`formatter`] | the one way to write a file |
 //! | [`diff`] | what changed in meaning |
 //! | [`report`] | findings as a person or a program reads them; [`codes`] explains each |
 //!
@@ -34,16 +34,16 @@
 pub mod codes;
 pub mod diff;
 mod finding;
-pub mod form;
+pub mod formatter;
 pub mod include;
 pub mod lexer;
 mod load;
+pub mod matching;
 pub mod parser;
 pub mod report;
 pub mod resolve;
 pub mod schema;
 pub mod source;
-pub mod space;
 pub mod syntax;
 pub mod units;
 
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,51 +1,51 @@
-//! Files to a checked message: each layer in turn.
+//! Loads a configuration: files to a checked message, each layer in turn.
 
 use crate::include::LoadedFiles;
 use crate::source::{Files, SourceMap};
 use crate::{ast, check, include, parser, resolve, schema};
 use crate::{Finding, Findings};
 
-/// What reading a configuration came to.
+/// What loading a configuration came to.
 pub struct Outcome {
+    /// The files that were read, to show findings in.
     pub sources: SourceMap,
     /// In order of file, place and code; none twice.
     pub findings: Vec<Finding>,
-    /// There only if no finding is an error.
+    /// The compiled message; none if a finding is an error.
     pub configuration: Option<schema::Configuration>,
 }
 
 impl Outcome {
+    /// Whether the configuration is refused.
     pub fn has_errors(&self) -> bool {
         self.findings.iter().any(Finding::is_error)
     }
 }
 
-/// The blocks of all files as if each file stood where it is first included: routes are in this order.
-fn in_place<'t>(
+/// The blocks of all files as if each file stood where it is first included, which is the order of routes.
+fn in_order_of_inclusion<'t>(
     parsed: &[parser::ParsedFile],
     blocks: Vec<Vec<ast::Block<'t>>>,
 ) -> Vec<ast::Block<'t>> {
-    let mut left: Vec<_> = blocks
+    let mut blocks_of_files: Vec<_> = blocks
         .into_iter()
         .map(|of_file| of_file.into_iter().peekable())
         .collect();
     let mut all = Vec::new();
-    // A stack of its own: files may include each other in a chain of any length.
-    let mut stack = if left.is_empty() {
-        vec![]
-    } else {
-        vec![(0, 0)]
-    };
-    while let Some((file, next)) = stack.last_mut() {
-        let include = parsed[*file].included.get(*next);
-        let before = |block: &ast::Block<'_>| {
-            include.is_none_or(|include| block.kind.span.start < include.offset)
+    // A stack of its own, as files may include each other in a chain of any length: the index of each file and of the
+    // inclusion that comes next in it.
+    let mut stack = Vec::new();
+    stack.extend((!blocks_of_files.is_empty()).then_some((0, 0)));
+    while let Some((file, next_inclusion)) = stack.last_mut() {
+        let inclusion = parsed[*file].included.get(*next_inclusion);
+        let is_before = |block: &ast::Block<'_>| {
+            inclusion.is_none_or(|inclusion| block.kind.span.start < inclusion.offset)
         };
-        if let Some(block) = left[*file].next_if(before) {
+        if let Some(block) = blocks_of_files[*file].next_if(is_before) {
             all.push(block);
-        } else if let Some(include) = include {
-            *next += 1;
-            stack.push((include.file.0 as usize, 0));
+        } else if let Some(inclusion) = inclusion {
+            *next_inclusion += 1;
+            stack.push((inclusion.file.0 as usize, 0));
         } else {
             stack.pop();
         }
@@ -53,10 +53,10 @@
     all
 }
 
-/// Reads a configuration from its first file on, with all that it includes, and checks it.
+/// Loads a configuration from its first file on, with all that it includes, and checks it.
 ///
 /// One run reports the findings of all files. Meaning is checked even where a file has errors, so that
-/// they need not be mended one at a time, but never on names or values that could not be read.
+/// they need not be repaired one at a time, but never on names or values that could not be read.
 pub fn load(files: &dyn Files, first: &str) -> Outcome {
     let mut findings = Findings::default();
     let LoadedFiles { sources, parsed } = include::load_files(files, first, &mut findings);
@@ -64,7 +64,7 @@
         .iter()
         .map(|file| ast::lower(&sources, file, &mut findings))
         .collect();
-    let blocks = in_place(&parsed, blocks);
+    let blocks = in_order_of_inclusion(&parsed, blocks);
     let mut resolved = resolve::resolve(&sources, &blocks, &mut findings);
     check::check(&resolved, &mut findings);
     let configuration = (!findings.has_errors()).then(|| {
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -336,19 +336,15 @@
             Some(Token::Open | Token::Word | Token::Text | Token::OpenText) => {
                 self.block_head();
                 let mut kind = SyntaxKind::Block;
-                match self.peek() {
-                    Some(Token::Open) => self.body(word, depth),
-                    _ => {
-                        let what =
-                            "`{` after the name of a block, or `:` after the key of an entry";
-                        self.expected(Code::Expected, what);
-                        self.skip_line();
-                        // Within a block it is more likely an entry without its colon.
-                        kind = if depth == 0 {
-                            SyntaxKind::Block
-                        } else {
-                            SyntaxKind::Skipped
-                        };
+                if self.peek() == Some(Token::Open) {
+                    self.body(word, depth);
+                } else {
+                    let what = "`{` after the name of a block, or `:` after the key of an entry";
+                    self.expected(Code::Expected, what);
+                    self.skip_line();
+                    // Within a block it is more likely an entry without its colon.
+                    if depth > 0 {
+                        kind = SyntaxKind::Skipped;
                     }
                 }
                 self.builder
--- a/crates/config/src/resolve/amounts.rs
+++ b/crates/config/src/resolve/amounts.rs
@@ -77,7 +77,7 @@
         bounds: &AmountBounds,
     ) -> u64 {
         let text = self.resolver.sources.slice(span);
-        let amount = units::expect_of(key, dimension, atoms, text, span);
+        let amount = units::expect_in(key, dimension, atoms, text, span);
         self.check_bounds(key, amount, span, bounds)
     }
 
--- a/crates/config/src/resolve/experiment/fault.rs
+++ b/crates/config/src/resolve/experiment/fault.rs
@@ -59,7 +59,7 @@
         TroubleKind::Slow => fault.times = r.factor("times", required(MAX_TIMES)),
         TroubleKind::Neighbour => fault.cores = r.factor("cores", required(MAX_CORES)),
         TroubleKind::FailFast | TroubleKind::Lie | TroubleKind::Deploy | TroubleKind::ClockJump => {
-            fault.span_ns = r.time("span", required(MAX_DURATION_NS))
+            fault.span_ns = r.time("span", required(MAX_DURATION_NS));
         }
         TroubleKind::Flood => {
             fault.times = r.factor("times", required(MAX_TIMES));
--- a/crates/config/src/resolve/experiment/vary.rs
+++ b/crates/config/src/resolve/experiment/vary.rs
@@ -86,13 +86,13 @@
             Varied::NodeKind,
             &NODES.map(|(word, _)| word),
         ),
-        _ => match AMOUNT_KEYS.iter().find(|known| known.word == name.text) {
-            Some(known) => varied_amounts(r, entry, known),
-            None => {
-                r.report(unknown_key(name));
-                schema::Vary::default()
+        word => {
+            if let Some(known) = AMOUNT_KEYS.iter().find(|known| known.word == word) {
+                return varied_amounts(r, entry, known);
             }
-        },
+            r.report(unknown_key(name));
+            schema::Vary::default()
+        }
     }
 }
 
--- a/crates/config/src/resolve/reader.rs
+++ b/crates/config/src/resolve/reader.rs
@@ -196,13 +196,11 @@
         key: &'static str,
         keywords: &[Keyword<T>],
     ) -> Option<T> {
-        match self.single(key) {
-            Some(value) => self.keyword_of(key, keywords, value),
-            None => {
-                self.report_if_missing(key);
-                None
-            }
-        }
+        let Some(value) = self.single(key) else {
+            self.report_if_missing(key);
+            return None;
+        };
+        self.keyword_of(key, keywords, value)
     }
 
     fn keyword_of<T: Copy>(
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -17,7 +17,11 @@
 use std::fmt;
 use std::sync::OnceLock;
 
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    clippy::pedantic,
+    reason = "generated; the schema itself documents it"
+)]
 mod generated {
     include!(concat!(env!("OUT_DIR"), "/rainstand.config.v1.rs"));
 }
@@ -26,29 +30,43 @@
 
 /// The version of the schema that this program writes and reads.
 pub const VERSION: u32 = 1;
-/// The schema itself, for those who want to compile it.
+/// The source of the schema, for other programs to compile.
 pub const PROTO: &str = include_str!("../proto/rainstand.proto");
 
 const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/descriptors.bin"));
 
-/// Why a text or binary form was refused. Line and column count from 1; both are 0 for the binary form.
+/// Why a text or binary form cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct DecodeError {
+    /// The line, from 1; 0 in the binary form.
     pub line: usize,
+    /// The column in characters, from 1; 0 in the binary form.
     pub column: usize,
-    pub why: String,
+    /// What is wrong.
+    pub message: String,
 }
 
-impl fmt::Display for Refused {
+impl DecodeError {
+    /// An error of the binary form, which has no lines.
+    pub fn binary(message: impl fmt::Display) -> Self {
+        Self {
+            line: 0,
+            column: 0,
+            message: message.to_string(),
+        }
+    }
+}
+
+impl fmt::Display for DecodeError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(out, "{}:{}: ", self.line, self.column)?;
         }
-        out.write_str(&self.why)
+        out.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for DecodeError {}
 
 /// The descriptor of [`Configuration`].
 ///
@@ -62,7 +80,7 @@
         .expect("compiled-in message")
 }
 
-/// The message as a tree of fields, for those who go over all of them.
+/// The message by its descriptors, for those who go over all fields.
 pub fn dynamic(configuration: &Configuration) -> DynamicMessage {
     let mut message = DynamicMessage::new(descriptor());
     // Cannot fail: both sides come from the one schema.
@@ -81,88 +99,80 @@
     text
 }
 
+/// Reads the protobuf text format.
+///
 /// # Errors
 /// An unknown field, a value of the wrong kind or another version, with its place.
-pub fn from_text(text: &str) -> Result<Configuration, Refused> {
+pub fn from_text(text: &str) -> Result<Configuration, DecodeError> {
     let message = DynamicMessage::parse_text_format(descriptor(), text).map_err(|error| {
         let mut labels = error.labels().into_iter().flatten();
         // An end that comes too early has no label.
-        let place = labels.next().map_or(text.len(), |label| label.offset());
-        let before = text.get(..place).unwrap_or(text);
+        let offset = labels.next().map_or(text.len(), |label| label.offset());
+        let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().map_or(0, |l| l.chars().count()) + 1;
-        Refused {
+        DecodeError {
             line,
             column,
-            why: error.to_string(),
+            message: error.to_string(),
         }
     })?;
-    let configuration: Configuration = message.transcode_to().map_err(|e| Refused {
+    let at_start = |message: String| DecodeError {
         line: 1,
         column: 1,
-        why: e.to_string(),
-    })?;
-    of_this_version(configuration, 1)
+        message,
+    };
+    let configuration = message
+        .transcode_to()
+        .map_err(|error| at_start(error.to_string()))?;
+    check_version(configuration).map_err(at_start)
 }
 
+/// The protobuf binary format.
 pub fn to_binary(configuration: &Configuration) -> Vec<u8> {
     configuration.encode_to_vec()
 }
 
+/// Reads the protobuf binary format.
+///
 /// # Errors
 /// Bytes that are no such message, a field that this version does not know, or another version.
-pub fn from_binary(bytes: &[u8]) -> Result<Configuration, Refused> {
-    let refused = |why: String| Refused {
-        line: 0,
-        column: 0,
-        why,
-    };
-    let message =
-        DynamicMessage::decode(descriptor(), bytes).map_err(|e| refused(e.to_string()))?;
-    if let Some(place) = unknown_in(&message, "") {
-        return Err(refused(format!("unknown field {place}")));
+pub fn from_binary(bytes: &[u8]) -> Result<Configuration, DecodeError> {
+    let message = DynamicMessage::decode(descriptor(), bytes).map_err(DecodeError::binary)?;
+    if let Some(path) = unknown_field(&message, "") {
+        return Err(DecodeError::binary(format!("unknown field {path}")));
     }
-    let configuration = Configuration::decode(bytes).map_err(|e| refused(e.to_string()))?;
-    of_this_version(configuration, 0)
+    from_own_binary(bytes)
 }
 
-/// The binary form as this very program wrote it: fields that it does not know are not looked for, which costs many
-/// times the message's size.
+/// Reads the binary format as this very program wrote it: unknown fields are not looked for, which costs many times the
+/// message's size.
 ///
 /// # Errors
 /// Bytes that are no such message, or another version.
-pub fn from_own_binary(bytes: &[u8]) -> Result<Configuration, Refused> {
-    let refused = |why: String| Refused {
-        line: 0,
-        column: 0,
-        why,
-    };
-    of_this_version(
-        Configuration::decode(bytes).map_err(|e| refused(e.to_string()))?,
-        0,
-    )
+pub fn from_own_binary(bytes: &[u8]) -> Result<Configuration, DecodeError> {
+    let configuration = Configuration::decode(bytes).map_err(DecodeError::binary)?;
+    check_version(configuration).map_err(DecodeError::binary)
 }
 
-fn of_this_version(configuration: Configuration, at: usize) -> Result<Configuration, Refused> {
+fn check_version(configuration: Configuration) -> Result<Configuration, String> {
     match configuration.version {
         VERSION => Ok(configuration),
-        other => Err(Refused {
-            line: at,
-            column: at,
-            why: format!("version {other} of the schema; this program knows version {VERSION}"),
-        }),
+        other => Err(format!(
+            "version {other} of the schema; this program knows version {VERSION}"
+        )),
     }
 }
 
 /// The first field that the schema does not know, with the path to it. Depth is that of the schema.
-fn unknown_in(message: &DynamicMessage, path: &str) -> Option<String> {
+fn unknown_field(message: &DynamicMessage, path: &str) -> Option<String> {
     if let Some(field) = message.unknown_fields().next() {
         return Some(format!("{path}{}", field.number()));
     }
     message.fields().find_map(|(field, value)| match value {
-        Value::Message(inner) => unknown_in(inner, &format!("{path}{}.", field.name())),
+        Value::Message(inner) => unknown_field(inner, &format!("{path}{}.", field.name())),
         Value::List(items) => items.iter().enumerate().find_map(|(k, item)| match item {
-            Value::Message(inner) => unknown_in(inner, &format!("{path}{}[{k}].", field.name())),
+            Value::Message(inner) => unknown_field(inner, &format!("{path}{}[{k}].", field.name())),
             _ => None,
         }),
         _ => None,
@@ -170,8 +180,8 @@
 }
 
 impl Configuration {
-    /// Brings lists whose order means nothing into the order of their names, so that like configurations
-    /// are like messages. Routes and fall-backs keep their order.
+    /// Sorts lists whose order means nothing by name, so that equal configurations are equal messages. Routes and
+    /// fall-backs keep their order.
     pub fn put_in_order(&mut self) {
         self.types.sort_by(|a, b| a.name.cmp(&b.name));
         self.tenants.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/config/tests/any_input.rs
+++ b/crates/config/tests/any_input.rs
@@ -8,7 +8,7 @@
 )]
 
 use nanorand::{Rng, WyRand};
-use rainstand_config::form::form;
+use rainstand_config::formatter::format;
 use rainstand_config::schema::{from_binary, from_text, to_binary, to_text, Configuration};
 use rainstand_config::source::{Disk, Memory};
 use rainstand_config::{diff::diff, load, report};
@@ -64,8 +64,8 @@
         assert_eq!(from_binary(&to_binary(made)).as_ref(), Ok(made), "{text}");
         assert!(diff(made, made).is_empty(), "{text}");
     }
-    if let Ok(formed) = form(text) {
-        assert_eq!(form(&formed), Ok(formed.clone()), "{text}");
+    if let Ok(formed) = format(text) {
+        assert_eq!(format(&formed), Ok(formed.clone()), "{text}");
         let (again, mut told_again) = read(&formed);
         assert_eq!(again, made, "{text}\n---\n{formed}");
         // An amount that is shown in a message may be written otherwise.
@@ -204,6 +204,6 @@
         let outcome = load(&Disk, path);
         assert!(outcome.findings.is_empty(), "{:?}", outcome.findings);
         let text = std::fs::read_to_string(path).unwrap();
-        assert_eq!(form(&text), Ok(text));
+        assert_eq!(format(&text), Ok(text));
     }
 }
--- a/crates/config/tests/codes.rs
+++ b/crates/config/tests/codes.rs
@@ -24,7 +24,7 @@
 fn examples_do_what_they_say() {
     let mut wrong_ones = Vec::new();
     for code in Code::ALL {
-        let (wrong, right) = code.examples();
+        let rainstand_config::codes::Examples { wrong, right } = code.examples();
         if !wrong.is_empty() && !found(wrong).contains(&code.id()) {
             wrong_ones.push(format!("{} wrong: {:?}", code.id(), found(wrong)));
         }
@@ -43,6 +43,6 @@
     assert_eq!(ids.len(), Code::ALL.len());
     assert!(Code::ALL
         .iter()
-        .all(|code| Code::find(code.id()) == Some(*code) && !code.why().is_empty()));
+        .all(|code| Code::find(code.id()) == Some(*code) && !code.explanation().is_empty()));
     assert_eq!(Code::find("X999"), None);
 }
--- a/crates/config/tests/form.rs
+++ b/crates/config/tests/formatter.rs
@@ -9,7 +9,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainstand_config::form::{form, WIDTH};
+use rainstand_config::formatter::{format, MAX_COLUMNS};
 use rainstand_config::lexer::{lex, Token};
 
 #[test]
@@ -37,25 +37,26 @@
         ),
     ];
     for (from, to) in table {
-        assert_eq!(form(from).as_deref(), Ok(to), "{from}");
-        assert_eq!(form(to).as_deref(), Ok(to), "{to}");
+        assert_eq!(format(from).as_deref(), Ok(to), "{from}");
+        assert_eq!(format(to).as_deref(), Ok(to), "{to}");
     }
-    assert_eq!(form("rain 1\npool {").unwrap_err()[0].code.id(), "P104");
+    assert_eq!(format("rain 1\npool {").unwrap_err()[0].code.id(), "P104");
 }
 
 #[test]
 fn long_lists_are_broken_at_commas() {
     let names: Vec<_> = (0..60).map(|n| format!("tenant-{n}")).collect();
-    let text = form(&format!(
+    let text = format(&format!(
         "rain 1\nroute r {{ tenant: {} }}",
         names.join(",")
     ))
     .unwrap();
     assert!(
-        text.lines().all(|line| line.chars().count() <= WIDTH + 1),
+        text.lines()
+            .all(|line| line.chars().count() <= MAX_COLUMNS + 1),
         "{text}"
     );
-    assert_eq!(form(&text), Ok(text.clone()));
+    assert_eq!(format(&text), Ok(text.clone()));
 }
 
 /// Files without errors, however oddly spaced, with comments wherever they may stand.
@@ -94,8 +95,8 @@
 
     #[test]
     fn twice_is_once_and_tokens_and_comments_are_kept(text in files()) {
-        let once = form(&text).unwrap();
-        prop_assert_eq!(form(&once), Ok(once.clone()));
+        let once = format(&text).unwrap();
+        prop_assert_eq!(format(&once), Ok(once.clone()));
         let told = |text: &str| {
             let mut start = 0;
             let mut all = Vec::new();
--- a/crates/config/tests/space.rs
+++ b/crates/config/tests/matching.rs
@@ -9,8 +9,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use rainstand_config::matching::{
+    covers, first_mismatch, EarlierRoutes, Sample, Samples, MAX_COMPARISONS,
+};
 use rainstand_config::schema::{Configuration, Match, Route, Tenant, TrafficType};
-use rainstand_config::space::{covers, miss, Earlier, Point, Points, MOST_COMPARISONS};
 
 fn any_match() -> impl Strategy<Value = Match> {
     let names = |letters: &'static [&'static str]| {
@@ -74,20 +76,20 @@
     #[test]
     fn covering_is_taking_all_its_points(outer in any_match(), inner in any_match()) {
         let all = with(vec![outer.clone(), inner.clone()]);
-        let points = Points::of(&[&all]);
-        let every = points.each().all(|p| miss(Some(&inner), &p).is_some() || miss(Some(&outer), &p).is_none());
+        let points = Samples::of(&[&all]);
+        let every = points.each().all(|p| first_mismatch(Some(&inner), &p).is_some() || first_mismatch(Some(&outer), &p).is_none());
         // Patterns are compared one by one, so a covering by several of them together is not seen: the
         // prefixes here never add up to a longer one, but "any" is only covered by "*" or no list.
         let covered = covers(Some(&outer), Some(&inner), 2);
         prop_assert!(!covered || every);
-        let inner_takes_something = points.each().any(|p| miss(Some(&inner), &p).is_none());
+        let inner_takes_something = points.each().any(|p| first_mismatch(Some(&inner), &p).is_none());
         prop_assert!(covered || !every || !inner_takes_something);
     }
 
     /// Against looking at all earlier ones.
     #[test]
     fn the_first_that_covers_is_found_by_parts(routes in proptest::collection::vec(any_match(), 1..9)) {
-        let mut earlier = Earlier::new(2);
+        let mut earlier = EarlierRoutes::new(2);
         for (k, matched) in routes.iter().enumerate() {
             let covered = |before: &usize| covers(Some(&routes[*before]), Some(matched), 2);
             let found = earlier.candidates(Some(matched)).filter(covered).min();
@@ -104,9 +106,9 @@
         size in 0u64..8,
     ) {
         let all = with(routes);
-        let points = Points::of(&[&all]);
-        let wanted = Point { traffic: "t", tenant: "b", entity, again: true, size };
-        let pattern = |p: &Point<'_>| all.routes.iter().map(|r| miss(r.r#match.as_ref(), p)).collect::<Vec<_>>();
+        let points = Samples::of(&[&all]);
+        let wanted = Sample { class: "t", tenant: "b", entity, is_retry: true, size };
+        let pattern = |p: &Sample<'_>| all.routes.iter().map(|r| first_mismatch(r.r#match.as_ref(), p)).collect::<Vec<_>>();
         prop_assert!(points.each().any(|p| pattern(&p) == pattern(&wanted)));
     }
 }
@@ -123,7 +125,7 @@
         entities: vec!["s3/r493/x".into()],
         ..Match::default()
     });
-    let mut earlier = Earlier::new(2);
+    let mut earlier = EarlierRoutes::new(2);
     let mut hidden = Vec::new();
     for (k, matched) in routes.iter().enumerate() {
         let covered = |before: &usize| covers(Some(&routes[*before]), Some(matched), 2);
@@ -137,8 +139,8 @@
     }
     assert_eq!(hidden, [(5_400, 493)]);
     assert!(
-        MOST_COMPARISONS - earlier.budget <= routes.len(),
+        MAX_COMPARISONS - earlier.budget() <= routes.len(),
         "{}",
-        earlier.budget
+        earlier.budget()
     );
 }
--- a/crates/config/tests/units.rs
+++ b/crates/config/tests/units.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainstand_config::codes::Code;
-use rainstand_config::units::{exact, factor, share, time, unit, ONE, PERCENT};
+use rainstand_config::units::{factor, find_unit, parse_decimal, share, time, ONE, PERCENT};
 
 #[test]
 fn digits_are_kept_or_refused() {
@@ -32,7 +32,7 @@
         ("000.0000", 7, Ok(0)),
     ];
     for (digits, scale, wanted) in table {
-        assert_eq!(exact(digits, scale), wanted, "{digits}");
+        assert_eq!(parse_decimal(digits, scale), wanted, "{digits}");
     }
 }
 
@@ -42,9 +42,9 @@
     #[test]
     fn written_amounts_are_read_back(steps in 0u64..u64::MAX / 2) {
         let (digits, unit_name) = time(steps).split_once(' ').map(|(a, b)| (a.to_owned(), b.to_owned())).unwrap();
-        prop_assert_eq!(exact(&digits, unit(&unit_name).unwrap().1), Ok(steps));
-        prop_assert_eq!(exact(&factor(steps), ONE), Ok(steps));
+        prop_assert_eq!(parse_decimal(&digits, find_unit(&unit_name).unwrap().steps), Ok(steps));
+        prop_assert_eq!(parse_decimal(&factor(steps), ONE), Ok(steps));
         let percent = share(steps);
-        prop_assert_eq!(exact(percent.trim_end_matches(" %"), PERCENT), Ok(steps));
+        prop_assert_eq!(parse_decimal(percent.trim_end_matches(" %"), PERCENT), Ok(steps));
     }
 }
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::table::{PlacementReason, Request, RoutingError, Table};
 use nanorand::WyRand;
-use rainstand_config::space::Miss;
+use rainstand_config::matching::Mismatch;
 
 /// One route that was considered.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// Its name.
     pub route: String,
     /// What excludes the request; `None`: the route takes it.
-    pub miss: Option<Miss>,
+    pub miss: Option<Mismatch>,
     /// What the route requires there, in the words of the configuration.
     pub wanted: String,
 }
@@ -99,20 +99,20 @@
     }
 }
 
-fn wants(table: &Table, route: u16, miss: Option<Miss>) -> String {
+fn wants(table: &Table, route: u16, miss: Option<Mismatch>) -> String {
     let Some(matched) = &table.configuration().routes[usize::from(route)].r#match else {
         return String::new();
     };
     match miss {
         None => String::new(),
-        Some(Miss::Type) => matched.types.join(", "),
-        Some(Miss::Tenant) => matched.tenants.join(", "),
-        Some(Miss::Entity) => matched.entities.join(", "),
-        Some(Miss::Again) => match matched.again() {
+        Some(Mismatch::Type) => matched.types.join(", "),
+        Some(Mismatch::Tenant) => matched.tenants.join(", "),
+        Some(Mismatch::Entity) => matched.entities.join(", "),
+        Some(Mismatch::Again) => match matched.again() {
             rainstand_config::schema::Again::FurtherTries => "yes".into(),
             _ => "no".into(),
         },
-        Some(Miss::Size) => {
+        Some(Mismatch::Size) => {
             let shown = |bytes: u64| {
                 if bytes == 0 {
                     String::new()
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -25,8 +25,8 @@
 use crate::weighted_split::{by_chance, by_entity};
 use foldhash::HashMap;
 use nanorand::WyRand;
+use rainstand_config::matching::Mismatch;
 use rainstand_config::schema::{self, Configuration, Per};
-use rainstand_config::space::Miss;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -377,7 +377,7 @@
     }
 
     /// Why a route does not take a request, if it does not.
-    pub fn mismatch(&self, route: u16, request: &Request<'_>) -> Option<Miss> {
+    pub fn mismatch(&self, route: u16, request: &Request<'_>) -> Option<Mismatch> {
         let at = usize::from(route);
         let (least, most) = self.routes[at].size;
         if !self
@@ -385,15 +385,15 @@
             .get(usize::from(request.request_class))
             .is_some_and(|row| row.has(at))
         {
-            Some(Miss::Type)
+            Some(Mismatch::Type)
         } else if !self.any_tenant.has(at) && !self.named(request).contains(&route) {
-            Some(Miss::Tenant)
+            Some(Mismatch::Tenant)
         } else if !self.by_try[usize::from(request.again)].has(at) {
-            Some(Miss::Again)
+            Some(Mismatch::Again)
         } else if !(least..=most).contains(&request.size) {
-            Some(Miss::Size)
+            Some(Mismatch::Size)
         } else if !self.takes(at, request) {
-            Some(Miss::Entity)
+            Some(Mismatch::Entity)
         } else {
             None
         }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -10,8 +10,8 @@
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use rainstand_config::matching::{first_match, first_mismatch, Samples};
 use rainstand_config::schema::{self, Configuration, Match, Per, Rate, SplitBy};
-use rainstand_config::space::{first_match, miss, Points};
 use rainstand_config::units::ONE;
 use rainstand_routing::router::{
     Admission, LimitScope, RejectReason, RouteDecision, Router, MAX_VERSIONS,
@@ -532,18 +532,18 @@
             .map(|(k, matched)| schema::Route { r#match: Some(matched), ..route(&format!("r{k}"), &[("p", 100)]) })
             .collect();
         let table = Table::new(&all).unwrap();
-        for point in Points::of(&[&all]).each() {
+        for point in Samples::of(&[&all]).each() {
             let request = Request {
-                request_class: table.request_class(point.traffic).unwrap(),
+                request_class: table.request_class(point.class).unwrap(),
                 tenant: table.tenant(point.tenant),
                 entity: point.entity,
-                again: point.again,
+                again: point.is_retry,
                 size: point.size,
                 ..Request::default()
             };
             prop_assert_eq!(table.route(&request).map(usize::from), first_match(&all.routes, &point));
             for (k, route) in all.routes.iter().enumerate() {
-                let plain = miss(route.r#match.as_ref(), &point);
+                let plain = first_mismatch(route.r#match.as_ref(), &point);
                 prop_assert_eq!(table.mismatch(k as u16, &request).is_some(), plain.is_some());
             }
         }
