--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,13 +7,14 @@
 //! what was let in stays let in. A version that has no more requests and is not the present one is dropped with
 //! whatever only it knew.
 //!
-//! Invariants: versions stand in order of number, the last is the present one and always there; `open` of
-//! a version is the number of its [`RouteDecision`]s out there; a bucket of a limit of the present version is under that
+//! Invariants: versions stand in order of number, the last is the present one and always there; `open_requests`
+//! of a version is the number of its [`RouteDecision`]s out there; a bucket of a limit of the present version is under that
 //! limit's rule.
 
 mod limits;
 
-use crate::rate_limit::LimitExceeded;
+use crate::rate_limit::{LimitExceeded, LimitScope};
+use crate::retry_after::{self, clamp_to_configuration};
 use crate::table::{Placement, Request, RoutingError, Table};
 use crate::table_update::TableChange;
 use crate::time_budget::Times;
@@ -27,15 +28,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Versions with requests in hand: a hundred changes within one outer limit and some room. Past it a new
-/// version is refused until an old one ends.
+/// Versions with requests in flight: a hundred changes within one deadline, and some more. Past it a new version is
+/// rejected until an old one ends.
 pub const MAX_VERSIONS: usize = 128;
-/// Retry-after at a concurrency limit, where nobody knows when a request ends: a typical run.
-const RETRY_AFTER_AT_CAPACITY: Duration = Duration::from_millis(100);
-/// Retry-after without a usable pool or a route: as long as health takes to change.
-const RETRY_AFTER_NO_ROUTE: Duration = Duration::from_secs(1);
-/// Retry-after where all buckets are in use: by then the sweep has visited all ([`crate::token_buckets`]).
-const RETRY_AFTER_NO_BUCKET: Duration = Duration::from_secs(1);
 /// Scopes at which limits may count a request: its class, tenant, route and pool.
 const LIMIT_SCOPES: usize = 4;
 /// Sentinel for a scope without a limit.
@@ -71,24 +66,11 @@
     NoBucket,
 }
 
-/// What a limit applies to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum LimitScope {
-    /// A request class.
-    Type,
-    /// A tenant.
-    Tenant,
-    /// A route.
-    Route,
-    /// A pool.
-    Pool,
-}
-
 /// The rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// Why it was rejected.
-    pub why: RejectReason,
+    pub reason: RejectReason,
     /// When to come back, from now on.
     pub after: Duration,
     /// The route that would have taken it.
@@ -127,10 +109,22 @@
     pub versions_dropped: u64,
 }
 
-#[derive(Debug)]
-struct Version {
-    number: u64,
-    open: u64,
+/// A version that is current, or has requests in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenVersion {
+    /// Its number.
+    pub number: u64,
+    /// Requests in flight that were admitted under it.
+    pub open_requests: u64,
+}
+
+/// How many buckets of limits there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BucketUsage {
+    /// In use.
+    pub in_use: usize,
+    /// For which memory is allocated.
+    pub allocated: usize,
 }
 
 /// Routing and limits of the current version. See the module's documentation.
@@ -138,7 +132,7 @@
 pub struct Router {
     /// Of the present version.
     table: Table,
-    versions: VecDeque<Version>,
+    versions: VecDeque<OpenVersion>,
     buckets: Buckets,
     chance: WyRand,
     counts: RouterCounts,
@@ -170,7 +164,10 @@
     pub fn of(configuration: Configuration, seed: u64) -> Result<Self, ConfigurationError> {
         Ok(Self {
             table: Table::of(configuration)?,
-            versions: VecDeque::from([Version { number: 1, open: 0 }]),
+            versions: VecDeque::from([OpenVersion {
+                number: 1,
+                open_requests: 0,
+            }]),
             buckets: Buckets::default(),
             chance: WyRand::new_seed(seed),
             counts: RouterCounts {
@@ -254,10 +251,13 @@
     /// Numbers the table as a new version.
     fn next(&mut self) -> u64 {
         let number = self.versions.back().map_or(1, |last| last.number + 1);
-        self.versions.push_back(Version { number, open: 0 });
+        self.versions.push_back(OpenVersion {
+            number,
+            open_requests: 0,
+        });
         self.counts.versions_installed += 1;
         let before = self.versions.len() - 2;
-        if self.versions[before].open == 0 {
+        if self.versions[before].open_requests == 0 {
             self.drop_version(before);
         }
         number
@@ -291,11 +291,9 @@
         (self.versions.get(at)?.number == number).then_some(at)
     }
 
-    /// The number of the present version, of all that live, and of the requests that each has.
-    pub fn versions(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
-        self.versions
-            .iter()
-            .map(|version| (version.number, version.open))
+    /// The versions that are current or have requests in flight, oldest first; the last one is current.
+    pub fn versions(&self) -> impl Iterator<Item = OpenVersion> + '_ {
+        self.versions.iter().copied()
     }
 
     /// What happened since the start.
@@ -303,9 +301,12 @@
         self.counts
     }
 
-    /// Buckets that are in use, and for how many there is room already.
-    pub fn buckets(&self) -> (usize, usize) {
-        (self.buckets.in_use(), self.buckets.capacity())
+    /// How many buckets of limits there are.
+    pub fn bucket_usage(&self) -> BucketUsage {
+        BucketUsage {
+            in_use: self.buckets.in_use(),
+            allocated: self.buckets.capacity(),
+        }
     }
 
     /// Decides about a request: its route, or when to come back. A pool whose own limits are exceeded is passed over as
@@ -335,7 +336,7 @@
         let held_buckets = self.acquire_buckets(now, placement, limits)?;
         let last = self.versions.len() - 1;
         let version = &mut self.versions[last];
-        version.open += 1;
+        version.open_requests += 1;
         self.counts.admitted += 1;
         let route = &self.table.routes[usize::from(placement.route)];
         let pool = &self.table.pools[usize::from(placement.pool)];
@@ -372,7 +373,7 @@
             let scope = LimitScope::Pool;
             let checked = check_limit(table, buckets, scope, usize::from(pool), request, pool, now);
             let Err(exceeded) = checked else { return true };
-            let after = retry_after(exceeded, now);
+            let after = retry_after_exceeded(exceeded, now);
             let earliest = passed_over.get().map_or(after, |before| before.min(after));
             passed_over.set(Some(earliest));
             false
@@ -381,23 +382,27 @@
             Ok(placement) => return Ok(placement),
             Err(error) => error,
         };
-        let (why, after, route) = match (error, passed_over.get()) {
+        let (reason, after, route) = match (error, passed_over.get()) {
             (RoutingError::NoRoute, _) => {
                 counts.no_route += 1;
-                (RejectReason::NoRoute, RETRY_AFTER_NO_ROUTE, None)
+                (RejectReason::NoRoute, retry_after::NO_ROUTE, None)
             }
             (RoutingError::NoPool(route), Some(after)) => {
                 counts.limited += 1;
-                let after = clamp_retry_after(table, Some(route), None, after);
+                let after = clamp_to_configuration(table, Some(route), None, after);
                 (RejectReason::Limit(LimitScope::Pool), after, Some(route))
             }
             (RoutingError::NoPool(route), None) => {
                 counts.no_pool += 1;
-                let after = clamp_retry_after(table, Some(route), None, RETRY_AFTER_NO_ROUTE);
+                let after = clamp_to_configuration(table, Some(route), None, retry_after::NO_ROUTE);
                 (RejectReason::NoPool, after, Some(route))
             }
         };
-        Err(Rejected { why, after, route })
+        Err(Rejected {
+            reason,
+            after,
+            route,
+        })
     }
 
     /// The limits that count a request at each scope; all must admit it.
@@ -421,7 +426,7 @@
                 Ok(limit) => limits[k] = limit,
                 // All must admit it, so the latest time counts.
                 Err(full) => {
-                    let after = retry_after(full, now);
+                    let after = retry_after_exceeded(full, now);
                     if exceeded.is_none_or(|(_, before)| after > before) {
                         exceeded = Some((scope, after));
                     }
@@ -445,7 +450,7 @@
         let keys = || limits.iter().flatten().map(|limit| limit.key);
         if !self.buckets.make_room(keys, now) {
             self.counts.no_bucket += 1;
-            return Err(self.rejected(placement, RejectReason::NoBucket, RETRY_AFTER_NO_BUCKET));
+            return Err(self.rejected(placement, RejectReason::NoBucket, retry_after::NO_BUCKET));
         }
         Ok(limits.map(|limit| {
             limit.map_or(NO_BUCKET, |limit| {
@@ -454,11 +459,11 @@
         }))
     }
 
-    fn rejected(&self, placement: Placement, why: RejectReason, after: Duration) -> Rejected {
+    fn rejected(&self, placement: Placement, reason: RejectReason, after: Duration) -> Rejected {
         let (route, pool) = (Some(placement.route), Some(placement.pool));
         Rejected {
-            why,
-            after: clamp_retry_after(&self.table, route, pool, after),
+            reason,
+            after: clamp_to_configuration(&self.table, route, pool, after),
             route,
         }
     }
@@ -482,35 +487,17 @@
             debug_assert!(false, "a way without its version");
             return;
         };
-        self.versions[at].open -= 1;
-        if self.versions[at].open == 0 && at + 1 < self.versions.len() {
+        self.versions[at].open_requests -= 1;
+        if self.versions[at].open_requests == 0 && at + 1 < self.versions.len() {
             self.drop_version(at);
         }
     }
 }
 
 /// When to come back after an exceeded limit, from now on.
-fn retry_after(exceeded: LimitExceeded, now: Duration) -> Duration {
+fn retry_after_exceeded(exceeded: LimitExceeded, now: Duration) -> Duration {
     match exceeded {
         LimitExceeded::RateUntil(then) => then.saturating_sub(now),
-        LimitExceeded::Concurrency => RETRY_AFTER_AT_CAPACITY,
-    }
-}
-
-/// Clamps a retry-after to the bounds of the route, else of the pool.
-pub(crate) fn clamp_retry_after(
-    table: &Table,
-    route: Option<u16>,
-    pool: Option<u16>,
-    after: Duration,
-) -> Duration {
-    match table.bounds(route, pool) {
-        None => after,
-        Some(bounds) => {
-            let least = Duration::from_nanos(bounds.least_ns);
-            after
-                .max(least)
-                .min(Duration::from_nanos(bounds.most_ns).max(least))
-        }
+        LimitExceeded::Concurrency => retry_after::AT_CAPACITY,
     }
 }
--- /dev/null
+++ b/src/choice/completion.rs
@@ -0,0 +1,45 @@
+//! How a request that is not rejected ends without a result, and what it leaves behind.
+//!
+//! A request that may have run is never rejected, as that promises that nothing ran: it fails, with a final error.
+//! Once it is answered, or its caller has left, nobody waits for it: its run is cancelled where runs can be. It is
+//! removed when nothing more can follow: at once if it never ran, else when its run ends. Not in KIP-124.
+
+use super::AdmissionController;
+use crate::host::Host;
+use crate::in_flight::Stage;
+
+impl AdmissionController {
+    /// The final error to a request that may have run.
+    pub(super) fn fail(&mut self, host: &mut dyn Host, index: usize) {
+        host.fail(index);
+        self.abandon(host, index);
+    }
+
+    /// Nobody waits for the request any more: frees what can be freed now, the rest when its run ends.
+    pub(super) fn abandon(&mut self, host: &mut dyn Host, index: usize) {
+        self.in_flight.set_timer(index, None);
+        let Some(request) = self.in_flight.get(index) else {
+            return;
+        };
+        request.answered = true;
+        match request.stage {
+            Stage::Queued | Stage::AwaitingResult => self.release(host, index),
+            Stage::Running => host.cancel_run(index),
+            Stage::AwaitingCall => self.awaiting_call.retain(|&other| other != index),
+            Stage::Calling => {}
+        }
+    }
+
+    /// Removes a request from all tables; its index is free again.
+    pub(super) fn release(&mut self, host: &mut dyn Host, index: usize) {
+        let Some(request) = self.in_flight.remove(index) else {
+            return;
+        };
+        match request.stage {
+            Stage::Queued => self.queues[request.class_index].remove(request.account, index),
+            Stage::AwaitingCall => self.awaiting_call.retain(|&other| other != index),
+            Stage::AwaitingResult | Stage::Running | Stage::Calling => {}
+        }
+        host.release(index);
+    }
+}
