--- a/crates/cli/src/config/why.rs
+++ b/crates/cli/src/config/why.rs
@@ -3,8 +3,8 @@
 use crate::error::{CommandError, CommandResult};
 use crate::output::{self, ExitStatus};
 use clap::Args;
-use rainstand_config::codes::Code;
-use rainstand_config::form::form;
+use rainstand_config::codes::{Code, Examples};
+use rainstand_config::formatter::format;
 
 /// The first line of each file; examples go without it.
 const FIRST_LINE: &str = "rain 1\n";
@@ -40,16 +40,16 @@
     let mut lines = vec![
         format!("{}: {}", code.id(), code.title()),
         String::new(),
-        code.why().to_owned(),
+        code.explanation().to_owned(),
     ];
-    let (wrong, right) = code.examples();
+    let Examples { wrong, right } = code.examples();
     for (name, example) in [("Wrong", wrong), ("Right", right)] {
         if example.is_empty() {
             continue;
         }
         lines.extend([String::new(), format!("{name}:")]);
         // In the form that people write.
-        let formatted = form(&format!("{FIRST_LINE}{example}"));
+        let formatted = format(&format!("{FIRST_LINE}{example}"));
         let shown = match &formatted {
             Ok(formatted) => formatted.trim_start_matches(FIRST_LINE),
             Err(_) => example,
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -5,7 +5,7 @@
 use rainstand_config::codes::Code as FindingCode;
 use rainstand_config::diff::Change;
 use rainstand_config::schema::{self, Configuration};
-use rainstand_config::source::{Disk, FileId, Sources};
+use rainstand_config::source::{Disk, FileId, SourceMap};
 use rainstand_config::{load, Finding};
 use rainstand_routing::table::Table;
 use serde_json::{json, Value};
@@ -21,7 +21,7 @@
 pub(crate) struct LoadedConfiguration {
     pub(crate) configuration: Configuration,
     /// The `.rain` files that it came from; empty for a compiled one.
-    pub(crate) sources: Sources,
+    pub(crate) sources: SourceMap,
     /// Warnings that were printed.
     pub(crate) warnings: usize,
 }
@@ -59,7 +59,7 @@
     };
     Ok(LoadedConfiguration {
         configuration,
-        sources: Sources::default(),
+        sources: SourceMap::default(),
         warnings: 0,
     })
 }
@@ -93,7 +93,7 @@
             | FindingCode::TooLarge
             | FindingCode::NotUtf8
     );
-    is_about_reading && finding.at.file == FileId(0) && finding.at.end == 0
+    is_about_reading && finding.span.file == FileId(0) && finding.span.end == 0
 }
 
 /// A number with its noun, such as "2 errors".
@@ -116,15 +116,11 @@
 /// A configuration that can be routed by.
 fn checked(
     path: &str,
-    decoded: Result<Configuration, schema::Refused>,
+    decoded: Result<Configuration, schema::DecodeError>,
 ) -> Result<Configuration, CommandError> {
     let routable = decoded.and_then(|configuration| match Table::new(&configuration) {
         Ok(_) => Ok(configuration),
-        Err(error) => Err(schema::Refused {
-            line: 0,
-            column: 0,
-            why: error.to_string(),
-        }),
+        Err(error) => Err(schema::DecodeError::binary(error)),
     });
     routable.map_err(|error| CommandError::MalformedConfiguration {
         path: path.to_owned(),
@@ -171,7 +167,7 @@
     match change {
         Change::Added { what } => json!({"change": "added", "what": what}),
         Change::Removed { what } => json!({"change": "removed", "what": what}),
-        Change::Otherwise {
+        Change::ValueChanged {
             what,
             key,
             before,
@@ -179,16 +175,15 @@
         } => {
             json!({"change": "otherwise", "what": what, "key": key, "before": before, "after": after})
         }
-        Change::Elsewhere {
-            tickets,
+        Change::Rerouted {
+            requests,
             before,
             after,
-            pools,
         } => json!({
-            "change": "elsewhere", "tickets": tickets, "before": before, "after": after,
-            "pools_before": pools.0, "pools_after": pools.1,
+            "change": "elsewhere", "tickets": requests, "before": before.route, "after": after.route,
+            "pools_before": before.pools, "pools_after": after.pools,
         }),
-        Change::Order { before, after } => {
+        Change::Reordered { before, after } => {
             json!({"change": "order", "before": before, "after": after})
         }
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -23,7 +23,7 @@
     #[error("{path}:{error}")]
     MalformedConfiguration {
         path: String,
-        error: schema::Refused,
+        error: schema::DecodeError,
     },
     /// The findings are printed already.
     #[error("findings were printed")]
--- a/crates/config/src/ast.rs
+++ b/crates/config/src/ast.rs
@@ -1,101 +1,113 @@
-//! The tree without what means nothing: blocks, their entries, and the atoms of each value, borrowed from
-//! the text. What has a wrong shape at this level is told here and left out.
+//! The syntax tree without trivia: blocks, their entries, and the atoms of each value, borrowed from the text. What
+//! has a wrong shape at this level is reported here and left out.
 
 use crate::codes::Code;
 use crate::finding::shorten;
-use crate::lex::unquote;
-use crate::parse::Parsed;
-use crate::source::{Sources, Span};
-use crate::tree::{Element, Kind, Node};
+use crate::lexer::unquote;
+use crate::parser::ParsedFile;
+use crate::source::{SourceMap, Span};
+use crate::syntax::{SyntaxElement, SyntaxKind, SyntaxNode};
 use crate::{Finding, Findings};
 use std::borrow::Cow;
 
-/// A word or text that stands for something.
+/// A word, or the value of a string, that names something.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name<'t> {
+    /// The name, unquoted.
     pub text: Cow<'t, str>,
-    pub at: Span,
+    /// Where it stands, with its quotes.
+    pub span: Span,
 }
 
+/// A block such as `limits narrow from wide { … }`.
 #[derive(Clone, Debug)]
 pub struct Block<'t> {
+    /// The word that it begins with.
     pub kind: Name<'t>,
+    /// Its own name.
     pub name: Option<Name<'t>>,
-    /// What it is built on.
+    /// The name of the block whose entries it takes over.
     pub base: Option<Name<'t>>,
+    /// Its entries, in the order of the file.
     pub entries: Vec<Entry<'t>>,
+    /// The blocks in it, in the order of the file.
     pub blocks: Vec<Block<'t>>,
 }
 
 impl Block<'_> {
     /// Where to point for the block as a whole: its name, else its kind.
-    pub fn at(&self) -> Span {
-        self.name.as_ref().map_or(self.kind.at, |name| name.at)
+    pub fn span(&self) -> Span {
+        self.name.as_ref().map_or(self.kind.span, |name| name.span)
     }
 
-    /// Where the values of an entry stand, else the block's own place.
-    pub fn place(&self, key: &str) -> Span {
+    /// Where the values of an entry stand; the block's own place if it has no such entry.
+    pub fn span_of(&self, key: &str) -> Span {
         self.entries
             .iter()
             .find(|entry| entry.key.text == key)
-            .map_or(self.at(), Entry::values_at)
+            .map_or(self.span(), Entry::values_span)
     }
 }
 
+/// An entry such as `to: hall 60 %, other 40 %`.
 #[derive(Clone, Debug)]
 pub struct Entry<'t> {
+    /// Its key, a word.
     pub key: Name<'t>,
-    /// At least one, if the file has no syntax error here.
+    /// Its values; at least one, if the file has no syntax error here.
     pub values: Vec<Value<'t>>,
 }
 
 impl Entry<'_> {
-    pub fn values_at(&self) -> Span {
+    /// From the first value to the last; the key if there is none.
+    pub fn values_span(&self) -> Span {
         match (self.values.first(), self.values.last()) {
-            (Some(first), Some(last)) => Span {
-                end: last.at.end,
-                ..first.at
-            },
-            _ => self.key.at,
+            (Some(first), Some(last)) => first.span.to(last.span),
+            _ => self.key.span,
         }
     }
 }
 
-/// One item of an entry's list.
+/// One value of an entry.
 #[derive(Clone, Debug)]
 pub struct Value<'t> {
-    pub at: Span,
+    /// From its first atom to its last.
+    pub span: Span,
     /// As written.
     pub text: &'t str,
+    /// Its tokens without trivia; at least one.
     pub atoms: Vec<Atom<'t>>,
 }
 
+/// A token of a value.
 #[derive(Clone, Debug)]
 pub struct Atom<'t> {
-    pub kind: Kind,
-    pub at: Span,
-    /// As written, quotes and all.
+    /// The kind of token.
+    pub kind: SyntaxKind,
+    /// Where it stands.
+    pub span: Span,
+    /// As written, with its quotes.
     pub text: &'t str,
 }
 
 impl<'t> Atom<'t> {
-    /// What a word or text says.
-    pub fn said(&self) -> Option<Name<'t>> {
+    /// The name that a word or string is; none for other tokens.
+    pub fn as_name(&self) -> Option<Name<'t>> {
         match self.kind {
-            Kind::Word => Some(Name {
+            SyntaxKind::Word => Some(Name {
                 text: Cow::Borrowed(self.text),
-                at: self.at,
+                span: self.span,
             }),
-            Kind::Text => Some(Name {
-                text: said(self.text),
-                at: self.at,
+            SyntaxKind::Text => Some(Name {
+                text: string_value(self.text),
+                span: self.span,
             }),
             _ => None,
         }
     }
 }
 
-fn said(quoted: &str) -> Cow<'_, str> {
+fn string_value(quoted: &str) -> Cow<'_, str> {
     if quoted.contains('\\') {
         Cow::Owned(unquote(quoted))
     } else {
@@ -103,9 +115,13 @@
     }
 }
 
-/// The blocks of one file.
-pub fn read<'t>(sources: &'t Sources, parsed: &Parsed, findings: &mut Findings) -> Vec<Block<'t>> {
-    let mut reader = Reader {
+/// Lowers one file's tree to its blocks. Entries outside blocks and unknown escapes are added to `findings`.
+pub fn lower<'t>(
+    sources: &'t SourceMap,
+    parsed: &ParsedFile,
+    findings: &mut Findings,
+) -> Vec<Block<'t>> {
+    let mut lowering = Lowering {
         text: sources.text(parsed.file),
         parsed,
         findings,
@@ -114,13 +130,13 @@
     let mut blocks = Vec::new();
     for node in root.children() {
         match node.kind() {
-            Kind::Block => blocks.extend(reader.block(&node)),
-            Kind::Entry => {
-                let at = reader.span(node.text_range());
-                let words = format!("`{}` stands in no block", shorten(reader.slice(at)));
-                reader
+            SyntaxKind::Block => blocks.extend(lowering.block(&node)),
+            SyntaxKind::Entry => {
+                let span = lowering.span(node.text_range());
+                let message = format!("`{}` stands in no block", shorten(lowering.slice(span)));
+                lowering
                     .findings
-                    .push(Finding::new(Code::EntryOutside, at, words));
+                    .push(Finding::new(Code::EntryOutside, span, message));
             }
             _ => {}
         }
@@ -128,13 +144,13 @@
     blocks
 }
 
-struct Reader<'t, 'f> {
+struct Lowering<'t, 'f> {
     text: &'t str,
-    parsed: &'f Parsed,
+    parsed: &'f ParsedFile,
     findings: &'f mut Findings,
 }
 
-impl<'t> Reader<'t, '_> {
+impl<'t> Lowering<'t, '_> {
     fn span(&self, range: rowan::TextRange) -> Span {
         Span {
             file: self.parsed.file,
@@ -143,74 +159,74 @@
         }
     }
 
-    fn slice(&self, at: Span) -> &'t str {
-        &self.text[at.start as usize..at.end as usize]
+    fn slice(&self, span: Span) -> &'t str {
+        &self.text[span.start as usize..span.end as usize]
     }
 
-    fn name(&mut self, kind: Kind, at: Span) -> Name<'t> {
-        let written = self.slice(at);
-        if kind != Kind::Text {
+    fn name(&mut self, kind: SyntaxKind, span: Span) -> Name<'t> {
+        let written = self.slice(span);
+        if kind != SyntaxKind::Text {
             return Name {
                 text: Cow::Borrowed(written),
-                at,
+                span,
             };
         }
-        self.look_at_escapes(written, at);
+        self.check_escapes(written, span);
         Name {
-            text: said(written),
-            at,
+            text: string_value(written),
+            span,
         }
     }
 
-    fn look_at_escapes(&mut self, written: &str, at: Span) {
+    fn check_escapes(&mut self, written: &str, span: Span) {
         let mut chars = written.chars();
         while let Some(c) = chars.next() {
             if c == '\\' {
                 let escaped = chars.next();
                 if !matches!(escaped, Some('"' | '\\')) {
-                    let words = format!(
+                    let message = format!(
                         "`\\{}` is no escape",
                         escaped.map_or(String::new(), String::from)
                     );
-                    let finding = Finding::new(Code::Escape, at, words);
+                    let finding = Finding::new(Code::Escape, span, message);
                     self.findings
-                        .push(finding.help("only `\\\"` and `\\\\` are"));
+                        .push(finding.with_help("only `\\\"` and `\\\\` are"));
                     return;
                 }
             }
         }
     }
 
-    fn block(&mut self, node: &Node) -> Option<Block<'t>> {
-        let mut head: Vec<(Kind, Span)> = Vec::new();
+    fn block(&mut self, node: &SyntaxNode) -> Option<Block<'t>> {
+        let mut head: Vec<(SyntaxKind, Span)> = Vec::new();
         let (mut entries, mut blocks, mut opened) = (Vec::new(), Vec::new(), false);
         for part in node.children_with_tokens() {
             match part {
-                Element::Token(token) => match token.kind() {
-                    Kind::Open => opened = true,
-                    kind @ (Kind::Word | Kind::Text) if !opened => {
+                SyntaxElement::Token(token) => match token.kind() {
+                    SyntaxKind::Open => opened = true,
+                    kind @ (SyntaxKind::Word | SyntaxKind::Text) if !opened => {
                         head.push((kind, self.span(token.text_range())));
                     }
                     _ => {}
                 },
-                Element::Node(child) => match child.kind() {
-                    Kind::Entry => entries.extend(self.entry(&child)),
-                    Kind::Block => blocks.extend(self.block(&child)),
+                SyntaxElement::Node(child) => match child.kind() {
+                    SyntaxKind::Entry => entries.extend(self.entry(&child)),
+                    SyntaxKind::Block => blocks.extend(self.block(&child)),
                     _ => {}
                 },
             }
         }
         let mut head = head.into_iter();
-        let (kind, at) = head.next()?;
-        let kind = self.name(kind, at);
+        let (kind, span) = head.next()?;
+        let kind = self.name(kind, span);
         let (mut name, mut base) = (None, None);
         let mut next = head.next();
-        if next.is_some_and(|(kind, at)| kind == Kind::Text || self.slice(at) != "from") {
-            name = next.map(|(kind, at)| self.name(kind, at));
+        if next.is_some_and(|(kind, span)| kind == SyntaxKind::Text || self.slice(span) != "from") {
+            name = next.map(|(kind, span)| self.name(kind, span));
             next = head.next();
         }
         if next.is_some() {
-            base = head.next().map(|(kind, at)| self.name(kind, at));
+            base = head.next().map(|(kind, span)| self.name(kind, span));
         }
         Some(Block {
             kind,
@@ -221,17 +237,19 @@
         })
     }
 
-    fn entry(&mut self, node: &Node) -> Option<Entry<'t>> {
+    fn entry(&mut self, node: &SyntaxNode) -> Option<Entry<'t>> {
         let mut key = None;
         let mut values = Vec::new();
         for part in node.children_with_tokens() {
             match part {
-                Element::Token(token) if key.is_none() && token.kind() == Kind::Word => {
-                    let at = self.span(token.text_range());
-                    key = Some(self.name(Kind::Word, at));
+                SyntaxElement::Token(token)
+                    if key.is_none() && token.kind() == SyntaxKind::Word =>
+                {
+                    let span = self.span(token.text_range());
+                    key = Some(self.name(SyntaxKind::Word, span));
                 }
-                Element::Node(child) if child.kind() == Kind::Value => {
-                    values.extend(self.value(&child))
+                SyntaxElement::Node(child) if child.kind() == SyntaxKind::Value => {
+                    values.extend(self.value(&child));
                 }
                 _ => {}
             }
@@ -239,31 +257,31 @@
         Some(Entry { key: key?, values })
     }
 
-    /// Nothing if it is empty: that was told when it was parsed.
-    fn value(&mut self, node: &Node) -> Option<Value<'t>> {
+    /// None if it is empty, which the parser has reported.
+    fn value(&mut self, node: &SyntaxNode) -> Option<Value<'t>> {
         let mut atoms = Vec::with_capacity(2);
-        for token in node.children_with_tokens().filter_map(Element::into_token) {
+        for token in node
+            .children_with_tokens()
+            .filter_map(SyntaxElement::into_token)
+        {
             let kind = token.kind();
             if kind.is_trivia() {
                 continue;
             }
-            let at = self.span(token.text_range());
-            let text = self.slice(at);
-            if kind == Kind::Text {
-                self.look_at_escapes(text, at);
+            let span = self.span(token.text_range());
+            let text = self.slice(span);
+            if kind == SyntaxKind::Text {
+                self.check_escapes(text, span);
             }
-            atoms.push(Atom { kind, at, text });
+            atoms.push(Atom { kind, span, text });
         }
-        let at = Span {
-            end: atoms.last()?.at.end,
-            ..atoms.first()?.at
-        };
-        if atoms.iter().any(|atom| atom.kind == Kind::OpenText) {
+        let span = atoms.first()?.span.to(atoms.last()?.span);
+        if atoms.iter().any(|atom| atom.kind == SyntaxKind::OpenText) {
             return None;
         }
         Some(Value {
-            at,
-            text: self.slice(at),
+            span,
+            text: self.slice(span),
             atoms,
         })
     }
