--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,21 +4,21 @@
 //!
 //! | layer | job |
 //! | --- | --- |
-//! | [`source`] | files and places in them |
-//! | [`include`] | the includes between files |
+//! | [`source`] | where files come from, the source map, spans |
+//! | [`mod@include`] | the includes between files |
 //! | [`lexer`] | bytes to tokens |
-//! | [`syntax`] | the lossless tree: every byte is in it |
-//! | [`parser`] | tokens to the tree; goes on after an error |
-//! | [`ast`] | the tree without what means nothing |
+//! | [`syntax`] | the lossless syntax tree: every byte is in it |
+//! | [`parser`] | tokens to the syntax tree; resumes after an error |
+//! | [`ast`] | the syntax tree without trivia |
 //! | [`units`] | exact amounts with their units |
 //! | [`resolve`] | names, defaults, one policy built on another: the message of [`schema`] |
-//! | [`check`] | what the four rules and plain sense ask of it |
+//! | [`check`] | the four rules, and plain contradictions |
 //! | [`matching`] | which requests a route can match, decided exactly |
 //! | [`formatter`] | the one way to write a file |
 //! | [`diff`] | what changed in meaning |
 //! | [`report`] | findings as a person or a program reads them; [`codes`] explains each |
 //!
-//! Nothing here decides about a ticket: that is `rainstand-routing`, from the compiled message.
+//! Nothing here decides about a request: that is `rainstand-routing`, from the compiled message.
 //!
 //! ```
 //! use rainstand_config::{load, source::Memory};
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -1,7 +1,7 @@
 //! Tokens to the syntax tree, by recursive descent. After an error it resumes at the next line or brace, so that
 //! one run reports all syntax errors.
 //!
-//! Bounds: blocks nest [`MAX_BLOCK_DEPTH`] deep, deeper ones are skipped without recursion; time is linear in the
+//! Bounds: blocks nest eight deep, deeper ones are skipped without recursion; time is linear in the
 //! tokens, since every step takes at least one.
 
 use crate::codes::Code;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Parses one file's text; syntax errors are added to `findings`, at most [`MAX_FINDINGS_PER_FILE`] and a last one
+/// Parses one file's text; syntax errors are added to `findings`, at most 200 and a last one
 /// that says so.
 pub fn parse(file: FileId, text: &str, findings: &mut Findings) -> ParsedFile {
     let tokens = lex(text);
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -16,6 +16,7 @@
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor, Value};
 use std::fmt;
 use std::sync::OnceLock;
+use thiserror::Error;
 
 #[allow(
     missing_docs,
@@ -55,6 +56,15 @@
             message: message.to_string(),
         }
     }
+
+    /// An error of a text as a whole.
+    fn at_start(message: impl fmt::Display) -> Self {
+        Self {
+            line: 1,
+            column: 1,
+            message: message.to_string(),
+        }
+    }
 }
 
 impl fmt::Display for DecodeError {
@@ -117,15 +127,8 @@
             message: error.to_string(),
         }
     })?;
-    let at_start = |message: String| DecodeError {
-        line: 1,
-        column: 1,
-        message,
-    };
-    let configuration = message
-        .transcode_to()
-        .map_err(|error| at_start(error.to_string()))?;
-    check_version(configuration).map_err(at_start)
+    let configuration = message.transcode_to().map_err(DecodeError::at_start)?;
+    check_version(configuration).map_err(DecodeError::at_start)
 }
 
 /// The protobuf binary format.
@@ -155,12 +158,14 @@
     check_version(configuration).map_err(DecodeError::binary)
 }
 
-fn check_version(configuration: Configuration) -> Result<Configuration, String> {
+#[derive(Debug, Error)]
+#[error("version {0} of the schema; this program knows version {VERSION}")]
+struct UnknownVersion(u32);
+
+fn check_version(configuration: Configuration) -> Result<Configuration, UnknownVersion> {
     match configuration.version {
         VERSION => Ok(configuration),
-        other => Err(format!(
-            "version {other} of the schema; this program knows version {VERSION}"
-        )),
+        other => Err(UnknownVersion(other)),
     }
 }
 
