--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -196,13 +196,13 @@
             has_header = true;
         }
         if !has_header {
-            let at = Span {
+            let span = Span {
                 end: self.start,
                 ..self.span()
             };
             let finding = Finding::new(
                 Code::NoVersion,
-                at,
+                span,
                 "the file does not begin with its version",
             );
             self.report(finding.with_help("write `rain 1` as its first line"));
@@ -212,10 +212,10 @@
             match self.peek() {
                 None => break,
                 Some(Token::Close) => {
-                    let at = self.span();
+                    let span = self.span();
                     self.report(Finding::new(
                         Code::StrayBrace,
-                        at,
+                        span,
                         "this `}` closes nothing",
                     ));
                     self.start_node(SyntaxKind::Skipped);
@@ -242,9 +242,9 @@
         self.skip_blanks();
         if self.next_text() != "1" {
             let message = format!("version {} of the language is not known", self.next_text());
-            let at = self.span();
+            let span = self.span();
             self.report(
-                Finding::new(Code::Version, at, message).with_help("this program reads `rain 1`"),
+                Finding::new(Code::Version, span, message).with_help("this program reads `rain 1`"),
             );
         }
         self.bump();
@@ -310,10 +310,10 @@
     }
 
     fn unterminated_string(&mut self) {
-        let at = self.span();
+        let span = self.span();
         self.report(Finding::new(
             Code::OpenText,
-            at,
+            span,
             "this text has no closing `\"` on its line",
         ));
         self.bump();
@@ -412,9 +412,9 @@
             self.skip_trivia();
             match self.peek() {
                 None => {
-                    let at = self.span();
+                    let span = self.span();
                     let message = format!("the block `{}` is not closed", self.text_of(kind));
-                    let finding = Finding::new(Code::NotClosed, at, message);
+                    let finding = Finding::new(Code::NotClosed, span, message);
                     self.report(
                         finding
                             .with_label(brace, "opened here")
