--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A link between two processes as a thing with two ends and two directions: a listener that the one connects to,
 //! and, for each connection, one to the other. What passes can be held, slowed, cut and sent twice.
 
-use crate::plan::Trouble;
+use crate::fault_schedule::Trouble;
 use nanorand::{Rng, WyRand};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
--- a/crates/testbed/src/ready/setup.rs
+++ b/crates/testbed/src/ready/setup.rs
@@ -8,7 +8,7 @@
 use super::STOP;
 use crate::peers::agent;
 use crate::process::{program, Process};
-use crate::stage::{first_line, group_of, node_file};
+use crate::scenario::{first_line, group_of, node_file};
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema;
 use rainstand_config::schema::GroupMember;
--- a/crates/testbed/src/stage/configuration.rs
+++ b/crates/testbed/src/scenario/configuration.rs
@@ -1,7 +1,7 @@
 //! Configuration files of nodes and of their group.
 
 use super::{Node, Stage, STOP};
-use crate::plan::Link;
+use crate::fault_schedule::Link;
 use rainstand_config::schema;
 use rainstand_config::schema::Configuration;
 use serde_json::json;
--- a/crates/testbed/src/stage/fault_injection.rs
+++ b/crates/testbed/src/scenario/fault_injection.rs
@@ -1,7 +1,7 @@
 //! Steps of a schedule: each fault is injected, held for its time and taken back.
 
 use super::{Stage, STOP};
-use crate::plan::{Act, Disk, Step, AFTER};
+use crate::fault_schedule::{Act, Disk, Step, AFTER};
 use crate::process::COMES_UP;
 use rustix::process::Signal;
 use std::io::Write;
--- a/crates/testbed/src/stage/launch.rs
+++ b/crates/testbed/src/scenario/launch.rs
@@ -1,8 +1,8 @@
 //! Agents, callers and nodes as child processes, and the links that lead to them.
 
 use super::Stage;
+use crate::fault_schedule::Link;
 use crate::peers::{agent, caller};
-use crate::plan::Link;
 use crate::process::{free_port, program, starts, Process, COMES_UP};
 use rainstand_config::schema;
 use std::net::SocketAddr;
--- a/crates/testbed/src/stage/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -8,7 +8,7 @@
 mod summary;
 
 use crate::check::{check, Verdict};
-use crate::plan::{Link, Step};
+use crate::fault_schedule::{Link, Step};
 use crate::process::{Process, COMES_UP};
 use crate::proxy::Proxy;
 pub(crate) use configuration::{group_of, node_file};
--- a/crates/testbed/src/stage/summary.rs
+++ b/crates/testbed/src/scenario/summary.rs
@@ -1,7 +1,7 @@
 //! What a run came to: its history gathered from all processes, and how much was answered.
 
+use crate::fault_schedule::{Act, Disk, Step, Trouble};
 use crate::history;
-use crate::plan::{Act, Disk, Step, Trouble};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -3,14 +3,14 @@
 //! Real scheduling is not the seed's: a schedule that failed once may pass the next time. A smaller one is only taken
 //! if it failed itself, and each is given a stated number of plays to do so.
 
-use crate::plan::Step;
+use crate::fault_schedule::Step;
 
 /// Tries halves, quarters and so on of the faults, then each fault alone; the smallest that failed.
 ///
 /// `fails` plays a schedule and says whether it broke something.
 ///
 /// ```
-/// use rainstand_testbed::plan::{Act, Disk, Step};
+/// use rainstand_testbed::fault_schedule::{Act, Disk, Step};
 /// use rainstand_testbed::shrink::shrink;
 /// use std::time::Duration;
 /// let kill = |fault| Step {
--- a/crates/testbed/src/soak/forwarder.rs
+++ b/crates/testbed/src/soak/forwarder.rs
@@ -5,7 +5,7 @@
 use super::verdict::{drain_until_kill, Used};
 use super::{crowd, signals, SoakOptions, SoakReport};
 use crate::process::{free_port, program, starts, Process};
-use crate::stage::{node_file, STOP};
+use crate::scenario::{node_file, STOP};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use std::fs;
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -5,7 +5,7 @@
 use super::{crowd, signals, SoakOptions, SoakReport};
 use crate::peers::agent;
 use crate::process::{free_port, program, starts, Process};
-use crate::stage::{first_line, node_file, STOP};
+use crate::scenario::{first_line, node_file, STOP};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use serde_json::Value;
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -5,7 +5,7 @@
 use rainstand_testbed::check::check;
 use rainstand_testbed::history::{End, Event, Line, Seen};
 use rainstand_testbed::play_identity::PlayIdentity;
-use rainstand_testbed::sim::{self, Outcome, World};
+use rainstand_testbed::simulation::{self, Outcome, World};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, OpenOptions};
@@ -269,7 +269,7 @@
                         return;
                     }
                     // A panic of the code under test is a finding too.
-                    let outcome = std::panic::catch_unwind(|| sim::play(world, seed));
+                    let outcome = std::panic::catch_unwind(|| simulation::play(world, seed));
                     let outcome = outcome.unwrap_or_else(|_| Outcome {
                         wrong: vec!["panicked".to_owned()],
                         ..Outcome::default()
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -9,8 +9,8 @@
 
 use rainstand_config::schema::Rig;
 use rainstand_config::source::Disk;
-use rainstand_testbed::plan::schedule;
-use rainstand_testbed::stage::{play, Place, Report};
+use rainstand_testbed::fault_schedule::schedule;
+use rainstand_testbed::scenario::{play, Place, Report};
 use std::path::Path;
 use std::sync::{Condvar, Mutex};
 use tokio::task::LocalSet;
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -8,7 +8,7 @@
 )]
 
 use rainstand_testbed::check::check;
-use rainstand_testbed::sim::{play, World};
+use rainstand_testbed::simulation::{play, World};
 
 #[test]
 fn groups_keep_the_rules_through_faults_of_all_kinds() {
