--- a/crates/testbed/src/fault_schedule.rs
+++ b/crates/testbed/src/fault_schedule.rs
@@ -1,29 +1,56 @@
-//! A rig of a configuration and a seed to what is done to whom and when. Pure: the same seed gives the same schedule.
+//! From a rig of a configuration and a seed to what is done to whom and when. Pure: the same seed gives the same
+//! schedule.
 //!
 //! What a seed does not fix is how the machine's scheduler interleaves the processes; see `docs/rig.md`.
 
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{Rig, RigDisk, RigFault, RigLink, RigTrouble};
 use serde::Serialize;
+use std::ops::Range;
 use std::time::Duration;
 
-/// Faults begin in this part of the run: callers are up before, and there is time to come back after.
-const BEGINS: [f64; 2] = [0.1, 0.7];
-/// After a fault on a node or its links, for what was waiting then: its callers may still leave its tickets.
-pub const AFTER: Duration = Duration::from_millis(1_500);
+/// Drawn faults begin in this part of the run: callers are up before, and there is time to recover after.
+const START_RANGE: Range<f64> = 0.1..0.7;
+/// Drawn faults are over by this part of the run.
+const END_OF_DRAWN: f64 = 0.9;
+/// Bytes a second of a link that is throttled.
+const THROTTLED_RATE: u64 = 20_000;
+/// Rates of clocks that are wrong, in thousandths.
+const FAST_CLOCK: u32 = 1_500;
+const RIGHT_CLOCK: u32 = 1_000;
+const SLOW_CLOCK: u32 = 700;
+/// After a fault on a node or its links, for what was waiting then: its callers may still leave their requests.
+pub const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
 
 /// A link, by who is at its ends. Nodes and callers count from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Link {
-    Caller { caller: usize, node: usize },
-    Agent { node: usize },
-    Peer { from: usize, to: usize },
+    /// From a caller to a node.
+    Caller {
+        /// Who opens it.
+        caller: usize,
+        /// Where it leads.
+        node: usize,
+    },
+    /// From a node to its agent.
+    Agent {
+        /// Who opens it.
+        node: usize,
+    },
+    /// Between two members of a group.
+    Peer {
+        /// Who opens it.
+        from: usize,
+        /// Where it leads.
+        to: usize,
+    },
 }
 
 impl Link {
-    /// Whose service callers may miss while it is broken: peers are not between a caller and its node.
-    pub fn serves(self) -> Option<usize> {
+    /// The node whose service callers may miss while the link is broken; none for peers, which are not between a
+    /// caller and its node.
+    pub fn served_node(self) -> Option<usize> {
         match self {
             Link::Caller { node, .. } | Link::Agent { node } => Some(node),
             Link::Peer { .. } => None,
@@ -31,17 +58,20 @@
     }
 }
 
-/// What a link does while it lasts; `forth` is from the one that opened it.
+/// A fault of a link; `forth` is the direction from the end that opened it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum LinkFault {
     /// Nothing passes; at the end all its connections are reset.
     Cut {
+        /// From the end that opened it.
         forth: bool,
+        /// To the end that opened it.
         back: bool,
     },
     /// The far end is gone, the near end hears nothing of it.
     HalfOpen,
+    /// Each chunk waits so long, give or take half.
     Delay(Duration),
     /// Bytes a second.
     Throttle(u64),
@@ -49,129 +79,167 @@
     Stall,
 }
 
-/// What is done.
+/// The cut of both directions.
+const CUT: LinkFault = LinkFault::Cut {
+    forth: true,
+    back: true,
+};
+/// The cuts of one direction.
+const CUT_FORTH: LinkFault = LinkFault::Cut {
+    forth: true,
+    back: false,
+};
+const CUT_BACK: LinkFault = LinkFault::Cut {
+    forth: false,
+    back: true,
+};
+
+/// What is done to a process, its disk, its clock or a link. Nodes count from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum FaultAction {
+    /// A link is broken for a time.
     Link {
+        /// Which one.
         link: Link,
-        trouble: Trouble,
+        /// In which way.
+        #[serde(rename = "trouble")]
+        fault: LinkFault,
     },
-    /// In the middle of what passes next.
+    /// A connection is reset in the middle of what passes next.
     Reset {
+        /// Of this link.
         link: Link,
     },
-    /// The last frame once more, over a new connection.
-    Twice {
+    /// The last frame is sent once more, over a new connection.
+    #[serde(rename = "twice")]
+    DuplicateFrame {
+        /// Of this link.
         link: Link,
     },
+    /// A node is killed, and started again after a time.
     Kill {
+        /// Which one.
         node: usize,
-        disk: Disk,
+        /// What it finds when it is started again.
+        disk: RestartDisk,
     },
-    /// Whoever leads most shards then.
-    Chase {
-        disk: Disk,
+    /// Whichever node leads most shards then is killed.
+    #[serde(rename = "chase")]
+    KillLeader {
+        /// What it finds when it is started again.
+        disk: RestartDisk,
     },
+    /// A node is stopped by a signal, and continued.
     Stop {
+        /// Which one.
         node: usize,
     },
-    /// Drained, and started again.
-    Roll {
+    /// A node is drained, and started again.
+    #[serde(rename = "roll")]
+    RollingRestart {
+        /// Which one.
         node: usize,
     },
+    /// Every flush of a node fails.
     FlushFails {
+        /// Which one.
         node: usize,
     },
+    /// Every write of a node fails.
     DiskFull {
+        /// Which one.
         node: usize,
     },
+    /// Every flush of a node takes longer.
     DiskSlow {
+        /// Which one.
         node: usize,
+        /// By so much.
         by: Duration,
     },
-    /// Killed with half a record written behind its log.
-    Torn {
+    /// A node is killed with half a record written behind its log.
+    #[serde(rename = "torn")]
+    TornWrite {
+        /// Which one.
         node: usize,
     },
-    /// Rate in thousandths, and a step.
+    /// A node runs with a clock that is wrong.
     Clock {
+        /// Which one.
         node: usize,
+        /// In thousandths.
         rate: u32,
+        /// How far it is ahead from the start.
         step: Duration,
     },
 }
 
-impl Act {
-    /// Whose callers may be left without an answer by it.
-    pub fn disturbs(&self) -> Vec<usize> {
+impl FaultAction {
+    /// The nodes whose callers may be left without an answer by it.
+    pub fn disturbed_nodes(&self) -> Vec<usize> {
         match self {
-            Act::Link { link, .. } | Act::Reset { link } | Act::Twice { link } => {
-                link.serves().into_iter().collect()
+            Self::Link { link, .. } | Self::Reset { link } | Self::DuplicateFrame { link } => {
+                link.served_node().into_iter().collect()
             }
-            Act::Kill { node, .. }
-            | Act::Stop { node }
-            | Act::Roll { node }
-            | Act::Torn { node } => {
-                vec![*node]
-            }
-            Act::FlushFails { .. } | Act::DiskFull { .. } | Act::DiskSlow { .. } => Vec::new(),
-            Act::Clock { node, .. } => vec![*node],
-            Act::Chase { .. } => Vec::new(),
+            Self::Kill { node, .. }
+            | Self::Stop { node }
+            | Self::RollingRestart { node }
+            | Self::TornWrite { node }
+            | Self::Clock { node, .. } => vec![*node],
+            Self::FlushFails { .. }
+            | Self::DiskFull { .. }
+            | Self::DiskSlow { .. }
+            | Self::KillLeader { .. } => Vec::new(),
         }
     }
 }
 
-/// The disk that a killed process finds.
+/// The disk that a killed process finds when it is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Disk {
+pub enum RestartDisk {
+    /// As it left it.
     Same,
+    /// Without any file.
     Empty,
-    /// As it was when the run began to be loaded.
+    /// As it was before the callers began.
     Old,
-    /// Another node's.
+    /// Another node's, as that was before the callers began.
     Another {
+        /// Which node's.
         of: usize,
     },
 }
 
-/// One fault of a schedule.
+/// One action of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Step {
-    /// Since the callers began.
+pub struct FaultStep {
+    /// When it begins, since the callers began.
     pub from: Duration,
+    /// When it ends, since the callers began.
     pub until: Duration,
-    /// Acts of one fault share its number, and are left out together when a schedule is made smaller.
+    /// Actions of one fault share its number, and are left out together when a schedule is made smaller.
     pub fault: usize,
-    pub act: Act,
+    /// What is done.
+    #[serde(rename = "act")]
+    pub action: FaultAction,
 }
 
 /// All that is done in one run, in order of its beginning.
-pub fn schedule(rig: &Rig, seed: u64) -> Vec<Step> {
-    let mut chance = WyRand::new_seed(seed ^ 0x5ca1_ab1e);
+pub fn schedule(rig: &Rig, seed: u64) -> Vec<FaultStep> {
+    let mut random = WyRand::new_seed(seed ^ 0x5ca1_ab1e);
     let mut steps = Vec::new();
     let mut number = 0;
     for fault in &rig.faults {
         for _ in 0..fault.times.max(1) {
-            let lasts = Duration::from_nanos(rig.lasts_ns);
-            let share = BEGINS[0] + (BEGINS[1] - BEGINS[0]) * part(&mut chance);
-            let drawn = lasts.mul_f64(share);
-            let from = fault.from_ns.map_or(drawn, Duration::from_nanos);
-            // A drawn fault is over before the run is; one that is written lasts as written.
-            let whole = Duration::from_nanos(fault.lasts_ns);
-            let until = from
-                + if fault.from_ns.is_some() {
-                    whole
-                } else {
-                    whole.min(lasts.mul_f64(0.9).saturating_sub(from))
-                };
-            for act in acts(rig, fault, &mut chance) {
-                steps.push(Step {
+            let (from, until) = span_of(rig, fault, &mut random);
+            for action in actions(rig, fault, &mut random) {
+                steps.push(FaultStep {
                     from,
                     until,
                     fault: number,
-                    act,
+                    action,
                 });
             }
             number += 1;
@@ -181,275 +249,180 @@
     steps
 }
 
-/// From 0 to under 1.
-fn part(chance: &mut WyRand) -> f64 {
-    chance.generate_range(0..1_000_000u64) as f64 / 1e6
+/// When a fault begins and ends. A drawn one is over before the run is; one that is written lasts as written.
+fn span_of(rig: &Rig, fault: &RigFault, random: &mut WyRand) -> (Duration, Duration) {
+    let run = Duration::from_nanos(rig.lasts_ns);
+    // Drawn in any case, so that what follows is the same for a fault that is written.
+    let share = START_RANGE.start + (START_RANGE.end - START_RANGE.start) * draw_fraction(random);
+    let duration = Duration::from_nanos(fault.lasts_ns);
+    if let Some(from) = fault.from_ns {
+        let from = Duration::from_nanos(from);
+        return (from, from + duration);
+    }
+    let from = run.mul_f64(share);
+    let left = run.mul_f64(END_OF_DRAWN).saturating_sub(from);
+    (from, from + duration.min(left))
 }
 
-fn acts(rig: &Rig, fault: &RigFault, chance: &mut WyRand) -> Vec<Act> {
-    let nodes = rig.nodes.max(1) as usize;
-    let mut draw = |n: usize| chance.generate_range(0..n.max(1) as u64) as usize;
-    let node = if fault.node > 0 {
-        (fault.node as usize - 1).min(nodes - 1)
-    } else {
-        draw(nodes)
-    };
-    let span = Duration::from_nanos(fault.span_ns);
-    let disk = match fault.disk() {
-        RigDisk::Empty => Disk::Empty,
-        RigDisk::Old => Disk::Old,
-        RigDisk::Another => Disk::Another {
-            of: (node + 1 + draw(nodes.saturating_sub(1))) % nodes,
-        },
-        _ => Disk::Same,
-    };
-    let link = match fault.link() {
-        RigLink::Callers => Link::Caller {
-            caller: draw(rig.callers as usize),
-            node,
-        },
-        RigLink::Agent => Link::Agent { node },
-        _ => Link::Peer {
-            from: node,
-            to: (node + 1 + draw(nodes.saturating_sub(1))) % nodes,
-        },
-    };
-    // Between two nodes there are two links, one opened by each: a cut is of both.
-    let both = |trouble: Trouble, turned: Trouble| match link {
-        Link::Peer { from, to } => vec![
-            Act::Link { link, trouble },
-            Act::Link {
-                link: Link::Peer { from: to, to: from },
-                trouble: turned,
-            },
-        ],
-        _ => vec![Act::Link { link, trouble }],
-    };
-    let cut = Trouble::Cut {
-        forth: true,
-        back: true,
-    };
-    match fault.kind() {
-        RigTrouble::Cut => both(cut, cut),
-        RigTrouble::CutOneWay => {
-            let forth = draw(2) == 0;
-            both(
-                Trouble::Cut {
-                    forth,
-                    back: !forth,
-                },
-                Trouble::Cut {
-                    forth: !forth,
-                    back: forth,
-                },
-            )
-        }
-        RigTrouble::HalfOpen => both(Trouble::HalfOpen, Trouble::HalfOpen),
-        RigTrouble::Delay => both(Trouble::Delay(span), Trouble::Delay(span)),
-        RigTrouble::Throttle => both(Trouble::Throttle(20_000), Trouble::Throttle(20_000)),
-        RigTrouble::Stall => both(Trouble::Stall, Trouble::Stall),
-        RigTrouble::Reset => vec![Act::Reset { link }],
-        RigTrouble::Twice => vec![Act::Twice { link }],
-        RigTrouble::Kill => vec![Act::Kill { node, disk }],
-        RigTrouble::Chase => vec![Act::Chase { disk }],
-        RigTrouble::Stop => vec![Act::Stop { node }],
-        RigTrouble::Roll => vec![Act::Roll { node }],
-        RigTrouble::FlushFails => vec![Act::FlushFails { node }],
-        RigTrouble::DiskFull => vec![Act::DiskFull { node }],
-        RigTrouble::DiskSlow => vec![Act::DiskSlow { node, by: span }],
-        RigTrouble::Torn => vec![Act::Torn { node }],
-        RigTrouble::ClockFast => vec![Act::Clock {
-            node,
-            rate: 1_500,
-            step: Duration::ZERO,
-        }],
-        RigTrouble::ClockSlow => vec![Act::Clock {
-            node,
-            rate: 700,
-            step: Duration::ZERO,
-        }],
-        RigTrouble::ClockStep => vec![Act::Clock {
-            node,
-            rate: 1_000,
-            step: span,
-        }],
-        RigTrouble::Halves | RigTrouble::Bridge => {
-            let mut order: Vec<usize> = (0..nodes).collect();
-            chance.shuffle(&mut order);
-            // The bridge is on neither side.
-            let sees = (fault.kind() == RigTrouble::Bridge).then(|| order[nodes - 1]);
-            let left = &order[..(nodes - usize::from(sees.is_some())) / 2];
-            let apart = |a: usize, b: usize| {
-                left.contains(&a) != left.contains(&b) && sees != Some(a) && sees != Some(b)
-            };
-            peers(nodes, |a, b| apart(a, b).then_some(cut))
-        }
-        RigTrouble::Ring => {
-            let one_way = Trouble::Cut {
-                forth: true,
-                back: false,
-            };
-            let other = Trouble::Cut {
-                forth: false,
-                back: true,
-            };
-            peers(nodes, |a, b| {
-                if b == (a + 1) % nodes {
-                    Some(one_way)
-                } else {
-                    (a == (b + 1) % nodes).then_some(other)
-                }
-            })
-        }
-        RigTrouble::Site => {
-            let sites = rig.sites.max(1) as usize;
-            let site = node % sites;
-            let there = |n: usize| n % sites == site;
-            let mut all = peers(nodes, |a, b| (there(a) != there(b)).then_some(cut));
-            for node in (0..nodes).filter(|n| there(*n)) {
-                let callers = 0..rig.callers as usize;
-                all.extend(callers.map(|caller| Act::Link {
-                    link: Link::Caller { caller, node },
-                    trouble: cut,
-                }));
-            }
-            all
-        }
-        RigTrouble::Unspecified => Vec::new(),
-    }
+/// From 0 to under 1.
+fn draw_fraction(random: &mut WyRand) -> f64 {
+    random.generate_range(0..1_000_000u64) as f64 / 1e6
 }
 
-/// What is done to links among nodes, by the node that opened each and the one it leads to.
-fn peers(nodes: usize, what: impl Fn(usize, usize) -> Option<Trouble>) -> Vec<Act> {
-    let pairs = (0..nodes)
-        .flat_map(|from| (0..nodes).map(move |to| (from, to)))
-        .filter(|(a, b)| a != b);
-    pairs
-        .filter_map(|(from, to)| {
-            Some(Act::Link {
-                link: Link::Peer { from, to },
-                trouble: what(from, to)?,
-            })
-        })
-        .collect()
+/// From 0 to under `n`.
+fn draw_index(random: &mut WyRand, n: usize) -> usize {
+    random.generate_range(0..n.max(1) as u64) as usize
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// The node, the disk and the link that a fault is about, as written or drawn.
+struct Target {
+    node: usize,
+    disk: RestartDisk,
+    link: Link,
+}
 
-    fn rig(nodes: u64, faults: Vec<RigFault>) -> Rig {
-        Rig {
-            lasts_ns: 4_000_000_000,
-            nodes,
-            callers: 2,
-            sites: 3,
-            faults,
-            ..Rig::default()
-        }
+impl Target {
+    /// Draws in the order of its fields; what is written draws nothing.
+    fn draw(rig: &Rig, fault: &RigFault, random: &mut WyRand) -> Self {
+        let nodes = rig.nodes.max(1) as usize;
+        let node = if fault.node > 0 {
+            (fault.node as usize - 1).min(nodes - 1)
+        } else {
+            draw_index(random, nodes)
+        };
+        let draw_other =
+            |random: &mut WyRand| (node + 1 + draw_index(random, nodes.saturating_sub(1))) % nodes;
+        let disk = match fault.disk() {
+            RigDisk::Empty => RestartDisk::Empty,
+            RigDisk::Old => RestartDisk::Old,
+            RigDisk::Another => RestartDisk::Another {
+                of: draw_other(random),
+            },
+            _ => RestartDisk::Same,
+        };
+        let link = match fault.link() {
+            RigLink::Callers => Link::Caller {
+                caller: draw_index(random, rig.callers as usize),
+                node,
+            },
+            RigLink::Agent => Link::Agent { node },
+            _ => Link::Peer {
+                from: node,
+                to: draw_other(random),
+            },
+        };
+        Self { node, disk, link }
     }
 
-    fn fault(kind: RigTrouble, times: u64) -> RigFault {
-        RigFault {
-            kind: kind.into(),
-            lasts_ns: 500_000_000,
-            times,
-            ..RigFault::default()
+    /// A fault of the link. Between two nodes there are two links, one opened by each, and both have it; `reverse` is
+    /// the same fault seen from the other end.
+    fn link_fault(&self, fault: LinkFault, reverse: LinkFault) -> Vec<FaultAction> {
+        let link = self.link;
+        let mut actions = vec![FaultAction::Link { link, fault }];
+        if let Link::Peer { from, to } = link {
+            actions.push(FaultAction::Link {
+                link: Link::Peer { from: to, to: from },
+                fault: reverse,
+            });
         }
+        actions
     }
 
-    #[test]
-    fn a_seed_gives_one_schedule_and_another_gives_another() {
-        let rig = rig(
-            5,
-            vec![
-                fault(RigTrouble::Kill, 3),
-                fault(RigTrouble::Halves, 2),
-                fault(RigTrouble::Ring, 1),
-            ],
-        );
-        assert_eq!(schedule(&rig, 7), schedule(&rig, 7));
-        assert_ne!(schedule(&rig, 7), schedule(&rig, 8));
-        for seed in 0..200 {
-            for step in schedule(&rig, seed) {
-                assert!(
-                    step.from <= step.until && step.until <= Duration::from_nanos(rig.lasts_ns),
-                    "{step:?}"
-                );
-            }
-        }
+    fn clock_fault(&self, rate: u32, step: Duration) -> Vec<FaultAction> {
+        let node = self.node;
+        vec![FaultAction::Clock { node, rate, step }]
     }
+}
 
-    /// Which nodes still see each other through a fault, by chains of links that pass both ways.
-    fn sees(nodes: usize, steps: &[Step]) -> Vec<Vec<bool>> {
-        let mut sees = vec![vec![true; nodes]; nodes];
-        for step in steps {
-            if let Act::Link {
-                link: Link::Peer { from, to },
-                trouble: Trouble::Cut { forth, back },
-            } = step.act
-            {
-                sees[from][to] &= !forth;
-                sees[to][from] &= !back;
-            }
-        }
-        sees
+fn actions(rig: &Rig, fault: &RigFault, random: &mut WyRand) -> Vec<FaultAction> {
+    let target = Target::draw(rig, fault, random);
+    let Target { node, disk, link } = target;
+    let span = Duration::from_nanos(fault.span_ns);
+    let nodes = rig.nodes.max(1) as usize;
+    let both_ways = |fault| target.link_fault(fault, fault);
+    match fault.kind() {
+        RigTrouble::Cut => both_ways(CUT),
+        RigTrouble::CutOneWay => match draw_index(random, 2) {
+            0 => target.link_fault(CUT_FORTH, CUT_BACK),
+            _ => target.link_fault(CUT_BACK, CUT_FORTH),
+        },
+        RigTrouble::HalfOpen => both_ways(LinkFault::HalfOpen),
+        RigTrouble::Delay => both_ways(LinkFault::Delay(span)),
+        RigTrouble::Throttle => both_ways(LinkFault::Throttle(THROTTLED_RATE)),
+        RigTrouble::Stall => both_ways(LinkFault::Stall),
+        RigTrouble::Reset => vec![FaultAction::Reset { link }],
+        RigTrouble::Twice => vec![FaultAction::DuplicateFrame { link }],
+        RigTrouble::Kill => vec![FaultAction::Kill { node, disk }],
+        RigTrouble::Chase => vec![FaultAction::KillLeader { disk }],
+        RigTrouble::Stop => vec![FaultAction::Stop { node }],
+        RigTrouble::Roll => vec![FaultAction::RollingRestart { node }],
+        RigTrouble::FlushFails => vec![FaultAction::FlushFails { node }],
+        RigTrouble::DiskFull => vec![FaultAction::DiskFull { node }],
+        RigTrouble::DiskSlow => vec![FaultAction::DiskSlow { node, by: span }],
+        RigTrouble::Torn => vec![FaultAction::TornWrite { node }],
+        RigTrouble::ClockFast => target.clock_fault(FAST_CLOCK, Duration::ZERO),
+        RigTrouble::ClockSlow => target.clock_fault(SLOW_CLOCK, Duration::ZERO),
+        RigTrouble::ClockStep => target.clock_fault(RIGHT_CLOCK, span),
+        RigTrouble::Halves => split(nodes, false, random),
+        RigTrouble::Bridge => split(nodes, true, random),
+        RigTrouble::Ring => ring(nodes),
+        RigTrouble::Site => cut_off_site(rig, node % rig.sites.max(1) as usize),
+        RigTrouble::Unspecified => Vec::new(),
     }
+}
 
-    #[test]
-    fn splits_part_whom_they_should() {
-        for seed in 0..50 {
-            let halves = sees(
-                5,
-                &schedule(&rig(5, vec![fault(RigTrouble::Halves, 1)]), seed),
-            );
-            let mut sizes: Vec<usize> = (0..5)
-                .map(|a| halves[a].iter().filter(|s| **s).count())
-                .collect();
-            sizes.sort_unstable();
-            assert_eq!(sizes, [2, 2, 3, 3, 3], "seed {seed}");
-            let bridge = sees(
-                5,
-                &schedule(&rig(5, vec![fault(RigTrouble::Bridge, 1)]), seed),
-            );
-            let mut sizes: Vec<usize> = (0..5)
-                .map(|a| bridge[a].iter().filter(|s| **s).count())
-                .collect();
-            sizes.sort_unstable();
-            assert_eq!(sizes, [3, 3, 3, 3, 5], "seed {seed}");
-        }
-        let ring = sees(5, &schedule(&rig(5, vec![fault(RigTrouble::Ring, 1)]), 1));
-        for a in 0..5 {
-            assert!(!ring[a][(a + 1) % 5] && ring[(a + 1) % 5][a], "{a}");
+/// Nodes in two halves that do not reach each other; with a bridge, one node is on neither side and reaches both.
+fn split(nodes: usize, with_bridge: bool, random: &mut WyRand) -> Vec<FaultAction> {
+    let mut order: Vec<usize> = (0..nodes).collect();
+    random.shuffle(&mut order);
+    let bridge = with_bridge.then(|| order[nodes - 1]);
+    let left = &order[..(nodes - usize::from(with_bridge)) / 2];
+    peer_link_faults(nodes, |a, b| {
+        let touches_bridge = bridge == Some(a) || bridge == Some(b);
+        (left.contains(&a) != left.contains(&b) && !touches_bridge).then_some(CUT)
+    })
+}
+
+/// Each node cut off one way from the next.
+fn ring(nodes: usize) -> Vec<FaultAction> {
+    peer_link_faults(nodes, |a, b| {
+        if b == (a + 1) % nodes {
+            Some(CUT_FORTH)
+        } else {
+            (a == (b + 1) % nodes).then_some(CUT_BACK)
         }
-    }
+    })
+}
 
-    #[test]
-    fn a_site_is_cut_off_with_its_callers() {
-        let steps = schedule(
-            &rig(
-                6,
-                vec![RigFault {
-                    node: 1,
-                    ..fault(RigTrouble::Site, 1)
-                }],
-            ),
-            3,
-        );
-        let sees = sees(6, &steps);
-        assert!(sees[0][3] && sees[1][2] && !sees[0][1] && !sees[5][3]);
-        let callers = steps
-            .iter()
-            .filter(|s| {
-                matches!(
-                    s.act,
-                    Act::Link {
-                        link: Link::Caller { .. },
-                        ..
-                    }
-                )
-            })
-            .count();
-        assert_eq!(callers, 4);
+/// A site cut off from the others and from all callers.
+fn cut_off_site(rig: &Rig, site: usize) -> Vec<FaultAction> {
+    let nodes = rig.nodes.max(1) as usize;
+    let sites = rig.sites.max(1) as usize;
+    let is_there = |n: usize| n % sites == site;
+    let mut all = peer_link_faults(nodes, |a, b| (is_there(a) != is_there(b)).then_some(CUT));
+    for node in (0..nodes).filter(|n| is_there(*n)) {
+        let callers = 0..rig.callers as usize;
+        all.extend(callers.map(|caller| FaultAction::Link {
+            link: Link::Caller { caller, node },
+            fault: CUT,
+        }));
     }
+    all
+}
+
+/// Faults of links among nodes, by the node that opened each and the one that it leads to.
+fn peer_link_faults(
+    nodes: usize,
+    fault_of: impl Fn(usize, usize) -> Option<LinkFault>,
+) -> Vec<FaultAction> {
+    let pairs = (0..nodes)
+        .flat_map(|from| (0..nodes).map(move |to| (from, to)))
+        .filter(|(from, to)| from != to);
+    let action = |(from, to)| {
+        Some(FaultAction::Link {
+            link: Link::Peer { from, to },
+            fault: fault_of(from, to)?,
+        })
+    };
+    pairs.filter_map(action).collect()
 }
--- a/crates/testbed/src/peers/caller.rs
+++ b/crates/testbed/src/peers/caller.rs
@@ -1,12 +1,12 @@
-//! A caller: asks nodes for tickets at a steady pace, repeats keyed ones at other nodes, and writes down what it asked
-//! and what it heard.
+//! A caller: sends requests to nodes at a steady rate, repeats those with an idempotency key at other nodes, and writes
+//! down what it sent and how each request ended.
 //!
-//! What it never hears of stands in the history as asked and without an end, which the checker tells. It leaves a
-//! ticket (`gone`) only where its link broke, or where the rig told it that this node or link was being disturbed while
-//! the ticket was open.
+//! A request of which it never hears stands in the history without an end, which the checker reports. It leaves a
+//! request (`gone`) only where its link broke, or where the testbed had told it of a disturbance of this node or link
+//! while the request was open.
 
-use super::{hash, now, Book};
-use crate::history::Line;
+use super::{hash, now, HistoryWriter};
+use crate::history::{HistoryLine, RequestEnd};
 use foldhash::HashMap;
 use nanorand::{Rng, WyRand};
 use rainstand_protocol::thrift::{self, What};
@@ -14,349 +14,434 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{self, Write};
-use std::net::SocketAddr;
+use std::net::{Shutdown, SocketAddr};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader, Lines, Stdin};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Tickets open on one connection, by the protocol less some room for those left.
-const OPEN: usize = 24;
+/// Requests open on one connection: the protocol's bound, less some capacity for those that were left.
+const MAX_OPEN_REQUESTS: usize = 24;
 /// Keys that may be repeated: those of the last second or two.
-const KEYS: usize = 64;
-/// Between tries to connect.
-const AGAIN: Duration = Duration::from_millis(20);
+const MAX_REPEATED_KEYS: usize = 64;
+/// Between two attempts to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// For a node to accept a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// One repeat in so many goes to several nodes at once.
-const AT_ONCE: u32 = 4;
+const CONCURRENT_REPEAT_ODDS: u32 = 4;
+/// Nodes that get a repeat at once.
+const MAX_CONCURRENT_REPEATS: usize = 3;
+/// Bytes read at once.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
+/// What a caller is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Options {
+    /// Its name in the history.
     pub name: String,
+    /// Of all that it draws.
     pub seed: u64,
     /// Nodes by name, and where this caller finds each.
     pub nodes: Vec<(String, SocketAddr)>,
+    /// Between two requests, give or take half.
     pub every_ns: u64,
-    /// Shares in millionths.
+    /// Share of requests with an idempotency key, in millionths.
     pub keyed: u64,
+    /// Share of them that repeat an earlier key, in millionths.
     pub repeats: u64,
+    /// Repeats go to any node, not only to the first one's.
     pub moves: bool,
+    /// The nodes' deadline of a request.
     pub within_ns: u64,
+    /// So much later is still in time.
     pub slack_ns: u64,
+    /// For how long requests are sent.
     pub lasts_ns: u64,
+    /// Where its part of the history is written.
     pub history: PathBuf,
 }
 
-struct Open {
-    ticket: String,
-    asked: u64,
+struct OpenRequest {
+    name: String,
+    sent_at: u64,
+}
+
+/// A request on the wire: its connection, and its number there.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct WireId {
+    connection: u32,
+    sequence: i32,
 }
 
 struct Node {
     name: String,
-    addr: SocketAddr,
+    address: SocketAddr,
     write: RefCell<Option<OwnedWriteHalf>>,
-    /// By connection and number on it: what a broken connection left open stays until it is due.
-    open: RefCell<HashMap<(u32, i32), Open>>,
-    conn: Cell<u32>,
-    seq: Cell<i32>,
-    /// Disturbances that go on, and when the last one ended.
-    disturbed: Cell<u32>,
-    calm_since: Cell<u64>,
+    /// What a broken connection left open stays until its deadline.
+    open: RefCell<HashMap<WireId, OpenRequest>>,
+    connection: Cell<u32>,
+    sequence: Cell<i32>,
+    /// Disturbances that go on.
+    disturbances: Cell<u32>,
+    /// When the last of them ended.
+    last_disturbed_at: Cell<u64>,
 }
 
 impl Node {
-    /// Whether the rig told of a disturbance that went on at this time or later.
-    fn disturbed_since(&self, at: u64) -> bool {
-        self.disturbed.get() > 0 || self.calm_since.get() >= at
+    fn new(name: &str, address: SocketAddr) -> Self {
+        Self {
+            name: name.to_owned(),
+            address,
+            write: RefCell::default(),
+            open: RefCell::default(),
+            connection: Cell::new(0),
+            sequence: Cell::new(0),
+            disturbances: Cell::new(0),
+            last_disturbed_at: Cell::new(0),
+        }
+    }
+
+    /// Whether the testbed told of a disturbance that went on at this time or later.
+    fn is_disturbed_since(&self, at: u64) -> bool {
+        self.disturbances.get() > 0 || self.last_disturbed_at.get() >= at
+    }
+
+    /// Requests that are open on the connection of now.
+    fn open_requests(&self) -> usize {
+        let open = self.open.borrow();
+        open.keys()
+            .filter(|id| id.connection == self.connection.get())
+            .count()
     }
 }
 
+/// A key that may be repeated.
+#[derive(Clone)]
+struct UsedKey {
+    key: String,
+    body: String,
+    /// Index of the node that was asked first.
+    node: usize,
+}
+
 struct Caller {
     options: Options,
-    book: RefCell<Book>,
+    history: RefCell<HistoryWriter>,
     nodes: Vec<Rc<Node>>,
-    tickets: Cell<u64>,
-    /// Keys asked, with their bodies and the node.
-    keys: RefCell<VecDeque<(String, String, usize)>>,
+    requests: Cell<u64>,
+    used_keys: RefCell<VecDeque<UsedKey>>,
 }
 
-/// Says `ready`, waits for `begin` on standard input, and asks until the run's end and the last ticket's.
+/// Says `ready`, waits for `begin` on standard input, and sends requests until the run and the last request have ended.
 ///
 /// # Errors
 /// If it cannot write its history.
 pub async fn call(options: Options) -> io::Result<()> {
-    let book = RefCell::new(Book::open(&options.history, &options.name)?);
-    let nodes = options.nodes.iter().map(|(name, addr)| {
-        Rc::new(Node {
-            name: name.clone(),
-            addr: *addr,
-            write: RefCell::default(),
-            open: RefCell::default(),
-            conn: Cell::new(0),
-            seq: Cell::new(0),
-            disturbed: Cell::new(0),
-            calm_since: Cell::new(0),
-        })
-    });
-    let nodes: Vec<Rc<Node>> = nodes.collect();
+    let history = RefCell::new(HistoryWriter::open(&options.history, &options.name)?);
+    let nodes = options.nodes.iter();
+    let nodes = nodes.map(|(name, address)| Rc::new(Node::new(name, *address)));
     let caller = Rc::new(Caller {
-        book,
-        nodes,
-        tickets: Cell::new(0),
-        keys: RefCell::default(),
+        history,
+        nodes: nodes.collect(),
+        requests: Cell::new(0),
+        used_keys: RefCell::default(),
         options,
     });
     for node in &caller.nodes {
-        spawn_local(keep(caller.clone(), node.clone()));
+        spawn_local(run_connection(caller.clone(), node.clone()));
     }
-    let mut said = BufReader::new(tokio::io::stdin()).lines();
+    let mut input = BufReader::new(tokio::io::stdin()).lines();
     println!("ready");
     io::stdout().flush()?;
-    while said.next_line().await?.is_some_and(|line| line != "begin") {}
-    let told = caller.clone();
-    spawn_local(async move {
-        while let Ok(Some(line)) = said.next_line().await {
-            told.told(&line);
-        }
-    });
-    let begun = now();
-    let mut chance = WyRand::new_seed(caller.options.seed);
-    let every = Duration::from_nanos(caller.options.every_ns);
-    while now() < begun + caller.options.lasts_ns {
-        caller.next(&mut chance);
-        sleep(every.mul_f64(chance.generate_range(50..150u32) as f64 / 100.0)).await;
-    }
-    let last = Duration::from_nanos(caller.options.within_ns + caller.options.slack_ns);
-    let done = async {
-        while caller
-            .nodes
-            .iter()
-            .any(|node| !node.open.borrow().is_empty())
-        {
-            sleep(AGAIN).await;
-        }
-    };
-    let _ = timeout(last + AGAIN, done).await;
+    while input.next_line().await?.is_some_and(|line| line != "begin") {}
+    spawn_local(read_disturbances(caller.clone(), input));
+    caller.send_requests().await;
+    caller.wait_for_open_requests().await;
     Ok(())
 }
 
+async fn read_disturbances(caller: Rc<Caller>, mut input: Lines<BufReader<Stdin>>) {
+    while let Ok(Some(line)) = input.next_line().await {
+        caller.on_disturbance(&line);
+    }
+}
+
 impl Caller {
+    async fn send_requests(self: &Rc<Self>) {
+        let started = now();
+        let mut random = WyRand::new_seed(self.options.seed);
+        let interval = Duration::from_nanos(self.options.every_ns);
+        while now() < started + self.options.lasts_ns {
+            self.send_next(&mut random);
+            let percent = random.generate_range(50..150u32);
+            sleep(interval.mul_f64(f64::from(percent) / 100.0)).await;
+        }
+    }
+
+    async fn wait_for_open_requests(&self) {
+        let longest = Duration::from_nanos(self.options.within_ns + self.options.slack_ns);
+        let has_open = |node: &Rc<Node>| !node.open.borrow().is_empty();
+        let all_ended = async {
+            while self.nodes.iter().any(has_open) {
+                sleep(RECONNECT_DELAY).await;
+            }
+        };
+        let _ = timeout(longest + RECONNECT_DELAY, all_ended).await;
+    }
+
     /// `disturb n2` and `calm n2`.
-    fn told(&self, line: &str) {
-        let Some((what, name)) = line.split_once(' ') else {
+    fn on_disturbance(&self, line: &str) {
+        let Some((event, name)) = line.split_once(' ') else {
             return;
         };
         for node in self.nodes.iter().filter(|node| node.name == name) {
-            match what {
-                "disturb" => node.disturbed.set(node.disturbed.get() + 1),
+            match event {
+                "disturb" => node.disturbances.set(node.disturbances.get() + 1),
                 "calm" => {
-                    node.disturbed.set(node.disturbed.get().saturating_sub(1));
-                    node.calm_since.set(now());
+                    let left = node.disturbances.get().saturating_sub(1);
+                    node.disturbances.set(left);
+                    node.last_disturbed_at.set(now());
                 }
                 _ => {}
             }
         }
     }
 
-    /// One more ticket, or a few under one key.
-    fn next(self: &Rc<Self>, chance: &mut WyRand) {
-        let n = self.nodes.len();
-        let mut share = |of: u64| chance.generate_range(0..1_000_000u64) < of;
-        let (keyed, repeat) = (share(self.options.keyed), share(self.options.repeats));
-        let node = chance.generate_range(0..n as u64) as usize;
-        if !keyed {
-            self.ask(node, None, "v=0");
-            return;
+    /// One more request, or a few under one key.
+    fn send_next(self: &Rc<Self>, random: &mut WyRand) {
+        let nodes = self.nodes.len() as u64;
+        let mut draw = |share: u64| random.generate_range(0..1_000_000u64) < share;
+        let has_key = draw(self.options.keyed);
+        let is_repeat = draw(self.options.repeats);
+        let node = random.generate_range(0..nodes) as usize;
+        if !has_key {
+            self.send(node, None, "v=0");
+        } else if is_repeat && !self.used_keys.borrow().is_empty() {
+            self.repeat(node, random);
+        } else {
+            self.send_new_key(node);
         }
-        let known = self.keys.borrow().len() as u64;
-        if repeat && known > 0 {
-            let (key, body, first) =
-                self.keys.borrow()[chance.generate_range(0..known) as usize].clone();
-            let several = chance.generate_range(0..AT_ONCE) == 0;
-            let to = if self.options.moves { node } else { first };
-            for k in 0..if several && self.options.moves {
-                n.min(3)
-            } else {
-                1
-            } {
-                self.ask((to + k) % n, Some(&key), &body);
-            }
-            return;
+    }
+
+    /// A key that was used before, at the drawn node or where it was first.
+    fn repeat(self: &Rc<Self>, drawn_node: usize, random: &mut WyRand) {
+        let count = self.used_keys.borrow().len() as u64;
+        let index = random.generate_range(0..count) as usize;
+        let used = self.used_keys.borrow()[index].clone();
+        let at_several = random.generate_range(0..CONCURRENT_REPEAT_ODDS) == 0;
+        let nodes = self.nodes.len();
+        let moves = self.options.moves;
+        let first = if moves { drawn_node } else { used.node };
+        let copies = if at_several && moves {
+            nodes.min(MAX_CONCURRENT_REPEATS)
+        } else {
+            1
+        };
+        for k in 0..copies {
+            self.send((first + k) % nodes, Some(&used.key), &used.body);
         }
-        let key = format!("{}-{}", self.options.name, self.tickets.get());
+    }
+
+    fn send_new_key(self: &Rc<Self>, node: usize) {
+        let key = format!("{}-{}", self.options.name, self.requests.get());
         let body = format!("key={key};v=1");
-        if self.ask(node, Some(&key), &body) {
-            let mut keys = self.keys.borrow_mut();
-            keys.push_back((key, body, node));
-            if keys.len() > KEYS {
-                keys.pop_front();
-            }
+        if !self.send(node, Some(&key), &body) {
+            return;
+        }
+        let mut keys = self.used_keys.borrow_mut();
+        keys.push_back(UsedKey { key, body, node });
+        if keys.len() > MAX_REPEATED_KEYS {
+            keys.pop_front();
         }
     }
 
-    /// False if nothing was asked: the node is out of reach, or enough is open there.
-    fn ask(self: &Rc<Self>, node: usize, key: Option<&str>, body: &str) -> bool {
+    /// False if nothing was sent: the node is out of reach, or enough is open there.
+    fn send(self: &Rc<Self>, node: usize, key: Option<&str>, body: &str) -> bool {
         let node = &self.nodes[node];
         let write = node.write.borrow();
-        let conn = node.conn.get();
-        let open = node
-            .open
-            .borrow()
-            .keys()
-            .filter(|(on, _)| *on == conn)
-            .count();
-        let Some(write) = write.as_ref().filter(|_| open < OPEN) else {
+        let has_capacity = node.open_requests() < MAX_OPEN_REQUESTS;
+        let Some(write) = write.as_ref().filter(|_| has_capacity) else {
             return false;
         };
-        let count = self.tickets.get();
-        self.tickets.set(count + 1);
-        node.seq.set(node.seq.get() + 1);
-        let (ticket, seq, at) = (format!("t{count}"), node.seq.get(), now());
-        let route = if key.is_some() { "register" } else { "check" };
-        let trace = &hash(format!("{}/{count}", self.options.name).as_bytes());
+        let number = self.requests.get();
+        self.requests.set(number + 1);
+        node.sequence.set(node.sequence.get() + 1);
+        let id = WireId {
+            connection: node.connection.get(),
+            sequence: node.sequence.get(),
+        };
+        let sent_at = now();
+        let deadline = self.deadline(sent_at);
+        let class = if key.is_some() { "register" } else { "check" };
+        let line = HistoryLine {
+            at: sent_at,
+            request: Some(format!("t{number}")),
+            request_class: Some(class.to_owned()),
+            key: key.map(str::to_owned),
+            body: Some(hash(body.as_bytes())),
+            node: Some(node.name.clone()),
+            deadline: Some(deadline),
+            ..HistoryLine::default()
+        };
+        self.history.borrow_mut().write("ask", line);
+        let name = format!("t{number}");
+        let mut open = node.open.borrow_mut();
+        open.insert(id, OpenRequest { name, sent_at });
+        drop(open);
+        write_frame(write, &self.frame(number, id.sequence, class, key, body));
+        let (caller, node) = (self.clone(), node.clone());
+        spawn_local(async move {
+            sleep(Duration::from_nanos(deadline.saturating_sub(now()))).await;
+            caller.on_deadline(&node, id);
+        });
+        true
+    }
+
+    fn frame(
+        &self,
+        number: u64,
+        sequence: i32,
+        class: &str,
+        key: Option<&str>,
+        body: &str,
+    ) -> Vec<u8> {
+        let trace = hash(format!("{}/{number}", self.options.name).as_bytes());
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let born = unix.as_millis().to_string();
         let mut fields = vec![
-            ("route", route),
-            ("trace", trace),
+            ("route", class),
+            ("trace", &trace),
             ("born", &born),
             ("customer", "acme"),
         ];
         fields.extend([("size", "4"), ("client", "1"), ("order", "0.5")]);
         fields.extend(key.map(|key| ("entity", key)));
-        let due = at + self.options.within_ns + self.options.slack_ns;
-        let asked = Line {
-            at,
-            ticket: Some(ticket.clone()),
-            traffic: Some(route.to_owned()),
-            key: key.map(str::to_owned),
-            body: Some(hash(body.as_bytes())),
-            node: Some(node.name.clone()),
-            due: Some(due),
-            ..Line::default()
-        };
-        self.book.borrow_mut().write("ask", asked);
-        node.open
-            .borrow_mut()
-            .insert((conn, seq), Open { ticket, asked: at });
-        let frame = thrift::process(seq, &fields, body.as_bytes());
-        if !write.try_write(&frame).is_ok_and(|n| n == frame.len()) {
-            // Part of a frame may be on its way: the connection is of no use, and nothing is known.
-            let _ = socket2::SockRef::from(AsRef::<TcpStream>::as_ref(write))
-                .shutdown(std::net::Shutdown::Both);
-        }
-        let (caller, node) = (self.clone(), node.clone());
-        spawn_local(async move {
-            sleep(Duration::from_nanos(due.saturating_sub(now()))).await;
-            caller.overdue(&node, (conn, seq));
-        });
-        true
+        thrift::process(sequence, &fields, body.as_bytes())
     }
 
-    /// Its due time is here. One that was disturbed is left; any other stays open, and an answer that comes yet is
+    /// A request that was disturbed is left at its deadline. Any other stays open, and an answer that comes yet is
     /// written with its time, which breaks the rule.
-    fn overdue(&self, node: &Node, of: (u32, i32)) {
+    fn on_deadline(&self, node: &Node, id: WireId) {
         let mut all_open = node.open.borrow_mut();
-        let asked = all_open.get(&of).map(|open| open.asked);
-        let is_left = asked.is_some_and(|asked| node.disturbed_since(asked));
-        let left = is_left.then(|| all_open.remove(&of)).flatten();
+        let sent_at = all_open.get(&id).map(|open| open.sent_at);
+        let is_left = sent_at.is_some_and(|at| node.is_disturbed_since(at));
+        let left = is_left.then(|| all_open.remove(&id)).flatten();
         drop(all_open);
-        if let Some(open) = left {
-            self.end("gone", open.ticket, None, self.due(open.asked));
-            if let Some(write) = node
-                .write
-                .borrow()
-                .as_ref()
-                .filter(|_| node.conn.get() == of.0)
-            {
-                let _ = write.try_write(&thrift::give_up(of.1));
-            }
+        let Some(open) = left else { return };
+        let deadline = self.deadline(open.sent_at);
+        self.record_end(RequestEnd::Abandoned, open.name, None, deadline);
+        let write = node.write.borrow();
+        if let Some(write) = write
+            .as_ref()
+            .filter(|_| node.connection.get() == id.connection)
+        {
+            let _ = write.try_write(&thrift::give_up(id.sequence));
         }
     }
 
-    fn due(&self, asked: u64) -> u64 {
-        asked + self.options.within_ns + self.options.slack_ns
+    /// By when a request must have ended that was sent at this time.
+    fn deadline(&self, sent_at: u64) -> u64 {
+        sent_at + self.options.within_ns + self.options.slack_ns
     }
 
-    fn end(&self, op: &str, ticket: String, result: Option<String>, at: u64) {
-        self.book.borrow_mut().write(
-            op,
-            Line {
-                at,
-                ticket: Some(ticket),
-                result,
-                ..Line::default()
-            },
-        );
+    fn record_end(&self, end: RequestEnd, request: String, result: Option<String>, at: u64) {
+        let line = HistoryLine {
+            at,
+            request: Some(request),
+            result,
+            ..HistoryLine::default()
+        };
+        self.history.borrow_mut().write(end.operation(), line);
     }
 
-    /// Takes whole frames off the front of what was read.
-    fn read(&self, node: &Node, back: &mut Vec<u8>) -> Result<(), thrift::Flaw> {
-        while let Some(length) = thrift::frame(back)? {
-            let frame: Vec<u8> = back.drain(..4 + length).skip(4).collect();
+    /// Takes whole frames off the front of what was received.
+    fn on_received(&self, node: &Node, received: &mut Vec<u8>) -> Result<(), thrift::Flaw> {
+        while let Some(length) = thrift::frame(received)? {
+            let frame: Vec<u8> = received.drain(..4 + length).skip(4).collect();
             if thrift::kind(&frame) == Some(thrift::ONEWAY) {
                 continue;
             }
-            let answered = thrift::answered(&frame)?;
-            let of = (node.conn.get(), answered.seq);
-            let Some(open) = node.open.borrow_mut().remove(&of) else {
-                continue;
-            };
-            let (at, due) = (now(), self.due(open.asked));
-            if is_left_when_due(at, due, node.disturbed_since(open.asked)) {
-                self.end("gone", open.ticket, None, due);
-                continue;
-            }
-            let (op, result) = match answered.what {
-                What::Answer { body, .. } => {
-                    ("answer", Some(String::from_utf8_lossy(body).into_owned()))
-                }
-                What::Backoff(_) => ("dismissed", None),
-                What::Lost | What::Exception { .. } => ("given-up", None),
-            };
-            self.end(op, open.ticket, result, at);
+            self.on_answer(node, &thrift::answered(&frame)?);
         }
         Ok(())
     }
+
+    fn on_answer(&self, node: &Node, answer: &thrift::Answered<'_>) {
+        let id = WireId {
+            connection: node.connection.get(),
+            sequence: answer.seq,
+        };
+        let Some(open) = node.open.borrow_mut().remove(&id) else {
+            return;
+        };
+        let (read_at, deadline) = (now(), self.deadline(open.sent_at));
+        let was_disturbed = node.is_disturbed_since(open.sent_at);
+        if is_abandoned_at_deadline(read_at, deadline, was_disturbed) {
+            self.record_end(RequestEnd::Abandoned, open.name, None, deadline);
+            return;
+        }
+        let (end, result) = match &answer.what {
+            What::Answer { body, .. } => {
+                let body = String::from_utf8_lossy(body).into_owned();
+                (RequestEnd::Served, Some(body))
+            }
+            What::Backoff(_) => (RequestEnd::Rejected, None),
+            What::Lost | What::Exception { .. } => (RequestEnd::Failed, None),
+        };
+        self.record_end(end, open.name, result, read_at);
+    }
 }
 
-/// Whether a ticket whose answer was read counts as left by its caller all the same: a caller leaves one that was
-/// disturbed when it is due. Its timer may fire after an answer is read that the disturbance held back until then.
-pub fn is_left_when_due(read_at: u64, due: u64, was_disturbed: bool) -> bool {
-    was_disturbed && read_at > due
+/// Whether a request whose answer was read counts as left by its caller all the same: a caller leaves one that was
+/// disturbed at its deadline. Its timer may fire after an answer is read that the disturbance held back until then.
+pub fn is_abandoned_at_deadline(read_at: u64, deadline: u64, was_disturbed: bool) -> bool {
+    was_disturbed && read_at > deadline
+}
+
+/// Writes a frame at once, or else ends the connection: part of the frame may be on its way, and nothing is known.
+fn write_frame(write: &OwnedWriteHalf, frame: &[u8]) {
+    let is_written = write
+        .try_write(frame)
+        .is_ok_and(|length| length == frame.len());
+    if !is_written {
+        let stream: &TcpStream = write.as_ref();
+        let _ = socket2::SockRef::from(stream).shutdown(Shutdown::Both);
+    }
 }
 
 /// Keeps a connection to one node.
-async fn keep(caller: Rc<Caller>, node: Rc<Node>) {
+async fn run_connection(caller: Rc<Caller>, node: Rc<Node>) {
     loop {
-        if let Ok(Ok(stream)) = timeout(Duration::from_secs(1), TcpStream::connect(node.addr)).await
-        {
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(node.address)).await;
+        if let Ok(Ok(stream)) = connected {
             let _ = stream.set_nodelay(true);
             let (read, write) = stream.into_split();
             *node.write.borrow_mut() = Some(write);
-            node.seq.set(0);
-            node.conn.set(node.conn.get() + 1);
-            heard(&caller, &node, read).await;
+            node.sequence.set(0);
+            node.connection.set(node.connection.get() + 1);
+            read_answers(&caller, &node, read).await;
             node.write.borrow_mut().take();
         }
-        sleep(AGAIN).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn heard(caller: &Caller, node: &Node, mut read: OwnedReadHalf) {
-    let (mut back, mut chunk) = (Vec::new(), vec![0; 16 << 10]);
+/// Reads until the connection ends.
+async fn read_answers(caller: &Caller, node: &Node, mut read: OwnedReadHalf) {
+    let (mut received, mut chunk) = (Vec::new(), vec![0; READ_CHUNK_BYTES]);
     loop {
         match read.read(&mut chunk).await {
             Ok(0) | Err(_) => return,
-            Ok(n) => back.extend_from_slice(&chunk[..n]),
+            Ok(length) => received.extend_from_slice(&chunk[..length]),
         }
-        if caller.read(node, &mut back).is_err() {
+        if caller.on_received(node, &mut received).is_err() {
             return;
         }
     }
--- a/crates/testbed/src/peers/mod.rs
+++ b/crates/testbed/src/peers/mod.rs
@@ -4,13 +4,13 @@
 pub mod agent;
 pub mod caller;
 
-use crate::history::Line;
+use crate::history::HistoryLine;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Nanoseconds on the machine's clock that never goes back: all processes of one rig read the same.
+/// Nanoseconds on the machine's clock that never goes back: all processes of one run read the same.
 pub fn now() -> u64 {
     let at = clock_gettime(ClockId::Monotonic);
     at.tv_sec.cast_unsigned() * 1_000_000_000 + at.tv_nsec.cast_unsigned()
@@ -21,28 +21,32 @@
     format!("{:016x}", twox_hash::XxHash3_64::oneshot(bytes))
 }
 
-/// A part of a history: each line is written whole before what it tells of goes on.
-pub struct Book {
+/// A part of a history: each line is written before what it is about goes on.
+pub struct HistoryWriter {
     file: File,
-    by: String,
+    observer: String,
 }
 
-impl Book {
+impl HistoryWriter {
+    /// Opens a part for lines of this observer; lines that are there stay.
+    ///
     /// # Errors
     /// If the file cannot be written.
-    pub fn open(path: &Path, by: &str) -> io::Result<Self> {
+    pub fn open(path: &Path, observer: &str) -> io::Result<Self> {
         Ok(Self {
             file: OpenOptions::new().create(true).append(true).open(path)?,
-            by: by.to_owned(),
+            observer: observer.to_owned(),
         })
     }
 
+    /// Writes a line with its operation and this observer.
+    ///
     /// # Panics
     /// If the line cannot be written: a history with holes proves nothing.
-    pub fn write(&mut self, op: &str, line: Line) {
-        let line = Line {
-            by: self.by.clone(),
-            op: op.to_owned(),
+    pub fn write(&mut self, operation: &str, line: HistoryLine) {
+        let line = HistoryLine {
+            observer: self.observer.clone(),
+            operation: operation.to_owned(),
             ..line
         };
         let mut text = serde_json::to_vec(&line).expect("a line of plain fields");
@@ -52,7 +56,7 @@
 }
 
 /// The field of a body such as `key=K;v=1`.
-pub fn field<'a>(body: &'a str, name: &str) -> Option<&'a str> {
+pub fn body_field<'a>(body: &'a str, name: &str) -> Option<&'a str> {
     body.split(';')
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -11,8 +11,8 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// For a process to take connections, or to be gone after it was killed.
-pub const COMES_UP: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(3);
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// A program of this repository beside the one that runs, or in the folder named.
 ///
@@ -50,7 +50,7 @@
 }
 
 /// How often a node's log says that it is up.
-pub fn starts(log: &Path) -> usize {
+pub fn count_starts(log: &Path) -> usize {
     let text = std::fs::read(log).unwrap_or_default();
     text.split(|b| *b == b'\n')
         .filter(|line| line.starts_with(b"start name="))
@@ -109,14 +109,14 @@
     /// If it does not go.
     pub async fn kill(mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::KILL);
-        self.gone(COMES_UP).await
+        self.wait(START_TIMEOUT).await
     }
 
     /// Waits for its end.
     ///
     /// # Errors
     /// If it has not come in time.
-    pub async fn gone(&mut self, within: Duration) -> io::Result<ExitStatus> {
+    pub async fn wait(&mut self, within: Duration) -> io::Result<ExitStatus> {
         let name = self.name.clone();
         match timeout(within, self.child.wait()).await {
             Ok(ended) => ended,
@@ -132,10 +132,10 @@
     ///
     /// # Errors
     /// If it ends first, or does not come up in time.
-    pub async fn is_up(&mut self, log: &Path, before: usize) -> io::Result<()> {
-        let until = Instant::now() + COMES_UP;
+    pub async fn wait_until_up(&mut self, log: &Path, before: usize) -> io::Result<()> {
+        let until = Instant::now() + START_TIMEOUT;
         loop {
-            if starts(log) > before {
+            if count_starts(log) > before {
                 return Ok(());
             }
             if let Some(status) = self.ended() {
@@ -150,7 +150,7 @@
                     format!("{}: not up", self.name),
                 ));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A link between two processes as a thing with two ends and two directions: a listener that the one connects to,
 //! and, for each connection, one to the other. What passes can be held, slowed, cut and sent twice.
 
-use crate::fault_schedule::Trouble;
+use crate::fault_schedule::LinkFault;
 use nanorand::{Rng, WyRand};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -138,23 +138,23 @@
     }
 
     /// Where it leads from now on; nowhere: connections are refused.
-    pub fn lead(&self, to: Option<SocketAddr>) {
+    pub fn set_target(&self, to: Option<SocketAddr>) {
         self.to.set(to);
     }
 
     /// A trouble begins.
-    pub fn begin(&self, trouble: Trouble) {
+    pub fn begin(&self, fault: LinkFault) {
         let (mut forth, mut back) = (self.forth.get(), self.back.get());
-        match trouble {
-            Trouble::Cut { forth: f, back: b } => {
+        match fault {
+            LinkFault::Cut { forth: f, back: b } => {
                 (forth.held, back.held) = (f, b);
                 self.deaf.set(true);
             }
-            Trouble::Stall => {
+            LinkFault::Stall => {
                 (forth.held, back.held) = (true, true);
                 self.deaf.set(true);
             }
-            Trouble::HalfOpen => {
+            LinkFault::HalfOpen => {
                 (forth.held, back.held) = (true, true);
                 self.deaf.set(true);
                 for one in &*self.passing.borrow() {
@@ -162,8 +162,8 @@
                     one.over.notify_waiters();
                 }
             }
-            Trouble::Delay(by) => (forth.delay, back.delay) = (by, by),
-            Trouble::Throttle(rate) => (forth.rate, back.rate) = (rate, rate),
+            LinkFault::Delay(by) => (forth.delay, back.delay) = (by, by),
+            LinkFault::Throttle(rate) => (forth.rate, back.rate) = (rate, rate),
         }
         self.forth.set(forth);
         self.back.set(back);
@@ -171,11 +171,11 @@
     }
 
     /// All troubles end.
-    pub fn heal(&self, trouble: Trouble) {
+    pub fn heal(&self, fault: LinkFault) {
         self.forth.set(Flow::default());
         self.back.set(Flow::default());
         self.deaf.set(false);
-        if matches!(trouble, Trouble::Cut { .. } | Trouble::HalfOpen) {
+        if matches!(fault, LinkFault::Cut { .. } | LinkFault::HalfOpen) {
             self.reset_all();
         }
         self.changed.notify_waiters();
@@ -196,7 +196,7 @@
     }
 
     /// The last frame that passed is brought once more, over a connection of its own that begins as the first did.
-    pub async fn again(&self) {
+    pub async fn repeat_last_frame(&self) {
         let (first, last) = self.frames.borrow().clone();
         let Some(to) = self.to.get().filter(|_| !last.is_empty()) else {
             return;
--- a/crates/testbed/src/ready/fleet.rs
+++ b/crates/testbed/src/ready/fleet.rs
@@ -6,7 +6,7 @@
 use super::registry::List;
 use super::report::{OfKind, Seen, Times};
 use super::{STOP, WITHIN};
-use crate::process::{Process, COMES_UP};
+use crate::process::{Process, START_TIMEOUT};
 use rustix::process::Signal;
 use socket2::Socket;
 use std::cell::RefCell;
@@ -126,7 +126,7 @@
             }
         }
         for mut process in going {
-            match process.gone(STOP + COMES_UP).await {
+            match process.wait(STOP + START_TIMEOUT).await {
                 Ok(status) if status.success() || end == End::Kill => {}
                 other => fell.push(format!("{} at its end: {other:?}", process.name)),
             }
--- a/crates/testbed/src/ready/mod.rs
+++ b/crates/testbed/src/ready/mod.rs
@@ -16,7 +16,7 @@
 use fleet::Fleet;
 pub use options::{Discovery, End, Form, Options};
 pub use process::Kind;
-pub use report::{tell, OfKind, Report, Times};
+pub use report::{write_report, OfKind, Report, Times};
 use std::io;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/testbed/src/ready/registry.rs
+++ b/crates/testbed/src/ready/registry.rs
@@ -2,7 +2,7 @@
 
 use super::options::Discovery;
 use super::LOOK;
-use crate::process::COMES_UP;
+use crate::process::START_TIMEOUT;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -48,7 +48,7 @@
                         sleep(LOOK).await;
                     }
                 };
-                let _ = timeout(COMES_UP, taken).await;
+                let _ = timeout(START_TIMEOUT, taken).await;
             }
         }
         self.heard.borrow_mut().clear();
--- a/crates/testbed/src/ready/report.rs
+++ b/crates/testbed/src/ready/report.rs
@@ -105,7 +105,7 @@
 
 impl Report {
     /// All but the times: the same on any machine.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.fell.is_empty()
             && self.told_before_listening == 0
             && self
@@ -117,8 +117,8 @@
     }
 
     /// Nine in ten of each kind in time, and all else as it should be.
-    pub fn good(&self) -> bool {
-        self.whole()
+    pub fn meets_target(&self) -> bool {
+        self.is_complete()
             && self
                 .restarted
                 .iter()
@@ -130,14 +130,14 @@
 ///
 /// # Errors
 /// If it cannot be written.
-pub fn tell(
+pub fn write_report(
     out: &mut impl Write,
     options: &Options,
     report: &Report,
     as_json: bool,
 ) -> io::Result<()> {
     if as_json {
-        let all = json!({"good": report.good(), "whole": report.whole(), "asked": options, "report": report});
+        let all = json!({"good": report.meets_target(), "whole": report.is_complete(), "asked": options, "report": report});
         return writeln!(out, "{all}");
     }
     for (when, kinds) in [
@@ -188,7 +188,7 @@
     for fell in &report.fell {
         writeln!(out, "fell over: {fell}")?;
     }
-    let verdict = if report.good() {
+    let verdict = if report.meets_target() {
         "nine in ten in time"
     } else {
         "not as it should be"
--- a/crates/testbed/src/ready/setup.rs
+++ b/crates/testbed/src/ready/setup.rs
@@ -7,8 +7,8 @@
 use super::registry::List;
 use super::STOP;
 use crate::peers::agent;
-use crate::process::{program, Process};
-use crate::scenario::{first_line, group_of, node_file};
+use crate::process::Process;
+use crate::scenario::{self, group_of, node_configuration};
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema;
 use rainstand_config::schema::GroupMember;
@@ -18,11 +18,9 @@
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
-use std::process::Stdio;
 use std::rc::Rc;
 use std::time::Duration;
 use std::{fs, io};
-use tokio::process::Command;
 use tokio::sync::Notify;
 
 /// A port that stays ours while whoever listens there is restarted: bound here without listening, which hinders
@@ -74,7 +72,7 @@
             let (agent, at) = start_agent(n, options, &folder).await?;
             agents.push(agent);
             let (name, file) = (format!("n{n}"), folder.join(format!("n{n}.json")));
-            let mut node = node_file(
+            let mut node = node_configuration(
                 &name,
                 *front,
                 at,
@@ -193,20 +191,13 @@
     folder: &Path,
 ) -> io::Result<(Process, SocketAddr)> {
     let name = format!("agent-n{n}");
-    let told = agent::Options {
-        name: name.clone(),
+    let options_of_agent = agent::Options {
         seed: options.seed ^ (n as u64 + 1) << 32,
         run_least_ns: 1_000_000,
         run_most_ns: 2_000_000,
         history: folder.join(format!("{name}.part")),
+        name,
     };
-    let mut command = Command::new(program("rainstand-testbed", options.programs.as_deref())?);
-    command.stdin(Stdio::null()).stdout(Stdio::piped());
-    command.arg("agent").arg(serde_json::to_string(&told)?);
-    let mut process = Process::start(&name, command, &folder.join(format!("{name}.log")))?;
-    let said = first_line(&mut process).await?;
-    let addr = said
-        .parse()
-        .map_err(|_| io::Error::other(format!("{name} said {said:?}")))?;
-    Ok((process, addr))
+    let log = folder.join(format!("{}.log", options_of_agent.name));
+    scenario::start_agent(&options_of_agent, options.programs.as_deref(), &log).await
 }
--- a/crates/testbed/src/scale/groups.rs
+++ b/crates/testbed/src/scale/groups.rs
@@ -78,7 +78,7 @@
             .filter(|(a, b)| a != b)
         {
             let proxy = Proxy::open(1).await?;
-            proxy.lead(Some(ports[to][1]));
+            proxy.set_target(Some(ports[to][1]));
             all.proxies.insert((from, to), proxy);
         }
     }
--- a/crates/testbed/src/scenario/configuration.rs
+++ b/crates/testbed/src/scenario/configuration.rs
@@ -1,6 +1,6 @@
 //! Configuration files of nodes and of their group.
 
-use super::{Node, Stage, STOP};
+use super::{Node, Scenario, DRAIN_TIMEOUT};
 use crate::fault_schedule::Link;
 use rainstand_config::schema;
 use rainstand_config::schema::Configuration;
@@ -8,21 +8,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-impl Stage {
-    pub(super) fn settings(&self, n: usize, front: SocketAddr) -> serde_json::Value {
+impl Scenario {
+    pub(super) fn node_settings(&self, n: usize, front: SocketAddr) -> serde_json::Value {
         let agent = self.links[&Link::Agent { node: n }].addr;
         let (name, within) = (
             &self.nodes[n].name,
             Duration::from_nanos(self.rig.within_ns),
         );
-        let mut file = node_file(name, front, agent, self.seed ^ n as u64, within);
+        let mut file = node_configuration(name, front, agent, self.seed ^ n as u64, within);
         file["settings"]["familyInfo"]["callers"] = self.rig.callers.into();
         file["settings"]["groupSize"] = self.rig.nodes.into();
         file
     }
 
     /// The group as this node sees it: the others through its own links to them.
-    pub(super) fn group(&self, n: usize, own: SocketAddr) -> Configuration {
+    pub(super) fn group_configuration(&self, n: usize, own: SocketAddr) -> Configuration {
         let member = |(k, node): (usize, &Node)| schema::GroupMember {
             name: node.name.clone(),
             site: format!("s{}", k % self.rig.sites.max(1) as usize),
@@ -47,8 +47,8 @@
     }
 }
 
-/// A node's configuration file: two traffic types, one of them ticketed, and one tenant.
-pub(crate) fn node_file(
+/// A node's configuration file: two request classes, the second with idempotency keys, and one tenant.
+pub(crate) fn node_configuration(
     name: &str,
     listen: SocketAddr,
     agent: SocketAddr,
@@ -65,7 +65,7 @@
         "listen": listen.to_string(),
         "agent": agent.to_string(),
         "seed": format!("{seed:016x}"),
-        "stop_ms": STOP.as_millis() as u64,
+        "stop_ms": DRAIN_TIMEOUT.as_millis() as u64,
         "limits": {"cores": 4.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
             "clients": {"marksRetry": true},
--- a/crates/testbed/src/scenario/summary.rs
+++ b/crates/testbed/src/scenario/summary.rs
@@ -1,9 +1,10 @@
 //! What a run came to: its history gathered from all processes, and how much was answered.
 
-use crate::fault_schedule::{Act, Disk, Step, Trouble};
-use crate::history;
+use crate::check::{Tally, Violation};
+use crate::fault_schedule::{FaultAction, FaultStep, LinkFault, RestartDisk};
+use crate::history::{self, Event, Observation, RequestEnd};
 use serde::Serialize;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashSet};
 use std::io::{BufReader, Write};
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -11,180 +12,233 @@
 /// What a run came to.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
+    /// Seed of the run.
     pub seed: u64,
-    pub broken: Vec<crate::check::Break>,
+    /// Rules that were broken.
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
     /// What went wrong with the processes themselves.
-    pub fell: Vec<String>,
-    pub tally: crate::check::Tally,
+    #[serde(rename = "fell")]
+    pub process_faults: Vec<String>,
+    /// What the history holds.
+    pub tally: Tally,
+    /// Processes that were killed.
     pub kills: u64,
-    /// Kills of whoever led most shards.
-    pub chased: u64,
-    /// Times that a node set its files aside, as they told at the end.
-    pub set_asides: u64,
+    /// Kills of whichever node led most shards.
+    #[serde(rename = "chased")]
+    pub leader_kills: u64,
+    /// Times that a node quarantined its files, as the nodes reported at the end.
+    #[serde(rename = "set_asides")]
+    pub quarantines: u64,
+    /// Faults of the schedule.
     pub faults: usize,
+    /// Connections that were reset on the links.
     pub resets: u64,
-    /// By kind of fault: tickets asked meanwhile, and the share of them that was answered.
-    pub during: BTreeMap<&'static str, (usize, f64)>,
-    /// Of all tickets.
-    pub answered: f64,
-    /// Largest time between two answers of keyed tickets, ms.
+    /// Service of requests with an idempotency key, by kind of fault.
+    #[serde(rename = "during")]
+    pub by_fault: BTreeMap<&'static str, FaultService>,
+    /// Share of all requests that were served.
+    #[serde(rename = "answered")]
+    pub served_share: f64,
+    /// Largest time between two answers to requests with an idempotency key, in milliseconds.
     pub longest_gap_ms: u64,
 }
 
 impl Report {
-    pub fn good(&self) -> bool {
-        self.broken.is_empty() && self.fell.is_empty()
+    /// Whether no rule was broken and no process went wrong.
+    pub fn is_clean(&self) -> bool {
+        self.violations.is_empty() && self.process_faults.is_empty()
+    }
+}
+
+/// How requests were served while faults of one kind went on.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+#[serde(into = "(usize, f64)")]
+pub struct FaultService {
+    /// Requests that were sent meanwhile.
+    pub requests: usize,
+    /// The share of them that was served.
+    pub served_share: f64,
+}
+
+impl From<FaultService> for (usize, f64) {
+    fn from(service: FaultService) -> Self {
+        (service.requests, service.served_share)
+    }
+}
+
+impl FaultService {
+    /// The mean of both, by their requests.
+    fn add(&mut self, requests: usize, served_share: f64) {
+        let before = self.served_share * self.requests as f64;
+        self.requests += requests;
+        self.served_share = (before + served_share * requests as f64) / self.requests as f64;
     }
 }
 
 /// All parts of the history, as one file too.
-pub(super) fn gather(folder: &Path) -> io::Result<Vec<history::Seen>> {
+pub(super) fn read_parts(folder: &Path) -> io::Result<Vec<Observation>> {
     let mut parts: Vec<PathBuf> = fs::read_dir(folder)?
-        .filter_map(|e| Some(e.ok()?.path()))
+        .filter_map(|entry| Some(entry.ok()?.path()))
         .collect();
     parts.retain(|path| path.extension().is_some_and(|end| end == "part"));
     parts.sort();
-    let whole = folder.join("history.jsonl");
-    let mut out = fs::File::create(&whole)?;
+    let path = folder.join("history.jsonl");
+    let mut out = fs::File::create(&path)?;
     for part in parts {
         out.write_all(&fs::read(part)?)?;
     }
-    let read = history::read(BufReader::new(fs::File::open(&whole)?));
-    read.map(|(seen, _)| seen).map_err(io::Error::other)
+    let (history, _) =
+        history::read_history(BufReader::new(fs::File::open(&path)?)).map_err(io::Error::other)?;
+    Ok(history)
 }
 
+/// A request of the history.
+struct Request {
+    at: u64,
+    has_key: bool,
+    is_served: bool,
+}
+
+/// A request's caller and name.
+type RequestName<'h> = (&'h str, &'h str);
+
 /// How much was answered, in all and while each kind of fault went on.
-pub(super) fn service(seen: &[history::Seen], steps: &[Step], report: &mut Report) {
-    use history::{End, Event};
-    let mut answered = std::collections::HashSet::new();
-    let mut times = Vec::new();
-    for one in seen {
-        if let Event::End {
-            ticket,
-            end: End::Answer,
-            ..
-        } = &one.event
-        {
-            answered.insert((one.by.as_str(), ticket.as_str()));
+pub(super) fn summarize(history: &[Observation], steps: &[FaultStep], report: &mut Report) {
+    let requests = requests_of(history);
+    report.served_share = served_share(requests.iter());
+    let started = requests.iter().map(|request| request.at).min().unwrap_or(0);
+    for step in steps {
+        let from = started + step.from.as_nanos() as u64;
+        let until = started + step.until.as_nanos() as u64;
+        let during = || {
+            requests
+                .iter()
+                .filter(|request| request.has_key && (from..until).contains(&request.at))
+        };
+        let count = during().count();
+        if count > 0 {
+            let service = report.by_fault.entry(fault_name(&step.action)).or_default();
+            service.add(count, served_share(during()));
         }
     }
-    let asked: Vec<(u64, bool, bool)> = seen
-        .iter()
-        .filter_map(|one| match &one.event {
-            Event::Ask { ticket, key, .. } => Some((
-                one.at,
-                key.is_some(),
-                answered.contains(&(one.by.as_str(), ticket.as_str())),
-            )),
-            _ => None,
-        })
+    report.longest_gap_ms = longest_gap_ns(history) / 1_000_000;
+}
+
+fn requests_of(history: &[Observation]) -> Vec<Request> {
+    let served: HashSet<RequestName<'_>> = served_requests(history)
+        .map(|(_, request)| request)
         .collect();
-    let share = |of: &[&(u64, bool, bool)]| {
-        of.iter().filter(|one| one.2).count() as f64 / of.len().max(1) as f64
+    let request = |seen: &Observation| match &seen.event {
+        Event::Requested { request, key, .. } => Some(Request {
+            at: seen.at,
+            has_key: key.is_some(),
+            is_served: served.contains(&(seen.observer.as_str(), request.as_str())),
+        }),
+        _ => None,
     };
-    report.answered = share(&asked.iter().collect::<Vec<_>>());
-    let begun = asked.iter().map(|one| one.0).min().unwrap_or(0);
-    for step in steps {
-        let (from, until) = (
-            begun + step.from.as_nanos() as u64,
-            begun + step.until.as_nanos() as u64,
-        );
-        let during: Vec<_> = asked
-            .iter()
-            .filter(|one| one.1 && (from..until).contains(&one.0))
-            .collect();
-        if !during.is_empty() {
-            let entry = report.during.entry(kind(&step.act)).or_insert((0, 0.0));
-            let before = entry.1 * entry.0 as f64;
-            entry.0 += during.len();
-            entry.1 = (before + share(&during) * during.len() as f64) / entry.0 as f64;
-        }
+    history.iter().filter_map(request).collect()
+}
+
+/// Answers with a result: their times, and whose they are.
+fn served_requests(history: &[Observation]) -> impl Iterator<Item = (u64, RequestName<'_>)> {
+    history.iter().filter_map(|seen| match &seen.event {
+        Event::Ended {
+            request,
+            end: RequestEnd::Served,
+            ..
+        } => Some((seen.at, (seen.observer.as_str(), request.as_str()))),
+        _ => None,
+    })
+}
+
+fn served_share<'r>(requests: impl Iterator<Item = &'r Request>) -> f64 {
+    let (mut served, mut all) = (0_usize, 0_usize);
+    for request in requests {
+        served += usize::from(request.is_served);
+        all += 1;
     }
-    let keyed: std::collections::HashSet<_> = seen
+    served as f64 / all.max(1) as f64
+}
+
+/// The largest time between two answers to requests with a key.
+fn longest_gap_ns(history: &[Observation]) -> u64 {
+    let keyed: HashSet<RequestName<'_>> = history
         .iter()
-        .filter_map(|one| match &one.event {
-            Event::Ask {
-                ticket,
+        .filter_map(|seen| match &seen.event {
+            Event::Requested {
+                request,
                 key: Some(_),
                 ..
-            } => Some((one.by.as_str(), ticket.as_str())),
+            } => Some((seen.observer.as_str(), request.as_str())),
             _ => None,
         })
         .collect();
-    for one in seen {
-        if let Event::End {
-            ticket,
-            end: End::Answer,
-            ..
-        } = &one.event
-        {
-            if keyed.contains(&(one.by.as_str(), ticket.as_str())) {
-                times.push(one.at);
-            }
-        }
-    }
+    let mut times: Vec<u64> = served_requests(history)
+        .filter(|(_, request)| keyed.contains(request))
+        .map(|(at, _)| at)
+        .collect();
     times.sort_unstable();
-    let gap = times
-        .windows(2)
-        .map(|two| two[1] - two[0])
-        .max()
-        .unwrap_or(0);
-    report.longest_gap_ms = gap / 1_000_000;
+    let gaps = times.windows(2).map(|pair| pair[1] - pair[0]);
+    gaps.max().unwrap_or(0)
 }
 
 /// A fault's name in reports.
-pub fn kind(act: &Act) -> &'static str {
-    match act {
-        Act::Link {
-            trouble:
-                Trouble::Cut {
+pub fn fault_name(action: &FaultAction) -> &'static str {
+    match action {
+        FaultAction::Link {
+            fault:
+                LinkFault::Cut {
                     forth: true,
                     back: true,
                 },
             ..
         } => "cut",
-        Act::Link {
-            trouble: Trouble::Cut { .. },
+        FaultAction::Link {
+            fault: LinkFault::Cut { .. },
             ..
         } => "cut one way",
-        Act::Link {
-            trouble: Trouble::HalfOpen,
+        FaultAction::Link {
+            fault: LinkFault::HalfOpen,
             ..
         } => "half open",
-        Act::Link {
-            trouble: Trouble::Delay(_),
+        FaultAction::Link {
+            fault: LinkFault::Delay(_),
             ..
         } => "delay",
-        Act::Link {
-            trouble: Trouble::Throttle(_),
+        FaultAction::Link {
+            fault: LinkFault::Throttle(_),
             ..
         } => "throttle",
-        Act::Link {
-            trouble: Trouble::Stall,
+        FaultAction::Link {
+            fault: LinkFault::Stall,
             ..
         } => "stall",
-        Act::Reset { .. } => "reset",
-        Act::Twice { .. } => "twice",
-        Act::Kill {
-            disk: Disk::Same, ..
+        FaultAction::Reset { .. } => "reset",
+        FaultAction::DuplicateFrame { .. } => "twice",
+        FaultAction::Kill {
+            disk: RestartDisk::Same,
+            ..
         } => "kill",
-        Act::Kill {
-            disk: Disk::Empty, ..
+        FaultAction::Kill {
+            disk: RestartDisk::Empty,
+            ..
         } => "kill, empty disk",
-        Act::Kill {
-            disk: Disk::Old, ..
+        FaultAction::Kill {
+            disk: RestartDisk::Old,
+            ..
         } => "kill, old disk",
-        Act::Kill {
-            disk: Disk::Another { .. },
+        FaultAction::Kill {
+            disk: RestartDisk::Another { .. },
             ..
         } => "kill, another's disk",
-        Act::Chase { .. } => "leader killed",
-        Act::Stop { .. } => "stop",
-        Act::Roll { .. } => "roll",
-        Act::FlushFails { .. } => "flush fails",
-        Act::DiskFull { .. } => "disk full",
-        Act::DiskSlow { .. } => "disk slow",
-        Act::Torn { .. } => "torn",
-        Act::Clock { .. } => "clock",
+        FaultAction::KillLeader { .. } => "leader killed",
+        FaultAction::Stop { .. } => "stop",
+        FaultAction::RollingRestart { .. } => "roll",
+        FaultAction::FlushFails { .. } => "flush fails",
+        FaultAction::DiskFull { .. } => "disk full",
+        FaultAction::DiskSlow { .. } => "disk slow",
+        FaultAction::TornWrite { .. } => "torn",
+        FaultAction::Clock { .. } => "clock",
     }
 }
--- a/crates/testbed/src/simulation/consistency.rs
+++ b/crates/testbed/src/simulation/consistency.rs
@@ -1,73 +1,107 @@
-//! The comparison of all replicas at the end of a run.
+//! The end of a run: all replicas of a shard that have applied as much hold the same, and nobody's charges grew.
 
-use super::{name, Sim};
+use super::{name, Simulation};
 use prost::Message as _;
-use rainstand_replicated_state::member::ShardView;
+use rainstand_replicated_state::member::{GroupMember, ShardView};
+use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-impl Sim {
-    /// At the end: all copies of a shard that are as far have the same.
-    pub(super) fn compare(&mut self) {
-        /// Checksums of entries, keys and settled members, and whose they are.
-        type Copy = (u64, u64, Option<u64>, usize);
-        let mut seen: BTreeMap<(u16, u64), Copy> = BTreeMap::new();
-        let mut wrong = Vec::new();
-        for (k, node) in self.nodes.iter().enumerate() {
+/// Checksums of what a replica holds.
+struct Checksums {
+    entries: u64,
+    keys: u64,
+    /// None while a change of the membership is not committed.
+    members: Option<u64>,
+}
+
+impl Checksums {
+    fn of(view: &ShardView<'_>) -> Self {
+        let replica = view.replica;
+        let members = replica.membership().encode_to_vec();
+        let is_settled = replica.is_membership_committed();
+        Self {
+            entries: replica.log().checksum(replica.applied()).unwrap_or(0),
+            keys: twox_hash::XxHash3_64::oneshot(&view.table.snapshot()),
+            members: is_settled.then(|| twox_hash::XxHash3_64::oneshot(&members)),
+        }
+    }
+
+    /// What the two hold that is not the same.
+    fn difference(&self, other: &Self) -> Option<&'static str> {
+        let members = self.members.zip(other.members);
+        if self.entries != other.entries {
+            Some("entries")
+        } else if self.keys != other.keys {
+            Some("keys")
+        } else if members.is_some_and(|(one, other)| one != other) {
+            Some("members")
+        } else {
+            None
+        }
+    }
+}
+
+/// Replicas by shard and applied index: the first one that was seen, and its node.
+type Replicas = BTreeMap<(u16, u64), (Checksums, usize)>;
+
+impl Simulation {
+    pub(super) fn check_consistency(&mut self) {
+        let mut replicas = Replicas::new();
+        let mut faults = Vec::new();
+        for (index, node) in self.nodes.iter().enumerate() {
             let Some(member) = &node.member else {
-                wrong.push(format!("{} is not up at the end", name(k)));
+                faults.push(format!("{} is not up at the end", name(index)));
                 continue;
             };
-            for report in member.gossip_reports().iter() {
-                let disk = report.disk;
-                let told = report.charged_us.get("acme").copied().unwrap_or(0);
-                let truth = self
-                    .charged
-                    .get(&(disk, report.epoch))
-                    .copied()
-                    .unwrap_or(0);
-                if told > truth {
-                    wrong.push(format!(
-                        "{} has {told} of what a node charged: {truth}",
-                        name(k)
-                    ));
-                }
+            self.check_charges(index, member, &mut faults);
+            compare_replicas(index, member, &mut replicas, &mut faults);
+        }
+        self.outcome.faults.extend(faults);
+    }
+
+    /// Nobody has heard of more than a node charged.
+    fn check_charges(&self, index: usize, member: &GroupMember, faults: &mut Vec<String>) {
+        for report in member.gossip_reports().iter() {
+            let reported = report.charged_us.get("acme").copied().unwrap_or(0);
+            let incarnation = (report.disk, report.epoch);
+            let charged = self.charged.get(&incarnation).copied().unwrap_or(0);
+            if reported > charged {
+                let name = name(index);
+                faults.push(format!(
+                    "{name} has {reported} of what a node charged: {charged}"
+                ));
+            }
+        }
+    }
+}
+
+fn compare_replicas(
+    index: usize,
+    member: &GroupMember,
+    replicas: &mut Replicas,
+    faults: &mut Vec<String>,
+) {
+    for view in member.shards() {
+        let replica = view.replica;
+        // Of disks that hold a replica no more, nothing is asked.
+        if replica.membership().member(replica.id()).is_none() {
+            continue;
+        }
+        let (shard, applied) = (view.shard, replica.applied());
+        let checksums = Checksums::of(&view);
+        match replicas.entry((shard, applied)) {
+            Entry::Vacant(entry) => {
+                entry.insert((checksums, index));
             }
-            for ShardView {
-                shard,
-                replica,
-                table,
-            } in member.shards()
-            {
-                // Of disks that hold a copy no more, nothing is asked.
-                if replica.membership().member(replica.id()).is_none() {
-                    continue;
+            Entry::Occupied(entry) => {
+                let (first, node) = entry.get();
+                if let Some(what) = first.difference(&checksums) {
+                    let (one, other) = (name(index), name(*node));
+                    faults.push(format!(
+                        "shard {shard} at {applied}: {what} of {one} and {other} differ"
+                    ));
                 }
-                let sum = replica.log().checksum(replica.applied()).unwrap_or(0);
-                let state = twox_hash::XxHash3_64::oneshot(&table.snapshot());
-                let members = twox_hash::XxHash3_64::oneshot(&replica.membership().encode_to_vec());
-                let members = replica.is_membership_committed().then_some(members);
-                let entry = seen
-                    .entry((shard, replica.applied()))
-                    .or_insert((sum, state, members, k));
-                let what = if entry.0 != sum {
-                    "entries"
-                } else if entry.1 != state {
-                    "keys"
-                } else if entry
-                    .2
-                    .zip(members)
-                    .is_some_and(|(one, other)| one != other)
-                {
-                    "members"
-                } else {
-                    continue;
-                };
-                let (at, one, other) = (replica.applied(), name(k), name(entry.3));
-                wrong.push(format!(
-                    "shard {shard} at {at}: {what} of {one} and {other} differ"
-                ));
             }
         }
-        self.out.wrong.extend(wrong);
     }
 }
--- a/crates/testbed/src/simulation/disk.rs
+++ b/crates/testbed/src/simulation/disk.rs
@@ -1,63 +1,72 @@
-//! Writes and flushes of one member's disk.
+//! Writes and flushes of one member's disk: one flush at a time, with all that waits for it.
 
 use super::events::EventKind;
-use super::{Sim, MS};
+use super::{Simulation, MS};
 use rainstand_cluster::persistence::append;
 use rainstand_replicated_state::member::WriteBatch;
 
-impl Sim {
+/// The shortest flush, and what a draw adds to it.
+const MIN_FLUSH_TIME: u64 = MS / 2;
+const FLUSH_JITTER: u64 = 3 * MS;
+/// Until a node whose disk failed is started again.
+const REPAIR_DELAY: u64 = 1_500 * MS;
+
+impl Simulation {
+    /// Writes all that waits, and begins its flush.
     pub(super) fn flush(&mut self, node: usize) {
-        let one = &mut self.nodes[node];
-        if one.flushing || one.jobs.is_empty() {
+        let state = &mut self.nodes[node];
+        if state.is_flushing || state.writes.is_empty() {
             return;
         }
-        let Some(store) = &mut one.store else { return };
-        let mut to = 0;
-        let mut failed = false;
-        for WriteBatch { number, writes } in one.jobs.drain(..) {
-            to = number;
+        let Some(store) = &mut state.store else {
+            return;
+        };
+        let mut number = 0;
+        let mut has_failed = false;
+        for batch in state.writes.drain(..) {
+            let WriteBatch {
+                number: last,
+                writes,
+            } = batch;
+            number = last;
             for write in writes {
-                failed |= append(store, &write).is_err();
+                has_failed |= append(store, &write).is_err();
             }
         }
-        one.flushing = true;
-        let (life, slow) = (one.life, one.slow);
-        if failed {
+        state.is_flushing = true;
+        let (incarnation, delay) = (state.incarnation, state.flush_delay);
+        if has_failed {
+            // Nothing more is confirmed until the process is started again.
             return;
         }
-        let after = slow + MS / 2 + self.draw(3 * MS);
-        self.later(
+        let after = delay + MIN_FLUSH_TIME + self.draw(FLUSH_JITTER);
+        self.schedule(
             after,
             EventKind::Flushed {
                 node,
-                life,
-                number: to,
+                incarnation,
+                number,
             },
         );
     }
 
-    pub(super) fn flushed(&mut self, node: usize, number: u64) {
-        let Some(store) = &mut self.nodes[node].store else {
+    pub(super) fn on_flushed(&mut self, node: usize, number: u64) {
+        let state = &mut self.nodes[node];
+        let Some(store) = &mut state.store else {
             return;
         };
         if store.flush().is_err() {
-            // Said, and nothing more is confirmed until the process is started anew.
-            if let Some(member) = &mut self.nodes[node].member {
+            if let Some(member) = &mut state.member {
                 member.stop();
             }
-            return self.later(
-                1_500 * MS,
-                EventKind::Heal {
-                    fault: usize::MAX - node,
-                },
-            );
+            return self.schedule(REPAIR_DELAY, EventKind::RepairDisk { node });
         }
-        let pressing = store.needs_compaction();
-        self.nodes[node].flushing = false;
-        self.with(node, |member, now| {
+        let full_shards = store.needs_compaction();
+        state.is_flushing = false;
+        self.call_member(node, |member, now| {
             member.on_persisted(now, number);
-            if !pressing.is_empty() {
-                member.compact_shards(now, &pressing);
+            if !full_shards.is_empty() {
+                member.compact_shards(now, &full_shards);
             }
         });
         self.flush(node);
--- a/crates/testbed/src/simulation/events.rs
+++ b/crates/testbed/src/simulation/events.rs
@@ -1,72 +1,60 @@
-//! Events of the virtual clock, in the order of their times, and what each of them does.
+//! Events of the virtual clock, in the order of their times, and who handles each.
 
-use super::faults::Ill;
-use super::members::Node;
-use super::{name, Sim, MS};
+use super::Simulation;
 use rainstand_replicated_state::frames::Frame;
+use std::cmp::Ordering;
 
+/// What happens. Events that carry an incarnation are dropped if the node was started or stopped meanwhile.
 #[derive(Clone, Debug)]
 pub(super) enum EventKind {
-    Wake {
-        node: usize,
-        life: u64,
-    },
+    /// A member's next deadline is here.
+    Wake { node: usize, incarnation: u64 },
+    /// A frame reaches a member.
     Arrive {
         from: usize,
         to: usize,
-        life: u64,
+        incarnation: u64,
         frame: Frame,
     },
+    /// The disk has flushed all writes up to this number.
     Flushed {
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
     },
-    Ask {
-        key: Option<usize>,
-    },
-    RunEnds {
-        node: usize,
-        ticket: usize,
-    },
-    /// The agent's notice reaches its node.
-    Notice {
-        node: usize,
-        ticket: usize,
-    },
-    Due {
-        ticket: usize,
-    },
-    Fault,
-    Heal {
-        fault: usize,
-    },
-    Up {
-        node: usize,
-    },
-    Link {
-        from: usize,
-        to: usize,
-    },
+    /// A caller sends a request, with a key that was given before or a drawn one.
+    SendRequest { key: Option<usize> },
+    /// An agent has run a request.
+    RunFinished { node: usize, request: usize },
+    /// The agent's outcome reaches its node.
+    OutcomeArrives { node: usize, request: usize },
+    /// A request's deadline is here.
+    Deadline { request: usize },
+    /// A fault is drawn and begins.
+    BeginFault,
+    /// A fault ends.
+    EndFault { index: usize },
+    /// A node whose disk failed is killed and started again.
+    RepairDisk { node: usize },
+    /// A node is started.
+    Start { node: usize },
+    /// A connection is opened.
+    Connect { from: usize, to: usize },
     /// The configuration leaves a node out, or nobody.
-    Retire {
-        node: Option<usize>,
-    },
-    /// A node and some leader are parted from all others.
-    Apart {
-        node: usize,
-    },
-    /// Killed, and started again at once.
-    Bounce {
-        node: usize,
-    },
+    RemoveMember { node: Option<usize> },
+    /// A node and some leader are parted from all others; without a node, one that learns just then.
+    Isolate { node: Option<usize> },
+    /// A node is killed, and started again at once.
+    Bounce { node: usize },
 }
 
+/// Something that happens at a time.
 #[derive(Clone, Debug)]
 pub(super) struct Event {
     pub(super) at: u64,
-    pub(super) order: u64,
-    pub(super) what: EventKind,
+    /// Events of one moment are handled in the order in which they were scheduled.
+    order: u64,
+    pub(super) kind: EventKind,
 }
 
 impl PartialEq for Event {
@@ -78,107 +66,72 @@
 impl Eq for Event {}
 
 impl PartialOrd for Event {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 impl Ord for Event {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+    /// The earliest is the greatest, as a heap gives the greatest first.
+    fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-impl Sim {
-    pub(super) fn later(&mut self, after: u64, what: EventKind) {
-        self.order += 1;
+impl Simulation {
+    pub(super) fn schedule(&mut self, after: u64, kind: EventKind) {
+        self.scheduled += 1;
         self.events.push(Event {
             at: self.now + after,
-            order: self.order,
-            what,
+            order: self.scheduled,
+            kind,
         });
     }
 
-    pub(super) fn happen(&mut self, what: EventKind) {
-        match what {
-            EventKind::Up { node } => self.up(node),
-            EventKind::Wake { node, life } if self.lives(node, life) => {
-                if self.nodes[node].stopped {
-                    self.nodes[node]
-                        .waiting
-                        .push_back(EventKind::Wake { node, life });
-                } else {
-                    self.nodes[node].wake = u64::MAX;
-                    self.with(node, |member, now| member.tick(now));
-                }
-            }
-            EventKind::Flushed { node, life, number } if self.lives(node, life) => {
-                self.flushed(node, number)
-            }
+    pub(super) fn handle(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::Wake { node, incarnation } => self.on_wake(node, incarnation),
             EventKind::Arrive {
                 from,
                 to,
-                life,
+                incarnation,
                 frame,
-            } if self.lives(to, life) => {
-                if self.nodes[to].stopped {
-                    self.nodes[to].waiting.push_back(EventKind::Arrive {
-                        from,
-                        to,
-                        life,
-                        frame,
-                    });
-                } else if self.nodes[from].member.is_some() || self.draw(2) == 0 {
-                    self.with(to, |member, now| member.on_frame(now, &name(from), frame));
-                }
-            }
-            EventKind::Wake { .. } | EventKind::Flushed { .. } | EventKind::Arrive { .. } => {}
-            EventKind::Ask { key } => self.ask(key),
-            EventKind::RunEnds { node, ticket } => self.run_ends(node, ticket),
-            EventKind::Notice { node, ticket } => self.notice(node, ticket),
-            EventKind::Due { ticket } => self.due(ticket),
-            EventKind::Fault => self.fault(),
-            EventKind::Heal { fault } => self.heal(fault),
-            EventKind::Link { from, to } => self.link(from, to),
-            EventKind::Retire { node } => self.retire(node),
-            EventKind::Apart { node } => {
-                // Without a node named: one that learns just now.
-                let learner = || {
-                    let members = self.nodes.iter().filter_map(|node| node.member.as_ref());
-                    let shards = members
-                        .flat_map(|member| member.shards())
-                        .filter(|shard| shard.replica.is_leader());
-                    let mut all = shards.flat_map(|shard| &shard.replica.membership().members);
-                    let id = all.find(|member| !member.is_voter)?.id;
-                    let is = |node: &Node| {
-                        node.member
-                            .as_ref()
-                            .is_some_and(|member| member.disk() == id)
-                    };
-                    self.nodes.iter().position(is)
-                };
-                let node = if node == usize::MAX {
-                    learner()
-                } else {
-                    Some(node)
-                };
-                let Some(node) = node else { return };
-                let leader = (0..self.world.nodes).find(|k| *k != node && self.leads(*k));
-                if let Some(leader) = leader.filter(|_| self.ills.iter().all(Option::is_none)) {
-                    let fault = self.ills.len();
-                    self.ills.push(Some(Ill::Part {
-                        seed: 1 << node | 1 << leader,
-                        one_way: false,
-                    }));
-                    self.later(700 * MS, EventKind::Heal { fault });
-                }
-            }
-            EventKind::Bounce { node } => {
-                if self.nodes[node].member.is_some() {
-                    self.crash(node);
-                    self.later(2 * MS, EventKind::Up { node });
+            } => self.on_arrival(from, to, incarnation, frame),
+            EventKind::Flushed {
+                node,
+                incarnation,
+                number,
+            } => {
+                if self.is_running(node, incarnation) {
+                    self.on_flushed(node, number);
                 }
             }
+            EventKind::SendRequest { key } => self.send_request(key),
+            EventKind::RunFinished { node, request } => self.on_run_finished(node, request),
+            EventKind::OutcomeArrives { node, request } => self.on_outcome(node, request),
+            EventKind::Deadline { request } => self.on_deadline(request),
+            EventKind::BeginFault => self.draw_fault(),
+            EventKind::EndFault { index } => self.end_fault(index),
+            EventKind::RepairDisk { node } => self.repair_disk(node),
+            EventKind::Start { node } => self.start(node),
+            EventKind::Connect { from, to } => self.connect(from, to),
+            EventKind::RemoveMember { node } => self.remove_member(node),
+            EventKind::Isolate { node } => self.isolate(node),
+            EventKind::Bounce { node } => self.bounce(node),
+        }
+    }
+
+    fn on_wake(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) {
+            return;
+        }
+        let state = &mut self.nodes[node];
+        if state.is_paused {
+            let deferred = EventKind::Wake { node, incarnation };
+            state.deferred.push_back(deferred);
+            return;
         }
+        state.next_wake = u64::MAX;
+        self.call_member(node, |member, now| member.tick(now));
     }
 }
--- a/crates/testbed/src/simulation/members.rs
+++ b/crates/testbed/src/simulation/members.rs
@@ -1,10 +1,10 @@
 //! Members of the group: their starts, their crashes, calls into them and what follows from a call.
 
 use super::events::EventKind;
-use super::faults::Ill;
-use super::links::votes;
-use super::{name, Sim, MS};
-use crate::history::End;
+use super::faults::Fault;
+use super::links::grants_vote;
+use super::{name, Simulation, MS};
+use crate::history::RequestEnd;
 use foldhash::HashMap;
 use rainstand_cluster::persistence::decode_recovered;
 use rainstand_raft::Timeouts;
@@ -15,65 +15,150 @@
 };
 use rainstand_replicated_state::placement::MemberPlacement;
 use rainstand_storage::faulty_disk::{CrashOutcome, FaultyDisk};
-use rainstand_storage::{IdentitySeed, OpenError, Recovered, Store, StoreLimits};
+use rainstand_storage::{Disk, IdentitySeed, OpenError, Recovered, Store, StoreLimits};
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// Small enough that segments and snapshots change often.
+const STORE_LIMITS: StoreLimits = StoreLimits {
+    segment_bytes: 20_000,
+    log_bytes: 100_000,
+};
+/// Entries after which a log is compacted.
+const COMPACTION_ENTRIES: usize = 60;
+/// Until a disk that could not be opened is tried again.
+const REOPEN_DELAY: u64 = 200 * MS;
+/// Until a new member connects to the others, and they to it.
+const CONNECT_DELAY: u64 = 2 * MS;
+/// Until a member whose disk was quarantined is started again.
+const RESET_DELAY: u64 = 50 * MS;
+/// A member is woken at least so often.
+const MAX_WAKE_INTERVAL: u64 = 1_000 * MS;
+/// A voter that dies does so this long after its vote was sent; one in so many does.
+const VOTER_DEATH_DELAY: u64 = MS / 5;
+const VOTER_DEATH_ODDS: u64 = 3;
+
+/// A clock that may run at a wrong rate.
+pub(super) struct Clock {
+    /// In thousandths.
+    rate: u64,
+    /// The true time, and the clock's own, at which this rate began.
+    since: u64,
+    own: u64,
+}
+
+impl Clock {
+    /// What it shows at a true time.
+    fn read(&self, now: u64) -> u64 {
+        self.own + (now - self.since) * self.rate / 1_000
+    }
+
+    /// How long a time of its own takes in truth.
+    fn true_span(&self, own: u64) -> u64 {
+        own * 1_000 / self.rate.max(1)
+    }
+}
+
+/// A node: its disk, and its member while it runs.
 pub(super) struct Node {
     pub(super) disk: FaultyDisk,
+    /// A copy of its disk from an earlier time.
     pub(super) backup: Option<FaultyDisk>,
     pub(super) store: Option<Store<FaultyDisk>>,
     pub(super) member: Option<GroupMember>,
     /// Goes up with each start and stop: what was meant for an earlier one is lost.
-    pub(super) life: u64,
-    pub(super) stopped: bool,
-    pub(super) slow: u64,
-    /// Rate of its clock in thousandths, the true time and its own time when that began.
-    pub(super) clock: (u64, u64, u64),
-    /// Jobs of the disk, oldest first; one flush at a time.
-    pub(super) jobs: VecDeque<WriteBatch>,
-    pub(super) flushing: bool,
-    pub(super) wake: u64,
-    /// Questions to tickets.
-    pub(super) asked: HashMap<u64, usize>,
-    pub(super) waiting: VecDeque<EventKind>,
+    pub(super) incarnation: u64,
+    pub(super) is_paused: bool,
+    /// What came while it was paused.
+    pub(super) deferred: VecDeque<EventKind>,
+    clock: Clock,
+    /// Writes of its disk that wait for a flush, oldest first.
+    pub(super) writes: VecDeque<WriteBatch>,
+    pub(super) is_flushing: bool,
+    /// What a slow disk adds to each flush.
+    pub(super) flush_delay: u64,
+    /// When it is woken next.
+    pub(super) next_wake: u64,
+    /// Requests that wait for the group's outcome, by the group's number.
+    pub(super) pending: HashMap<u64, usize>,
 }
 
-impl Sim {
-    pub(super) fn lives(&self, node: usize, life: u64) -> bool {
-        self.nodes[node].life == life && self.nodes[node].member.is_some()
+impl Default for Node {
+    fn default() -> Self {
+        Self {
+            disk: FaultyDisk::default(),
+            backup: None,
+            store: None,
+            member: None,
+            incarnation: 0,
+            is_paused: false,
+            deferred: VecDeque::new(),
+            clock: Clock {
+                rate: 1_000,
+                since: 0,
+                own: 0,
+            },
+            writes: VecDeque::new(),
+            is_flushing: false,
+            flush_delay: 0,
+            next_wake: u64::MAX,
+            pending: HashMap::default(),
+        }
+    }
+}
+
+impl Node {
+    /// Whether its member answers nobody since its disk failed.
+    pub(super) fn is_stopped(&self) -> bool {
+        self.member.as_ref().is_some_and(GroupMember::is_stopped)
+    }
+
+    /// Whether it leads any shard.
+    pub(super) fn is_leader(&self) -> bool {
+        let led = self.member.as_ref().map(GroupMember::led_shard_count);
+        led.is_some_and(|count| count > 0)
+    }
+}
+
+impl Simulation {
+    /// Whether a node runs in the incarnation that something was meant for.
+    pub(super) fn is_running(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node].incarnation == incarnation && self.nodes[node].member.is_some()
     }
 
     /// The node's own time, by its clock.
     pub(super) fn clock(&self, node: usize) -> Duration {
-        let (rate, since, own) = self.nodes[node].clock;
-        Duration::from_nanos(own + (self.now - since) * rate / 1_000)
+        Duration::from_nanos(self.nodes[node].clock.read(self.now))
     }
 
-    pub(super) fn set_rate(&mut self, node: usize, rate: u64) {
-        let own = self.clock(node).as_nanos() as u64;
-        self.nodes[node].clock = (rate, self.now, own);
+    pub(super) fn set_clock_rate(&mut self, node: usize, rate: u64) {
+        let now = self.now;
+        let clock = &mut self.nodes[node].clock;
+        *clock = Clock {
+            rate,
+            since: now,
+            own: clock.read(now),
+        };
     }
 
-    // Processes and disks.
-
+    /// The members of the configuration of now.
     pub(super) fn members(&self) -> Vec<MemberPlacement> {
-        let sites = self.world.sites.max(1);
-        let all = (0..self.world.nodes).filter(|k| self.retired != Some(*k));
-        all.map(|k| MemberPlacement {
-            name: name(k),
-            site: format!("s{}", k % sites),
-        })
-        .collect()
+        let sites = self.config.sites.max(1);
+        let nodes = (0..self.config.nodes).filter(|node| self.removed != Some(*node));
+        let member = |node| MemberPlacement {
+            name: name(node),
+            site: format!("s{}", node % sites),
+        };
+        nodes.map(member).collect()
     }
 
-    fn options(&mut self, node: usize) -> MemberConfig {
+    fn member_config(&mut self, node: usize) -> MemberConfig {
         MemberConfig {
             group: "sim".into(),
             name: name(node),
             members: self.members(),
-            shards: self.world.shards,
-            replicas_per_shard: self.world.copies,
+            shards: self.config.shards,
+            replicas_per_shard: self.config.replicas_per_shard,
             timeouts: Timeouts {
                 heartbeat_interval: Duration::from_millis(30),
                 min_election_timeout: Duration::from_millis(150),
@@ -81,211 +166,203 @@
             },
             max_concurrent_learners: 2,
             max_keys_per_shard: 100_000,
-            compaction_entries: 60,
+            compaction_entries: COMPACTION_ENTRIES,
             seed: self.draw(u64::MAX),
         }
     }
 
-    pub(super) fn up(&mut self, node: usize) {
-        if self.nodes[node].member.is_some() || self.ills.contains(&Some(Ill::Down(node))) {
+    /// Opens a node's disk and runs its member, unless it runs or is kept down.
+    pub(super) fn start(&mut self, node: usize) {
+        let is_down = self.faults.contains(&Some(Fault::Down(node)));
+        if self.nodes[node].member.is_some() || is_down {
             return;
         }
         let seed = IdentitySeed {
             disk: self.draw(u64::MAX - 1) + 1,
             nonce: self.draw(u64::MAX),
         };
-        let disk = self.nodes[node].disk.clone();
-        let limits = StoreLimits {
-            segment_bytes: 20_000,
-            log_bytes: 100_000,
-        };
-        let (store, found) = match Store::open(disk.clone(), limits, seed) {
-            Ok(opened) => opened,
-            Err(OpenError::Damaged(_)) => {
-                // As the program does: what cannot be believed is set aside, and the disk begins anew.
-                let mut folder = disk.clone();
-                let _ = rainstand_storage::Disk::quarantine(&mut folder);
-                match Store::open(folder, limits, seed) {
-                    Ok(opened) => opened,
-                    Err(why) => {
-                        return self
-                            .out
-                            .wrong
-                            .push(format!("{} does not open: {why}", name(node)))
-                    }
-                }
+        let mut disk = self.nodes[node].disk.clone();
+        let mut opened = Store::open(disk.clone(), STORE_LIMITS, seed);
+        if matches!(opened, Err(OpenError::Damaged(_))) {
+            // As the program does: what cannot be believed is quarantined, and the disk begins as a new one.
+            let _ = disk.quarantine();
+            opened = Store::open(disk, STORE_LIMITS, seed);
+            if let Err(error) = opened {
+                let fault = format!("{} does not open: {error}", name(node));
+                return self.outcome.faults.push(fault);
             }
-            Err(OpenError::Io(_)) => return self.later(200 * MS, EventKind::Up { node }),
-        };
-        self.begin(node, store, found);
+        }
+        match opened {
+            Ok((store, recovered)) => self.run_member(node, store, &recovered),
+            Err(_) => self.schedule(REOPEN_DELAY, EventKind::Start { node }),
+        }
     }
 
-    fn begin(&mut self, node: usize, store: Store<FaultyDisk>, recovered: Recovered) {
+    fn run_member(&mut self, node: usize, store: Store<FaultyDisk>, recovered: &Recovered) {
         let identity = store.identity();
         self.trace(|| {
-            format!(
-                "{} starts, disk {:08x} start {}",
-                name(node),
-                identity.disk as u32,
-                identity.incarnation
-            )
+            let (disk, incarnation) = (identity.disk as u32, identity.incarnation);
+            format!("{} starts, disk {disk:08x} start {incarnation}", name(node))
         });
-        let options = self.options(node);
+        let config = self.member_config(node);
         let now = self.clock(node);
-        let found = match decode_recovered(store.identity(), &recovered) {
-            Ok(found) => found,
-            Err(why) => return self.out.wrong.push(format!("{}: {why}", name(node))),
+        let recovered = match decode_recovered(store.identity(), recovered) {
+            Ok(recovered) => recovered,
+            Err(error) => {
+                let fault = format!("{}: {error}", name(node));
+                return self.outcome.faults.push(fault);
+            }
         };
-        let member = GroupMember::new(options, found, now);
-        let one = &mut self.nodes[node];
-        (one.store, one.member) = (Some(store), Some(member));
-        one.life += 1;
-        (one.wake, one.flushing) = (u64::MAX, false);
-        one.jobs.clear();
-        one.asked.clear();
-        one.waiting.clear();
-        self.out.restarts += 1;
-        for other in (0..self.world.nodes).filter(|other| *other != node) {
-            self.later(
-                2 * MS,
-                EventKind::Link {
-                    from: node,
-                    to: other,
-                },
-            );
-            self.later(
-                2 * MS,
-                EventKind::Link {
-                    from: other,
-                    to: node,
-                },
-            );
+        let state = &mut self.nodes[node];
+        state.store = Some(store);
+        state.member = Some(GroupMember::new(config, recovered, now));
+        state.incarnation += 1;
+        state.next_wake = u64::MAX;
+        state.is_flushing = false;
+        state.writes.clear();
+        state.pending.clear();
+        state.deferred.clear();
+        self.outcome.restarts += 1;
+        for other in (0..self.config.nodes).filter(|other| *other != node) {
+            for (from, to) in [(node, other), (other, node)] {
+                self.schedule(CONNECT_DELAY, EventKind::Connect { from, to });
+            }
         }
-        self.with(node, |member, now| member.tick(now));
+        self.call_member(node, |member, now| member.tick(now));
     }
 
+    /// A node dies: part of what its disk had not flushed is lost, and its connections break.
     pub(super) fn crash(&mut self, node: usize) {
         self.trace(|| format!("{} dies", name(node)));
         let unflushed_bytes = self.nodes[node].disk.unflushed_bytes() as u64;
-        let left = self.draw(unflushed_bytes + 1) as usize;
-        let one = &mut self.nodes[node];
-        (one.member, one.store) = (None, None);
-        one.life += 1;
-        one.stopped = false;
-        one.disk.crash(CrashOutcome::First(left));
-        for ticket in &mut self.tickets {
-            if ticket.node == node {
-                ticket.disturbed = true;
+        let survives = self.draw(unflushed_bytes + 1) as usize;
+        let state = &mut self.nodes[node];
+        state.member = None;
+        state.store = None;
+        state.incarnation += 1;
+        state.is_paused = false;
+        state.disk.crash(CrashOutcome::First(survives));
+        for request in 0..self.requests.len() {
+            if self.requests[request].node == node {
+                self.requests[request].is_disturbed = true;
+                self.end_request(request, RequestEnd::Abandoned, None);
             }
         }
-        // Its callers' links break.
-        let open: Vec<usize> = (0..self.tickets.len())
-            .filter(|t| self.tickets[*t].node == node && self.tickets[*t].open)
-            .collect();
-        for ticket in open {
-            self.say(ticket, End::Gone, None);
-        }
-        for other in (0..self.world.nodes).filter(|other| *other != node) {
-            self.with(other, |member, now| {
-                member.on_disconnected(now, &name(node))
+        for other in (0..self.config.nodes).filter(|other| *other != node) {
+            self.call_member(other, |member, now| {
+                member.on_disconnected(now, &name(node));
             });
         }
     }
 
-    /// Calls into a member, and what follows from it.
-    pub(super) fn with(&mut self, node: usize, call: impl FnOnce(&mut GroupMember, Duration)) {
+    /// A node is killed, and started again at once.
+    pub(super) fn bounce(&mut self, node: usize) {
+        if self.nodes[node].member.is_some() {
+            self.crash(node);
+            self.schedule(2 * MS, EventKind::Start { node });
+        }
+    }
+
+    /// Calls into a member, and does what follows from it.
+    pub(super) fn call_member(
+        &mut self,
+        node: usize,
+        call: impl FnOnce(&mut GroupMember, Duration),
+    ) {
         let now = self.clock(node);
         let Some(member) = &mut self.nodes[node].member else {
             return;
         };
         call(member, now);
         let effects = member.take_effects();
-        let wake = member.next_deadline();
-        let stopped = member.is_stopped();
-        self.follow(node, effects);
-        if stopped
-            && self.nodes[node]
-                .member
-                .as_ref()
-                .is_some_and(|member| member.is_stopped())
-        {
+        let deadline = member.next_deadline();
+        let is_stopped = member.is_stopped();
+        self.apply_effects(node, effects);
+        if is_stopped && self.nodes[node].is_stopped() {
             return;
         }
-        let rate = self.nodes[node].clock.0;
-        let after =
-            (wake.saturating_sub(now).as_nanos() as u64).min(1_000 * MS) * 1_000 / rate.max(1) + 1;
-        if self.now + after < self.nodes[node].wake {
-            self.nodes[node].wake = self.now + after;
-            let life = self.nodes[node].life;
-            self.later(after, EventKind::Wake { node, life });
+        let wait = deadline.saturating_sub(now).as_nanos() as u64;
+        let after = self.nodes[node]
+            .clock
+            .true_span(wait.min(MAX_WAKE_INTERVAL))
+            + 1;
+        if self.now + after < self.nodes[node].next_wake {
+            self.nodes[node].next_wake = self.now + after;
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule(after, EventKind::Wake { node, incarnation });
         }
     }
 
-    fn follow(&mut self, node: usize, effects: Effects) {
-        let Effects {
-            frames,
-            write,
-            outcomes,
-            timed_out,
-            reads: _,
-            events,
-            published_changed: _,
-        } = effects;
-        if let Some(write) = write {
-            self.nodes[node].jobs.push_back(write);
+    fn apply_effects(&mut self, node: usize, effects: Effects) {
+        if let Some(write) = effects.write {
+            self.nodes[node].writes.push_back(write);
             self.flush(node);
         }
-        for OutgoingFrame { to, frame } in frames {
-            if votes(&frame) && self.ills.contains(&Some(Ill::Jumpy)) && self.draw(3) == 0 {
-                self.later(MS / 5, EventKind::Bounce { node });
-            }
-            let to = to[1..].parse::<usize>().map_or(0, |n| n - 1);
-            self.send(node, to, frame);
+        for OutgoingFrame { to, frame } in effects.frames {
+            self.send_frame(node, &to, &frame);
         }
-        for one in events {
-            self.trace(|| format!("{} {one:?}", name(node)));
-            match one {
-                GroupEvent::BecameLeader { shard, term } => {
-                    self.out.elections += 1;
-                    let disk = self.nodes[node]
-                        .member
-                        .as_ref()
-                        .map_or(0, GroupMember::disk);
-                    let before = self.leaders.insert((shard, term), disk);
-                    if before.is_some_and(|before| before != disk) {
-                        self.out
-                            .wrong
-                            .push(format!("two lead shard {shard} in term {term}"));
-                    }
-                }
-                GroupEvent::Diverged { .. } => {
-                    self.out.wrong.push(format!("{}: {one:?}", name(node)));
-                    self.anew(node);
+        for event in effects.events {
+            self.on_group_event(node, &event);
+        }
+        for RequestOutcome { id, outcome } in effects.outcomes {
+            if let Some(request) = self.nodes[node].pending.get(&id).copied() {
+                if outcome != ClaimOutcome::InProgress {
+                    self.nodes[node].pending.remove(&id);
                 }
-                GroupEvent::StaleDisk { .. } => self.anew(node),
-                _ => {}
+                self.advance(request, RequestEvent::Outcome(outcome));
             }
         }
-        for RequestOutcome { id, outcome: told } in outcomes {
-            if let Some(ticket) = self.nodes[node].asked.get(&id).copied() {
-                if told != ClaimOutcome::InProgress {
-                    self.nodes[node].asked.remove(&id);
-                }
-                self.step(ticket, RequestEvent::Outcome(told));
+        for id in effects.timed_out {
+            if let Some(request) = self.nodes[node].pending.remove(&id) {
+                self.advance(request, RequestEvent::TimedOut);
             }
         }
-        for id in timed_out {
-            if let Some(ticket) = self.nodes[node].asked.remove(&id) {
-                self.step(ticket, RequestEvent::TimedOut);
+    }
+
+    fn send_frame(
+        &mut self,
+        node: usize,
+        to: &str,
+        frame: &rainstand_replicated_state::frames::Frame,
+    ) {
+        let voters_die = self.faults.contains(&Some(Fault::VotersDie));
+        if grants_vote(frame) && voters_die && self.draw(VOTER_DEATH_ODDS) == 0 {
+            self.schedule(VOTER_DEATH_DELAY, EventKind::Bounce { node });
+        }
+        let to = to[1..].parse::<usize>().map_or(0, |number| number - 1);
+        self.send(node, to, frame);
+    }
+
+    fn on_group_event(&mut self, node: usize, event: &GroupEvent) {
+        self.trace(|| format!("{} {event:?}", name(node)));
+        match event {
+            GroupEvent::BecameLeader { shard, term } => self.on_leader(node, *shard, *term),
+            GroupEvent::Diverged { .. } => {
+                let fault = format!("{}: {event:?}", name(node));
+                self.outcome.faults.push(fault);
+                self.reset_disk(node);
             }
+            GroupEvent::StaleDisk { .. } => self.reset_disk(node),
+            _ => {}
+        }
+    }
+
+    fn on_leader(&mut self, node: usize, shard: u16, term: u64) {
+        self.outcome.elections += 1;
+        let member = self.nodes[node].member.as_ref();
+        let disk = member.map_or(0, GroupMember::disk);
+        let before = self.leaders.insert((shard, term), disk);
+        if before.is_some_and(|before| before != disk) {
+            let fault = format!("two lead shard {shard} in term {term}");
+            self.outcome.faults.push(fault);
         }
     }
 
-    /// The files are set aside and the member begins as another disk.
-    pub(super) fn anew(&mut self, node: usize) {
-        self.out.swaps += 1;
+    /// The files are quarantined and the member starts as another disk.
+    fn reset_disk(&mut self, node: usize) {
+        self.outcome.replaced_disks += 1;
         self.crash(node);
-        let _ = rainstand_storage::Disk::quarantine(&mut self.nodes[node].disk);
-        self.later(50 * MS, EventKind::Up { node });
+        let _ = self.nodes[node].disk.quarantine();
+        self.schedule(RESET_DELAY, EventKind::Start { node });
     }
 }
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -1,8 +1,8 @@
 //! Callers, their requests, and the agents that run them.
 
 use super::events::EventKind;
-use super::{name, Sim, MS, START_WITHIN, WINDOW, WITHIN};
-use crate::history::{End, Event as Seen, Seen as Line};
+use super::{name, Simulation, KEY_WINDOW, MS, REQUEST_TIMEOUT, START_TIMEOUT};
+use crate::history::{Event as HistoryEvent, Observation, RequestEnd};
 use bytes::Bytes;
 use rainstand_replicated_state::idempotency::{Command, Operation, Start};
 use rainstand_replicated_state::idempotent_request::{
@@ -12,259 +12,290 @@
 use rainstand_storage::Store;
 use std::time::Duration;
 
+/// Requests of a hundred that repeat an earlier key, and how far back that key may be.
+const REPEAT_PERCENT: u64 = 35;
+const MAX_REPEATED_KEYS: usize = 30;
+/// One repeat in so many goes to several nodes at once, one in so many has another body.
+const CONCURRENT_REPEAT_ODDS: u64 = 3;
+const OTHER_BODY_ODDS: u64 = 20;
+/// The shortest run, and what a draw adds to it.
+const MIN_RUN_TIME: u64 = MS;
+const RUN_JITTER: u64 = 8 * MS;
+/// Kept back of a request's time for its answer, once its run has ended.
+const ANSWER_MARGIN: u64 = 20 * MS;
+/// From the end of a run until its node hears of it, and between tries where the node is down.
+const OUTCOME_DELAY: u64 = MS / 10;
+const OUTCOME_RETRY_DELAY: u64 = 100 * MS;
+/// For the result of a run of an earlier incarnation to be agreed on.
+const LATE_RESULT_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A request of a caller.
 pub(super) struct Request {
-    pub(super) key: usize,
+    /// Number of its key.
+    key: usize,
     pub(super) node: usize,
-    pub(super) life: u64,
-    pub(super) stage: Option<RequestStage>,
-    pub(super) open: bool,
+    /// Of its node, when it was sent.
+    incarnation: u64,
+    /// What its node does about it; none once that is over.
+    stage: Option<RequestStage>,
+    /// The caller waits for its end.
+    pub(super) is_open: bool,
+    body: &'static str,
     /// Known only to the agent.
-    pub(super) result: Option<String>,
-    pub(super) asked: u64,
-    pub(super) disturbed: bool,
+    result: Option<String>,
+    sent_at: u64,
+    /// Its caller may leave it.
+    pub(super) is_disturbed: bool,
+}
+
+/// Name of a request by its index.
+fn request_name(request: usize) -> String {
+    format!("t{request}")
+}
+
+/// Name of a key by its number.
+fn key_name(key: usize) -> String {
+    format!("k{key}")
+}
+
+/// What identifies a request to its group.
+fn trace_id(request: usize) -> [u8; 16] {
+    (request as u128).to_be_bytes()
 }
 
-impl Sim {
-    // Callers, tickets and agents.
+/// What a run costs its tenant.
+fn charge_of(request: usize) -> u64 {
+    1 + request as u64 % 7
+}
 
-    pub(super) fn line(&mut self, by: String, event: Seen) {
-        let line = self.out.history.len() + 1;
-        self.out.history.push(Line {
+impl Simulation {
+    fn record(&mut self, observer: String, event: HistoryEvent) {
+        let line = self.outcome.history.len() + 1;
+        self.outcome.history.push(Observation {
             at: self.now,
-            by,
+            observer,
             line,
             event,
         });
     }
 
-    pub(super) fn ask(&mut self, key: Option<usize>) {
-        let node = self.draw(self.world.nodes as u64) as usize;
-        let repeat = self.draw(100) < 35 && !self.keys.is_empty();
-        let key = key.unwrap_or_else(|| {
-            if repeat {
-                let back = self.draw(self.keys.len().min(30) as u64) as usize;
-                self.keys[self.keys.len() - 1 - back]
-            } else {
-                self.keys.len()
-            }
-        });
-        if !repeat {
+    /// A caller sends a request to a drawn node, with this key or a drawn one.
+    pub(super) fn send_request(&mut self, key: Option<usize>) {
+        let node = self.draw(self.config.nodes as u64) as usize;
+        let is_repeat = self.draw(100) < REPEAT_PERCENT && !self.keys.is_empty();
+        let key = key.unwrap_or_else(|| self.draw_key(is_repeat));
+        if !is_repeat {
             self.keys.push(key);
-        } else if self.draw(3) == 0 {
+        } else if self.draw(CONCURRENT_REPEAT_ODDS) == 0 {
             // The same key at several nodes at once.
-            let also = self.draw(3 * MS);
-            self.later(also, EventKind::Ask { key: Some(key) });
+            let after = self.draw(3 * MS);
+            self.schedule(after, EventKind::SendRequest { key: Some(key) });
         }
-        let Some(member) = &self.nodes[node].member else {
+        if self.nodes[node].member.is_none() {
             return;
+        }
+        let has_other_body = is_repeat && self.draw(OTHER_BODY_ODDS) == 0;
+        let (fingerprint, body) = if has_other_body {
+            (2, "other")
+        } else {
+            (1, "body")
         };
-        let (ticket, stopped) = (self.tickets.len(), self.nodes[node].stopped);
-        let claim = member.claim(&(ticket as u128).to_be_bytes());
-        // One in many comes with another body.
-        let other = repeat && self.draw(20) == 0;
-        let (sum, body) = if other { (2, "other") } else { (1, "body") };
-        self.tickets.push(Request {
+        let request = self.open_request(key, node, body);
+        self.schedule(REQUEST_TIMEOUT, EventKind::Deadline { request });
+        if self.nodes[node].is_paused {
+            return;
+        }
+        let start = Operation::Start(Start {
+            fingerprint,
+            window_ns: KEY_WINDOW,
+        });
+        let command = self.command(request, start);
+        self.submit(request, command, START_TIMEOUT);
+    }
+
+    /// A new key, or one of the last ones.
+    fn draw_key(&mut self, is_repeat: bool) -> usize {
+        if !is_repeat {
+            return self.keys.len();
+        }
+        let back = self.draw(self.keys.len().min(MAX_REPEATED_KEYS) as u64) as usize;
+        self.keys[self.keys.len() - 1 - back]
+    }
+
+    fn open_request(&mut self, key: usize, node: usize, body: &'static str) -> usize {
+        let request = self.requests.len();
+        self.requests.push(Request {
             key,
             node,
-            life: self.nodes[node].life,
+            incarnation: self.nodes[node].incarnation,
             stage: Some(RequestStage::Claiming),
-            open: true,
+            is_open: true,
+            body,
             result: None,
-            asked: self.now,
-            disturbed: stopped,
+            sent_at: self.now,
+            is_disturbed: self.nodes[node].is_paused,
         });
-        let asked = Seen::Ask {
-            ticket: format!("t{ticket}"),
-            traffic: Some("register".into()),
-            key: Some(format!("k{key}")),
+        let sent = HistoryEvent::Requested {
+            request: request_name(request),
+            request_class: Some("register".into()),
+            key: Some(key_name(key)),
             body: Some(body.into()),
             node: Some(name(node)),
-            due: self.now + WITHIN,
+            deadline: self.now + REQUEST_TIMEOUT,
         };
-        self.line("caller".into(), asked);
-        self.later(WITHIN, EventKind::Due { ticket });
-        if stopped {
-            return;
-        }
-        let start = Operation::Start(Start {
-            fingerprint: sum,
-            window_ns: WINDOW,
-        });
-        let command = Command {
-            key: Bytes::from(format!("k{key}")),
-            claim,
-            operation: Some(start),
-        };
-        self.question(node, ticket, command, START_WITHIN);
+        self.record("caller".into(), sent);
+        request
     }
 
-    fn question(&mut self, node: usize, ticket: usize, command: Command, within: u64) {
+    /// Asks the group for a command; what becomes of it ends the request's wait.
+    fn submit(&mut self, request: usize, command: Command, timeout: u64) {
+        let node = self.requests[request].node;
+        let now = self.clock(node);
+        let deadline = now + Duration::from_nanos(timeout);
         let mut id = None;
-        self.with_asked(node, ticket, |member, now| {
-            id = member.request(now, command, now + Duration::from_nanos(within));
-            id
-        });
-        if id.is_none() {
-            self.step(ticket, RequestEvent::TimedOut);
+        if let Some(member) = &mut self.nodes[node].member {
+            id = member.request(now, command, deadline);
+            // The number must be known before the effects of the call are looked at.
+            if let Some(id) = id {
+                self.nodes[node].pending.insert(id, request);
+            }
+            self.call_member(node, |_, _| {});
         }
-    }
-
-    /// The question's number must be known before what follows from it is looked at.
-    fn with_asked(
-        &mut self,
-        node: usize,
-        ticket: usize,
-        call: impl FnOnce(&mut GroupMember, Duration) -> Option<u64>,
-    ) {
-        let now = self.clock(node);
-        let Some(member) = &mut self.nodes[node].member else {
-            return;
-        };
-        let id = call(member, now);
-        if let Some(id) = id {
-            self.nodes[node].asked.insert(id, ticket);
+        if id.is_none() {
+            self.advance(request, RequestEvent::TimedOut);
         }
-        self.with(node, |_, _| {});
     }
 
-    pub(super) fn step(&mut self, ticket: usize, event: RequestEvent) {
-        let Some(stage) = self.tickets[ticket].stage else {
+    /// Does what a node does about a request at this event.
+    pub(super) fn advance(&mut self, request: usize, event: RequestEvent) {
+        let Some(stage) = self.requests[request].stage else {
             return;
         };
-        let Transition { next, action: act } = transition(stage, event);
-        self.tickets[ticket].stage = next;
-        let node = self.tickets[ticket].node;
-        match act {
+        let Transition { next, action } = transition(stage, event);
+        self.requests[request].stage = next;
+        let node = self.requests[request].node;
+        match action {
             RequestAction::None => {}
             RequestAction::Launch => {
-                let takes = MS + self.draw(8 * MS);
-                self.later(takes, EventKind::RunEnds { node, ticket });
+                let run_time = MIN_RUN_TIME + self.draw(RUN_JITTER);
+                self.schedule(run_time, EventKind::RunFinished { node, request });
             }
             RequestAction::ReplicateResult(result) => {
-                let left = (self.tickets[ticket].asked + WITHIN).saturating_sub(self.now);
-                let command = self.command(ticket, Operation::Done(result));
-                self.question(node, ticket, command, left.saturating_sub(20 * MS));
+                let deadline = self.requests[request].sent_at + REQUEST_TIMEOUT;
+                let left = deadline.saturating_sub(self.now);
+                let command = self.command(request, Operation::Done(result));
+                self.submit(request, command, left.saturating_sub(ANSWER_MARGIN));
             }
             RequestAction::Respond(result) => {
-                let own = self.tickets[ticket].result.clone();
+                let own = self.requests[request].result.clone();
                 let result = own.unwrap_or_else(|| String::from_utf8_lossy(&result).into_owned());
-                self.say(ticket, End::Answer, Some(result));
+                self.end_request(request, RequestEnd::Served, Some(result));
             }
             RequestAction::Reject { .. } | RequestAction::Withdraw => {
-                self.say(ticket, End::Dismissed, None)
+                self.end_request(request, RequestEnd::Rejected, None);
             }
             RequestAction::Fail | RequestAction::FailAndRecord | RequestAction::FailAndRelease => {
-                self.say(ticket, End::GivenUp, None)
+                self.end_request(request, RequestEnd::Failed, None);
             }
         }
     }
 
-    fn command(&self, ticket: usize, what: Operation) -> Command {
-        let one = &self.tickets[ticket];
-        let trace = (ticket as u128).to_be_bytes();
-        let member = self.nodes[one.node].member.as_ref();
-        let claim = member
-            .map(|member| member.claim(&trace))
-            .unwrap_or_default();
+    fn command(&self, request: usize, operation: Operation) -> Command {
+        let Request { key, node, .. } = self.requests[request];
+        let member = self.nodes[node].member.as_ref();
+        let claim = member.map(|member| member.claim(&trace_id(request)));
         Command {
-            key: Bytes::from(format!("k{}", one.key)),
-            claim,
-            operation: Some(what),
+            key: Bytes::from(key_name(key)),
+            claim: claim.unwrap_or_default(),
+            operation: Some(operation),
         }
     }
 
-    /// The agent goes on whatever becomes of its node.
-    pub(super) fn run_ends(&mut self, node: usize, ticket: usize) {
-        let result = format!("{}-{ticket}", name(node));
-        let asked = self.out.history.iter().find_map(|line| match &line.event {
-            Seen::Ask {
-                ticket: t, body, ..
-            } if *t == format!("t{ticket}") => body.clone(),
-            _ => None,
-        });
-        let ran = Seen::Ran {
-            key: Some(format!("k{}", self.tickets[ticket].key)),
-            body: asked,
+    /// The agent's run has its effect, whatever has become of its node.
+    pub(super) fn on_run_finished(&mut self, node: usize, request: usize) {
+        let result = format!("{}-{request}", name(node));
+        let ran = HistoryEvent::Ran {
+            key: Some(key_name(self.requests[request].key)),
+            body: Some(self.requests[request].body.into()),
             result: Some(result.clone()),
         };
-        self.line(format!("agent-{}", name(node)), ran);
-        self.tickets[ticket].result = Some(result.clone());
-        self.later(MS / 10, EventKind::Notice { node, ticket });
+        self.record(format!("agent-{}", name(node)), ran);
+        self.requests[request].result = Some(result);
+        self.schedule(OUTCOME_DELAY, EventKind::OutcomeArrives { node, request });
     }
 
-    pub(super) fn notice(&mut self, node: usize, ticket: usize) {
+    pub(super) fn on_outcome(&mut self, node: usize, request: usize) {
+        let outcome = EventKind::OutcomeArrives { node, request };
         if self.nodes[node].member.is_none() {
-            // Told again to the next start.
-            return self.later(100 * MS, EventKind::Notice { node, ticket });
+            // Reported again to the next incarnation.
+            return self.schedule(OUTCOME_RETRY_DELAY, outcome);
         }
-        if self.nodes[node].stopped {
-            return self.nodes[node]
-                .waiting
-                .push_back(EventKind::Notice { node, ticket });
+        if self.nodes[node].is_paused {
+            return self.nodes[node].deferred.push_back(outcome);
         }
-        let result = Bytes::from(self.tickets[ticket].result.clone().unwrap_or_default());
-        if self.lives(node, self.tickets[ticket].life) {
-            if let Some(identity) = self.nodes[node].store.as_ref().map(Store::identity) {
-                *self
-                    .charged
-                    .entry((identity.disk, identity.incarnation))
-                    .or_default() += 1 + ticket as u64 % 7;
-            }
-            if let Some(member) = &mut self.nodes[node].member {
-                member.add_charge("acme", 1 + ticket as u64 % 7);
-            }
-            return self.step(ticket, RequestEvent::RunFinished(RunEnd::Result(result)));
+        let result = self.requests[request].result.clone();
+        let result = Bytes::from(result.unwrap_or_default());
+        if self.is_running(node, self.requests[request].incarnation) {
+            self.charge(node, charge_of(request));
+            let finished = RequestEvent::RunFinished(RunEnd::Result(result));
+            return self.advance(request, finished);
+        }
+        self.replicate_late_result(node, request, result);
+    }
+
+    fn charge(&mut self, node: usize, charge: u64) {
+        if let Some(identity) = self.nodes[node].store.as_ref().map(Store::identity) {
+            let incarnation = (identity.disk, identity.incarnation);
+            *self.charged.entry(incarnation).or_default() += charge;
         }
-        // A run of an earlier start: its key is in the copies here, or nobody hears of it.
-        let trace = (ticket as u128).to_be_bytes();
-        let key = self.nodes[node]
-            .member
-            .as_ref()
-            .and_then(|member| member.key_claimed_here(&trace));
-        if key.is_some() {
-            let command = self.command(ticket, Operation::Done(result));
-            self.with(node, |member, now| {
-                let _ = member.request(now, command, now + Duration::from_secs(5));
+        if let Some(member) = &mut self.nodes[node].member {
+            member.add_charge("acme", charge);
+        }
+    }
+
+    /// The result of a run of an earlier incarnation: its key is in the replicas here, or nobody hears of it.
+    fn replicate_late_result(&mut self, node: usize, request: usize, result: Bytes) {
+        let is_claimed = |member: &GroupMember| {
+            let key = member.key_claimed_here(&trace_id(request));
+            key.is_some()
+        };
+        if self.nodes[node].member.as_ref().is_some_and(is_claimed) {
+            let command = self.command(request, Operation::Done(result));
+            self.call_member(node, |member, now| {
+                let _ = member.request(now, command, now + LATE_RESULT_TIMEOUT);
             });
         }
     }
 
-    pub(super) fn due(&mut self, ticket: usize) {
-        if !self.tickets[ticket].open {
+    pub(super) fn on_deadline(&mut self, request: usize) {
+        let state = &mut self.requests[request];
+        if !state.is_open {
             return;
         }
-        if self.tickets[ticket].disturbed {
-            return self.say(ticket, End::Gone, None);
+        if state.is_disturbed {
+            return self.end_request(request, RequestEnd::Abandoned, None);
         }
         // As the node's own alarm does, just in time.
-        let launched = matches!(
-            self.tickets[ticket].stage,
+        let may_have_run = matches!(
+            state.stage,
             Some(RequestStage::Running | RequestStage::Replicating | RequestStage::AwaitingOther)
         );
-        self.say(
-            ticket,
-            if launched {
-                End::GivenUp
-            } else {
-                End::Dismissed
-            },
-            None,
-        );
-        if !launched {
-            self.tickets[ticket].stage = None;
+        if may_have_run {
+            return self.end_request(request, RequestEnd::Failed, None);
         }
+        state.stage = None;
+        self.end_request(request, RequestEnd::Rejected, None);
     }
 
-    pub(super) fn say(&mut self, ticket: usize, end: End, result: Option<String>) {
-        if std::mem::replace(&mut self.tickets[ticket].open, false) {
-            self.line(
-                "caller".into(),
-                Seen::End {
-                    ticket: format!("t{ticket}"),
-                    end,
-                    result,
-                },
-            );
+    /// The caller learns the end of its request, if it still waits for one.
+    pub(super) fn end_request(&mut self, request: usize, end: RequestEnd, result: Option<String>) {
+        if std::mem::replace(&mut self.requests[request].is_open, false) {
+            let ended = HistoryEvent::Ended {
+                request: request_name(request),
+                end,
+                result,
+            };
+            self.record("caller".into(), ended);
         }
     }
 }
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -1,6 +1,6 @@
 //! Clients of a node that use their open connections until the node closes them, and note what they see.
 
-use crate::history::{End, Event, Seen};
+use crate::history::{Event, Observation, RequestEnd};
 use crate::peers::{hash, now};
 use rainstand_protocol::thrift::{self, What};
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct ClientLog {
     /// Requests and their final answers, in the form of a history.
-    pub seen: RefCell<Vec<Seen>>,
+    pub seen: RefCell<Vec<Observation>>,
     /// Requests that were written.
     pub asked: Cell<u64>,
     /// Final answers that were read.
@@ -41,10 +41,10 @@
     fn push(&self, event: Event) {
         let mut seen = self.seen.borrow_mut();
         let line = seen.len() + 1;
-        let by = "client".to_owned();
-        seen.push(Seen {
+        let observer = "client".to_owned();
+        seen.push(Observation {
             at: now(),
-            by,
+            observer,
             line,
             event,
         });
@@ -134,7 +134,7 @@
         let log = &self.log;
         let number = log.next_number.get() + 1;
         log.next_number.set(number);
-        let ticket = format!("t{number}");
+        let request = format!("t{number}");
         // Every second request may run once only.
         let key = number.is_multiple_of(2).then(|| format!("k{number}"));
         let (route, body) = match &key {
@@ -154,17 +154,17 @@
         ];
         fields.extend([("size", "4"), ("client", "1"), ("order", "0.5")]);
         fields.extend(key.as_deref().map(|key| ("entity", key)));
-        let due = now() + self.within.as_nanos() as u64;
-        log.push(Event::Ask {
-            ticket: ticket.clone(),
-            traffic: Some(route.to_owned()),
+        let deadline = now() + self.within.as_nanos() as u64;
+        log.push(Event::Requested {
+            request: request.clone(),
+            request_class: Some(route.to_owned()),
             key: key.clone(),
             body: Some(hash(body.as_bytes())),
             node: Some("n1".to_owned()),
-            due,
+            deadline,
         });
         log.asked.set(log.asked.get() + 1);
-        open.insert(sequence, ticket);
+        open.insert(sequence, request);
         thrift::process(sequence, &fields, body.as_bytes())
     }
 
@@ -180,7 +180,7 @@
                 continue;
             }
             let answered = thrift::answered(&frame).map_err(io::Error::other)?;
-            let Some(ticket) = open.remove(&answered.seq) else {
+            let Some(request) = open.remove(&answered.seq) else {
                 // A second final answer, or one to no request. Counted apart: it must not make up for a lost one.
                 self.log.unasked.set(self.log.unasked.get() + 1);
                 continue;
@@ -188,13 +188,13 @@
             let (end, result) = match answered.what {
                 What::Answer { body, .. } => {
                     let body = String::from_utf8_lossy(body).into_owned();
-                    (End::Answer, Some(body))
+                    (RequestEnd::Served, Some(body))
                 }
-                What::Backoff(_) => (End::Dismissed, None),
-                What::Lost | What::Exception { .. } => (End::GivenUp, None),
+                What::Backoff(_) => (RequestEnd::Rejected, None),
+                What::Lost | What::Exception { .. } => (RequestEnd::Failed, None),
             };
-            self.log.push(Event::End {
-                ticket,
+            self.log.push(Event::Ended {
+                request,
                 end,
                 result,
             });
--- a/crates/testbed/src/soak/control.rs
+++ b/crates/testbed/src/soak/control.rs
@@ -250,7 +250,7 @@
         sleep(Duration::from_millis(5)).await;
         self.report.signals += 1 + signals::series(process, &mut self.chance, &kinds, 3).await;
         let left = END_TIMEOUT.saturating_sub(started.elapsed());
-        match process.gone(left).await {
+        match process.wait(left).await {
             // A signal that came before its handlers were there ends it, too.
             Ok(status) if status.success() || status.code().is_none() => {}
             Ok(status) => {
@@ -259,7 +259,7 @@
             }
             Err(error) => {
                 process.signal(Signal::KILL);
-                let _ = process.gone(END_TIMEOUT).await;
+                let _ = process.wait(END_TIMEOUT).await;
                 self.report.violate("control-not-ended", error.to_string());
             }
         }
--- a/crates/testbed/src/soak/forwarder.rs
+++ b/crates/testbed/src/soak/forwarder.rs
@@ -4,8 +4,8 @@
 use super::node::{start_agent, LONGEST_RUN, SLACK, WITHIN};
 use super::verdict::{drain_until_kill, Used};
 use super::{crowd, signals, SoakOptions, SoakReport};
-use crate::process::{free_port, program, starts, Process};
-use crate::scenario::{node_file, STOP};
+use crate::process::{count_starts, free_port, program, Process};
+use crate::scenario::{node_configuration, DRAIN_TIMEOUT};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use std::fs;
@@ -64,7 +64,7 @@
         settle(&process, settled, report).await;
         sleep(ROUND_PAUSE).await;
     }
-    let drain = drain_until_kill(&mut process, &mut chance, STOP).await;
+    let drain = drain_until_kill(&mut process, &mut chance, DRAIN_TIMEOUT).await;
     end_clients(&log, clients).await;
     let used = Used {
         name: "forwarder",
@@ -78,7 +78,7 @@
 
 async fn start_node(options: &SoakOptions, agent: SocketAddr) -> io::Result<(Process, SocketAddr)> {
     let address = free_port()?;
-    let file = node_file("n1", address, agent, options.seed, WITHIN);
+    let file = node_configuration("n1", address, agent, options.seed, WITHIN);
     let (path, log_path) = (
         options.folder.join("node.json"),
         options.folder.join("node.log"),
@@ -89,9 +89,9 @@
         .env("ROUTER_CONFIG", &path)
         .stdin(Stdio::null())
         .stdout(Stdio::null());
-    let before = starts(&log_path);
+    let before = count_starts(&log_path);
     let mut process = Process::start("n1", command, &log_path)?;
-    process.is_up(&log_path, before).await?;
+    process.wait_until_up(&log_path, before).await?;
     Ok((process, address))
 }
 
@@ -104,7 +104,11 @@
     let mut command = Command::new(program("rainstand", options.programs.as_deref())?);
     command
         .args(["forward", "--name", "f1", "--listen", &address.to_string()])
-        .args(["--stop-ms", &STOP.as_millis().to_string(), "--config"])
+        .args([
+            "--stop-ms",
+            &DRAIN_TIMEOUT.as_millis().to_string(),
+            "--config",
+        ])
         .arg(path)
         .stdin(Stdio::null())
         .stdout(Stdio::null());
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -83,7 +83,7 @@
 
 impl SoakReport {
     /// Whether all checks held.
-    pub fn good(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -4,8 +4,8 @@
 use super::verdict::{drain_until_kill, Used};
 use super::{crowd, signals, SoakOptions, SoakReport};
 use crate::peers::agent;
-use crate::process::{free_port, program, starts, Process};
-use crate::scenario::{first_line, node_file, STOP};
+use crate::process::{count_starts, free_port, program, Process};
+use crate::scenario::{self, node_configuration, DRAIN_TIMEOUT};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -84,7 +84,7 @@
     let spans = Spans::of(options.seed);
     let (_agent, agent_address) = start_agent(options, spans.longest_run).await?;
     let address = free_port()?;
-    let mut file = node_file("n1", address, agent_address, options.seed, spans.within);
+    let mut file = node_configuration("n1", address, agent_address, options.seed, spans.within);
     let has_crowd = options.seed.is_multiple_of(3);
     if has_crowd {
         file["limits"]["sockets"] = CROWD_SOCKETS.into();
@@ -103,7 +103,7 @@
     if let Some(bug) = &options.bug {
         command.env("RAINSTAND_PLANT", bug);
     }
-    let before = starts(&log_path);
+    let before = count_starts(&log_path);
     let mut process = Process::start("n1", command, &log_path)?;
     if options.seed % 4 == 1 && signals::wait_for_handlers(&mut process).await {
         // Before it is ready.
@@ -112,7 +112,7 @@
         }
         report.signals += 3;
     }
-    process.is_up(&log_path, before).await?;
+    process.wait_until_up(&log_path, before).await?;
     let log = Rc::new(ClientLog::default());
     let clients = DEPTHS.map(|depth| start_client(address, depth, spans.within + SLACK, &log));
     let mut soaked = Soaked {
@@ -134,7 +134,7 @@
         log_path,
         ..
     } = soaked;
-    let drain = drain_until_kill(&mut process, &mut chance, STOP).await;
+    let drain = drain_until_kill(&mut process, &mut chance, DRAIN_TIMEOUT).await;
     end_clients(&log, clients).await;
     let used = Used {
         name: "node",
@@ -146,6 +146,7 @@
     used.judge(report)
 }
 
+/// The agent of the node, whose runs take up to this time.
 pub(super) async fn start_agent(
     options: &SoakOptions,
     longest_run: Duration,
@@ -157,17 +158,8 @@
         run_most_ns: longest_run.as_nanos() as u64,
         history: options.folder.join("agent.part"),
     };
-    let own = program("rainstand-testbed", options.programs.as_deref())?;
-    let mut command = Command::new(own);
-    command
-        .arg("agent")
-        .arg(serde_json::to_string(&agent)?)
-        .stdin(Stdio::null())
-        .stdout(Stdio::piped());
-    let mut process = Process::start("agent-n1", command, &options.folder.join("agent.log"))?;
-    let said = first_line(&mut process).await?;
-    let address = said.parse().map_err(|_| io::Error::other(said))?;
-    Ok((process, address))
+    let log = options.folder.join("agent.log");
+    scenario::start_agent(&agent, options.programs.as_deref(), &log).await
 }
 
 impl Soaked<'_> {
--- a/crates/testbed/src/soak/verdict.rs
+++ b/crates/testbed/src/soak/verdict.rs
@@ -3,7 +3,7 @@
 use super::client::ClientLog;
 use super::{signals, SoakReport};
 use crate::check::check;
-use crate::history::{self, Event, Seen};
+use crate::history::{self, Event, Observation};
 use crate::process::Process;
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
@@ -123,21 +123,21 @@
         }
         let mut seen = log.seen.borrow().clone();
         // Proved by the counters to be unread, or told above.
-        let is_unread = |event: &Event| matches!(event, Event::Ask { ticket, .. } if unfinished.contains(ticket));
+        let is_unread = |event: &Event| matches!(event, Event::Requested { request, .. } if unfinished.contains(request));
         seen.retain(|one| !is_unread(&one.event));
         let agent = fs::read(self.agent_history)?;
-        let (runs, _) = history::read(BufReader::new(&agent[..]))
-            .map_err(|error| io::Error::other(error.why))?;
+        let (runs, _) = history::read_history(BufReader::new(&agent[..]))
+            .map_err(|error| io::Error::other(error.reason))?;
         report.runs += runs.len() as u64;
         number_lines(&mut seen, runs);
-        for broken in check(&seen).broken.iter().take(3) {
-            report.violate("rules", format!("{name}: {broken}"));
+        for violation in check(&seen).violations.iter().take(3) {
+            report.violate("rules", format!("{name}: {violation}"));
         }
         Ok(())
     }
 }
 
-fn number_lines(seen: &mut Vec<Seen>, more: Vec<Seen>) {
+fn number_lines(seen: &mut Vec<Observation>, more: Vec<Observation>) {
     seen.extend(more);
     for (at, one) in seen.iter_mut().enumerate() {
         one.line = at + 1;
--- a/crates/testbed/tests/caller.rs
+++ b/crates/testbed/tests/caller.rs
@@ -14,7 +14,7 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_testbed::peers::caller::is_left_when_due;
+use rainstand_testbed::peers::caller::is_abandoned_at_deadline;
 
 #[test]
 fn an_answer_that_a_disturbance_held_back_past_the_due_time_finds_its_ticket_left() {
@@ -31,7 +31,7 @@
     ];
     for (read_at, was_disturbed, is_left) in table {
         assert_eq!(
-            is_left_when_due(read_at, due, was_disturbed),
+            is_abandoned_at_deadline(read_at, due, was_disturbed),
             is_left,
             "read at {read_at}, disturbed: {was_disturbed}"
         );
--- a/crates/testbed/tests/histories.rs
+++ b/crates/testbed/tests/histories.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainstand_testbed::check::check;
-use rainstand_testbed::history::{event, read, End, Event, Seen};
+use rainstand_testbed::history::{parse_line, read_history, Event, Observation, RequestEnd};
 
 fn ask(at: u64, ticket: &str, key: &str, body: &str, node: &str) -> String {
     let key = if key.is_empty() {
@@ -40,8 +40,8 @@
     )
 }
 
-fn seen(lines: &[String]) -> Vec<Seen> {
-    read(lines.join("\n").as_bytes()).unwrap().0
+fn seen(lines: &[String]) -> Vec<Observation> {
+    read_history(lines.join("\n").as_bytes()).unwrap().0
 }
 
 /// What broke first, by its check; empty for nothing.
@@ -252,7 +252,7 @@
         end(30, "answer", "r", "Q"),
     ];
     let all: Vec<_> = check(&seen(&lines))
-        .broken
+        .violations
         .iter()
         .map(|broken| broken.check)
         .collect();
@@ -311,18 +311,18 @@
     ];
     for (line, why) in table {
         let text = format!("{good}\n\n{line}\n");
-        let refused = read(text.as_bytes()).unwrap_err();
+        let refused = read_history(text.as_bytes()).unwrap_err();
         assert!(
-            refused.line == 3 && refused.why.contains(why),
+            refused.line == 3 && refused.reason.contains(why),
             "{line}: {refused}"
         );
     }
-    assert_eq!(read(&[0xff, 0xfe, b'\n'][..]).unwrap_err().line, 1);
+    assert_eq!(read_history(&[0xff, 0xfe, b'\n'][..]).unwrap_err().line, 1);
     let unknown = "{\"at\":5,\"by\":\"n2\",\"op\":\"act-begin\",\"task\":\"T\",\"fence\":3}";
     let more = good.replace("\"due\"", "\"colour\":\"blue\",\"due\"");
     let text = format!("{unknown}\n{more}\n{}", end(2, "dismissed", "a", ""));
-    let (seen, lines) = read(text.as_bytes()).unwrap();
-    assert!(seen.len() == 2 && lines == 3 && check(&seen).broken.is_empty());
+    let (seen, lines) = read_history(text.as_bytes()).unwrap();
+    assert!(seen.len() == 2 && lines == 3 && check(&seen).violations.is_empty());
 }
 
 #[test]
@@ -333,7 +333,7 @@
         ..ProptestConfig::default()
     };
     proptest!(config, |(bytes: Vec<u8>)| {
-        let _ = read(&bytes[..]);
+        let _ = read_history(&bytes[..]);
     });
 }
 
@@ -390,31 +390,36 @@
     proptest!(config, |(runs in runs, answers in answers)| {
         let mut history = Vec::new();
         // Somebody asked first and never heard, so that no run is nobody's.
-        let asked = |at, ticket: String| Seen { at, by: "c".into(), line: 1, event: Event::Ask {
-            ticket, traffic: None, key: Some("K".into()), body: None, node: None, due: 1_000 } };
-        let ended = |at, ticket: String, end, result| Seen { at, by: "c".into(), line: 2,
-            event: Event::End { ticket, end, result } };
+        let asked = |at, ticket: String| Observation { at, observer: "c".into(), line: 1, event: Event::Requested {
+            request: ticket, request_class: None, key: Some("K".into()), body: None, node: None, deadline: 1_000 } };
+        let ended = |at, ticket: String, end, result| Observation { at, observer: "c".into(), line: 2,
+            event: Event::Ended { request: ticket, end, result } };
         history.push(asked(0, "first".into()));
-        history.push(ended(900, "first".into(), End::Gone, None));
+        history.push(ended(900, "first".into(), RequestEnd::Abandoned, None));
         for (at, result) in &runs {
-            history.push(Seen { at: *at * 2 + 1, by: "agent-x".into(), line: 3, event: Event::Ran {
+            history.push(Observation { at: *at * 2 + 1, observer: "agent-x".into(), line: 3, event: Event::Ran {
                 key: Some("K".into()), body: None, result: Some(result.to_string()) } });
         }
         let mut spans = Vec::new();
         for (k, (from, lasts, result)) in answers.iter().enumerate() {
             history.push(asked(from * 2, format!("t{k}")));
-            history.push(ended((from + lasts) * 2, format!("t{k}"), End::Answer, Some(result.to_string())));
+            history.push(ended((from + lasts) * 2, format!("t{k}"), RequestEnd::Served, Some(result.to_string())));
             spans.push((from * 2, (from + lasts) * 2, *result));
         }
         let runs: Vec<(u64, u64)> = runs.iter().map(|(at, result)| (at * 2 + 1, *result)).collect();
-        prop_assert_eq!(check(&history).broken.is_empty(), some_order(&runs, &spans), "{:#?}", history);
+        prop_assert_eq!(check(&history).violations.is_empty(), some_order(&runs, &spans), "{:#?}", history);
     });
 }
 
 #[test]
 fn a_line_is_read_as_it_is_written() {
     let line = ask(7, "t1", "K", "b", "n2");
-    let seen = event(3, &line).unwrap().unwrap();
-    assert_eq!((seen.at, seen.line, seen.by.as_str()), (7, 3, "caller-1"));
-    assert!(matches!(seen.event, Event::Ask { due: 107, node: Some(node), .. } if node == "n2"));
+    let seen = parse_line(3, &line).unwrap().unwrap();
+    assert_eq!(
+        (seen.at, seen.line, seen.observer.as_str()),
+        (7, 3, "caller-1")
+    );
+    assert!(
+        matches!(seen.event, Event::Requested { deadline: 107, node: Some(node), .. } if node == "n2")
+    );
 }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -10,7 +10,7 @@
 use rainstand_config::schema::Rig;
 use rainstand_config::source::Disk;
 use rainstand_testbed::fault_schedule::schedule;
-use rainstand_testbed::scenario::{play, Place, Report};
+use rainstand_testbed::scenario::{play, Report, RunOptions};
 use std::path::Path;
 use std::sync::{Condvar, Mutex};
 use tokio::task::LocalSet;
@@ -49,7 +49,7 @@
     let programs = Path::new(env!("CARGO_BIN_EXE_rainstand-testbed"))
         .parent()
         .map(Path::to_owned);
-    let place = Place {
+    let options = RunOptions {
         programs,
         folder: folder.path().to_owned(),
         bug: None,
@@ -59,7 +59,7 @@
         .build()
         .unwrap();
     LocalSet::new()
-        .block_on(&runtime, play(rig, seed, &schedule(rig, seed), &place))
+        .block_on(&runtime, play(rig, seed, &schedule(rig, seed), &options))
         .unwrap()
 }
 
@@ -69,13 +69,13 @@
     for seed in 1..4 {
         let report = run(&rig, seed);
         assert!(
-            report.good(),
+            report.is_clean(),
             "seed {seed}: {:#?} {:#?}",
-            report.broken.first(),
-            report.fell
+            report.violations.first(),
+            report.process_faults
         );
         assert!(
-            report.tally.answered > 200 && report.resets > 0,
+            report.tally.served > 200 && report.resets > 0,
             "seed {seed}: {report:?}"
         );
     }
@@ -91,11 +91,15 @@
         ..rig("plain.rain")
     };
     let report = run(&rig, 1);
-    let found: Vec<_> = report.broken.iter().map(|broken| broken.check).collect();
+    let found: Vec<_> = report
+        .violations
+        .iter()
+        .map(|broken| broken.check)
+        .collect();
     assert!(
-        found.contains(&"ran-twice") && report.fell.is_empty(),
+        found.contains(&"ran-twice") && report.process_faults.is_empty(),
         "{found:?} {:?}",
-        report.fell
+        report.process_faults
     );
 }
 
@@ -105,12 +109,15 @@
     for seed in seeds {
         let report = run(&rig, seed);
         assert!(
-            report.good(),
+            report.is_clean(),
             "{file} seed {seed}: {:#?} {:#?}",
-            report.broken.first(),
-            report.fell
+            report.violations.first(),
+            report.process_faults
+        );
+        assert!(
+            report.served_share > least,
+            "{file} seed {seed}: {report:?}"
         );
-        assert!(report.answered > least, "{file} seed {seed}: {report:?}");
     }
 }
 
--- a/crates/testbed/tests/ready.rs
+++ b/crates/testbed/tests/ready.rs
@@ -59,7 +59,7 @@
         ..few(Discovery::Up, End::Kill)
     };
     let report = run(&options);
-    assert!(report.whole(), "{report:#?}");
+    assert!(report.is_complete(), "{report:#?}");
     let all = [
         (Kind::Node, 1, 1),
         (Kind::Member, 3, 3),
@@ -85,7 +85,7 @@
 fn without_the_announce_service_all_are_ready_and_it_finds_them_later() {
     for (discovery, end) in [(Discovery::Down, End::Term), (Discovery::Silent, End::Kill)] {
         let report = run(&few(discovery, end));
-        assert!(report.whole(), "{discovery:?} {report:#?}");
+        assert!(report.is_complete(), "{discovery:?} {report:#?}");
         assert_eq!(
             counts(&report.restarted),
             [(Kind::Node, 4, 4), (Kind::Forwarder, 2, 2)],
@@ -140,8 +140,8 @@
         restarted: vec![kind(Kind::Node, nodes), kind(Kind::Forwarder, forwarders)],
         ..Report::default()
     };
-    assert!(report(18, 18).good() && report(0, 0).whole());
-    assert!(!report(17, 20).good() && !report(20, 17).good());
+    assert!(report(18, 18).meets_target() && report(0, 0).is_complete());
+    assert!(!report(17, 20).meets_target() && !report(20, 17).meets_target());
     let early = Report {
         told_before_listening: 1,
         ..report(20, 20)
@@ -163,7 +163,7 @@
     };
     assert!([early, fell, lost, gone]
         .iter()
-        .all(|one| !one.good() && !one.whole()));
+        .all(|one| !one.meets_target() && !one.is_complete()));
 }
 
 #[test]
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -8,22 +8,22 @@
 )]
 
 use rainstand_testbed::check::check;
-use rainstand_testbed::simulation::{play, World};
+use rainstand_testbed::simulation::{play, SimulationConfig};
 
 #[test]
 fn groups_keep_the_rules_through_faults_of_all_kinds() {
     let (mut answered, mut asked) = (0, 0);
     for seed in 0..30 {
-        let outcome = play(&World::default(), seed);
+        let outcome = play(&SimulationConfig::default(), seed);
         let verdict = check(&outcome.history);
         assert!(
-            verdict.broken.is_empty() && outcome.wrong.is_empty(),
+            verdict.violations.is_empty() && outcome.faults.is_empty(),
             "seed {seed}: {:#?} {:#?}",
             verdict.first(),
-            outcome.wrong
+            outcome.faults
         );
-        answered += outcome.answered.0;
-        asked += outcome.answered.1;
+        answered += outcome.served;
+        asked += outcome.requests;
     }
     assert!(
         answered * 2 > asked && asked > 5_000,
@@ -33,7 +33,10 @@
 
 #[test]
 fn a_seed_replays_to_the_byte() {
-    let [one, two] = [play(&World::default(), 5), play(&World::default(), 5)];
+    let [one, two] = [
+        play(&SimulationConfig::default(), 5),
+        play(&SimulationConfig::default(), 5),
+    ];
     assert_eq!(
         (one.history, one.events, one.elections),
         (two.history, two.events, two.elections)
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -28,7 +28,7 @@
             .build()
             .unwrap();
         let report = LocalSet::new().block_on(&runtime, soak(&options)).unwrap();
-        assert!(report.good(), "{report:#?}");
+        assert!(report.is_clean(), "{report:#?}");
         // It has to have seen something.
         assert!(report.finals > 100 && report.committed > 2, "{report:#?}");
         assert!(report.crowd > 0 || seed % 3 != 0, "{report:#?}");
