--- a/crates/testbed/src/check/keys.rs
+++ b/crates/testbed/src/check/keys.rs
@@ -254,7 +254,7 @@
             lines.clone(),
         );
     }
-    if !consistent(first.request.request_class, answer.request.request_class) {
+    if !consistent(first.request.class, answer.request.class) {
         violations.report(
             rule_1("result-of-another-type"),
             at,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program on loopback, the faults between them, and the checkers that say afterwards
-//! whether the rules held.
+//! Several processes of the program on loopback, the faults between them, and the checkers that say afterwards whether
+//! the rules held.
 //!
 //! | module | what it is | I/O |
 //! | --- | --- | --- |
@@ -16,13 +16,6 @@
 //! | [`scale`] | what the program costs by size, measured here and worked out at a size | processes, sockets |
 //! | [`scenario`] | one run: all of it started, the schedule played, the history gathered | all of it |
 
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
-
 pub mod check;
 pub mod fault_schedule;
 pub mod history;
@@ -31,6 +24,11 @@
 pub mod process;
 pub mod proxy;
 pub mod ready;
+#[allow(
+    missing_docs,
+    clippy::pedantic,
+    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
+)]
 pub mod scale;
 pub mod scenario;
 pub mod shrink;
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes: started with their output in a file, told by signals, ended by their own number alone.
+//! Child processes: started with their output in a file, signalled, and ended by their own number alone.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::OpenOptions;
@@ -10,8 +10,9 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// For a process to take connections, or to be gone after it was killed.
+/// For a process to take connections, or to end after it was killed.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Between two looks at a log.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// A program of this repository beside the one that runs, or in the folder named.
@@ -49,7 +50,7 @@
     StdListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// How often a node's log says that it is up.
+/// How often a node's log says that it started.
 pub fn count_starts(log: &Path) -> usize {
     let text = std::fs::read(log).unwrap_or_default();
     text.split(|b| *b == b'\n')
@@ -57,15 +58,16 @@
         .count()
 }
 
-/// A child, and what it is called.
+/// A child process.
 pub struct Process {
+    /// What it is called in reports.
     pub name: String,
     child: Child,
     pid: Pid,
 }
 
 impl Process {
-    /// Its output is appended to `log`; it ends with the rig.
+    /// Starts a child whose errors are appended to `log`; it ends with this process.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -89,12 +91,14 @@
         self.pid.as_raw_nonzero().get()
     }
 
+    /// The child, for its streams and its end.
     pub fn child(&mut self) -> &mut Child {
         &mut self.child
     }
 
+    /// Sends a signal; none is needed by a process that has ended.
     pub fn signal(&self, signal: Signal) {
-        // Whoever is gone needs no signal; its number is its own until it was waited for.
+        // Its number is its own until it was waited for.
         let _ = kill_process(self.pid, signal);
     }
 
@@ -103,10 +107,10 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Killed, and gone when this returns.
+    /// Kills it, and waits for its end.
     ///
     /// # Errors
-    /// If it does not go.
+    /// If it does not end.
     pub async fn kill(mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::KILL);
         self.wait(START_TIMEOUT).await
@@ -133,7 +137,7 @@
     /// # Errors
     /// If it ends first, or does not come up in time.
     pub async fn wait_until_up(&mut self, log: &Path, before: usize) -> io::Result<()> {
-        let until = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             if count_starts(log) > before {
                 return Ok(());
@@ -144,7 +148,7 @@
                     self.name
                 )));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(io::Error::new(
                     io::ErrorKind::TimedOut,
                     format!("{}: not up", self.name),
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A link between two processes as a thing with two ends and two directions: a listener that the one connects to,
-//! and, for each connection, one to the other. What passes can be held, slowed, cut and sent twice.
+//! A link between two processes: a listener that the one connects to and, for each connection, one to the other. What
+//! passes can be held, slowed, cut and sent twice, in each direction by itself.
 
 use crate::fault_schedule::LinkFault;
 use nanorand::{Rng, WyRand};
@@ -17,61 +17,88 @@
 use tokio::time::{sleep, timeout};
 
 /// Bytes taken in one go.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Connections of one link; more are refused.
-const MOST: usize = 256;
-/// Frames longer than this are not kept to be sent again.
-const KEPT: usize = 64 << 10;
-/// For a far end to take a connection.
-const OPENS: Duration = Duration::from_secs(2);
+const MAX_CONNECTIONS: usize = 256;
+/// Frames longer than this are not retained to be sent again.
+const MAX_RETAINED_FRAME: usize = 64 << 10;
+/// A length past this one says that the bytes are no frames.
+const MAX_FRAME: usize = 4 * MAX_RETAINED_FRAME;
+/// For a far end to accept a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// After a connection that could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// What a link does to one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Flow {
-    held: bool,
+    is_held: bool,
     delay: Duration,
     /// Bytes a second; 0: as they come.
     rate: u64,
 }
 
+/// From the end that opened a connection, or to it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    Forth,
+    Back,
+}
+
+/// How a connection, or one of its directions, ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Ended {
+    /// Both ends closed it in their time.
+    Closed,
+    Reset,
+}
+
 /// One connection that passes.
-struct Passing {
-    /// Ends both directions, by a reset.
-    over: Notify,
-    ended: Cell<bool>,
+struct Connection {
+    /// Something has changed for this connection alone.
+    changed: Notify,
+    /// Both directions end by a reset.
+    is_reset: Cell<bool>,
     /// The near end is kept open though the far end is gone.
-    half: Cell<bool>,
+    is_half_open: Cell<bool>,
 }
 
-/// Whole frames of a direction: a length in four bytes, then so much. The first and the last are kept.
+impl Connection {
+    fn reset(&self) {
+        self.is_reset.set(true);
+        self.changed.notify_waiters();
+    }
+}
+
+/// Complete frames of a direction: a length in four bytes, then so much. The first and the last are retained.
 #[derive(Default)]
 struct Frames {
     bytes: Vec<u8>,
     first: Vec<u8>,
     last: Vec<u8>,
-    /// It is no such framing.
-    off: bool,
-    seen: u64,
+    /// The bytes are no such frames.
+    is_unframed: bool,
+    count: u64,
 }
 
 impl Frames {
-    fn saw(&mut self, bytes: &[u8]) {
-        if self.off {
+    fn push(&mut self, bytes: &[u8]) {
+        if self.is_unframed {
             return;
         }
         self.bytes.extend_from_slice(bytes);
         while let Some(head) = self.bytes.first_chunk::<4>() {
-            let len = u32::from_be_bytes(*head) as usize;
-            if len > 4 * KEPT {
-                self.off = true;
+            let length = u32::from_be_bytes(*head) as usize;
+            if length > MAX_FRAME {
+                self.is_unframed = true;
                 return;
             }
-            if self.bytes.len() < 4 + len {
+            if self.bytes.len() < 4 + length {
                 return;
             }
-            let frame: Vec<u8> = self.bytes.drain(..4 + len).collect();
-            self.seen += 1;
-            if frame.len() <= KEPT {
+            let frame: Vec<u8> = self.bytes.drain(..4 + length).collect();
+            self.count += 1;
+            if frame.len() <= MAX_RETAINED_FRAME {
                 if self.first.is_empty() {
                     self.first.clone_from(&frame);
                 }
@@ -81,85 +108,87 @@
     }
 }
 
+/// The last frame that passed forth, and the first of its connection.
+#[derive(Clone, Default)]
+struct RetainedFrames {
+    first: Vec<u8>,
+    last: Vec<u8>,
+}
+
 /// A link.
 pub struct Proxy {
+    /// Where the near end connects to.
     pub addr: SocketAddr,
-    to: Cell<Option<SocketAddr>>,
+    target: Cell<Option<SocketAddr>>,
     forth: Cell<Flow>,
     back: Cell<Flow>,
     /// New connections wait, as if their first packet were lost.
-    deaf: Cell<bool>,
-    cut_next: Cell<bool>,
+    is_deaf: Cell<bool>,
+    reset_next: Cell<bool>,
     changed: Notify,
-    passing: RefCell<Vec<Rc<Passing>>>,
-    /// The last frame sent forth, with the first of its connection.
-    frames: RefCell<(Vec<u8>, Vec<u8>)>,
-    chance: RefCell<WyRand>,
-    /// Bytes that passed, connections that were reset.
+    connections: RefCell<Vec<Rc<Connection>>>,
+    retained: RefCell<RetainedFrames>,
+    random: RefCell<WyRand>,
+    /// Bytes that passed.
     pub passed: Cell<u64>,
+    /// Connections that were reset.
     pub resets: Cell<u64>,
-    /// Whole frames that passed forth.
+    /// Complete frames that passed forth.
     pub whole_frames: Cell<u64>,
 }
 
 impl Proxy {
+    /// Opens a link that leads nowhere yet; the seed is of its jitter.
+    ///
     /// # Errors
     /// If the system has no port for it.
     pub async fn open(seed: u64) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Rc::new(Self {
             addr: listener.local_addr()?,
-            to: Cell::new(None),
+            target: Cell::new(None),
             forth: Cell::default(),
             back: Cell::default(),
-            deaf: Cell::new(false),
-            cut_next: Cell::new(false),
+            is_deaf: Cell::new(false),
+            reset_next: Cell::new(false),
             changed: Notify::new(),
-            passing: RefCell::default(),
-            frames: RefCell::default(),
-            chance: RefCell::new(WyRand::new_seed(seed)),
+            connections: RefCell::default(),
+            retained: RefCell::default(),
+            random: RefCell::new(WyRand::new_seed(seed)),
             passed: Cell::new(0),
             resets: Cell::new(0),
             whole_frames: Cell::new(0),
         });
-        let serving = proxy.clone();
-        spawn_local(async move {
-            loop {
-                match listener.accept().await {
-                    Ok((near, _)) if serving.passing.borrow().len() < MOST => {
-                        spawn_local(pass(serving.clone(), near));
-                    }
-                    Ok((near, _)) => reset(&near),
-                    Err(_) => sleep(Duration::from_millis(20)).await,
-                }
-            }
-        });
+        spawn_local(accept(proxy.clone(), listener));
         Ok(proxy)
     }
 
     /// Where it leads from now on; nowhere: connections are refused.
-    pub fn set_target(&self, to: Option<SocketAddr>) {
-        self.to.set(to);
+    pub fn set_target(&self, target: Option<SocketAddr>) {
+        self.target.set(target);
     }
 
-    /// A trouble begins.
+    /// A fault begins.
     pub fn begin(&self, fault: LinkFault) {
         let (mut forth, mut back) = (self.forth.get(), self.back.get());
         match fault {
-            LinkFault::Cut { forth: f, back: b } => {
-                (forth.held, back.held) = (f, b);
-                self.deaf.set(true);
+            LinkFault::Cut {
+                forth: is_forth_cut,
+                back: is_back_cut,
+            } => {
+                (forth.is_held, back.is_held) = (is_forth_cut, is_back_cut);
+                self.is_deaf.set(true);
             }
             LinkFault::Stall => {
-                (forth.held, back.held) = (true, true);
-                self.deaf.set(true);
+                (forth.is_held, back.is_held) = (true, true);
+                self.is_deaf.set(true);
             }
             LinkFault::HalfOpen => {
-                (forth.held, back.held) = (true, true);
-                self.deaf.set(true);
-                for one in &*self.passing.borrow() {
-                    one.half.set(true);
-                    one.over.notify_waiters();
+                (forth.is_held, back.is_held) = (true, true);
+                self.is_deaf.set(true);
+                for connection in &*self.connections.borrow() {
+                    connection.is_half_open.set(true);
+                    connection.changed.notify_waiters();
                 }
             }
             LinkFault::Delay(by) => (forth.delay, back.delay) = (by, by),
@@ -170,11 +199,11 @@
         self.changed.notify_waiters();
     }
 
-    /// All troubles end.
+    /// A fault ends, and all others of this link with it.
     pub fn heal(&self, fault: LinkFault) {
         self.forth.set(Flow::default());
         self.back.set(Flow::default());
-        self.deaf.set(false);
+        self.is_deaf.set(false);
         if matches!(fault, LinkFault::Cut { .. } | LinkFault::HalfOpen) {
             self.reset_all();
         }
@@ -183,187 +212,200 @@
 
     /// All connections are reset now.
     pub fn reset_all(&self) {
-        for one in self.passing.borrow().iter() {
-            one.half.set(false);
-            one.ended.set(true);
-            one.over.notify_waiters();
+        for connection in self.connections.borrow().iter() {
+            connection.is_half_open.set(false);
+            connection.reset();
         }
     }
 
     /// The next chunk is cut in the middle and its connection reset.
     pub fn reset_next(&self) {
-        self.cut_next.set(true);
+        self.reset_next.set(true);
     }
 
-    /// The last frame that passed is brought once more, over a connection of its own that begins as the first did.
+    /// The last frame that passed is sent once more, over a connection of its own that begins as the first did.
     pub async fn repeat_last_frame(&self) {
-        let (first, last) = self.frames.borrow().clone();
-        let Some(to) = self.to.get().filter(|_| !last.is_empty()) else {
+        let RetainedFrames { first, last } = self.retained.borrow().clone();
+        let Some(target) = self.target.get().filter(|_| !last.is_empty()) else {
             return;
         };
         let sent = async {
-            let mut stream = TcpStream::connect(to).await?;
+            let mut stream = TcpStream::connect(target).await?;
             if first != last {
                 stream.write_all(&first).await?;
             }
             stream.write_all(&last).await?;
-            // Until the other end has read it and says something, or hangs up.
-            let mut some = [0; 1];
-            stream.read(&mut some).await
+            // Until the other end has read it and answers, or closes.
+            let mut byte = [0; 1];
+            stream.read(&mut byte).await
         };
-        let _ = timeout(OPENS, sent).await;
+        let _ = timeout(CONNECT_TIMEOUT, sent).await;
+    }
+
+    fn flow(&self, direction: Direction) -> Flow {
+        match direction {
+            Direction::Forth => self.forth.get(),
+            Direction::Back => self.back.get(),
+        }
+    }
+
+    /// Waits while a direction is held.
+    async fn wait_while_held(&self, connection: &Connection, direction: Direction) {
+        while self.flow(direction).is_held && !connection.is_reset.get() {
+            self.wait_for_change(connection).await;
+        }
+    }
+
+    async fn wait_for_change(&self, connection: &Connection) {
+        tokio::select! {
+            () = self.changed.notified() => {}
+            () = connection.changed.notified() => {}
+        }
+    }
+
+    /// Waits for as long as a direction's fault holds a chunk back.
+    async fn delay_chunk(&self, direction: Direction, bytes: usize) {
+        let flow = self.flow(direction);
+        if !flow.delay.is_zero() {
+            let percent = self.random.borrow_mut().generate_range(50..150u32);
+            sleep(flow.delay.mul_f64(f64::from(percent) / 100.0)).await;
+        }
+        if flow.rate > 0 {
+            sleep(Duration::from_secs_f64(bytes as f64 / flow.rate as f64)).await;
+        }
+    }
+
+    /// Counts the frames of a chunk, and retains the first and the last one.
+    fn record_frames(&self, frames: &mut Frames, chunk: &[u8]) {
+        let before = frames.count;
+        frames.push(chunk);
+        let count = self.whole_frames.get() + frames.count - before;
+        self.whole_frames.set(count);
+        if !frames.is_unframed && !frames.last.is_empty() {
+            *self.retained.borrow_mut() = RetainedFrames {
+                first: frames.first.clone(),
+                last: frames.last.clone(),
+            };
+        }
+    }
+}
+
+async fn accept(proxy: Rc<Proxy>, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((near, _)) if proxy.connections.borrow().len() < MAX_CONNECTIONS => {
+                spawn_local(serve(proxy.clone(), near));
+            }
+            Ok((near, _)) => reset_at_close(&near),
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
+        }
     }
 }
 
 /// Closes so that the other side gets a reset.
-fn reset(stream: &TcpStream) {
+fn reset_at_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pass(proxy: Rc<Proxy>, near: TcpStream) {
-    let passing = Rc::new(Passing {
-        over: Notify::new(),
-        ended: Cell::new(false),
-        half: Cell::new(false),
+async fn serve(proxy: Rc<Proxy>, near: TcpStream) {
+    let connection = Rc::new(Connection {
+        changed: Notify::new(),
+        is_reset: Cell::new(false),
+        is_half_open: Cell::new(false),
     });
-    proxy.passing.borrow_mut().push(passing.clone());
-    let whole = through(&proxy, &passing, near).await;
-    if !whole {
+    proxy.connections.borrow_mut().push(connection.clone());
+    if pass(&proxy, &connection, near).await == Ended::Reset {
         proxy.resets.set(proxy.resets.get() + 1);
     }
-    proxy
-        .passing
-        .borrow_mut()
-        .retain(|one| !Rc::ptr_eq(one, &passing));
+    let mut connections = proxy.connections.borrow_mut();
+    connections.retain(|one| !Rc::ptr_eq(one, &connection));
 }
 
-/// False if it was reset.
-async fn through(proxy: &Rc<Proxy>, passing: &Rc<Passing>, near: TcpStream) -> bool {
+/// The far end, if there is one that accepts.
+async fn connect_far(proxy: &Proxy, connection: &Connection) -> Option<TcpStream> {
+    let target = proxy.target.get().filter(|_| !connection.is_reset.get())?;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await;
+    connected.ok()?.ok()
+}
+
+/// Passes both directions until they end, or the connection is reset.
+async fn pass(proxy: &Rc<Proxy>, connection: &Rc<Connection>, near: TcpStream) -> Ended {
     let _ = near.set_nodelay(true);
-    while proxy.deaf.get() && !passing.ended.get() {
-        tokio::select! {
-            () = proxy.changed.notified() => {}
-            () = passing.over.notified() => {}
-        }
+    while proxy.is_deaf.get() && !connection.is_reset.get() {
+        proxy.wait_for_change(connection).await;
     }
-    let far = match proxy.to.get().filter(|_| !passing.ended.get()) {
-        Some(to) => timeout(OPENS, TcpStream::connect(to)).await,
-        None => {
-            reset(&near);
-            return false;
-        }
-    };
-    let Ok(Ok(far)) = far else {
-        reset(&near);
-        return false;
+    let Some(far) = connect_far(proxy, connection).await else {
+        reset_at_close(&near);
+        return Ended::Reset;
     };
     let _ = far.set_nodelay(true);
     for stream in [&near, &far] {
-        reset(stream);
+        reset_at_close(stream);
     }
-    // The near end of a half-open connection: it stays, while all that passes is dropped.
-    let kept = SockRef::from(&near).try_clone();
+    // The near end of a half-open connection stays, while all that passes is dropped.
+    let near_kept = SockRef::from(&near).try_clone();
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let forth = pump(proxy, passing, near_read, far_write, true);
-    let back = pump(proxy, passing, far_read, near_write, false);
+    let forth = pump(proxy, connection, near_read, far_write, Direction::Forth);
+    let back = pump(proxy, connection, far_read, near_write, Direction::Back);
     let mut both = Some(Box::pin(async { tokio::join!(forth, back) }));
-    while let Some(going) = &mut both {
+    while let Some(passing) = &mut both {
         tokio::select! {
-            whole = going => return whole.0 && whole.1,
-            () = passing.over.notified() => {}
+            (forth, back) = passing => {
+                return if forth == Ended::Closed { back } else { forth };
+            }
+            () = connection.changed.notified() => {}
         }
-        if passing.ended.get() {
-            return false;
+        if connection.is_reset.get() {
+            return Ended::Reset;
         }
-        if passing.half.get() {
+        if connection.is_half_open.get() {
             both = None;
         }
     }
-    while !passing.ended.get() {
-        passing.over.notified().await;
+    while !connection.is_reset.get() {
+        connection.changed.notified().await;
     }
-    drop(kept);
-    false
+    drop(near_kept);
+    Ended::Reset
 }
 
-/// One direction, until its end or the link's.
+/// One direction, until its end or the connection's.
 async fn pump(
     proxy: &Rc<Proxy>,
-    passing: &Rc<Passing>,
+    connection: &Rc<Connection>,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    forth: bool,
-) -> bool {
+    direction: Direction,
+) -> Ended {
     let mut frames = Frames::default();
-    let mut chunk = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let n = match from.read(&mut chunk).await {
-            Ok(0) => {
-                held(proxy, passing, forth).await;
-                // A whole end, not a reset: the other side is told so.
-                let _ = SockRef::from(AsRef::<TcpStream>::as_ref(&to)).set_linger(None);
-                let _ = to.shutdown().await;
-                return true;
-            }
-            Ok(n) => n,
-            Err(_) => {
-                passing.ended.set(true);
-                passing.over.notify_waiters();
-                return false;
-            }
-        };
-        held(proxy, passing, forth).await;
-        let flow = if forth {
-            proxy.forth.get()
-        } else {
-            proxy.back.get()
+        let Ok(length) = from.read(&mut buffer).await else {
+            connection.reset();
+            return Ended::Reset;
         };
-        if !flow.delay.is_zero() {
-            let jitter = proxy.chance.borrow_mut().generate_range(50..150u32);
-            sleep(flow.delay.mul_f64(f64::from(jitter) / 100.0)).await;
+        proxy.wait_while_held(connection, direction).await;
+        if length == 0 {
+            // An end in its time, and no reset: the other side gets it as that.
+            let _ = SockRef::from(AsRef::<TcpStream>::as_ref(&to)).set_linger(None);
+            let _ = to.shutdown().await;
+            return Ended::Closed;
         }
-        if flow.rate > 0 {
-            sleep(Duration::from_secs_f64(n as f64 / flow.rate as f64)).await;
+        let chunk = &buffer[..length];
+        proxy.delay_chunk(direction, length).await;
+        if proxy.reset_next.replace(false) {
+            let _ = to.write_all(&chunk[..length / 2]).await;
+            connection.reset();
+            return Ended::Reset;
         }
-        if proxy.cut_next.replace(false) {
-            let _ = to.write_all(&chunk[..n / 2]).await;
-            passing.ended.set(true);
-            passing.over.notify_waiters();
-            return false;
+        if direction == Direction::Forth {
+            proxy.record_frames(&mut frames, chunk);
         }
-        if forth {
-            let seen = frames.seen;
-            frames.saw(&chunk[..n]);
-            proxy
-                .whole_frames
-                .set(proxy.whole_frames.get() + frames.seen - seen);
-            if !frames.off && !frames.last.is_empty() {
-                *proxy.frames.borrow_mut() = (frames.first.clone(), frames.last.clone());
-            }
-        }
-        if to.write_all(&chunk[..n]).await.is_err() {
-            passing.ended.set(true);
-            passing.over.notify_waiters();
-            return false;
-        }
-        proxy.passed.set(proxy.passed.get() + n as u64);
-    }
-}
-
-/// Waits while the direction is held.
-async fn held(proxy: &Rc<Proxy>, passing: &Rc<Passing>, forth: bool) {
-    while (if forth {
-        proxy.forth.get()
-    } else {
-        proxy.back.get()
-    })
-    .held
-        && !passing.ended.get()
-    {
-        tokio::select! {
-            () = proxy.changed.notified() => {}
-            () = passing.over.notified() => {}
+        if to.write_all(chunk).await.is_err() {
+            connection.reset();
+            return Ended::Reset;
         }
+        proxy.passed.set(proxy.passed.get() + length as u64);
     }
 }
--- a/crates/testbed/src/ready/client.rs
+++ b/crates/testbed/src/ready/client.rs
@@ -1,7 +1,6 @@
 //! A caller's connection that sends requests to one process until it answers.
 
-use rainstand_protocol::thrift;
-use rainstand_protocol::thrift::What;
+use rainstand_protocol::thrift::{self, Answered, What};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -10,107 +9,134 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// After an answer that was none, if it named no pause.
-const AGAIN: Duration = Duration::from_millis(20);
+/// After an answer without a result, if it named no longer wait.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What is asked of a process.
+/// What is asked of a process, again and again.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Question {
-    pub(super) traffic: &'static str,
-    pub(super) customer: String,
+pub(super) struct RequestTemplate {
+    /// Name of the request class.
+    pub(super) class: &'static str,
+    pub(super) tenant: String,
+    /// The idempotency key at a node, what a route is chosen by at a forwarder; empty: none.
     pub(super) entity: String,
 }
 
-pub(super) enum Reply {
-    Honoured(Vec<u8>),
-    Else {
-        pause: Duration,
+/// How a request was answered.
+pub(super) enum Answer {
+    /// With this result.
+    Served(Vec<u8>),
+    /// Without a result.
+    Unserved {
+        /// Until the next attempt.
+        retry_after: Duration,
+        /// What an exception said.
         exception: Option<String>,
     },
 }
 
 thread_local! {
-    /// Tickets of this run have different traces.
-    static TICKETS: Cell<u64> = const { Cell::new(1) };
+    /// Requests of one run have different traces.
+    static NEXT_REQUEST: Cell<u64> = const { Cell::new(1) };
 }
 
-/// A caller's connection.
-pub(super) struct Line {
-    pub(super) stream: TcpStream,
-    pub(super) back: Vec<u8>,
-    pub(super) seq: i32,
+/// A caller's connection, with one request at a time.
+pub(super) struct ClientConnection {
+    stream: TcpStream,
+    received: Vec<u8>,
+    sequence: i32,
 }
 
-impl Line {
-    pub(super) async fn open(to: SocketAddr) -> io::Result<Self> {
-        let stream = TcpStream::connect(to).await?;
+impl ClientConnection {
+    pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
-            back: Vec::new(),
-            seq: 0,
+            received: Vec::new(),
+            sequence: 0,
         })
     }
 
-    pub(super) async fn ask(&mut self, question: &Question) -> io::Result<Reply> {
-        self.seq += 1;
-        let ticket = TICKETS.with(|tickets| tickets.replace(tickets.get() + 1));
-        let trace = format!("{ticket:016x}");
-        let unix = SystemTime::now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .unwrap_or_default();
-        let born = unix.as_millis().to_string();
-        let mut fields = vec![
-            ("route", question.traffic),
-            ("trace", &trace),
-            ("born", &born),
-        ];
-        fields.push(("customer", &question.customer));
-        fields
-            .extend((!question.entity.is_empty()).then_some(("entity", question.entity.as_str())));
-        fields.extend([("size", "4"), ("client", "1"), ("order", "0.5")]);
-        self.stream
-            .write_all(&thrift::process(self.seq, &fields, b"ready"))
-            .await?;
+    /// Sends a request and waits for its answer.
+    pub(super) async fn request(&mut self, request: &RequestTemplate) -> io::Result<Answer> {
+        self.sequence += 1;
+        let frame = encode(self.sequence, request);
+        self.stream.write_all(&frame).await?;
         loop {
-            if let Some(length) = thrift::frame(&self.back).map_err(io::Error::other)? {
-                let frame: Vec<u8> = self.back.drain(..4 + length).skip(4).collect();
-                // The notice to leave, or an answer to what was asked before.
-                if thrift::kind(&frame) == Some(thrift::ONEWAY) {
-                    continue;
-                }
+            let frame = self.next_frame().await?;
+            // The notice of a drain is no answer.
+            if thrift::kind(&frame) != Some(thrift::ONEWAY) {
                 let answered = thrift::answered(&frame).map_err(io::Error::other)?;
-                let (mut pause, mut exception) = (AGAIN, None);
-                match answered.what {
-                    What::Answer { body, .. } => return Ok(Reply::Honoured(body.to_vec())),
-                    What::Backoff(texts) => {
-                        let told = texts
-                            .iter()
-                            .find(|(name, _)| *name == b"pause")
-                            .map(|(_, ms)| *ms);
-                        let ms = told.and_then(|ms| std::str::from_utf8(ms).ok()?.parse().ok());
-                        pause = ms.map_or(AGAIN, Duration::from_millis).max(AGAIN);
-                    }
-                    What::Exception { why, .. } => {
-                        exception = Some(String::from_utf8_lossy(why).into_owned());
-                    }
-                    What::Lost => {}
-                }
-                return Ok(Reply::Else { pause, exception });
+                return Ok(Answer::from(answered));
             }
-            if self.stream.read_buf(&mut self.back).await? == 0 {
+        }
+    }
+
+    /// Sends a request until the answer is a result.
+    pub(super) async fn request_until_served(
+        &mut self,
+        request: &RequestTemplate,
+    ) -> io::Result<Vec<u8>> {
+        loop {
+            match self.request(request).await? {
+                Answer::Served(result) => return Ok(result),
+                Answer::Unserved { retry_after, .. } => sleep(retry_after).await,
+            }
+        }
+    }
+
+    async fn next_frame(&mut self) -> io::Result<Vec<u8>> {
+        loop {
+            if let Some(length) = thrift::frame(&self.received).map_err(io::Error::other)? {
+                return Ok(self.received.drain(..4 + length).skip(4).collect());
+            }
+            if self.stream.read_buf(&mut self.received).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
     }
 }
 
-/// Asks until the answer is a result.
-pub(super) async fn honoured(line: &mut Line, question: &Question) -> io::Result<Vec<u8>> {
-    loop {
-        match line.ask(question).await? {
-            Reply::Honoured(result) => return Ok(result),
-            Reply::Else { pause, .. } => sleep(pause).await,
+fn encode(sequence: i32, request: &RequestTemplate) -> Vec<u8> {
+    let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
+    let trace = format!("{number:016x}");
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
+    let born = unix.as_millis().to_string();
+    let mut fields = vec![
+        ("route", request.class),
+        ("trace", &trace),
+        ("born", &born),
+        ("customer", &request.tenant),
+    ];
+    if !request.entity.is_empty() {
+        fields.push(("entity", &request.entity));
+    }
+    fields.extend([("size", "4"), ("client", "1"), ("order", "0.5")]);
+    thrift::process(sequence, &fields, b"ready")
+}
+
+impl From<Answered<'_>> for Answer {
+    fn from(answered: Answered<'_>) -> Self {
+        let (mut retry_after, mut exception) = (MIN_RETRY_DELAY, None);
+        match answered.what {
+            What::Answer { body, .. } => return Self::Served(body.to_vec()),
+            What::Backoff(texts) => {
+                let pause = texts.iter().find(|(name, _)| *name == b"pause");
+                let ms = pause.and_then(|(_, ms)| std::str::from_utf8(ms).ok()?.parse().ok());
+                let named = ms.map_or(MIN_RETRY_DELAY, Duration::from_millis);
+                retry_after = named.max(MIN_RETRY_DELAY);
+            }
+            What::Exception { why, .. } => {
+                exception = Some(String::from_utf8_lossy(why).into_owned());
+            }
+            What::Lost => {}
+        }
+        Self::Unserved {
+            retry_after,
+            exception,
         }
     }
 }
--- a/crates/testbed/src/ready/fleet.rs
+++ b/crates/testbed/src/ready/fleet.rs
@@ -1,11 +1,11 @@
-//! All processes of a run: started, filled with keys, stopped, asked again.
+//! All processes of a run: started, filled with keys, stopped, started again.
 
-use super::client::{honoured, Line, Question};
-use super::options::{Discovery, End, Options};
-use super::process::{Kind, One, MOST};
-use super::registry::List;
-use super::report::{OfKind, Seen, Times};
-use super::{STOP, WITHIN};
+use super::client::{ClientConnection, RequestTemplate};
+use super::options::{Discovery, Options, StopMode};
+use super::process::{FleetProcess, Kind, READY_TIMEOUT};
+use super::registry::Registry;
+use super::report::{KindReport, StartupTimes};
+use super::DRAIN_TIMEOUT;
 use crate::process::{Process, START_TIMEOUT};
 use rustix::process::Signal;
 use socket2::Socket;
@@ -20,190 +20,205 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// For one key to be kept in the group before the restart, with all tries.
-const KEY_WITHIN: Duration = Duration::from_secs(60);
-
+/// For the group to answer a request with one key, with all attempts.
+const KEY_TIMEOUT: Duration = Duration::from_mins(1);
 /// Callers that fill one member's disk side by side.
-const FILLERS: usize = 8;
+const CALLERS_PER_MEMBER: usize = 8;
 
 /// All processes of a run.
 pub(super) struct Fleet<'o> {
     pub(super) options: &'o Options,
     pub(super) folder: PathBuf,
-    pub(super) all: Vec<Rc<One>>,
-    pub(super) list: Rc<List>,
-    /// The announce service's port, and those of all who are restarted.
+    pub(super) processes: Vec<Rc<FleetProcess>>,
+    pub(super) registry: Rc<Registry>,
+    /// Where the registry listens.
     pub(super) announce: SocketAddr,
-    pub(super) _held: Vec<Socket>,
+    /// The registry's port, and those of all processes.
+    pub(super) _reserved_ports: Vec<Socket>,
     pub(super) _agents: Vec<Process>,
+    /// Results of the stored keys.
     pub(super) results: RefCell<BTreeMap<String, Vec<u8>>>,
 }
 
-impl<'o> Fleet<'o> {
-    /// Starts all at once; returns when each is ready, gone, or given up on.
+/// Keys that were asked for again after the restart.
+pub(super) struct KeyCheck {
+    pub(super) checked: usize,
+    /// Those whose result was the same.
+    pub(super) preserved: usize,
+}
+
+impl Fleet<'_> {
+    /// Starts all at once; returns when each is ready, has ended, or is given up on.
     pub(super) async fn start(
         &self,
         round: usize,
-        fell: &mut Vec<String>,
-    ) -> io::Result<Vec<OfKind>> {
+        process_faults: &mut Vec<String>,
+    ) -> io::Result<Vec<KindReport>> {
         let mut watches = JoinSet::new();
-        for (k, one) in self.all.iter().cloned().enumerate() {
-            let begun = Instant::now();
-            one.start(self.options.programs.as_deref(), &self.folder)?;
-            let (list, in_list) = (self.list.clone(), self.in_list(one.kind));
-            let mut question = one.question.clone();
-            if one.kind == Kind::Member {
-                // A key of its own: the result of an earlier one would come from the copies, without any run.
-                question.entity = format!("start-{round}-{k}");
+        for (index, process) in self.processes.iter().cloned().enumerate() {
+            let started = Instant::now();
+            process.start(self.options.programs.as_deref(), &self.folder)?;
+            let registry = self.registry.clone();
+            let must_register = self.must_register(process.kind);
+            let mut request = process.request.clone();
+            if process.kind == Kind::Member {
+                // A key of its own: the result of an earlier one would come from the replicas, without any run.
+                request.entity = format!("start-{round}-{index}");
             }
-            watches
-                .spawn_local(async move { (k, one.watch(begun, &question, &list, in_list).await) });
+            watches.spawn_local(async move {
+                let times = process.watch(started, &request, &registry, must_register);
+                (index, times.await)
+            });
         }
-        let mut seen = vec![Seen::default(); self.all.len()];
+        let mut times = vec![StartupTimes::default(); self.processes.len()];
         while let Some(done) = watches.join_next().await {
-            let (k, one) = done.map_err(io::Error::other)?;
-            seen[k] = one;
+            let (index, of_process) = done.map_err(io::Error::other)?;
+            times[index] = of_process;
         }
-        fell.extend(self.all.iter().filter_map(|one| one.ended()));
-        for (one, seen) in self.all.iter().zip(&seen) {
-            fell.extend(
-                seen.exception
-                    .as_ref()
-                    .map(|why| format!("{}: an exception: {why}", one.name)),
-            );
+        self.record_exits(process_faults);
+        for (process, times) in self.processes.iter().zip(&times) {
+            if let Some(exception) = &times.exception {
+                process_faults.push(format!("{}: an exception: {exception}", process.name));
+            }
         }
         let kinds = [Kind::Node, Kind::Member, Kind::Forwarder];
-        Ok(kinds
-            .into_iter()
-            .filter_map(|kind| self.of_kind(kind, &seen))
-            .collect())
+        let reports = kinds.map(|kind| self.report_of(kind, &times));
+        Ok(reports.into_iter().flatten().collect())
+    }
+
+    /// Processes that ended by themselves.
+    fn record_exits(&self, process_faults: &mut Vec<String>) {
+        let exits = self.processes.iter().filter_map(|process| process.ended());
+        process_faults.extend(exits);
     }
 
-    pub(super) fn in_list(&self, kind: Kind) -> bool {
-        kind != Kind::Forwarder && self.list.mode.get() == Discovery::Up
+    /// Whether a process is ready only once it is in the registry's list.
+    fn must_register(&self, kind: Kind) -> bool {
+        kind != Kind::Forwarder && self.registry.mode.get() == Discovery::Up
     }
 
-    fn of_kind(&self, kind: Kind, seen: &[Seen]) -> Option<OfKind> {
-        let in_list = self.in_list(kind);
-        let of: Vec<&Seen> = self
-            .all
+    /// None if there is no process of this kind.
+    fn report_of(&self, kind: Kind, times: &[StartupTimes]) -> Option<KindReport> {
+        let times: Vec<&StartupTimes> = self
+            .processes
             .iter()
-            .zip(seen)
-            .filter(|(one, _)| one.kind == kind)
-            .map(|(_, seen)| seen)
+            .zip(times)
+            .filter(|(process, _)| process.kind == kind)
+            .map(|(_, times)| times)
             .collect();
-        let ready: Vec<Option<Duration>> = of.iter().map(|seen| seen.ready(in_list)).collect();
-        (!of.is_empty()).then(|| OfKind {
-            kind,
-            processes: of.len(),
-            ready: ready.iter().flatten().count(),
-            in_time: ready
-                .iter()
-                .flatten()
-                .filter(|time| **time <= WITHIN)
-                .count(),
-            times: Times::of(ready),
-            listens: Times::of(of.iter().map(|seen| seen.listens)),
-            listed: in_list.then(|| Times::of(of.iter().map(|seen| seen.listed))),
-            answered: Times::of(of.iter().map(|seen| seen.answered)),
-            turned_away: of.iter().map(|seen| seen.turned_away).sum(),
-        })
+        (!times.is_empty()).then(|| KindReport::new(kind, &times, self.must_register(kind)))
     }
 
-    /// Tells all at once, and waits until all are gone.
-    pub(super) async fn stop(&self, end: End, fell: &mut Vec<String>) {
-        fell.extend(self.all.iter().filter_map(|one| one.ended()));
-        let signal = if end == End::Kill {
-            Signal::KILL
-        } else {
-            Signal::TERM
+    /// Signals all at once, and waits until all have ended.
+    pub(super) async fn stop(&self, mode: StopMode, process_faults: &mut Vec<String>) {
+        self.record_exits(process_faults);
+        let signal = match mode {
+            StopMode::Kill => Signal::KILL,
+            StopMode::Term => Signal::TERM,
         };
-        let mut going = Vec::new();
-        for one in &self.all {
-            if let Some(process) = one.process.borrow_mut().take() {
+        let mut ending = Vec::new();
+        for process in &self.processes {
+            if let Some(process) = process.process.borrow_mut().take() {
                 process.signal(signal);
-                going.push(process);
+                ending.push(process);
             }
         }
-        for mut process in going {
-            match process.wait(STOP + START_TIMEOUT).await {
-                Ok(status) if status.success() || end == End::Kill => {}
-                other => fell.push(format!("{} at its end: {other:?}", process.name)),
+        for mut process in ending {
+            match process.wait(DRAIN_TIMEOUT + START_TIMEOUT).await {
+                Ok(status) if status.success() || mode == StopMode::Kill => {}
+                other => process_faults.push(format!("{} at its end: {other:?}", process.name)),
             }
         }
     }
 
-    pub(super) fn members(&self) -> impl Iterator<Item = &Rc<One>> {
-        self.all.iter().filter(|one| one.kind == Kind::Member)
+    fn members(&self) -> impl Iterator<Item = &Rc<FleetProcess>> {
+        let processes = self.processes.iter();
+        processes.filter(|process| process.kind == Kind::Member)
     }
 
-    /// Keyed tickets through all members, so that the keys lie on the disks of the group; how many were answered.
-    pub(super) async fn fill(&self) -> io::Result<usize> {
-        let members: Vec<Rc<One>> = self.members().cloned().collect();
+    /// Requests with keys through all members, so that the keys lie on the disks of the group; how many were served.
+    pub(super) async fn store_keys(&self) -> io::Result<usize> {
+        let members: Vec<Rc<FleetProcess>> = self.members().cloned().collect();
         if members.is_empty() {
             return Ok(0);
         }
-        let (keys, at_once) = (self.options.keys, members.len() * FILLERS);
-        let mut filling = JoinSet::new();
-        for first in 0..at_once {
-            let one = members[first % members.len()].clone();
-            filling.spawn_local(async move {
-                let mut kept = Vec::new();
-                let mut line = Line::open(one.front).await?;
-                for key in (first..keys).step_by(at_once) {
-                    let question = Question {
-                        entity: format!("key-{key}"),
-                        ..one.question.clone()
-                    };
-                    let result = timeout(KEY_WITHIN, honoured(&mut line, &question)).await;
-                    kept.push((
-                        question.entity,
-                        result.map_err(|_| io::ErrorKind::TimedOut)??,
-                    ));
+        let callers = members.len() * CALLERS_PER_MEMBER;
+        let mut storing = JoinSet::new();
+        for caller in 0..callers {
+            let member = members[caller % members.len()].clone();
+            let keys = (caller..self.options.keys).step_by(callers);
+            storing.spawn_local(async move {
+                let mut connection = ClientConnection::open(member.address).await?;
+                let mut results = Vec::new();
+                for key in keys {
+                    let key = format!("key-{key}");
+                    let result = request_key(&mut connection, &member, &key).await?;
+                    results.push((key, result));
                 }
-                Ok::<_, io::Error>(kept)
+                Ok::<_, io::Error>(results)
             });
         }
-        while let Some(done) = filling.join_next().await {
-            self.results
-                .borrow_mut()
-                .extend(done.map_err(io::Error::other)??);
+        while let Some(done) = storing.join_next().await {
+            let results = done.map_err(io::Error::other)??;
+            self.results.borrow_mut().extend(results);
         }
         Ok(self.results.borrow().len())
     }
 
-    /// A key of those filled in at each member: the result must be that of before the restart.
-    pub(super) async fn ask_again(&self) -> (usize, usize) {
-        let (mut asked, mut kept) = (0, 0);
-        for (one, n) in self.members().zip(0..) {
-            // Keys are bound to their body and tenant, and members ask for different ones.
+    /// One of the stored keys at each member: the result must be that of before the restart.
+    pub(super) async fn check_keys(&self) -> KeyCheck {
+        let mut check = KeyCheck {
+            checked: 0,
+            preserved: 0,
+        };
+        for (n, member) in self.members().enumerate() {
+            // Keys are bound to their body and tenant, which differ by member.
             let key = format!("key-{n}");
-            let before = self.results.borrow().get(&key).cloned();
-            let Some(before) = before else { continue };
-            asked += 1;
-            let question = Question {
-                entity: key,
-                ..one.question.clone()
+            let Some(before) = self.results.borrow().get(&key).cloned() else {
+                continue;
+            };
+            check.checked += 1;
+            let again = async {
+                let mut connection = ClientConnection::open(member.address).await?;
+                request_key(&mut connection, member, &key).await
             };
-            let again = async { honoured(&mut Line::open(one.front).await?, &question).await };
-            let again = timeout(KEY_WITHIN, again).await;
-            kept += usize::from(matches!(again, Ok(Ok(result)) if result == before));
+            let again = timeout(KEY_TIMEOUT, again).await;
+            let is_preserved = matches!(again, Ok(Ok(result)) if result == before);
+            check.preserved += usize::from(is_preserved);
         }
-        (asked, kept)
+        check
     }
 
-    /// The announce service answers again: when each node was in the list, from then on.
-    pub(super) async fn come_back(&self) -> io::Result<Vec<Option<Duration>>> {
-        let begun = Instant::now();
-        if self.list.mode.replace(Discovery::Up) == Discovery::Down {
+    /// The registry answers again: when each node was in its list, from then on.
+    pub(super) async fn wait_for_registration(&self) -> io::Result<Vec<Option<Duration>>> {
+        let started = Instant::now();
+        if self.registry.mode.replace(Discovery::Up) == Discovery::Down {
             let listener = TcpListener::bind(self.announce).await?;
-            spawn_local(self.list.clone().serve(listener));
+            spawn_local(self.registry.clone().serve(listener));
         }
         let mut times = Vec::new();
-        for one in self.all.iter().filter(|one| one.kind != Kind::Forwarder) {
-            let at = timeout_at(begun + MOST, self.list.listed(&one.name)).await;
-            times.push(at.ok().map(|at| at.saturating_duration_since(begun)));
+        for process in &self.processes {
+            if process.kind == Kind::Forwarder {
+                continue;
+            }
+            let registered = self.registry.wait_until_registered(&process.name);
+            let at = timeout_at(started + READY_TIMEOUT, registered).await;
+            times.push(at.ok().map(|at| at.saturating_duration_since(started)));
         }
         Ok(times)
     }
 }
+
+/// Sends a member's request with this key until it is served.
+async fn request_key(
+    connection: &mut ClientConnection,
+    member: &FleetProcess,
+    key: &str,
+) -> io::Result<Vec<u8>> {
+    let request = RequestTemplate {
+        entity: key.to_owned(),
+        ..member.request.clone()
+    };
+    let result = timeout(KEY_TIMEOUT, connection.request_until_served(&request)).await;
+    result.map_err(|_| io::ErrorKind::TimedOut)?
+}
--- a/crates/testbed/src/ready/mod.rs
+++ b/crates/testbed/src/ready/mod.rs
@@ -1,9 +1,9 @@
 //! Processes that are restarted all at once, and how long each takes until it is ready.
 //!
-//! Ready is who listens, is in the list of the announce service, and answered its first ticket, with the work done by
-//! an agent. Forwarders report to nobody; where the announce service does not answer, nobody is in its list, and
-//! ready is who listens and answers: such nodes must get into the list once it is back. Agents and the announce
-//! service are stand-ins and keep running: what is restarted are nodes and forwarders.
+//! A process is ready once it listens, is in the list of the service registry, and has served its first request, with
+//! the work done by an agent. Forwarders report to nobody; where the registry does not answer, nobody is in its list,
+//! and a node is ready once it listens and answers: it must get into the list once the registry is back. Agents and the
+//! registry are stand-ins and keep running: what is restarted are nodes and forwarders.
 
 mod client;
 mod fleet;
@@ -13,26 +13,25 @@
 mod report;
 mod setup;
 
-use fleet::Fleet;
-pub use options::{Discovery, End, Form, Options};
+pub use options::{ConfigFormat, Discovery, Options, StopMode};
 pub use process::Kind;
-pub use report::{write_report, OfKind, Report, Times};
+pub use report::{write_report, KindReport, Report, Times};
+
+use fleet::Fleet;
 use std::io;
 use std::path::Path;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Nine in ten must be ready by then.
-pub const WITHIN: Duration = Duration::from_secs(10);
-
-/// Between looks whether a process listens: a time told is so much too long at the most.
-const LOOK: Duration = Duration::from_millis(20);
-
-/// From the notice to leave to the kill, as nodes and forwarders are told.
-const STOP: Duration = Duration::from_secs(3);
+/// Nine in ten processes must be ready by then.
+pub const READY_TARGET: Duration = Duration::from_secs(10);
+/// Between two looks whether a process listens: a measured time is so much too long at the most.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// From the signal to drain to the kill, as nodes and forwarders are configured.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Starts all, restarts them at once, and tells how long each took.
+/// Starts all, restarts them at once, and reports how long each took.
 ///
 /// # Errors
 /// If the run could not be set up.
@@ -45,21 +44,22 @@
     };
     if options.discovery != Discovery::Down {
         let listener = TcpListener::bind(fleet.announce).await?;
-        spawn_local(fleet.list.clone().serve(listener));
+        spawn_local(fleet.registry.clone().serve(listener));
     }
-    fleet.list.mode.set(options.discovery);
-    report.first = fleet.start(1, &mut report.fell).await?;
-    report.keys = fleet.fill().await?;
-    fleet.stop(options.end, &mut report.fell).await;
-    fleet.list.empty(fleet.announce).await;
-    report.restarted = fleet.start(2, &mut report.fell).await?;
-    (report.keys_asked, report.keys_kept) = fleet.ask_again().await;
+    fleet.registry.mode.set(options.discovery);
+    report.first = fleet.start(1, &mut report.process_faults).await?;
+    report.keys = fleet.store_keys().await?;
+    fleet.stop(options.end, &mut report.process_faults).await;
+    fleet.registry.clear(fleet.announce).await;
+    report.restarted = fleet.start(2, &mut report.process_faults).await?;
+    let keys = fleet.check_keys().await;
+    (report.keys_checked, report.keys_preserved) = (keys.checked, keys.preserved);
     if options.discovery != Discovery::Up {
-        let times = fleet.come_back().await?;
+        let times = fleet.wait_for_registration().await?;
         report.back_in_list = times.iter().flatten().count();
         report.back = Some(Times::of(times));
     }
-    report.told_before_listening = fleet.list.told_before_listening.get();
-    fleet.stop(End::Term, &mut report.fell).await;
+    report.early_reports = fleet.registry.early_reports();
+    fleet.stop(StopMode::Term, &mut report.process_faults).await;
     Ok(report)
 }
--- a/crates/testbed/src/ready/process.rs
+++ b/crates/testbed/src/ready/process.rs
@@ -1,9 +1,9 @@
 //! One process that is restarted, and how it is watched until it is ready.
 
-use super::client::{Line, Question, Reply};
-use super::registry::List;
-use super::report::Seen;
-use super::{LOOK, STOP};
+use super::client::{Answer, ClientConnection, RequestTemplate};
+use super::registry::Registry;
+use super::report::StartupTimes;
+use super::{DRAIN_TIMEOUT, POLL_INTERVAL};
 use crate::process::{program, Process};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -16,102 +16,124 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// Who is not ready by then never is.
-pub(super) const MOST: Duration = Duration::from_secs(60);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
+/// What a process of the fleet is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
+    /// A node without replicas.
     Node,
     /// A node in the group.
     Member,
+    /// A forwarder.
     Forwarder,
 }
 
 /// One process that is restarted.
-pub(super) struct One {
+pub(super) struct FleetProcess {
     pub(super) kind: Kind,
     pub(super) name: String,
-    pub(super) front: SocketAddr,
-    pub(super) question: Question,
-    /// A node's file, or a forwarder's configuration and number.
+    /// Where it listens for callers.
+    pub(super) address: SocketAddr,
+    pub(super) request: RequestTemplate,
+    /// A node's settings, or a forwarder's configuration.
     pub(super) file: PathBuf,
+    /// A forwarder's number, which is its seed too.
     pub(super) number: usize,
+    /// A member's configuration of its group.
     pub(super) group: Option<PathBuf>,
     pub(super) process: RefCell<Option<Process>>,
 }
 
-impl One {
+impl FleetProcess {
     pub(super) fn start(&self, programs: Option<&Path>, folder: &Path) -> io::Result<()> {
-        let mut command;
-        if self.kind == Kind::Forwarder {
-            command = Command::new(program("rainstand", programs)?);
-            command
-                .arg("forward")
-                .arg("--config")
-                .arg(&self.file)
-                .arg("--listen")
-                .arg(self.front.to_string());
-            command
-                .arg("--number")
-                .arg(self.number.to_string())
-                .arg("--seed")
-                .arg(self.number.to_string());
-            command.arg("--stop-ms").arg(STOP.as_millis().to_string());
+        let mut command = if self.kind == Kind::Forwarder {
+            self.forwarder_command(programs)?
         } else {
-            command = Command::new(program("rainstand-node", programs)?);
-            command.env("ROUTER_CONFIG", &self.file);
-            if let Some(group) = &self.group {
-                command.env("RAINSTAND_SETTINGS", group);
-            }
-        }
+            self.node_command(programs)?
+        };
         command.stdin(Stdio::null()).stdout(Stdio::null());
         let log = folder.join(format!("{}.log", self.name));
-        *self.process.borrow_mut() = Some(Process::start(&self.name, command, &log)?);
+        let process = Process::start(&self.name, command, &log)?;
+        *self.process.borrow_mut() = Some(process);
         Ok(())
     }
 
+    fn forwarder_command(&self, programs: Option<&Path>) -> io::Result<Command> {
+        let number = self.number.to_string();
+        let mut command = Command::new(program("rainstand", programs)?);
+        command
+            .arg("forward")
+            .arg("--config")
+            .arg(&self.file)
+            .args(["--listen", &self.address.to_string()])
+            .args(["--number", &number, "--seed", &number])
+            .args(["--stop-ms", &DRAIN_TIMEOUT.as_millis().to_string()]);
+        Ok(command)
+    }
+
+    fn node_command(&self, programs: Option<&Path>) -> io::Result<Command> {
+        let mut command = Command::new(program("rainstand-node", programs)?);
+        command.env("ROUTER_CONFIG", &self.file);
+        if let Some(group) = &self.group {
+            command.env("RAINSTAND_SETTINGS", group);
+        }
+        Ok(command)
+    }
+
     /// Why it is not there, if it ended by itself.
     pub(super) fn ended(&self) -> Option<String> {
         let status = self.process.borrow_mut().as_mut()?.ended()?;
         Some(format!("{} ended by itself: {status}", self.name))
     }
 
-    /// From its start on, until it is ready or gone.
+    /// From its start on, until it is ready, has ended, or is given up on.
     pub(super) async fn watch(
         &self,
-        begun: Instant,
-        question: &Question,
-        list: &List,
-        in_list: bool,
-    ) -> Seen {
-        let seen = RefCell::new(Seen::default());
-        let answers = async {
-            while self.ended().is_none() {
-                if let Ok(mut line) = Line::open(self.front).await {
-                    seen.borrow_mut().listens.get_or_insert(begun.elapsed());
-                    // A connection that breaks is opened anew: its process may be gone.
-                    while let Ok(told) = line.ask(question).await {
-                        let Reply::Else { pause, exception } = told else {
-                            seen.borrow_mut().answered = Some(begun.elapsed());
-                            return true;
-                        };
-                        seen.borrow_mut().turned_away += 1;
-                        seen.borrow_mut().exception = exception;
-                        sleep(pause).await;
-                    }
-                }
-                sleep(LOOK).await;
+        started: Instant,
+        request: &RequestTemplate,
+        registry: &Registry,
+        must_register: bool,
+    ) -> StartupTimes {
+        let times = RefCell::new(StartupTimes::default());
+        let until_ready = async {
+            // A process that ended by itself is never registered.
+            if self.wait_until_served(started, request, &times).await && must_register {
+                let at = registry.wait_until_registered(&self.name).await;
+                times.borrow_mut().registered = Some(at.saturating_duration_since(started));
             }
-            false
         };
-        let both = async {
-            // Who ended by itself gets into no list.
-            if answers.await && in_list {
-                let at = list.listed(&self.name).await;
-                seen.borrow_mut().listed = Some(at.saturating_duration_since(begun));
+        let _ = timeout_at(started + READY_TIMEOUT, until_ready).await;
+        times.into_inner()
+    }
+
+    /// False if it ended by itself.
+    async fn wait_until_served(
+        &self,
+        started: Instant,
+        request: &RequestTemplate,
+        times: &RefCell<StartupTimes>,
+    ) -> bool {
+        while self.ended().is_none() {
+            if let Ok(mut connection) = ClientConnection::open(self.address).await {
+                times.borrow_mut().listens.get_or_insert(started.elapsed());
+                // A connection that breaks is opened again: its process may be gone.
+                while let Ok(answer) = connection.request(request).await {
+                    let Answer::Unserved {
+                        retry_after,
+                        exception,
+                    } = answer
+                    else {
+                        times.borrow_mut().answered = Some(started.elapsed());
+                        return true;
+                    };
+                    times.borrow_mut().record_unserved(exception);
+                    sleep(retry_after).await;
+                }
             }
-        };
-        let _ = timeout_at(begun + MOST, both).await;
-        seen.into_inner()
+            sleep(POLL_INTERVAL).await;
+        }
+        false
     }
 }
--- a/crates/testbed/src/ready/report.rs
+++ b/crates/testbed/src/ready/report.rs
@@ -2,56 +2,63 @@
 
 use super::options::Options;
 use super::process::Kind;
-use super::WITHIN;
+use super::READY_TARGET;
 use serde::Serialize;
 use serde_json::json;
 use std::io::Write;
 use std::time::Duration;
 use std::{fmt, io};
 
-/// When what was seen of a process, from its start; none if not before [`MOST`].
+/// When each sign of life of a process was seen, from its start; none if not in time.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct StartupTimes {
     pub(super) listens: Option<Duration>,
-    pub(super) listed: Option<Duration>,
+    pub(super) registered: Option<Duration>,
     pub(super) answered: Option<Duration>,
-    /// Tickets without an answer from an agent before the first with one.
-    pub(super) turned_away: u64,
-    /// Why the last of them was an exception.
+    /// Answers without a result before the first one with a result.
+    rejected: u64,
+    /// What the last of them said, if it was an exception.
     pub(super) exception: Option<String>,
 }
 
-impl Seen {
-    /// `in_list`: it has to be in the list, too.
-    pub(super) fn ready(&self, in_list: bool) -> Option<Duration> {
-        let listed = if in_list {
-            self.listed?
+impl StartupTimes {
+    pub(super) fn record_unserved(&mut self, exception: Option<String>) {
+        self.rejected += 1;
+        self.exception = exception;
+    }
+
+    /// When the process was ready, which may ask for it to be registered too.
+    fn ready(&self, must_register: bool) -> Option<Duration> {
+        let registered = if must_register {
+            self.registered?
         } else {
             Duration::ZERO
         };
-        Some(self.listens?.max(self.answered?).max(listed))
+        Some(self.listens?.max(self.answered?).max(registered))
     }
 }
 
-/// Times of all processes of a kind, milliseconds; none where that one never came to it.
+/// Times of all processes of a kind; none where the process at that place never came to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
+    /// The smallest time that nine in ten processes do not exceed, in milliseconds.
     pub ninth_decile_ms: Option<u64>,
+    /// The largest time, in milliseconds.
     pub worst_ms: Option<u64>,
 }
 
 impl Times {
-    /// The ninth decile is the smallest time that nine in ten do not exceed.
+    /// Of all processes; none for one that never came to it.
     pub fn of(times: impl IntoIterator<Item = Option<Duration>>) -> Self {
         let mut all: Vec<u128> = times
             .into_iter()
             .map(|time| time.map_or(u128::MAX, |time| time.as_millis()))
             .collect();
         all.sort_unstable();
-        let told = |at: usize| all.get(at).and_then(|ms| u64::try_from(*ms).ok());
+        let at = |index: usize| all.get(index).and_then(|ms| u64::try_from(*ms).ok());
         Self {
-            ninth_decile_ms: told((all.len() * 9).div_ceil(10).saturating_sub(1)),
-            worst_ms: told(all.len().saturating_sub(1)),
+            ninth_decile_ms: at((all.len() * 9).div_ceil(10).saturating_sub(1)),
+            worst_ms: at(all.len().saturating_sub(1)),
         }
     }
 }
@@ -68,61 +75,113 @@
     }
 }
 
+/// What one start of all processes of a kind came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct OfKind {
+pub struct KindReport {
+    /// What the processes are.
     pub kind: Kind,
+    /// How many there are.
     pub processes: usize,
-    /// Before the run gave up on them, and within the ten seconds.
+    /// How many were ready before the run gave up on them.
     pub ready: usize,
+    /// How many were ready within [`READY_TARGET`].
     pub in_time: usize,
+    /// Until ready.
     pub times: Times,
+    /// Until somebody could connect.
     pub listens: Times,
-    /// None where there is no list to be in.
-    pub listed: Option<Times>,
+    /// Until registered; none where there is no registry to be in.
+    #[serde(rename = "listed")]
+    pub registered: Option<Times>,
+    /// Until the first answer with a result.
     pub answered: Times,
-    pub turned_away: u64,
+    /// Answers without a result before that.
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
 }
 
+impl KindReport {
+    pub(super) fn new(kind: Kind, times: &[&StartupTimes], must_register: bool) -> Self {
+        let ready: Vec<Option<Duration>> =
+            times.iter().map(|one| one.ready(must_register)).collect();
+        let in_time = |time: &&Duration| **time <= READY_TARGET;
+        Self {
+            kind,
+            processes: times.len(),
+            ready: ready.iter().flatten().count(),
+            in_time: ready.iter().flatten().filter(in_time).count(),
+            times: Times::of(ready),
+            listens: Times::of(times.iter().map(|one| one.listens)),
+            registered: must_register.then(|| Times::of(times.iter().map(|one| one.registered))),
+            answered: Times::of(times.iter().map(|one| one.answered)),
+            rejected: times.iter().map(|one| one.rejected).sum(),
+        }
+    }
+
+    fn write(&self, out: &mut impl Write, start: &str) -> io::Result<()> {
+        let kind = format!("{:?}", self.kind).to_lowercase();
+        writeln!(
+            out,
+            "{start}: {} of {} {kind}s ready, {} within {} s; {}; {} tickets turned away before",
+            self.ready,
+            self.processes,
+            self.in_time,
+            READY_TARGET.as_secs(),
+            self.times,
+            self.rejected
+        )?;
+        writeln!(out, "  listens: {}", self.listens)?;
+        if let Some(registered) = self.registered {
+            writeln!(out, "  in the list: {registered}")?;
+        }
+        writeln!(out, "  answered: {}", self.answered)
+    }
+}
+
+/// What a run came to.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    pub restarted: Vec<OfKind>,
-    /// The same of the very first start, with empty disks.
-    pub first: Vec<OfKind>,
-    /// Reports of nodes that nobody could connect to yet.
-    pub told_before_listening: u64,
+    /// The restart, by kind.
+    pub restarted: Vec<KindReport>,
+    /// The first start, with empty disks, by kind.
+    pub first: Vec<KindReport>,
+    /// Reports to the registry of nodes that nobody could connect to yet.
+    #[serde(rename = "told_before_listening")]
+    pub early_reports: u64,
     /// Processes that ended by themselves, or not when they were told.
-    pub fell: Vec<String>,
-    /// Where the announce service was down or silent: nodes in the list once it was back, and how long that took.
+    #[serde(rename = "fell")]
+    pub process_faults: Vec<String>,
+    /// Where the registry was down or silent: nodes in its list once it was back.
     pub back_in_list: usize,
+    /// How long that took.
     pub back: Option<Times>,
-    /// Keys on the disks before the restart; those asked for again after it, and those whose result was the same.
+    /// Keys on the disks before the restart.
     pub keys: usize,
-    pub keys_asked: usize,
-    pub keys_kept: usize,
+    /// Keys that were asked for again after it.
+    #[serde(rename = "keys_asked")]
+    pub keys_checked: usize,
+    /// Those of them whose result was the same.
+    #[serde(rename = "keys_kept")]
+    pub keys_preserved: usize,
     /// Nodes, members among them.
     pub nodes: usize,
 }
 
 impl Report {
-    /// All but the times: the same on any machine.
+    /// Whether all is as it should be but for the times: the same on any machine.
     pub fn is_complete(&self) -> bool {
-        self.fell.is_empty()
-            && self.told_before_listening == 0
-            && self
-                .restarted
-                .iter()
-                .all(|kind| kind.ready == kind.processes)
+        let all_ready = |kind: &KindReport| kind.ready == kind.processes;
+        self.process_faults.is_empty()
+            && self.early_reports == 0
+            && self.restarted.iter().all(all_ready)
             && (self.back.is_none() || self.back_in_list == self.nodes)
-            && self.keys_kept == self.keys_asked
+            && self.keys_preserved == self.keys_checked
     }
 
-    /// Nine in ten of each kind in time, and all else as it should be.
+    /// Whether nine in ten of each kind were in time, and all else is as it should be.
     pub fn meets_target(&self) -> bool {
-        self.is_complete()
-            && self
-                .restarted
-                .iter()
-                .all(|kind| kind.in_time * 10 >= kind.processes * 9)
+        let in_time = |kind: &KindReport| kind.in_time * 10 >= kind.processes * 9;
+        self.is_complete() && self.restarted.iter().all(in_time)
     }
 }
 
@@ -140,28 +199,11 @@
         let all = json!({"good": report.meets_target(), "whole": report.is_complete(), "asked": options, "report": report});
         return writeln!(out, "{all}");
     }
-    for (when, kinds) in [
-        ("first start", &report.first),
-        ("restarted", &report.restarted),
-    ] {
-        for kind in kinds {
-            let name = format!("{:?}", kind.kind).to_lowercase();
-            writeln!(
-                out,
-                "{when}: {} of {} {name}s ready, {} within {} s; {}; {} tickets turned away before",
-                kind.ready,
-                kind.processes,
-                kind.in_time,
-                WITHIN.as_secs(),
-                kind.times,
-                kind.turned_away
-            )?;
-            writeln!(out, "  listens: {}", kind.listens)?;
-            if let Some(listed) = kind.listed {
-                writeln!(out, "  in the list: {listed}")?;
-            }
-            writeln!(out, "  answered: {}", kind.answered)?;
-        }
+    for kind in &report.first {
+        kind.write(out, "first start")?;
+    }
+    for kind in &report.restarted {
+        kind.write(out, "restarted")?;
     }
     if let Some(back) = report.back {
         let (back_in, nodes) = (report.back_in_list, report.nodes);
@@ -171,22 +213,22 @@
         )?;
     }
     if report.keys > 0 {
-        let (kept, asked) = (report.keys_kept, report.keys_asked);
+        let (preserved, checked) = (report.keys_preserved, report.keys_checked);
         writeln!(
             out,
-            "{} keys on the disks; {kept} of {asked} asked for again had their result",
+            "{} keys on the disks; {preserved} of {checked} asked for again had their result",
             report.keys
         )?;
     }
-    if report.told_before_listening > 0 {
+    if report.early_reports > 0 {
         writeln!(
             out,
             "broken: {} reports before listening",
-            report.told_before_listening
+            report.early_reports
         )?;
     }
-    for fell in &report.fell {
-        writeln!(out, "fell over: {fell}")?;
+    for fault in &report.process_faults {
+        writeln!(out, "fell over: {fault}")?;
     }
     let verdict = if report.meets_target() {
         "nine in ten in time"
--- a/crates/testbed/src/ready/setup.rs
+++ b/crates/testbed/src/ready/setup.rs
@@ -1,186 +1,227 @@
 //! Ports, configuration files and agents of a run, before anything is started.
 
-use super::client::Question;
+use super::client::RequestTemplate;
 use super::fleet::Fleet;
-use super::options::{Form, Options};
-use super::process::{Kind, One};
-use super::registry::List;
-use super::STOP;
+use super::options::{ConfigFormat, Options};
+use super::process::{FleetProcess, Kind};
+use super::registry::Registry;
+use super::DRAIN_TIMEOUT;
 use crate::peers::agent;
 use crate::process::Process;
 use crate::scenario::{self, group_of, node_configuration};
 use nanorand::{Rng, WyRand};
-use rainstand_config::schema;
-use rainstand_config::schema::GroupMember;
+use rainstand_config::schema::{self, GroupMember};
 use rainstand_config::source::Memory;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
+use std::fs;
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use std::{fs, io};
-use tokio::sync::Notify;
+
+/// Shards of the group, and replicas of each.
+const SHARDS: u64 = 16;
+const REPLICAS_PER_SHARD: u64 = 3;
+/// Deadlines of the group's requests and of a node's.
+const GROUP_DEADLINE: Duration = Duration::from_secs(2);
+const NODE_DEADLINE: Duration = Duration::from_secs(4);
+/// One route in so many names tenants.
+const ROUTES_PER_TENANT_ROUTE: usize = 8;
 
 /// A port that stays ours while whoever listens there is restarted: bound here without listening, which hinders
 /// nobody who binds it to be used again, and everybody who looks for a free one.
-fn hold() -> io::Result<(Socket, SocketAddr)> {
+fn reserve_port() -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
-    let addr = socket.local_addr()?.as_socket();
-    addr.map(|addr| (socket, addr))
-        .ok_or_else(|| io::Error::other("no address"))
+    let address = socket.local_addr()?.as_socket();
+    let address = address.ok_or_else(|| io::Error::other("no address"))?;
+    Ok((socket, address))
+}
+
+/// A run whose files are being written.
+struct Setup<'o> {
+    options: &'o Options,
+    folder: PathBuf,
+    random: WyRand,
+    reserved_ports: Vec<Socket>,
+    agents: Vec<Process>,
+    processes: Vec<Rc<FleetProcess>>,
 }
 
 impl<'o> Fleet<'o> {
     pub(super) async fn set_up(options: &'o Options, folder: &Path) -> io::Result<Self> {
-        let folder = folder.to_owned();
-        let mut held = Vec::new();
-        let mut port = || {
-            let (socket, addr) = hold()?;
-            held.push(socket);
-            Ok::<_, io::Error>(addr)
+        let mut setup = Setup {
+            options,
+            folder: folder.to_owned(),
+            random: WyRand::new_seed(options.seed),
+            reserved_ports: Vec::new(),
+            agents: Vec::new(),
+            processes: Vec::new(),
         };
-        let announce = port()?;
-        let fronts = (0..options.nodes)
-            .map(|_| port())
+        let announce = setup.reserve_port()?;
+        let addresses = (0..options.nodes)
+            .map(|_| setup.reserve_port())
             .collect::<io::Result<Vec<_>>>()?;
-        let size = options.size();
-        let members: Vec<GroupMember> = (0..options.group)
-            .map(|n| {
-                let disk = folder.join(format!("disk-n{n}"));
-                fs::create_dir_all(&disk)?;
-                Ok(GroupMember {
-                    name: format!("n{n}"),
-                    site: String::new(),
-                    address: port()?.to_string(),
-                    folder: disk.display().to_string(),
-                })
-            })
-            .collect::<io::Result<_>>()?;
-        let group = folder.join("group.txtpb");
-        fs::write(
-            &group,
-            schema::to_text(&group_of(16, 3, Duration::from_secs(2), members)),
-        )?;
-        let mut chance = WyRand::new_seed(options.seed);
-        let mut draw = |of: usize| chance.generate_range(0..of);
-        let (mut all, mut agents) = (Vec::new(), Vec::new());
-        for (n, front) in fronts.iter().enumerate() {
-            let (agent, at) = start_agent(n, options, &folder).await?;
-            agents.push(agent);
-            let (name, file) = (format!("n{n}"), folder.join(format!("n{n}.json")));
-            let mut node = node_configuration(
-                &name,
-                *front,
-                at,
-                options.seed ^ n as u64,
-                Duration::from_secs(4),
-            );
-            node["stop_ms"] = (STOP.as_millis() as u64).into();
-            node["announce"] = announce.to_string().into();
-            node["settings"]["groupSize"] = options.nodes.into();
-            node["settings"]["parties"] = parties(options.tenants);
-            fs::write(&file, node.to_string())?;
-            let in_group = n < options.group;
-            let (kind, traffic) = if in_group {
-                (Kind::Member, "register")
-            } else {
-                (Kind::Node, "check")
-            };
-            all.push(Rc::new(One {
-                kind,
-                name,
-                front: *front,
-                question: Question {
-                    traffic,
-                    customer: format!("t{}", draw(options.tenants)),
-                    entity: String::new(),
-                },
-                file,
-                number: n,
-                group: in_group.then(|| group.clone()),
-                process: RefCell::default(),
-            }));
+        let group = setup.write_group()?;
+        for (n, address) in addresses.iter().enumerate() {
+            setup.add_node(n, *address, announce, &group).await?;
+        }
+        setup.add_forwarders(&addresses)?;
+        let names = (0..).map(|n| format!("n{n}"));
+        let registry = Registry::new(options.discovery, names.zip(addresses).collect());
+        Ok(Self {
+            options,
+            folder: setup.folder,
+            processes: setup.processes,
+            registry: Rc::new(registry),
+            announce,
+            _reserved_ports: setup.reserved_ports,
+            _agents: setup.agents,
+            results: RefCell::default(),
+        })
+    }
+}
+
+impl Setup<'_> {
+    fn reserve_port(&mut self) -> io::Result<SocketAddr> {
+        let (socket, address) = reserve_port()?;
+        self.reserved_ports.push(socket);
+        Ok(address)
+    }
+
+    fn draw(&mut self, of: usize) -> usize {
+        self.random.generate_range(0..of)
+    }
+
+    /// The configuration of the group of the first nodes.
+    fn write_group(&mut self) -> io::Result<PathBuf> {
+        let mut members = Vec::new();
+        for n in 0..self.options.group {
+            let disk = self.folder.join(format!("disk-n{n}"));
+            fs::create_dir_all(&disk)?;
+            members.push(GroupMember {
+                name: format!("n{n}"),
+                site: String::new(),
+                address: self.reserve_port()?.to_string(),
+                folder: disk.display().to_string(),
+            });
         }
-        let file = folder.join(match options.form {
-            Form::Rain => "fleet.rain",
-            Form::Text => "fleet.txtpb",
-            Form::Binary => "fleet.pb",
+        let configuration = group_of(SHARDS, REPLICAS_PER_SHARD, GROUP_DEADLINE, members);
+        let path = self.folder.join("group.txtpb");
+        fs::write(&path, schema::to_text(&configuration))?;
+        Ok(path)
+    }
+
+    /// Starts a node's agent and writes its settings.
+    async fn add_node(
+        &mut self,
+        n: usize,
+        address: SocketAddr,
+        announce: SocketAddr,
+        group: &Path,
+    ) -> io::Result<()> {
+        let options = self.options;
+        let (agent, agent_address) = start_agent(n, options, &self.folder).await?;
+        self.agents.push(agent);
+        let name = format!("n{n}");
+        let seed = options.seed ^ n as u64;
+        let mut node = node_configuration(&name, address, agent_address, seed, NODE_DEADLINE);
+        node["stop_ms"] = (DRAIN_TIMEOUT.as_millis() as u64).into();
+        node["announce"] = announce.to_string().into();
+        node["settings"]["groupSize"] = options.nodes.into();
+        node["settings"]["parties"] = tenants_of(options.tenants);
+        let file = self.folder.join(format!("{name}.json"));
+        fs::write(&file, node.to_string())?;
+        let is_member = n < options.group;
+        let (kind, class) = if is_member {
+            (Kind::Member, "register")
+        } else {
+            (Kind::Node, "check")
+        };
+        let request = RequestTemplate {
+            class,
+            tenant: format!("t{}", self.draw(options.tenants)),
+            entity: String::new(),
+        };
+        self.processes.push(Rc::new(FleetProcess {
+            kind,
+            name,
+            address,
+            request,
+            file,
+            number: n,
+            group: is_member.then(|| group.to_owned()),
+            process: RefCell::default(),
+        }));
+        Ok(())
+    }
+
+    /// Writes the configuration of all forwarders, with the nodes as members of its pools.
+    fn add_forwarders(&mut self, nodes: &[SocketAddr]) -> io::Result<()> {
+        let options = self.options;
+        let size = options.size();
+        let file = self.folder.join(match options.form {
+            ConfigFormat::Rain => "fleet.rain",
+            ConfigFormat::Text => "fleet.txtpb",
+            ConfigFormat::Binary => "fleet.pb",
         });
         // A pool's members are at different nodes: they come in steps of the number of pools.
-        let node = |member: usize| (member % size.pools * 7 + member / size.pools) % options.nodes;
-        fs::write(
-            &file,
-            written(
-                &size.rain_to(|member| fronts[node(member)].to_string()),
-                options.form,
-            )?,
-        )?;
-        for f in 0..options.forwarders {
-            // No route that names tenants.
-            let mut route = draw(options.routes);
-            route += usize::from(route % 8 == 0 && options.routes > 1);
-            let question = Question {
-                traffic: "check",
-                customer: format!("t{}", draw(options.tenants)),
-                entity: size.entity(route % options.routes),
+        let node_of =
+            |member: usize| (member % size.pools * 7 + member / size.pools) % options.nodes;
+        let text = size.rain_to(|member| nodes[node_of(member)].to_string());
+        fs::write(&file, encode_configuration(&text, options.form)?)?;
+        for number in 0..options.forwarders {
+            let route = self.draw_route();
+            let request = RequestTemplate {
+                class: "check",
+                tenant: format!("t{}", self.draw(options.tenants)),
+                entity: size.entity(route),
             };
-            all.push(Rc::new(One {
+            let address = self.reserve_port()?;
+            self.processes.push(Rc::new(FleetProcess {
                 kind: Kind::Forwarder,
-                name: format!("f{f}"),
-                front: port()?,
-                question,
+                name: format!("f{number}"),
+                address,
+                request,
                 file: file.clone(),
-                number: f,
+                number,
                 group: None,
                 process: RefCell::default(),
             }));
         }
-        let list = List {
-            mode: Cell::new(options.discovery),
-            fronts: (0..).map(|n| format!("n{n}")).zip(fronts).collect(),
-            heard: RefCell::default(),
-            listed: RefCell::default(),
-            told_before_listening: Cell::new(0),
-            last: Cell::new(None),
-            open: Cell::new(0),
-            changed: Notify::new(),
-        };
-        let list = Rc::new(list);
-        let results = RefCell::default();
-        Ok(Self {
-            options,
-            folder,
-            all,
-            list,
-            announce,
-            _held: held,
-            _agents: agents,
-            results,
-        })
+        Ok(())
+    }
+
+    /// A route that names no tenants, if there is one.
+    fn draw_route(&mut self) -> usize {
+        let routes = self.options.routes;
+        let route = self.draw(routes);
+        let names_tenants = route.is_multiple_of(ROUTES_PER_TENANT_ROUTE) && routes > 1;
+        (route + usize::from(names_tenants)) % routes
     }
 }
 
-fn parties(tenants: usize) -> Value {
-    let portion = 1.0 / tenants as f64;
-    let one = |k| json!({"name": format!("t{k}"), "portion": portion, "quotaRps": 100_000.0});
-    (0..tenants).map(one).collect()
+fn tenants_of(count: usize) -> Value {
+    let portion = 1.0 / count as f64;
+    let tenant = |k| json!({"name": format!("t{k}"), "portion": portion, "quotaRps": 100_000.0});
+    (0..count).map(tenant).collect()
 }
 
 /// A configuration in the form in which forwarders read it.
-pub(super) fn written(text: &str, form: Form) -> io::Result<Vec<u8>> {
-    if form == Form::Rain {
+fn encode_configuration(text: &str, format: ConfigFormat) -> io::Result<Vec<u8>> {
+    if format == ConfigFormat::Rain {
         return Ok(text.into());
     }
     let outcome = rainstand_config::load(&Memory::new([("fleet.rain", text)]), "fleet.rain");
     let configuration = outcome
         .configuration
         .ok_or_else(|| io::Error::other("the configuration is refused"))?;
-    Ok(match form {
-        Form::Binary => schema::to_binary(&configuration),
+    Ok(match format {
+        ConfigFormat::Binary => schema::to_binary(&configuration),
         _ => schema::to_text(&configuration).into(),
     })
 }
@@ -191,13 +232,13 @@
     folder: &Path,
 ) -> io::Result<(Process, SocketAddr)> {
     let name = format!("agent-n{n}");
-    let options_of_agent = agent::Options {
+    let log = folder.join(format!("{name}.log"));
+    let agent = agent::Options {
         seed: options.seed ^ (n as u64 + 1) << 32,
         run_least_ns: 1_000_000,
         run_most_ns: 2_000_000,
         history: folder.join(format!("{name}.part")),
         name,
     };
-    let log = folder.join(format!("{}.log", options_of_agent.name));
-    scenario::start_agent(&options_of_agent, options.programs.as_deref(), &log).await
+    scenario::start_agent(&agent, options.programs.as_deref(), &log).await
 }
--- a/crates/testbed/src/simulation/events.rs
+++ b/crates/testbed/src/simulation/events.rs
@@ -2,6 +2,7 @@
 
 use super::Simulation;
 use rainstand_replicated_state::frames::Frame;
+use rainstand_replicated_state::member::GroupMember;
 use std::cmp::Ordering;
 
 /// What happens. Events that carry an incarnation are dropped if the node was started or stopped meanwhile.
@@ -132,6 +133,6 @@
             return;
         }
         state.next_wake = u64::MAX;
-        self.call_member(node, |member, now| member.tick(now));
+        self.call_member(node, GroupMember::tick);
     }
 }
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -297,7 +297,7 @@
         while let Some(kind) = self.nodes[node].deferred.pop_front() {
             self.handle(kind);
         }
-        self.call_member(node, |member, now| member.tick(now));
+        self.call_member(node, GroupMember::tick);
     }
 
     fn reconnect_all(&mut self) {
--- a/crates/testbed/src/simulation/members.rs
+++ b/crates/testbed/src/simulation/members.rs
@@ -228,7 +228,7 @@
                 self.schedule(CONNECT_DELAY, EventKind::Connect { from, to });
             }
         }
-        self.call_member(node, |member, now| member.tick(now));
+        self.call_member(node, GroupMember::tick);
     }
 
     /// A node dies: part of what its disk had not flushed is lost, and its connections break.
--- a/crates/testbed/src/soak/control.rs
+++ b/crates/testbed/src/soak/control.rs
@@ -8,6 +8,7 @@
 use crate::process::{free_port, program, Process};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
+use std::fmt::Write as _;
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
@@ -40,7 +41,7 @@
 struct Machines<'a> {
     options: &'a SoakOptions,
     report: &'a mut SoakReport,
-    chance: WyRand,
+    random: WyRand,
     addresses: Vec<SocketAddr>,
     processes: Vec<Process>,
     idle: Vec<TcpStream>,
@@ -59,7 +60,7 @@
     let mut machines = Machines {
         options,
         report,
-        chance: WyRand::new_seed(options.seed ^ 0xc0),
+        random: WyRand::new_seed(options.seed ^ 0xc0),
         addresses: addresses?,
         processes: Vec::new(),
         idle: Vec::new(),
@@ -75,7 +76,7 @@
     machines.publish_until_committed().await?;
     for _ in 0..PUBLISHES {
         machines.disturb().await?;
-        let at = machines.chance.generate_range(0..MACHINES);
+        let at = machines.random.generate_range(0..MACHINES);
         machines.publish(at).await?;
     }
     machines.publish_until_committed().await?;
@@ -90,15 +91,15 @@
     }
 
     fn write_group(&self) -> io::Result<()> {
-        let members: String = self
-            .addresses
-            .iter()
-            .enumerate()
-            .map(|(at, address)| {
-                let name = format!("c{}", at + 1);
-                format!("  member {name} {{ site: s{at}; address: \"{address}\"; folder: \"{name}\" }}\n")
-            })
-            .collect();
+        let mut members = String::new();
+        for (at, address) in self.addresses.iter().enumerate() {
+            let name = format!("c{}", at + 1);
+            // Writing to a string cannot fail.
+            let _ = writeln!(
+                members,
+                "  member {name} {{ site: s{at}; address: \"{address}\"; folder: \"{name}\" }}"
+            );
+        }
         let text = format!("rain 1\ngroup fleet {{\n  shards: 1\n{members}}}\n");
         fs::write(self.folder().join("control.rain"), text)
     }
@@ -198,18 +199,18 @@
     }
 
     async fn disturb(&mut self) -> io::Result<()> {
-        let machine = self.chance.generate_range(0..MACHINES);
-        match self.chance.generate_range(0..6u32) {
+        let machine = self.random.generate_range(0..MACHINES);
+        match self.random.generate_range(0..6u32) {
             // The system ends a process by a signal that it does not handle yet, however early it begins to.
             0 if signals::wait_for_handlers(&mut self.processes[machine]).await => {
                 let kinds = [Signal::HUP];
                 self.report.signals +=
-                    signals::series(&self.processes[machine], &mut self.chance, &kinds, 4).await;
+                    signals::series(&self.processes[machine], &mut self.random, &kinds, 4).await;
             }
             1 => {
                 let process = &self.processes[machine];
                 process.signal(Signal::STOP);
-                sleep(Duration::from_millis(self.chance.generate_range(50..900))).await;
+                sleep(Duration::from_millis(self.random.generate_range(50..900))).await;
                 process.signal(Signal::CONT);
                 self.report.signals += 2;
             }
@@ -248,7 +249,7 @@
         process.signal(Signal::TERM);
         // A second signal while it drains; the system ends a process that has not begun to handle them.
         sleep(Duration::from_millis(5)).await;
-        self.report.signals += 1 + signals::series(process, &mut self.chance, &kinds, 3).await;
+        self.report.signals += 1 + signals::series(process, &mut self.random, &kinds, 3).await;
         let left = END_TIMEOUT.saturating_sub(started.elapsed());
         match process.wait(left).await {
             // A signal that came before its handlers were there ends it, too.
--- a/crates/testbed/src/soak/forwarder.rs
+++ b/crates/testbed/src/soak/forwarder.rs
@@ -50,11 +50,11 @@
     wait_for_start(&mut process, &log_path).await?;
     let log = Rc::new(ClientLog::default());
     let clients = DEPTHS.map(|depth| start_client(address, depth, WITHIN + SLACK, &log));
-    let mut chance = WyRand::new_seed(options.seed ^ 0xf0);
+    let mut random = WyRand::new_seed(options.seed ^ 0xf0);
     sleep(ROUND_PAUSE).await;
     let settled = signals::descriptors(&process);
     for round in 1..=ROUNDS {
-        let reloaded = reload_in_series(&process, &mut chance, &path, node, round).await?;
+        let reloaded = reload_in_series(&process, &mut random, &path, node, round).await?;
         report.signals += reloaded;
         if options.seed.is_multiple_of(3) {
             report.crowd = report
@@ -64,7 +64,7 @@
         settle(&process, settled, report).await;
         sleep(ROUND_PAUSE).await;
     }
-    let drain = drain_until_kill(&mut process, &mut chance, DRAIN_TIMEOUT).await;
+    let drain = drain_until_kill(&mut process, &mut random, DRAIN_TIMEOUT).await;
     end_clients(&log, clients).await;
     let used = Used {
         name: "forwarder",
@@ -143,23 +143,23 @@
 /// Good, bad and half-written files, each with a signal, and a good one at last; the number of signals.
 async fn reload_in_series(
     process: &Process,
-    chance: &mut WyRand,
+    random: &mut WyRand,
     path: &Path,
     node: SocketAddr,
     round: u64,
 ) -> io::Result<u64> {
     let mut signals = 0;
     let good = configuration(node, round + 1);
-    for _ in 0..chance.generate_range(2..6u64) {
-        let text = match chance.generate_range(0..3u32) {
+    for _ in 0..random.generate_range(2..6u64) {
+        let text = match random.generate_range(0..3u32) {
             0 => good.clone(),
             1 => "rain 1\nroute r { to: nowhere }\n".to_owned(),
             _ => good[..good.len() / 2].to_owned(),
         };
         fs::write(path, text)?;
         let kinds = [Signal::HUP, Signal::HUP, Signal::USR1];
-        let count = chance.generate_range(1..4);
-        signals += signals::series(process, chance, &kinds, count).await;
+        let count = random.generate_range(1..4);
+        signals += signals::series(process, random, &kinds, count).await;
     }
     fs::write(path, good)?;
     process.signal(Signal::HUP);
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -12,22 +12,22 @@
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::process::Command;
 use tokio::time::{sleep, Instant};
 
-/// The node's outer limit, and how much later an answer is in time on a shared machine.
+/// The node's deadline of a request, and how much later an answer is in time on a shared machine.
 pub(super) const WITHIN: Duration = Duration::from_secs(1);
 pub(super) const SLACK: Duration = Duration::from_millis(500);
 /// The longest run.
 pub(super) const LONGEST_RUN: Duration = Duration::from_millis(20);
-/// Both where requests are open until the kill: an outer limit and runs past [`STOP`].
+/// Both where requests are open until the kill: a deadline and runs past [`DRAIN_TIMEOUT`].
 const LONG_WITHIN: Duration = Duration::from_secs(6);
 const LONG_LONGEST_RUN: Duration = Duration::from_secs(8);
-/// Between two rounds of reloads and crowds: the node's log has room for the lines of all of them.
+/// Between two rounds of reloads and crowds: the node's log has capacity for the lines of all of them.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
 /// Descriptors that a node may have where a crowd comes, and connections of that crowd.
 const CROWD_SOCKETS: u64 = 160;
@@ -41,6 +41,9 @@
 /// Memory that a node may have, in kilobytes, as its file says.
 const MEMORY_KB: u64 = 192 << 10;
 
+/// Signals to reload before the node is ready.
+const EARLY_SIGNALS: u64 = 3;
+
 /// How long requests of a seed may take.
 struct Spans {
     within: Duration,
@@ -63,10 +66,11 @@
     }
 }
 
+/// A node that is being soaked.
 struct Soaked<'a> {
     options: &'a SoakOptions,
     report: &'a mut SoakReport,
-    chance: WyRand,
+    random: WyRand,
     process: Process,
     address: SocketAddr,
     file: Value,
@@ -84,8 +88,8 @@
     let spans = Spans::of(options.seed);
     let (_agent, agent_address) = start_agent(options, spans.longest_run).await?;
     let address = free_port()?;
-    let mut file = node_configuration("n1", address, agent_address, options.seed, spans.within);
     let has_crowd = options.seed.is_multiple_of(3);
+    let mut file = node_configuration("n1", address, agent_address, options.seed, spans.within);
     if has_crowd {
         file["limits"]["sockets"] = CROWD_SOCKETS.into();
     }
@@ -95,30 +99,13 @@
     }
     let (path, log_path) = (folder.join("node.json"), folder.join("node.log"));
     fs::write(&path, file.to_string())?;
-    let mut command = Command::new(program("rainstand-node", options.programs.as_deref())?);
-    command
-        .env("ROUTER_CONFIG", &path)
-        .stdin(Stdio::null())
-        .stdout(Stdio::null());
-    if let Some(bug) = &options.bug {
-        command.env("RAINSTAND_PLANT", bug);
-    }
-    let before = count_starts(&log_path);
-    let mut process = Process::start("n1", command, &log_path)?;
-    if options.seed % 4 == 1 && signals::wait_for_handlers(&mut process).await {
-        // Before it is ready.
-        for _ in 0..3 {
-            process.signal(Signal::HUP);
-        }
-        report.signals += 3;
-    }
-    process.wait_until_up(&log_path, before).await?;
+    let process = start_node(options, &path, &log_path, report).await?;
     let log = Rc::new(ClientLog::default());
     let clients = DEPTHS.map(|depth| start_client(address, depth, spans.within + SLACK, &log));
     let mut soaked = Soaked {
         options,
         report,
-        chance: WyRand::new_seed(options.seed),
+        random: WyRand::new_seed(options.seed),
         process,
         address,
         file,
@@ -129,12 +116,12 @@
     soaked.serve(&log).await?;
     let Soaked {
         report,
-        mut chance,
+        mut random,
         mut process,
         log_path,
         ..
     } = soaked;
-    let drain = drain_until_kill(&mut process, &mut chance, DRAIN_TIMEOUT).await;
+    let drain = drain_until_kill(&mut process, &mut random, DRAIN_TIMEOUT).await;
     end_clients(&log, clients).await;
     let used = Used {
         name: "node",
@@ -146,6 +133,33 @@
     used.judge(report)
 }
 
+/// Starts the node and waits until it is up; in one seed of four it gets signals before that.
+async fn start_node(
+    options: &SoakOptions,
+    path: &Path,
+    log_path: &Path,
+    report: &mut SoakReport,
+) -> io::Result<Process> {
+    let mut command = Command::new(program("rainstand-node", options.programs.as_deref())?);
+    command
+        .env("ROUTER_CONFIG", path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null());
+    if let Some(bug) = &options.bug {
+        command.env("RAINSTAND_PLANT", bug);
+    }
+    let starts = count_starts(log_path);
+    let mut process = Process::start("n1", command, log_path)?;
+    if options.seed % 4 == 1 && signals::wait_for_handlers(&mut process).await {
+        for _ in 0..EARLY_SIGNALS {
+            process.signal(Signal::HUP);
+        }
+        report.signals += EARLY_SIGNALS;
+    }
+    process.wait_until_up(log_path, starts).await?;
+    Ok(process)
+}
+
 /// The agent of the node, whose runs take up to this time.
 pub(super) async fn start_agent(
     options: &SoakOptions,
@@ -172,7 +186,7 @@
         while round == 0 || Instant::now() < until {
             round += 1;
             self.reload_in_series(round).await?;
-            if self.chance.generate_range(0..3u32) == 0 {
+            if self.random.generate_range(0..3u32) == 0 {
                 self.pause().await;
             }
             if self.has_crowd {
@@ -197,19 +211,19 @@
 
     /// Good, bad and half-written files, each with a signal; the last one is good, and has to be in force.
     async fn reload_in_series(&mut self, round: u64) -> io::Result<()> {
-        let steps = self.chance.generate_range(2..6u64);
+        let steps = self.random.generate_range(2..6u64);
         for _ in 0..steps {
             let good = self.file.to_string();
-            let text = match self.chance.generate_range(0..3u32) {
+            let text = match self.random.generate_range(0..3u32) {
                 0 => good,
                 1 => "{\"name\": 7}".to_owned(),
                 _ => good[..good.len() / 2].to_owned(),
             };
             fs::write(&self.path, text)?;
             let kinds = [Signal::HUP, Signal::HUP, Signal::USR1];
-            let count = self.chance.generate_range(1..4);
+            let count = self.random.generate_range(1..4);
             self.report.signals +=
-                signals::series(&self.process, &mut self.chance, &kinds, count).await;
+                signals::series(&self.process, &mut self.random, &kinds, count).await;
         }
         let longest_ms = 1_000 + round;
         self.file["settings"]["permissions"]["maxRetryAfterS"] = (longest_ms as f64 / 1e3).into();
@@ -239,7 +253,7 @@
 
     async fn pause(&mut self) {
         self.process.signal(Signal::STOP);
-        sleep(Duration::from_millis(self.chance.generate_range(20..150))).await;
+        sleep(Duration::from_millis(self.random.generate_range(20..150))).await;
         self.process.signal(Signal::CONT);
         self.report.signals += 2;
     }
--- a/crates/testbed/src/soak/signals.rs
+++ b/crates/testbed/src/soak/signals.rs
@@ -12,12 +12,12 @@
 const HANDLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Sends signals one after the other, some at once and some a moment apart; returns how many.
-pub async fn series(process: &Process, chance: &mut WyRand, signals: &[Signal], count: u64) -> u64 {
+pub async fn series(process: &Process, random: &mut WyRand, signals: &[Signal], count: u64) -> u64 {
     for _ in 0..count {
-        let index = chance.generate_range(0..signals.len());
+        let index = random.generate_range(0..signals.len());
         process.signal(signals[index]);
-        if chance.generate_range(0..2u32) == 0 {
-            sleep(Duration::from_micros(chance.generate_range(0..3_000))).await;
+        if random.generate_range(0..2u32) == 0 {
+            sleep(Duration::from_micros(random.generate_range(0..3_000))).await;
         }
     }
     count
--- a/crates/testbed/src/soak/verdict.rs
+++ b/crates/testbed/src/soak/verdict.rs
@@ -24,17 +24,17 @@
 }
 
 /// Signals to drain, in series and around a stop, and the kill exactly `stop` after the first one.
-pub async fn drain_until_kill(process: &mut Process, chance: &mut WyRand, stop: Duration) -> Drain {
-    let is_paused = chance.generate_range(0..4u32) == 0;
+pub async fn drain_until_kill(process: &mut Process, random: &mut WyRand, stop: Duration) -> Drain {
+    let is_paused = random.generate_range(0..4u32) == 0;
     if is_paused {
         process.signal(Signal::STOP);
     }
-    let first = [Signal::TERM, Signal::INT][chance.generate_range(0..2usize)];
+    let first = [Signal::TERM, Signal::INT][random.generate_range(0..2usize)];
     let noticed = Instant::now();
     process.signal(first);
     let mut signals = 1;
     if is_paused {
-        sleep(Duration::from_millis(chance.generate_range(5..100))).await;
+        sleep(Duration::from_millis(random.generate_range(5..100))).await;
         process.signal(Signal::CONT);
         signals += 2;
     }
@@ -42,14 +42,14 @@
     let kill_at = noticed + stop;
     let mut status = None;
     while status.is_none() && Instant::now() < kill_at {
-        let wait = Duration::from_millis(chance.generate_range(1..400));
+        let wait = Duration::from_millis(random.generate_range(1..400));
         let until = (Instant::now() + wait).min(kill_at);
         let left = until.saturating_duration_since(Instant::now());
         let ended = timeout(left, process.child().wait()).await;
         status = ended.ok().and_then(Result::ok);
         if status.is_none() && until < kill_at {
-            let count = chance.generate_range(1..5);
-            signals += signals::series(process, chance, &kinds, count).await;
+            let count = random.generate_range(1..5);
+            signals += signals::series(process, random, &kinds, count).await;
         }
     }
     if status.is_none() {
--- a/crates/testbed/tests/ready.rs
+++ b/crates/testbed/tests/ready.rs
@@ -7,7 +7,9 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_testbed::ready::{play, Discovery, End, Form, Kind, OfKind, Options, Report, Times};
+use rainstand_testbed::ready::{
+    play, ConfigFormat, Discovery, Kind, KindReport, Options, Report, StopMode, Times,
+};
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
@@ -16,7 +18,7 @@
 
 const RIG: &str = env!("CARGO_BIN_EXE_rainstand-testbed");
 
-fn few(discovery: Discovery, end: End) -> Options {
+fn few(discovery: Discovery, end: StopMode) -> Options {
     Options {
         nodes: 4,
         forwarders: 2,
@@ -27,7 +29,7 @@
         group: 0,
         keys: 0,
         end,
-        form: Form::Rain,
+        form: ConfigFormat::Rain,
         seed: 1,
         programs: Path::new(RIG).parent().map(Path::to_owned),
     }
@@ -44,7 +46,7 @@
         .unwrap()
 }
 
-fn counts(of: &[OfKind]) -> Vec<(Kind, usize, usize)> {
+fn counts(of: &[KindReport]) -> Vec<(Kind, usize, usize)> {
     of.iter()
         .map(|kind| (kind.kind, kind.processes, kind.ready))
         .collect()
@@ -55,8 +57,8 @@
     let options = Options {
         group: 3,
         keys: 90,
-        form: Form::Binary,
-        ..few(Discovery::Up, End::Kill)
+        form: ConfigFormat::Binary,
+        ..few(Discovery::Up, StopMode::Kill)
     };
     let report = run(&options);
     assert!(report.is_complete(), "{report:#?}");
@@ -70,20 +72,23 @@
         (all.to_vec(), all.to_vec())
     );
     assert_eq!(
-        (report.keys, report.keys_asked, report.keys_kept),
+        (report.keys, report.keys_checked, report.keys_preserved),
         (90, 3, 3)
     );
     // Nobody is ready who is not in the list.
     assert!(report
         .restarted
         .iter()
-        .all(|kind| kind.listed.is_some() == (kind.kind != Kind::Forwarder)));
+        .all(|kind| kind.registered.is_some() == (kind.kind != Kind::Forwarder)));
 }
 
 /// They serve without it, and are in the list once it is there.
 #[test]
 fn without_the_announce_service_all_are_ready_and_it_finds_them_later() {
-    for (discovery, end) in [(Discovery::Down, End::Term), (Discovery::Silent, End::Kill)] {
+    for (discovery, end) in [
+        (Discovery::Down, StopMode::Term),
+        (Discovery::Silent, StopMode::Kill),
+    ] {
         let report = run(&few(discovery, end));
         assert!(report.is_complete(), "{discovery:?} {report:#?}");
         assert_eq!(
@@ -125,16 +130,16 @@
 #[test]
 fn a_report_is_good_if_nine_in_ten_of_each_kind_are_in_time() {
     let times = Times::default();
-    let kind = |kind, in_time| OfKind {
+    let kind = |kind, in_time| KindReport {
         kind,
         processes: 20,
         ready: 20,
         in_time,
         times,
         listens: times,
-        listed: None,
+        registered: None,
         answered: times,
-        turned_away: 0,
+        rejected: 0,
     };
     let report = |nodes, forwarders| Report {
         restarted: vec![kind(Kind::Node, nodes), kind(Kind::Forwarder, forwarders)],
@@ -143,16 +148,16 @@
     assert!(report(18, 18).meets_target() && report(0, 0).is_complete());
     assert!(!report(17, 20).meets_target() && !report(20, 17).meets_target());
     let early = Report {
-        told_before_listening: 1,
+        early_reports: 1,
         ..report(20, 20)
     };
     let fell = Report {
-        fell: vec!["n1".into()],
+        process_faults: vec!["n1".into()],
         ..report(20, 20)
     };
     let lost = Report {
-        keys_asked: 3,
-        keys_kept: 2,
+        keys_checked: 3,
+        keys_preserved: 2,
         ..report(20, 20)
     };
     let gone = Report {
