--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -24,11 +24,6 @@
 pub mod process;
 pub mod proxy;
 pub mod ready;
-#[allow(
-    missing_docs,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
 pub mod scale;
 pub mod scenario;
 pub mod shrink;
--- a/crates/testbed/src/scale/control/rows.rs
+++ b/crates/testbed/src/scale/control/rows.rs
@@ -1,13 +1,14 @@
 //! Rows of the table: times, rates and costs of configuration distribution by size.
 
-use super::scenario::{watch, Spec, Trouble};
-use super::{refused, who, MACHINES};
+use super::scenario::{watch, FleetSpec, Measurements, Outage};
+use super::{identity, to_io_error, MACHINES, STRIDE};
 use crate::scale::decisions::compiled;
-use crate::scale::fit::Grows;
+use crate::scale::fit::Growth;
 use crate::scale::measure::own_cpu;
-use crate::scale::{limits, Effort, Named, Place, Row, Sizes};
+use crate::scale::{limits, Effort, Paths, Quantity, Row, Sizes};
 use rainstand_config::schema::Configuration;
 use rainstand_config_distribution::delta::ConfigState;
+use rainstand_config_distribution::frames::ServerMessage;
 use rainstand_config_distribution::snapshot;
 use rainstand_config_distribution::subscriber::Subscriber;
 use rainstand_test_servers::size::Limited;
@@ -15,252 +16,295 @@
 use std::time::{Duration, Instant};
 
 /// Changes a minute, in a burst.
-const BURST: u32 = 100;
+const BURST_PER_MINUTE: u32 = 100;
+/// Between two changes of a burst.
+const BURST_INTERVAL: Duration = Duration::from_millis(600);
+/// The part of the configuration that hollow processes hold: what they do does not depend on it.
+const MAX_HOLLOW_PART: f64 = 0.02;
+/// Attachments that a machine takes in a second.
+const MAX_ATTACHMENTS: f64 = 120.0;
+/// For how long all machines are away.
+const ALL_AWAY: Duration = Duration::from_secs(30);
+/// Changes of which the mean cost is taken.
+const MEASURED_CHANGES: u64 = 40;
 
-const MINUTE: Duration = Duration::from_secs(60);
+const DISTRIBUTION: &str =
+    "hollow, virtual clock; crates/config-distribution/src/publisher/mod.rs, subscriber.rs";
+const ATTACHMENT: &str = "hollow, virtual clock; crates/config-distribution/src/attachment.rs";
+const SNAPSHOT: &str = "crates/config-distribution/src/snapshot.rs";
 
-fn node(
-    what: &'static str,
-    unit: &'static str,
-    by: &'static str,
-    limit: Option<f64>,
-    note: &'static str,
-) -> Named<'static> {
-    Named {
-        role: "node",
-        what,
-        unit,
-        by,
-        limit,
-        note,
-        counted: true,
-    }
+fn of_node<'a>(what: &'a str, unit: &'a str, by: &'a str) -> Quantity<'a> {
+    Quantity::new("node", what, unit, by)
 }
 
-/// # Errors
-/// If a fleet does not come to hold one version.
-pub fn rows(sizes: &Sizes, effort: &Effort, _: &Place) -> io::Result<Vec<Row>> {
-    let small = compiled(&sizes.configuration(effort.parts[0].min(0.02), Limited::Tenants))?;
-    let nodes = if effort.counts_only {
-        sizes.nodes.min(60)
-    } else {
-        sizes.nodes
-    };
-    let changes = match () {
-        () if effort.counts_only => 20,
-        () if effort.hollow.len() < 5 => 100,
-        () => sizes.changes,
-    };
-    let (up_to, size) = (nodes as f64, sizes.nodes as f64);
-    let every = MINUTE / BURST;
-    let run = |changes, every, trouble| {
-        watch(
-            &Spec {
+fn of_machine<'a>(what: &'a str, unit: &'a str, by: &'a str) -> Quantity<'a> {
+    Quantity::new("control machine", what, unit, by)
+}
+
+/// Runs of a fleet in each of the situations that have rows.
+struct Runs {
+    at_rest: Measurements,
+    burst: Measurements,
+    one_killed: Measurements,
+    all_killed: Measurements,
+    partitioned: Measurements,
+}
+
+/// How large the fleets are that are played.
+struct Scale {
+    nodes: usize,
+    changes: usize,
+}
+
+impl Scale {
+    fn of(sizes: &Sizes, effort: &Effort) -> Self {
+        let nodes = if effort.counts_only {
+            sizes.nodes.min(60)
+        } else {
+            sizes.nodes
+        };
+        let changes = if effort.counts_only {
+            20
+        } else if effort.hollow.len() < 5 {
+            100
+        } else {
+            sizes.changes
+        };
+        Self { nodes, changes }
+    }
+
+    fn play(&self, sizes: &Sizes, configuration: &Configuration) -> io::Result<Runs> {
+        let run = |changes, every, outage| {
+            let nodes = self.nodes;
+            let spec = FleetSpec {
                 nodes,
                 changes,
                 every,
-                trouble,
-            },
-            &small,
-        )
+                outage,
+            };
+            watch(&spec, configuration)
+        };
+        let changes = self.changes;
+        // At rest: the changes of a day, spread over it.
+        let day = Duration::from_secs_f64(limits::DAY_S / sizes.changes.max(1) as f64);
+        Ok(Runs {
+            at_rest: run((changes / 20).max(4), day, Outage::None)?,
+            burst: run(changes, BURST_INTERVAL, Outage::None)?,
+            one_killed: run(changes.min(400), BURST_INTERVAL, Outage::OneKilled)?,
+            all_killed: run(
+                changes.min(100),
+                BURST_INTERVAL,
+                Outage::AllKilled(ALL_AWAY),
+            )?,
+            partitioned: run((changes / 24).max(4), day, Outage::Partitioned)?,
+        })
+    }
+}
+
+/// All rows of configuration distribution.
+///
+/// # Errors
+/// If a fleet does not come to hold one version.
+pub fn rows(sizes: &Sizes, effort: &Effort, _: &Paths) -> io::Result<Vec<Row>> {
+    let part = effort.parts[0].min(MAX_HOLLOW_PART);
+    let small = compiled(&sizes.configuration(part, Limited::Tenants))?;
+    let scale = Scale::of(sizes, effort);
+    let runs = scale.play(sizes, &small)?;
+    let plain = |quantity: &Quantity<'_>, measured: Option<f64>| {
+        Row::plain(quantity, sizes.nodes as f64, scale.nodes as f64, measured)
     };
     let mut rows = Vec::new();
+    rows.extend(time_rows(&runs, &plain));
+    rows.extend(byte_rows(&runs, &plain));
+    rows.extend(machine_rows(&runs, &plain));
+    measure_snapshots(sizes, effort, &mut rows)?;
+    if !effort.counts_only {
+        measure_by_nodes(sizes, &small, scale.changes, &mut rows)?;
+        measure_costs(sizes, effort, &mut rows)?;
+    }
+    Ok(rows)
+}
 
-    // At rest: one change in half a minute, as 2,800 a day are.
-    let day = Duration::from_secs_f64(limits::DAY_S / sizes.changes.max(1) as f64);
-    let rest = run((changes / 20).max(4), day, Trouble::None)?;
-    let burst = run(changes, every, Trouble::None)?;
-    let killed = run(changes.min(400), every, Trouble::OneKilled)?;
-    let gone = run(
-        changes.min(100),
-        every,
-        Trouble::AllKilled(Duration::from_secs(30)),
-    )?;
-    let parted = run((changes / 24).max(4), day, Trouble::Parted)?;
-    let note =
-        "hollow, virtual clock; crates/config-distribution/src/publisher/mod.rs, subscriber.rs";
-    let attach = "hollow, virtual clock; crates/config-distribution/src/attachment.rs";
-    let times = [
-        (
+/// A time until changes are confirmed.
+struct TimeRow<'r> {
+    what: &'static str,
+    /// The part of all confirmations.
+    part: f64,
+    run: &'r Measurements,
+    note: &'static str,
+    has_limit: bool,
+}
+
+/// The times that have rows.
+fn times_of(runs: &Runs) -> [TimeRow<'_>; 8] {
+    let time = |what, part, run, note| TimeRow {
+        what,
+        part,
+        run,
+        note,
+        has_limit: true,
+    };
+    [
+        time(
             "a change, one in half a minute: commit to the last confirmation, 99th of 100",
             0.99,
-            &rest,
-            note,
+            &runs.at_rest,
+            DISTRIBUTION,
         ),
-        (
+        time(
             "a change, one in half a minute: commit to the last confirmation, worst",
             1.0,
-            &rest,
-            note,
+            &runs.at_rest,
+            DISTRIBUTION,
         ),
-        (
+        time(
             "a change in a burst of 100 a minute: commit to confirmation, 99th of 100",
             0.99,
-            &burst,
-            note,
+            &runs.burst,
+            DISTRIBUTION,
         ),
-        (
+        time(
             "a change in a burst of 100 a minute: commit to confirmation, worst",
             1.0,
-            &burst,
-            note,
+            &runs.burst,
+            DISTRIBUTION,
         ),
-        (
+        time(
             "one control machine killed in a burst: commit to confirmation, 99th of 100",
             0.99,
-            &killed,
-            attach,
+            &runs.one_killed,
+            ATTACHMENT,
         ),
-        (
+        time(
             "one control machine killed in a burst: commit to confirmation, worst",
             1.0,
-            &killed,
-            attach,
+            &runs.one_killed,
+            ATTACHMENT,
         ),
-        (
+        time(
             "a parted region is back: return to confirmation of all that it missed, worst",
             1.0,
-            &parted,
-            attach,
+            &runs.partitioned,
+            ATTACHMENT,
         ),
-        (
-            "all control machines gone for 30 s: commit to confirmation, worst",
-            1.0,
-            &gone,
-            attach,
-        ),
-    ];
-    for (what, part, seen, note) in times {
-        let limit = (!what.starts_with("all control")).then_some(limits::IN_FORCE_S);
-        rows.push(Row::plain(
-            &node(what, "s", "nodes", limit, note),
-            size,
-            up_to,
-            seen.within(part),
-        ));
-    }
-    let bytes = Some(limits::CONTROL_BYTES);
+        TimeRow {
+            has_limit: false,
+            ..time(
+                "all control machines gone for 30 s: commit to confirmation, worst",
+                1.0,
+                &runs.all_killed,
+                ATTACHMENT,
+            )
+        },
+    ]
+}
+
+fn time_rows(runs: &Runs, plain: &impl Fn(&Quantity<'_>, Option<f64>) -> Row) -> Vec<Row> {
+    let row = |time: TimeRow<'_>| {
+        let limit = time.has_limit.then_some(limits::IN_FORCE_S);
+        let quantity = of_node(time.what, "s", "nodes").maybe_limit(limit);
+        plain(
+            &quantity.note(time.note).counted(),
+            time.run.within(time.part),
+        )
+    };
+    times_of(runs).map(row).into()
+}
+
+fn byte_rows(runs: &Runs, plain: &impl Fn(&Quantity<'_>, Option<f64>) -> Row) -> Vec<Row> {
     let rates = [
         (
             "control frames at 2,800 changes a day, the busiest process",
-            rest.most_bytes,
+            &runs.at_rest,
         ),
         (
             "control frames in a burst of 100 changes a minute, the busiest process",
-            burst.most_bytes,
+            &runs.burst,
         ),
         (
             "control frames while a region is parted, the busiest process",
-            parted.most_bytes,
+            &runs.partitioned,
         ),
     ];
-    for (what, rate) in rates {
-        rows.push(Row::plain(
-            &node(what, "B/s", "nodes", bytes, note),
-            size,
-            up_to,
-            Some(rate),
-        ));
-    }
-    let machine = |what, unit, note| Named {
-        role: "control machine",
-        ..node(what, unit, "nodes", None, note)
+    let row = |(what, run): (&str, &Measurements)| {
+        let quantity = of_node(what, "B/s", "nodes")
+            .limit(limits::CONTROL_BYTES)
+            .note(DISTRIBUTION)
+            .counted();
+        plain(&quantity, Some(run.most_bytes))
     };
-    for (what, seen) in [
-        (
+    rates.into_iter().map(row).collect()
+}
+
+fn machine_rows(runs: &Runs, plain: &impl Fn(&Quantity<'_>, Option<f64>) -> Row) -> Vec<Row> {
+    let attachments = |what, run: &Measurements| {
+        let quantity = of_machine(what, "a second", "nodes")
+            .limit(MAX_ATTACHMENTS)
+            .note(ATTACHMENT)
+            .counted();
+        plain(&quantity, Some(run.most_attached as f64))
+    };
+    let snapshots = of_machine(
+        "snapshots sent in a burst to those who were not behind",
+        "snapshots",
+        "nodes",
+    );
+    vec![
+        attachments(
             "attachments in the busiest second, one machine killed",
-            &killed,
+            &runs.one_killed,
         ),
-        (
+        attachments(
             "attachments in the busiest second, all machines gone and back",
-            &gone,
+            &runs.all_killed,
         ),
-    ] {
-        let named = Named {
-            limit: Some(120.0),
-            ..machine(what, "a second", attach)
-        };
-        rows.push(Row::plain(
-            &named,
-            size,
-            up_to,
-            Some(seen.most_attached as f64),
-        ));
-    }
-    let named = machine(
-        "snapshots sent in a burst to those who were not behind",
-        "snapshots",
-        note,
-    );
-    rows.push(Row::plain(
-        &named,
-        size,
-        up_to,
-        Some(burst.snapshots as f64),
-    ));
-
-    measure_snapshots(sizes, effort, &mut rows)?;
-    if !effort.counts_only {
-        by_nodes(sizes, &small, changes, &mut rows)?;
-        costs(sizes, effort, &mut rows)?;
-    }
-    Ok(rows)
+        plain(
+            &snapshots.note(DISTRIBUTION).counted(),
+            Some(runs.burst.snapshots as f64),
+        ),
+    ]
 }
 
-/// The whole at each change, to compare with: packed bytes by size.
+/// A snapshot at each change, to compare with: packed bytes by size.
 fn measure_snapshots(sizes: &Sizes, effort: &Effort, rows: &mut Vec<Row>) -> io::Result<()> {
     let mut points = Vec::new();
     for part in effort.parts.iter().copied() {
-        let state = ConfigState::from_configuration(&compiled(
-            &sizes.configuration(part, Limited::PerTenantOnRoutes),
-        )?)
-        .map_err(refused)?;
-        points.push((
-            part * sizes.tenants as f64,
-            snapshot::encode(1, &state).map_err(refused)?.len() as f64,
-        ));
+        let configuration = compiled(&sizes.configuration(part, Limited::PerTenantOnRoutes))?;
+        let state = ConfigState::from_configuration(&configuration).map_err(to_io_error)?;
+        let packed = snapshot::encode(1, &state).map_err(to_io_error)?;
+        points.push((part * sizes.tenants as f64, packed.len() as f64));
+    }
+    let not_built = "not built: to compare with deltas";
+    let fleet = [
+        (
+            "a start with nothing in hand: the packed snapshot",
+            "B",
+            SNAPSHOT,
+            1.0,
+        ),
+        (
+            "the whole, packed, at each of 2,800 changes a day",
+            "B/s",
+            not_built,
+            sizes.changes as f64 / limits::DAY_S,
+        ),
+        (
+            "the whole, packed, at each change of a burst",
+            "B/s",
+            not_built,
+            f64::from(BURST_PER_MINUTE) / 60.0,
+        ),
+    ];
+    for (what, unit, note, times) in fleet {
+        let quantity = of_node(what, unit, "tenants").note(note).counted();
+        let size = sizes.tenants as f64;
+        rows.push(Row::fitted(&quantity, &points, size, Growth::Linear, times));
     }
-    let size = sizes.tenants as f64;
-    let note = "crates/config-distribution/src/snapshot.rs";
-    let packed = node(
-        "a start with nothing in hand: the packed snapshot",
-        "B",
-        "tenants",
-        None,
-        note,
-    );
-    rows.push(Row::fitted(&packed, &points, size, Grows::Line, 1.0));
-    let note = "not built: to compare with deltas";
-    // A comparison: nothing is held against it.
-    let limit = None;
-    let sent = node(
-        "the whole, packed, at each of 2,800 changes a day",
-        "B/s",
-        "tenants",
-        limit,
-        note,
-    );
-    let rate = sizes.changes as f64 / limits::DAY_S;
-    rows.push(Row::fitted(&sent, &points, size, Grows::Line, rate));
-    let sent = node(
-        "the whole, packed, at each change of a burst",
-        "B/s",
-        "tenants",
-        limit,
-        note,
-    );
-    rows.push(Row::fitted(
-        &sent,
-        &points,
-        size,
-        Grows::Line,
-        f64::from(BURST) / 60.0,
-    ));
     Ok(())
 }
 
 /// Processor time of the deciding code by the fleet's size.
-fn by_nodes(
+fn measure_by_nodes(
     sizes: &Sizes,
     small: &Configuration,
     changes: usize,
@@ -269,111 +313,110 @@
     let (mut machines, mut nodes) = (Vec::new(), Vec::new());
     for part in [0.15, 0.35, 0.6, 1.0] {
         let count = ((sizes.nodes as f64 * part) as usize).max(MACHINES);
-        let spec = Spec {
+        let spec = FleetSpec {
             nodes: count,
             changes: changes.min(200),
-            every: MINUTE / BURST,
-            trouble: Trouble::None,
+            every: BURST_INTERVAL,
+            outage: Outage::None,
         };
-        let seen = watch(&spec, small)?;
-        let seconds = seen.lasted.as_secs_f64();
+        let run = watch(&spec, small)?;
+        let seconds = run.lasted.as_secs_f64();
         let percent = |cpu: Duration, of: usize| cpu.as_secs_f64() / seconds / of as f64 * 100.0;
-        machines.push((count as f64, percent(seen.machines_cpu, MACHINES)));
-        nodes.push((count as f64, percent(seen.nodes_cpu, count)));
+        machines.push((count as f64, percent(run.machines_cpu, MACHINES)));
+        nodes.push((count as f64, percent(run.nodes_cpu, count)));
     }
     let size = sizes.nodes as f64;
-    let note =
-        "hollow: the deciding code and its frames, without sockets; crates/config-distribution/src/publisher/mod.rs";
-    let what = "a burst of 100 changes a minute: time of the deciding code, a machine of six";
-    let named = Named {
-        role: "control machine",
-        counted: false,
-        ..node(what, "% of a core", "nodes", None, note)
-    };
-    rows.push(Row::fitted(&named, &machines, size, Grows::Line, 1.0));
-    let note =
-        "hollow, without putting it into force; crates/config-distribution/src/subscriber/mod.rs";
-    let what = "a burst of 100 changes a minute: time of the deciding code, a process";
-    let named = Named {
-        counted: false,
-        ..node(
-            what,
-            "% of a core",
-            "nodes",
-            Some(limits::CONTROL_CPU),
-            note,
-        )
-    };
-    rows.push(Row::fitted(&named, &nodes, size, Grows::Still, 1.0));
+    let machine = of_machine(
+        "a burst of 100 changes a minute: time of the deciding code, a machine of six",
+        "% of a core",
+        "nodes",
+    )
+    .note("hollow: the deciding code and its frames, without sockets; crates/config-distribution/src/publisher/mod.rs");
+    rows.push(Row::fitted(&machine, &machines, size, Growth::Linear, 1.0));
+    let node = of_node(
+        "a burst of 100 changes a minute: time of the deciding code, a process",
+        "% of a core",
+        "nodes",
+    )
+    .limit(limits::CONTROL_CPU)
+    .note(
+        "hollow, without putting it into force; crates/config-distribution/src/subscriber/mod.rs",
+    );
+    rows.push(Row::fitted(&node, &nodes, size, Growth::Constant, 1.0));
     Ok(())
 }
 
-/// What a subscriber and a source hold, and what a change, a pack and an unpack cost, by the size of the
 /// What a change, a pack and an unpack cost, by the size of the whole.
-fn costs(sizes: &Sizes, effort: &Effort, rows: &mut Vec<Row>) -> io::Result<()> {
+fn measure_costs(sizes: &Sizes, effort: &Effort, rows: &mut Vec<Row>) -> io::Result<()> {
     let (mut change, mut pack, mut unpack) = (Vec::new(), Vec::new(), Vec::new());
     for part in effort.parts.iter().copied() {
         let size = part * sizes.tenants as f64;
         let configuration = compiled(&sizes.configuration(part, Limited::PerTenantOnRoutes))?;
-        let state = ConfigState::from_configuration(&configuration).map_err(refused)?;
-        let begun = Instant::now();
-        let packed = snapshot::encode(1, &state).map_err(refused)?;
-        pack.push((size, begun.elapsed().as_secs_f64() * 1e3));
-        let begun = Instant::now();
-        let read = snapshot::decode(&packed).map_err(refused)?;
-        unpack.push((size, begun.elapsed().as_secs_f64() * 1e3));
-        drop(read);
-        let mut changed = configuration.clone();
-        let mut one = Subscriber::with_version(Duration::ZERO, who("node", 0), 1, state.clone());
-        let mut next = state;
-        let mut took = Duration::ZERO;
-        const CHANGES: u64 = 40;
-        for k in 2..2 + CHANGES {
-            let at = k as usize * 7919 % changed.tenants.len().max(1);
-            if let Some(tenant) = changed.tenants.get_mut(at) {
-                tenant.share = k;
-            }
-            let delta = next.delta_to(k - 1, k, &changed).map_err(refused)?;
-            next.apply(&delta).map_err(refused)?;
-            let frame =
-                rainstand_config_distribution::frames::ServerMessage::Delta(delta).into_frame();
-            let begun = own_cpu();
-            one.on_frame(Duration::ZERO, frame);
-            one.on_applied(k);
-            took += own_cpu().saturating_sub(begun);
-            drop(one.take_effects());
-        }
-        change.push((size, took.as_secs_f64() / CHANGES as f64 * 1e6));
+        let state = ConfigState::from_configuration(&configuration).map_err(to_io_error)?;
+        let started = Instant::now();
+        let packed = snapshot::encode(1, &state).map_err(to_io_error)?;
+        pack.push((size, started.elapsed().as_secs_f64() * 1e3));
+        let started = Instant::now();
+        let unpacked = snapshot::decode(&packed).map_err(to_io_error)?;
+        unpack.push((size, started.elapsed().as_secs_f64() * 1e3));
+        drop(unpacked);
+        let took = cost_of_changes(configuration, state)?;
+        change.push((size, took.as_secs_f64() / MEASURED_CHANGES as f64 * 1e6));
     }
     let size = sizes.tenants as f64;
-    let state = "crates/config-distribution/src/delta/mod.rs";
-    let named = |what, unit, note| Named {
-        counted: false,
-        ..node(what, unit, "tenants", None, note)
-    };
-    let cost = named(
+    let cost = of_node(
         "a change of one thing: checked and put in, the deciding code",
         "us",
-        state,
-    );
-    rows.push(Row::fitted(&cost, &change, size, Grows::Still, 1.0));
-    let note = "crates/config-distribution/src/snapshot.rs";
-    let machine = |what| Named {
-        role: "control machine",
-        ..named(what, "ms", note)
-    };
+        "tenants",
+    )
+    .note("crates/config-distribution/src/delta/mod.rs");
+    rows.push(Row::fitted(&cost, &change, size, Growth::Constant, 1.0));
+    let pack_cost = of_machine("the whole packed, once in 256 versions", "ms", "tenants");
     rows.push(Row::fitted(
-        &machine("the whole packed, once in 256 versions"),
+        &pack_cost.note(SNAPSHOT),
         &pack,
         size,
-        Grows::Line,
+        Growth::Linear,
         1.0,
     ));
-    let read = named(
+    let unpack_cost = of_node(
         "a start with nothing in hand: the snapshot unpacked and checked",
         "ms",
-        note,
+        "tenants",
     );
-    rows.push(Row::fitted(&read, &unpack, size, Grows::Line, 1.0));
+    rows.push(Row::fitted(
+        &unpack_cost.note(SNAPSHOT),
+        &unpack,
+        size,
+        Growth::Linear,
+        1.0,
+    ));
     Ok(())
 }
+
+/// Processor time that a subscriber takes for changes of one tenant each.
+fn cost_of_changes(
+    mut configuration: Configuration,
+    mut state: ConfigState,
+) -> io::Result<Duration> {
+    let own = identity("node", 0);
+    let mut subscriber = Subscriber::with_version(Duration::ZERO, own, 1, state.clone());
+    let mut took = Duration::ZERO;
+    for version in 2..2 + MEASURED_CHANGES {
+        let at = version as usize * STRIDE % configuration.tenants.len().max(1);
+        if let Some(tenant) = configuration.tenants.get_mut(at) {
+            tenant.share = version;
+        }
+        let delta = state
+            .delta_to(version - 1, version, &configuration)
+            .map_err(to_io_error)?;
+        state.apply(&delta).map_err(to_io_error)?;
+        let frame = ServerMessage::Delta(delta).into_frame();
+        let before = own_cpu();
+        subscriber.on_frame(Duration::ZERO, frame);
+        subscriber.on_applied(version);
+        took += own_cpu().saturating_sub(before);
+        drop(subscriber.take_effects());
+    }
+    Ok(took)
+}
--- a/crates/testbed/src/scale/control/scenario.rs
+++ b/crates/testbed/src/scale/control/scenario.rs
@@ -1,153 +1,167 @@
-//! One fleet from its start to when all hold the newest version, and what was seen.
+//! One fleet from its start to when all hold the newest version, and what was measured.
 
 use super::events::Event;
-use super::World;
+use super::HollowFleet;
 use rainstand_config::schema::Configuration;
 use std::io;
 use std::time::Duration;
 
 /// Until all are attached, at the start.
-const GATHERS: Duration = Duration::from_secs(15);
-
+const ATTACH_TIMEOUT: Duration = Duration::from_secs(15);
 /// After the last change.
-const SETTLES: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// What happens while changes are published.
+/// What happens to control machines while changes are published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Outage {
+    /// Nothing.
     None,
     /// One machine is killed in the middle, and stays away.
     OneKilled,
     /// All are killed in the middle, and come back after so long.
     AllKilled(Duration),
     /// One region hears nothing of the other from the first change to the last.
-    Parted,
+    Partitioned,
 }
 
-/// A fleet to be watched.
+/// A fleet to be measured.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct FleetSpec {
+    /// Processes that subscribe.
     pub nodes: usize,
+    /// Changes that are published.
     pub changes: usize,
+    /// Between two changes.
     pub every: Duration,
-    pub trouble: Trouble,
+    /// What happens meanwhile.
+    pub outage: Outage,
 }
 
-/// What was seen.
+impl FleetSpec {
+    /// From the first change until one interval after the last.
+    fn duration(&self) -> Duration {
+        self.every * u32::try_from(self.changes).unwrap_or(u32::MAX).max(1)
+    }
+}
+
+/// What was measured.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Measurements {
     /// From commit to each process's confirmation, in seconds, in order; of a parted region from its return.
     pub confirmed: Vec<f32>,
-    /// Bytes a second of one process, both ways, from when all were attached; the mean and the most.
+    /// Bytes a second of one process, both ways, from when all were attached: the mean.
     pub bytes: f64,
+    /// The same of the busiest process.
     pub most_bytes: f64,
-    /// Attachments of the busiest machine in its busiest second, and those turned away.
+    /// Attachments of the busiest machine in its busiest second.
     pub most_attached: usize,
-    pub turned_away: u64,
-    /// Processor time of all machines and of all processes, and the virtual time that they were for.
+    /// Attachments that machines rejected.
+    pub rejected_attachments: u64,
+    /// Processor time of all machines.
     pub machines_cpu: Duration,
+    /// Processor time of all processes.
     pub nodes_cpu: Duration,
+    /// The virtual time that the processor times are for.
     pub lasted: Duration,
     /// Snapshots that were needed after the start.
     pub snapshots: u64,
 }
 
-impl Seen {
-    /// The time in which such a part was confirmed.
+impl Measurements {
+    /// The time in seconds in which such a part was confirmed.
     pub fn within(&self, part: f64) -> Option<f64> {
         let last = self.confirmed.len().checked_sub(1)?;
         let at = (part * last as f64).ceil() as usize;
-        self.confirmed
-            .get(at.min(last))
-            .map(|time| f64::from(*time))
+        let time = self.confirmed.get(at.min(last));
+        time.map(|time| f64::from(*time))
     }
 }
 
-/// One fleet, from its gathering to when all hold the newest version.
+/// Plays one fleet, from its first attachment to when all hold the newest version.
 ///
 /// # Errors
-/// If any does not.
-pub fn watch(spec: &Spec, configuration: &Configuration) -> io::Result<Seen> {
-    let mut world = World::new(spec, configuration.clone())?;
-    world.run_to(GATHERS)?;
-    if let Some(lone) = world.nodes.iter().position(|node| !node.attached) {
-        return Err(io::Error::other(format!(
-            "process {lone} is not attached after {GATHERS:?}"
-        )));
-    }
-    let before: Vec<u64> = world.nodes.iter().map(|node| node.bytes).collect();
-    let snapshots = |world: &World| -> u64 {
-        world
-            .machines
-            .iter()
-            .flatten()
-            .map(|source| source.counters().snapshots)
-            .sum()
+/// If any process does not attach, or does not hold it.
+pub fn watch(spec: &FleetSpec, configuration: &Configuration) -> io::Result<Measurements> {
+    let mut fleet = HollowFleet::new(spec, configuration)?;
+    fleet.run_to(ATTACH_TIMEOUT)?;
+    fleet.check_all_attached()?;
+    fleet.measurements.machines_cpu = Duration::ZERO;
+    fleet.measurements.nodes_cpu = Duration::ZERO;
+    fleet.measurements.most_attached = 0;
+    let snapshots = fleet.snapshots();
+    let before: Vec<u64> = fleet.nodes.iter().map(|node| node.bytes).collect();
+    let (start, duration) = (fleet.now, spec.duration());
+    fleet.schedule_changes(spec);
+    fleet.begin_outage(duration);
+    fleet.run_to(start + duration)?;
+    let nodes = fleet.nodes.iter().zip(&before);
+    let bytes: Vec<u64> = nodes.map(|(node, before)| node.bytes - before).collect();
+    // From when all is well again: machines may come back after the last change.
+    let recovered = match spec.outage {
+        Outage::AllKilled(away) => duration.max(duration / 2 + away),
+        _ => duration,
     };
-    let had = snapshots(&world);
-    (world.seen.machines_cpu, world.seen.nodes_cpu) = (Duration::ZERO, Duration::ZERO);
-    world.seen.most_attached = 0;
-    let start = world.now;
-    let lasts = spec.every * u32::try_from(spec.changes).unwrap_or(u32::MAX).max(1);
-    for k in 0..spec.changes {
-        world.after(
-            spec.every * u32::try_from(k).unwrap_or(u32::MAX),
-            Event::Commit,
-        );
-    }
-    match spec.trouble {
-        Trouble::None => {}
-        Trouble::OneKilled => world.after(lasts / 2, Event::Kill),
-        Trouble::AllKilled(away) => {
-            world.after(lasts / 2, Event::Kill);
-            world.after(lasts / 2 + away, Event::Restart);
+    fleet.run_to(start + recovered + SETTLE_TIME)?;
+    fleet.check_all_current()?;
+    let seconds = duration.as_secs_f64();
+    let mut measurements = std::mem::take(&mut fleet.measurements);
+    let all_bytes = bytes.iter().sum::<u64>() as f64;
+    measurements.bytes = all_bytes / bytes.len().max(1) as f64 / seconds;
+    measurements.most_bytes = bytes.iter().max().copied().unwrap_or(0) as f64 / seconds;
+    measurements.lasted = recovered + SETTLE_TIME;
+    measurements.snapshots = fleet.snapshots().saturating_sub(snapshots);
+    measurements.rejected_attachments += fleet.rejected_attachments();
+    measurements.confirmed.sort_by(f32::total_cmp);
+    Ok(measurements)
+}
+
+impl HollowFleet {
+    fn schedule_changes(&mut self, spec: &FleetSpec) {
+        for change in 0..spec.changes {
+            let wait = spec.every * u32::try_from(change).unwrap_or(u32::MAX);
+            self.schedule(wait, Event::Commit);
         }
-        Trouble::Parted => {
-            world.parted = true;
-            for link in 0..world.links.len() {
-                // Nothing is heard across; whoever was attached over there finds it silent.
-                world.links[link].open &=
-                    !world.apart(world.links[link].node, world.links[link].machine);
+    }
+
+    fn begin_outage(&mut self, duration: Duration) {
+        match self.outage {
+            Outage::None => {}
+            Outage::OneKilled => self.schedule(duration / 2, Event::Kill),
+            Outage::AllKilled(away) => {
+                self.schedule(duration / 2, Event::Kill);
+                self.schedule(duration / 2 + away, Event::Restart);
+            }
+            Outage::Partitioned => {
+                self.is_partitioned = true;
+                for link in 0..self.links.len() {
+                    // Nothing is heard across; whoever was attached over there finds it silent.
+                    let (node, machine) = (self.links[link].node, self.links[link].machine);
+                    self.links[link].is_open &= !self.are_parted(node, machine);
+                }
+                self.schedule(duration, Event::Heal);
             }
-            world.after(lasts, Event::Heal);
         }
     }
-    world.run_to(start + lasts)?;
-    let took: Vec<u64> = world
-        .nodes
-        .iter()
-        .zip(&before)
-        .map(|(node, before)| node.bytes - before)
-        .collect();
-    // From when all is well again: machines may come back after the last change.
-    let well = match spec.trouble {
-        Trouble::AllKilled(away) => lasts.max(lasts / 2 + away),
-        _ => lasts,
-    };
-    world.run_to(start + well + SETTLES)?;
-    let newest = world.log.len() as u64;
-    if let Some(behind) = world
-        .nodes
-        .iter()
-        .position(|node| node.subscriber.version() != newest)
-    {
-        let holds = world.nodes[behind].subscriber.version();
-        return Err(io::Error::other(format!(
-            "process {behind} holds version {holds} of {newest}"
-        )));
+
+    fn check_all_attached(&self) -> io::Result<()> {
+        let unattached = self.nodes.iter().position(|node| !node.is_attached);
+        unattached.map_or(Ok(()), |node| {
+            Err(io::Error::other(format!(
+                "process {node} is not attached after {ATTACH_TIMEOUT:?}"
+            )))
+        })
+    }
+
+    fn check_all_current(&self) -> io::Result<()> {
+        let newest = self.log.len() as u64;
+        for (number, node) in self.nodes.iter().enumerate() {
+            let version = node.subscriber.version();
+            if version != newest {
+                return Err(io::Error::other(format!(
+                    "process {number} holds version {version} of {newest}"
+                )));
+            }
+        }
+        Ok(())
     }
-    let seconds = lasts.as_secs_f64();
-    let mut seen = std::mem::take(&mut world.seen);
-    seen.bytes = took.iter().sum::<u64>() as f64 / took.len().max(1) as f64 / seconds;
-    seen.most_bytes = took.iter().max().copied().unwrap_or(0) as f64 / seconds;
-    seen.lasted = well + SETTLES;
-    seen.snapshots = snapshots(&world).saturating_sub(had);
-    seen.turned_away += world
-        .machines
-        .iter()
-        .flatten()
-        .map(|source| source.counters().rejected_attachments)
-        .sum::<u64>();
-    seen.confirmed.sort_by(f32::total_cmp);
-    Ok(seen)
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,8 +1,8 @@
 //! What runs in this process: the cost of a decision, and the size of compiled forms.
 
-use super::fit::Grows;
+use super::fit::Growth;
 use super::measure::own_cpu;
-use super::{limits, Effort, Named, Place, Row, Sizes};
+use super::{limits, Effort, Paths, Quantity, Row, Sizes};
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{self, Configuration};
 use rainstand_config::source::Memory;
@@ -12,131 +12,113 @@
 use std::io;
 use std::time::Duration;
 
-/// Decisions of one turn, and turns, of which the cheapest counts: others share the caches.
+/// Decisions of one repetition, and repetitions, of which the cheapest counts: others share the caches.
 const DECISIONS: usize = 20_000;
-const TURNS: usize = 5;
+const REPETITIONS: usize = 5;
+/// Different requests, which are decided on in turn.
+const DRAWN_REQUESTS: usize = 4_096;
+/// Between two requests; each has ended after half of that.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(20);
 
+/// A generated configuration, compiled.
+///
 /// # Errors
 /// With the first finding, if it does not compile.
 pub fn compiled(size: &Size) -> io::Result<Configuration> {
     let outcome = rainstand_config::load(&Memory::new([("a.rain", size.rain())]), "a.rain");
     outcome.configuration.ok_or_else(|| {
-        let first = outcome
-            .findings
-            .first()
-            .map_or("no finding".to_owned(), |finding| finding.message.clone());
-        io::Error::other(first)
+        let first = outcome.findings.first();
+        let message = first.map_or("no finding", |finding| &finding.message);
+        io::Error::other(message.to_owned())
     })
 }
 
+/// A drawn request.
+struct DrawnRequest {
+    tenant: Option<u16>,
+    entity: String,
+}
+
+fn draw_requests(fleet: &Fleet, size: &Size) -> Vec<DrawnRequest> {
+    let mut random = WyRand::new_seed(7);
+    let mut draw = || {
+        let tenant = random.generate_range(0..size.tenants);
+        let route = random.generate_range(0..size.routes);
+        DrawnRequest {
+            tenant: fleet.table().tenant(&format!("t{tenant}")),
+            entity: size.entity(route),
+        }
+    };
+    (0..DRAWN_REQUESTS).map(|_| draw()).collect()
+}
+
 /// Nanoseconds of one whole decision: route, limits, member, and its end.
-fn decision(configuration: &Configuration, size: &Size) -> io::Result<f64> {
+fn cost_of_decision(configuration: &Configuration, size: &Size) -> io::Result<f64> {
     let mut fleet = Fleet::new(configuration, "z0", 1, Duration::ZERO)
-        .map_err(|e| io::Error::other(e.to_string()))?;
-    let mut chance = WyRand::new_seed(7);
-    let tickets: Vec<(Option<u16>, String)> = (0..4_096)
-        .map(|_| {
-            let tenant = chance.generate_range(0..size.tenants);
-            let route = chance.generate_range(0..size.routes);
-            (
-                fleet.table().tenant(&format!("t{tenant}")),
-                size.entity(route),
-            )
-        })
-        .collect();
-    let traffic = fleet
-        .table()
-        .request_class("check")
-        .ok_or_else(|| io::Error::other("no type"))?;
-    let (mut least, mut now) = (Duration::MAX, Duration::ZERO);
-    for _ in 0..TURNS {
+        .map_err(|error| io::Error::other(error.to_string()))?;
+    let requests = draw_requests(&fleet, size);
+    let class = fleet.table().request_class("check");
+    let class = class.ok_or_else(|| io::Error::other("no type"))?;
+    let (mut cheapest, mut now) = (Duration::MAX, Duration::ZERO);
+    for _ in 0..REPETITIONS {
         let before = own_cpu();
         for k in 0..DECISIONS {
-            now += Duration::from_micros(20);
-            let (tenant, entity) = &tickets[k % tickets.len()];
-            let ticket = Request {
-                request_class: traffic,
-                tenant: *tenant,
-                entity,
+            now += REQUEST_INTERVAL;
+            let drawn = &requests[k % requests.len()];
+            let request = Request {
+                request_class: class,
+                tenant: drawn.tenant,
+                entity: &drawn.entity,
                 size: 900,
                 ..Request::default()
             };
-            if let NextAction::Dispatch(trip, _) = fleet.on_arrival(now, &ticket) {
-                fleet.on_attempt_outcome(
-                    now + Duration::from_micros(10),
-                    trip,
-                    AttemptOutcome::Served,
-                );
+            if let NextAction::Dispatch(attempt, _) = fleet.on_arrival(now, &request) {
+                let end = now + REQUEST_INTERVAL / 2;
+                fleet.on_attempt_outcome(end, attempt, AttemptOutcome::Served);
             }
         }
-        least = least.min(own_cpu().saturating_sub(before));
+        cheapest = cheapest.min(own_cpu().saturating_sub(before));
     }
-    Ok(least.as_nanos() as f64 / DECISIONS as f64)
+    Ok(cheapest.as_nanos() as f64 / DECISIONS as f64)
 }
 
 /// Rows of what a configuration is by itself.
-pub fn rows(sizes: &Sizes, effort: &Effort, _: &Place) -> io::Result<Vec<Row>> {
+///
+/// # Errors
+/// If a generated configuration does not compile.
+pub fn rows(sizes: &Sizes, effort: &Effort, _: &Paths) -> io::Result<Vec<Row>> {
     let (mut bytes, mut costs) = (Vec::new(), Vec::new());
     for part in effort.parts.iter().copied() {
         let size = sizes.configuration(part, Limited::Tenants);
         let configuration = compiled(&size)?;
-        let entries = size.tenants as f64;
-        bytes.push((entries, schema::to_binary(&configuration).len() as f64));
+        let tenants = size.tenants as f64;
+        bytes.push((tenants, schema::to_binary(&configuration).len() as f64));
         if !effort.counts_only {
-            costs.push((entries, decision(&configuration, &size)?));
+            costs.push((tenants, cost_of_decision(&configuration, &size)?));
         }
     }
     let tenants = sizes.tenants as f64;
     let by = "tenants, routes with them";
-    let each_day = sizes.changes as f64 / limits::DAY_S;
+    let of_machine = |what, unit| Quantity::new("control machine", what, unit, by).counted();
+    let form = of_machine("a version's compiled form", "MB");
+    let form = form.note("crates/config/src/schema.rs, to_binary");
+    let rate = of_machine(
+        "bytes a second to one process, if each change sends the whole unpacked",
+        "B/s",
+    )
+    .limit(limits::CONTROL_BYTES)
+    .note("the compiled form times the changes of a day; an upper bound without deltas");
+    let changes = sizes.changes as f64 / limits::DAY_S;
     let mut rows = vec![
-        Row::fitted(
-            &Named {
-                role: "control machine",
-                what: "a version's compiled form",
-                unit: "MB",
-                by,
-                limit: None,
-                note: "crates/config/src/schema.rs, to_binary",
-                counted: true,
-            },
-            &bytes,
-            tenants,
-            Grows::Line,
-            1e-6,
-        ),
-        Row::fitted(
-            &Named {
-                role: "control machine",
-                what: "bytes a second to one process, if each change sends the whole unpacked",
-                unit: "B/s",
-                by,
-                limit: Some(limits::CONTROL_BYTES),
-                note: "the compiled form times the changes of a day; an upper bound without deltas",
-                counted: true,
-            },
-            &bytes,
-            tenants,
-            Grows::Line,
-            each_day,
-        ),
+        Row::fitted(&form, &bytes, tenants, Growth::Linear, 1e-6),
+        Row::fitted(&rate, &bytes, tenants, Growth::Linear, changes),
     ];
     if !costs.is_empty() {
-        rows.push(Row::fitted(
-            &Named {
-                role: "forwarder",
-                what: "one decision: route, limits, member, end",
-                unit: "ms",
-                by,
-                limit: Some(limits::ADDED_MS),
-                note: "in this process, processor time; crates/routing/src/fleet.rs",
-                counted: false,
-            },
-            &costs,
-            tenants,
-            Grows::Still,
-            1e-6,
-        ));
+        let what = "one decision: route, limits, member, end";
+        let cost = Quantity::new("forwarder", what, "ms", by)
+            .limit(limits::ADDED_MS)
+            .note("in this process, processor time; crates/routing/src/fleet.rs");
+        rows.push(Row::fitted(&cost, &costs, tenants, Growth::Constant, 1e-6));
     }
     Ok(rows)
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -6,34 +6,36 @@
 
 use serde::Serialize;
 
-/// Of what the quantity moved by: more left over by any one point and it is no line.
-pub const LEAVES: f64 = 0.12;
-/// Of what the quantity moved by: the most that a second power may lift its middle off the straight way.
-pub const CURVES: f64 = 0.10;
-/// A quantity that moves by less than this part of itself stands still, and what is left over is judged
-/// against that: counts, and what is read off a machine that others share.
-pub const STILL: [f64; 2] = [0.10, 0.30];
+/// The most that any one point may be off a line, of what the quantity moved by.
+pub const MAX_RESIDUAL: f64 = 0.12;
+/// The most that a second power may lift the middle off a line, of what the quantity moved by.
+pub const MAX_CURVATURE: f64 = 0.10;
+/// A quantity that moves by less than this part of itself is constant, and what is left over is judged against that:
+/// counts, and what is read off a machine that others share.
+pub const CONSTANT_WITHIN: [f64; 2] = [0.10, 0.30];
 /// A cost of one request may at most double while what it is asked of grows fourfold: caches fill up, lists
 /// that are walked grow as fast as the size.
-const WALKS: f64 = 2.0;
-const GROWN: f64 = 4.0;
-/// Different sizes below which nothing is said of a line.
-pub const LEAST: usize = 3;
+const MAX_GROWTH: f64 = 2.0;
+const GROWTH_SPAN: f64 = 4.0;
+/// Different sizes that a line takes.
+pub const MIN_SIZES: usize = 3;
 
 /// How a quantity is expected to grow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Grows {
+pub enum Growth {
     /// With the size.
-    Line,
+    Linear,
     /// Not with the size: the cost of one request.
-    Still,
+    Constant,
 }
 
 /// `y = intercept + slope x`, as good as it goes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
+    /// At size 0.
     pub intercept: f64,
+    /// By one of the size.
     pub slope: f64,
     /// The most that a point is off, as a part of what the quantity moved by.
     pub residual: f64,
@@ -44,6 +46,7 @@
 }
 
 impl Line {
+    /// The quantity at a size.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
@@ -51,26 +54,28 @@
 
 /// Why there is no line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bends {
-    /// Fewer than [`LEAST`] sizes, or what is no number.
+pub enum FitError {
+    /// Fewer than [`MIN_SIZES`] sizes, or what is no number.
     TooFew,
-    Leaves(f64),
-    Curves(f64),
+    /// A point is off the line by this part of what the quantity moved by.
+    Residual(f64),
+    /// A second power lifts the middle by this part of what the quantity moved by.
+    Curvature(f64),
     /// One request costs so many times more at the largest size than at the smallest.
-    Walks(f64),
+    Grows(f64),
 }
 
-impl std::fmt::Display for Bends {
+impl std::fmt::Display for FitError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Bends::TooFew => write!(f, "fewer than {LEAST} sizes were measured"),
-            Bends::Leaves(part) => {
+            FitError::TooFew => write!(f, "fewer than {MIN_SIZES} sizes were measured"),
+            FitError::Residual(part) => {
                 write!(f, "bends: a point is off the line by {:.0} %", part * 100.0)
             }
-            Bends::Curves(part) => {
+            FitError::Curvature(part) => {
                 write!(f, "bends: a second power lifts it by {:.0} %", part * 100.0)
             }
-            Bends::Walks(times) => {
+            FitError::Grows(times) => {
                 write!(
                     f,
                     "bends: one request costs {times:.1} times more at the largest size"
@@ -130,14 +135,14 @@
 /// Why it is none, with the line that was refused where there is one.
 pub fn fit(
     points: &[(f64, f64)],
-    grows: Grows,
+    growth: Growth,
     counted: bool,
-) -> Result<Line, (Bends, Option<Line>)> {
-    if sizes(points) < LEAST || points.iter().any(|p| !p.0.is_finite() || !p.1.is_finite()) {
-        return Err((Bends::TooFew, None));
+) -> Result<Line, (FitError, Option<Line>)> {
+    if sizes(points) < MIN_SIZES || points.iter().any(|p| !p.0.is_finite() || !p.1.is_finite()) {
+        return Err((FitError::TooFew, None));
     }
     let Some((intercept, slope)) = least_squares(points) else {
-        return Err((Bends::TooFew, None));
+        return Err((FitError::TooFew, None));
     };
     let ends = |pick: fn(&(f64, f64)) -> f64| {
         let all = || points.iter().map(pick);
@@ -147,7 +152,7 @@
         )
     };
     let ((first, last), (low, high)) = (ends(|p| p.0), ends(|p| p.1));
-    let still = STILL[usize::from(!counted)];
+    let still = CONSTANT_WITHIN[usize::from(!counted)];
     let moved = (high - low)
         .max(still * high.abs().max(low.abs()))
         .max(f64::MIN_POSITIVE);
@@ -161,21 +166,21 @@
         curve,
         up_to: last,
     };
-    if grows == Grows::Still {
+    if growth == Growth::Constant {
         // Whether the line is straight does not matter where it should lie flat.
         let times = line.at(last) / line.at(first).max(f64::MIN_POSITIVE);
-        let may = WALKS.powf((last / first).ln() / GROWN.ln());
+        let may = MAX_GROWTH.powf((last / first).ln() / GROWTH_SPAN.ln());
         return if times > may {
-            Err((Bends::Walks(times), Some(line)))
+            Err((FitError::Grows(times), Some(line)))
         } else {
             Ok(line)
         };
     }
-    if curve > CURVES {
-        return Err((Bends::Curves(curve), Some(line)));
+    if curve > MAX_CURVATURE {
+        return Err((FitError::Curvature(curve), Some(line)));
     }
-    if residual > LEAVES {
-        return Err((Bends::Leaves(residual), Some(line)));
+    if residual > MAX_RESIDUAL {
+        return Err((FitError::Residual(residual), Some(line)));
     }
     Ok(line)
 }
--- a/crates/testbed/src/scale/forwarders.rs
+++ b/crates/testbed/src/scale/forwarders.rs
@@ -1,9 +1,9 @@
 //! `rainstand forward` and `rainstand config check` as processes, by routes and tenants.
 
 use super::decisions::compiled;
-use super::fit::Grows;
-use super::measure::Counted;
-use super::{limits, Effort, Named, Place, Row, Sizes};
+use super::fit::Growth;
+use super::measure::{MeasuredProcess, Usage};
+use super::{limits, Effort, Paths, Quantity, Row, Sizes};
 use crate::process::program;
 use rainstand_config::schema;
 use rainstand_test_servers::size::{Limited, Size};
@@ -14,14 +14,21 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+/// What the rows of this module are measured against.
+const BY: &str = "tenants, routes with them";
+/// Where limits per tenant stand on each route, far smaller sizes too: what is refused at a tenth may start at a
+/// hundredth.
+const SMALL_PARTS: [f64; 2] = [0.01, 0.025];
+
 /// What one forwarder came to.
-struct Seen {
+struct Measurements {
     start_rss: f64,
     start_cpu: Duration,
-    after_rss: f64,
+    reloaded_rss: f64,
+    /// Of one reload, in the mean.
     reload_cpu: Duration,
-    /// Half of them took longer.
-    reload_takes: Duration,
+    /// Half of the reloads took longer.
+    reload_time: Duration,
 }
 
 fn write(folder: &Path, name: &str, text: &[u8]) -> io::Result<PathBuf> {
@@ -30,92 +37,75 @@
     Ok(path)
 }
 
-/// The configuration, and one that differs from it in one rate.
-fn two(size: &Size) -> (String, String) {
-    let text = size.rain();
-    let other = text.replacen("goal: 3.1 s", "goal: 3.2 s", 1);
-    (text, other)
+fn rainstand(paths: &Paths) -> io::Result<Command> {
+    Ok(Command::new(program(
+        "rainstand",
+        paths.programs.as_deref(),
+    )?))
 }
 
-/// Starts a forwarder with a file and has it read the file anew.
-fn forwarder(size: &Size, reloads: usize, place: &Place) -> io::Result<Seen> {
-    let (text, other) = two(size);
-    let path = write(&place.folder, "forwarder.rain", text.as_bytes())?;
-    let mut command = Command::new(program("rainstand", place.programs.as_deref())?);
+/// Starts a forwarder with this configuration.
+fn start(path: &Path, paths: &Paths) -> io::Result<MeasuredProcess> {
+    let mut command = rainstand(paths)?;
     command
-        .args([
-            "forward",
-            "--listen",
-            "127.0.0.1:0",
-            "--zone",
-            "z0",
-            "--config",
-        ])
-        .arg(&path);
-    let mut process = Counted::start(command, &place.folder.join("forwarder.log"))?;
-    process.says("event=\"start\"", 1)?;
+        .args(["forward", "--listen", "127.0.0.1:0"])
+        .args(["--zone", "z0", "--config"])
+        .arg(path);
+    let mut process = MeasuredProcess::start(command, &paths.folder.join("forwarder.log"))?;
+    process.wait_for_output("event=\"start\"", 1)?;
+    Ok(process)
+}
+
+/// Starts a forwarder with a file, and has it read the file again, which differs in one rate each time.
+fn measure_forwarder(size: &Size, reloads: usize, paths: &Paths) -> io::Result<Measurements> {
+    let text = size.rain();
+    let other = text.replacen("goal: 3.1 s", "goal: 3.2 s", 1);
+    let path = write(&paths.folder, "forwarder.rain", text.as_bytes())?;
+    let mut process = start(&path, paths)?;
     // In ticks: what reads a file is a thread of its own, and has ended.
     let (start_rss, start_cpu) = (process.rss()?, process.ticks()?);
-    let mut takes = Vec::new();
-    for k in 1..=reloads {
-        fs::write(&path, if k % 2 == 1 { &other } else { &text })?;
-        let began = Instant::now();
+    let mut times = Vec::new();
+    for reload in 1..=reloads {
+        fs::write(&path, if reload % 2 == 1 { &other } else { &text })?;
+        let started = Instant::now();
         process.signal(Signal::HUP);
-        process.says("event=\"version\"", k)?;
-        takes.push(began.elapsed());
+        process.wait_for_output("event=\"version\"", reload)?;
+        times.push(started.elapsed());
     }
     // Of all reloads together: one alone is some ticks.
     let reload_cpu = process.ticks()?.saturating_sub(start_cpu) / reloads.max(1) as u32;
-    takes.sort_unstable();
-    let reload_takes = takes.get(takes.len() / 2).copied().unwrap_or_default();
-    Ok(Seen {
+    times.sort_unstable();
+    Ok(Measurements {
         start_rss,
         start_cpu,
-        after_rss: process.rss()?,
+        reloaded_rss: process.rss()?,
         reload_cpu,
-        reload_takes,
+        reload_time: times.get(times.len() / 2).copied().unwrap_or_default(),
     })
 }
 
-/// Processor time and memory of `config check`, by the file.
-fn check(size: &Size, place: &Place) -> io::Result<(Duration, f64)> {
-    let path = write(&place.folder, "check.rain", size.rain().as_bytes())?;
-    let mut command = Command::new(program("rainstand", place.programs.as_deref())?);
+/// Processor time and memory of `config check`.
+fn measure_check(size: &Size, paths: &Paths) -> io::Result<Usage> {
+    let path = write(&paths.folder, "check.rain", size.rain().as_bytes())?;
+    let mut command = rainstand(paths)?;
     command.args(["config", "check"]).arg(&path);
-    Counted::start(command, &place.folder.join("check.log"))?.ends()
+    MeasuredProcess::start(command, &paths.folder.join("check.log"))?.wait_for_end()
 }
 
 /// Memory of a forwarder that starts with the compiled form, and not with the text.
-fn by_compiled(size: &Size, place: &Place) -> io::Result<f64> {
-    let path = write(
-        &place.folder,
-        "forwarder.pb",
-        &schema::to_binary(&compiled(size)?),
-    )?;
-    let mut command = Command::new(program("rainstand", place.programs.as_deref())?);
-    command
-        .args([
-            "forward",
-            "--listen",
-            "127.0.0.1:0",
-            "--zone",
-            "z0",
-            "--config",
-        ])
-        .arg(&path);
-    let mut process = Counted::start(command, &place.folder.join("forwarder.log"))?;
-    process.says("event=\"start\"", 1)?;
-    process.rss()
+fn measure_compiled(size: &Size, paths: &Paths) -> io::Result<f64> {
+    let binary = schema::to_binary(&compiled(size)?);
+    let path = write(&paths.folder, "forwarder.pb", &binary)?;
+    start(&path, paths)?.rss()
 }
 
+/// All rows of forwarders.
+///
 /// # Errors
 /// What could not be started; a configuration that is refused is a row.
-pub fn rows(sizes: &Sizes, effort: &Effort, place: &Place) -> io::Result<Vec<Row>> {
-    let by = "tenants, routes with them";
-    let tenants = sizes.tenants as f64;
-    let mut rows = Vec::new();
+pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
     // The same process with one route: what is above it is the configuration's.
-    let one = Size {
+    let one_route = Size {
         services: 1,
         routes: 1,
         tenants: 1,
@@ -123,197 +113,194 @@
         members: 7,
         ..sizes.configuration(1.0, Limited::None)
     };
-    let base = forwarder(&one, 1, place)?.start_rss;
-    for (limited, words) in [
-        (Limited::Tenants, "limits on tenants"),
-        (Limited::None, "no limits"),
-    ] {
-        if limited == Limited::None && effort.parts.len() < Effort::full().parts.len() {
-            // What has no limits says how much of the rest is theirs: left out where time is short.
-            continue;
-        }
-        let (mut start, mut after, mut cpu, mut takes, mut begins) =
-            (vec![], vec![], vec![], vec![], vec![]);
+    let base = measure_forwarder(&one_route, 1, paths)?.start_rss;
+    let with_limits = Series::measure(sizes, effort, paths, Limited::Tenants, base)?;
+    let mut rows = with_limits.memory_rows(sizes, "limits on tenants");
+    rows.extend(with_limits.time_rows(sizes));
+    // What has no limits says how much of the rest is theirs: left out where time is short.
+    if effort.parts.len() >= Effort::full().parts.len() {
+        let without = Series::measure(sizes, effort, paths, Limited::None, base)?;
+        rows.extend(without.memory_rows(sizes, "no limits"));
+    }
+    rows.push(limits_on_routes(sizes, effort, paths)?);
+    rows.extend(compiled_and_check_rows(sizes, effort, paths, base)?);
+    Ok(rows)
+}
+
+/// Measurements of forwarders by their number of tenants.
+#[derive(Default)]
+struct Series {
+    start_rss: Vec<(f64, f64)>,
+    reloaded_rss: Vec<(f64, f64)>,
+    reload_cpu: Vec<(f64, f64)>,
+    reload_time: Vec<(f64, f64)>,
+    start_cpu: Vec<(f64, f64)>,
+}
+
+impl Series {
+    /// Memory is that above `base`.
+    fn measure(
+        sizes: &Sizes,
+        effort: &Effort,
+        paths: &Paths,
+        limited: Limited,
+        base: f64,
+    ) -> io::Result<Self> {
+        let mut series = Self::default();
         for part in &effort.parts {
             let size = sizes.configuration(*part, limited);
-            let (x, seen) = (
-                size.tenants as f64,
-                forwarder(&size, effort.reloads, place)?,
-            );
-            start.push((x, seen.start_rss - base));
-            after.push((x, seen.after_rss - base));
-            cpu.push((x, seen.reload_cpu.as_secs_f64()));
-            takes.push((x, seen.reload_takes.as_secs_f64()));
-            begins.push((x, seen.start_cpu.as_secs_f64()));
-        }
-        let mb = Some(limits::CONTROL_MB);
-        let named = |what: &'static str, unit, limit| {
-            Named {
-            role: "forwarder",
-            what,
-            unit,
-            by,
-            limit,
-            note: "crates/routing/src/table.rs, router.rs; the process compiles the text, crates/config",
-            counted: false,
+            let tenants = size.tenants as f64;
+            let seen = measure_forwarder(&size, effort.reloads, paths)?;
+            series.start_rss.push((tenants, seen.start_rss - base));
+            series
+                .reloaded_rss
+                .push((tenants, seen.reloaded_rss - base));
+            let reload_cpu = seen.reload_cpu.as_secs_f64();
+            series.reload_cpu.push((tenants, reload_cpu));
+            let reload_time = seen.reload_time.as_secs_f64();
+            series.reload_time.push((tenants, reload_time));
+            series
+                .start_cpu
+                .push((tenants, seen.start_cpu.as_secs_f64()));
         }
+        Ok(series)
+    }
+
+    fn memory_rows(&self, sizes: &Sizes, limits_in_words: &str) -> Vec<Row> {
+        let row = |what: &str, points: &[(f64, f64)]| {
+            let what = format!("{what}, {limits_in_words}");
+            let quantity = of_forwarder(&what, "MB").limit(limits::CONTROL_MB);
+            let size = sizes.tenants as f64;
+            Row::fitted(&quantity, points, size, Growth::Linear, 1e-6)
         };
-        let what = |what: &str| format!("{what}, {words}");
-        let mut add = |name: String, unit, limit, points: &[(f64, f64)], times: f64| {
-            let named = Named {
-                what: &name,
-                ..named("", unit, limit)
-            };
-            rows.push(Row::fitted(&named, points, tenants, Grows::Line, times));
+        vec![
+            row("memory after its start above one route", &self.start_rss),
+            row("memory after reloads above one route", &self.reloaded_rss),
+        ]
+    }
+
+    fn time_rows(&self, sizes: &Sizes) -> Vec<Row> {
+        let row = |quantity: Quantity<'_>, points: &[(f64, f64)], times: f64| {
+            let size = sizes.tenants as f64;
+            Row::fitted(&quantity, points, size, Growth::Linear, times)
         };
-        add(
-            what("memory after its start above one route"),
-            "MB",
-            mb,
-            &start,
-            1e-6,
-        );
-        add(
-            what("memory after reloads above one route"),
-            "MB",
-            mb,
-            &after,
-            1e-6,
-        );
-        if limited == Limited::Tenants {
-            let share = sizes.changes as f64 / limits::DAY_S * 100.0;
-            let core = Some(limits::CONTROL_CPU);
-            add(
-                "each change read as a whole: processor time".into(),
-                "% of a core",
-                core,
-                &cpu,
-                share,
-            );
-            add(
-                "a change at SIGHUP until it is in force here".into(),
-                "s",
-                Some(limits::IN_FORCE_S),
-                &takes,
+        let percent_of_day = sizes.changes as f64 / limits::DAY_S * 100.0;
+        vec![
+            row(
+                of_forwarder("each change read as a whole: processor time", "% of a core")
+                    .limit(limits::CONTROL_CPU),
+                &self.reload_cpu,
+                percent_of_day,
+            ),
+            row(
+                of_forwarder("a change at SIGHUP until it is in force here", "s")
+                    .limit(limits::IN_FORCE_S),
+                &self.reload_time,
                 1.0,
-            );
-            add("processor time of a start".into(), "ms", None, &begins, 1e3);
-        }
+            ),
+            row(
+                of_forwarder("processor time of a start", "ms"),
+                &self.start_cpu,
+                1e3,
+            ),
+        ]
     }
-    rows.push(per_tenant_on_routes(sizes, effort, place)?);
-    let (mut compiled_rss, mut checks_cpu, mut checks_rss) = (vec![], vec![], vec![]);
+}
+
+fn of_forwarder<'a>(what: &'a str, unit: &'a str) -> Quantity<'a> {
+    Quantity::new("forwarder", what, unit, BY).note(
+        "crates/routing/src/table.rs, router.rs; the process compiles the text, crates/config",
+    )
+}
+
+/// Forwarders that start from the compiled form, and checks of the text.
+fn compiled_and_check_rows(
+    sizes: &Sizes,
+    effort: &Effort,
+    paths: &Paths,
+    base: f64,
+) -> io::Result<Vec<Row>> {
+    let (mut compiled_rss, mut check_cpu, mut check_memory) = (vec![], vec![], vec![]);
     for part in &effort.parts {
         let size = sizes.configuration(*part, Limited::Tenants);
-        let x = size.tenants as f64;
-        compiled_rss.push((x, by_compiled(&size, place)? - base));
-        let (cpu, most) = check(&size, place)?;
-        checks_cpu.push((x, cpu.as_secs_f64()));
-        checks_rss.push((x, most));
+        let tenants = size.tenants as f64;
+        compiled_rss.push((tenants, measure_compiled(&size, paths)? - base));
+        let usage = measure_check(&size, paths)?;
+        check_cpu.push((tenants, usage.cpu.as_secs_f64()));
+        check_memory.push((tenants, usage.peak_memory));
     }
-    let named = |role, what, unit, limit, note| Named {
-        role,
-        what,
-        unit,
-        by,
-        limit,
-        note,
-        counted: false,
+    let row = |quantity: Quantity<'_>, points: &[(f64, f64)], times: f64| {
+        let size = sizes.tenants as f64;
+        Row::fitted(&quantity, points, size, Growth::Linear, times)
     };
-    rows.push(Row::fitted(
-        &named(
-            "forwarder",
-            "memory after a start from the compiled form above one route, limits on tenants",
-            "MB",
-            Some(limits::CONTROL_MB),
-            "crates/routing/src/table.rs; nothing is compiled in the process",
+    let what = "memory after a start from the compiled form above one route, limits on tenants";
+    let of_check =
+        |what, unit| Quantity::new("control machine", what, unit, BY).note("crates/config");
+    Ok(vec![
+        row(
+            Quantity::new("forwarder", what, "MB", BY)
+                .limit(limits::CONTROL_MB)
+                .note("crates/routing/src/table.rs; nothing is compiled in the process"),
+            &compiled_rss,
+            1e-6,
         ),
-        &compiled_rss,
-        tenants,
-        Grows::Line,
-        1e-6,
-    ));
-    rows.push(Row::fitted(
-        &named(
-            "control machine",
-            "config check: processor time",
-            "s",
-            Some(limits::IN_FORCE_S),
-            "crates/config",
+        row(
+            of_check("config check: processor time", "s").limit(limits::IN_FORCE_S),
+            &check_cpu,
+            1.0,
         ),
-        &checks_cpu,
-        tenants,
-        Grows::Line,
-        1.0,
-    ));
-    rows.push(Row::fitted(
-        &named(
-            "control machine",
-            "config check: most memory",
-            "MB",
-            None,
-            "crates/config",
+        row(
+            of_check("config check: most memory", "MB"),
+            &check_memory,
+            1e-6,
         ),
-        &checks_rss,
-        tenants,
-        Grows::Line,
-        1e-6,
-    ));
-    Ok(rows)
+    ])
 }
 
 /// Whether a forwarder starts where each route limits by tenant, and up to which size.
-fn per_tenant_on_routes(sizes: &Sizes, effort: &Effort, place: &Place) -> io::Result<Row> {
-    let (mut up_to, mut why) = (0.0, String::new());
+fn limits_on_routes(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Row> {
+    let (mut up_to, mut refusal) = (0.0, String::new());
     let mut rss = Vec::new();
-    // Far smaller ones too: what is refused at a tenth may start at a hundredth.
-    let parts = [0.01, 0.025]
+    let parts = SMALL_PARTS
         .into_iter()
         .chain(effort.parts.iter().copied())
         .chain([1.0]);
     for part in parts {
         let size = sizes.configuration(part, Limited::PerTenantOnRoutes);
-        match forwarder(&size, 1, place) {
+        match measure_forwarder(&size, 1, paths) {
             Ok(seen) => {
                 up_to = size.tenants as f64;
                 rss.push((up_to, seen.start_rss));
             }
             // It says why, and ends.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => {
-                let words = error.to_string();
-                let words = words.split(": ").skip(1).collect::<Vec<_>>().join(": ");
-                why = format!(
-                    "refused at {} routes and {} tenants: {words}",
-                    size.routes, size.tenants
-                );
-                why = why
-                    .replace(&place.folder.display().to_string(), "")
-                    .replace(" /", " ");
+                refusal = describe_refusal(&size, &error, &paths.folder);
             }
             Err(other) => return Err(other),
         }
     }
     let starts = up_to >= sizes.tenants as f64;
     let note = if starts {
-        "crates/routing/src/router.rs".to_owned()
+        "crates/routing/src/router.rs"
     } else {
-        why
+        &refusal
     };
-    let mut row = Row::plain(
-        &Named {
-            role: "forwarder",
-            what: "starts with limits per tenant on each route",
-            unit: "tenants, routes with them",
-            by: "tenants, routes with them",
-            limit: None,
-            note: &note,
-            counted: false,
-        },
-        sizes.tenants as f64,
-        up_to,
-        None,
-    );
+    let what = "starts with limits per tenant on each route";
+    let quantity = Quantity::new("forwarder", what, BY, BY).note(note);
+    let mut row = Row::plain(&quantity, sizes.tenants as f64, up_to, None);
     row.points = rss;
-    (row.limit, row.holds) = (Some(sizes.tenants as f64), Some(starts));
+    row.limit = Some(sizes.tenants as f64);
+    row.holds = Some(starts);
     row.at_size = starts.then_some(sizes.tenants as f64);
     Ok(row)
 }
+
+/// What a forwarder said that did not start, without the run's folder.
+fn describe_refusal(size: &Size, error: &io::Error, folder: &Path) -> String {
+    let text = error.to_string();
+    let words = text.split(": ").skip(1).collect::<Vec<_>>().join(": ");
+    let (routes, tenants) = (size.routes, size.tenants);
+    format!("refused at {routes} routes and {tenants} tenants: {words}")
+        .replace(&folder.display().to_string(), "")
+        .replace(" /", " ")
+}
--- a/crates/testbed/src/scale/groups.rs
+++ b/crates/testbed/src/scale/groups.rs
@@ -1,10 +1,12 @@
 //! Members of a group as processes at rest, and hollow ones of the same number beside them.
 
-use super::fit::Grows;
-use super::hollow::{self, name, Spec, COPIES, ELECTION, HEARTBEAT, SHARDS};
-use super::measure::Counted;
-use super::nodes::agent;
-use super::{limits, settings, Effort, Named, Place, Row, Sizes};
+use super::fit::Growth;
+use super::hollow::{
+    self, name, GroupSpec, ELECTION_TIMEOUTS, HEARTBEAT_INTERVAL, REPLICAS_PER_SHARD, SHARDS,
+};
+use super::measure::MeasuredProcess;
+use super::nodes::serve_agent;
+use super::{limits, settings, table, Effort, Paths, Quantity, Row, Sizes};
 use crate::process::{free_port, program};
 use crate::proxy::Proxy;
 use rainstand_cluster::framing::with_length_prefix;
@@ -12,9 +14,12 @@
 use rainstand_config::schema::{self, Configuration};
 use rainstand_config::source::Memory;
 use std::collections::BTreeMap;
+use std::fmt::Write as _;
 use std::fs;
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,273 +29,327 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// For each shard to have a leader.
-const FORMS: Duration = Duration::from_secs(30);
+const ELECTION_DEADLINE: Duration = Duration::from_secs(30);
+/// Between two looks whether each has one.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// After that, for whoever leads to be who should.
-const SETTLES: Duration = Duration::from_secs(2);
-const TELLS: Duration = Duration::from_secs(1);
-/// Tries at ports that other processes took meanwhile.
-const PORTS: usize = 3;
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// For a member to answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest answer that is read.
+const MAX_STATUS_BYTES: usize = 16 << 20;
+/// Attempts at ports: other processes may have taken them meanwhile.
+const PORT_ATTEMPTS: usize = 3;
+/// Descriptors that a member may have, by its file.
+const SOCKETS: usize = 1_024;
 
 /// What a group of processes came to, in a second at rest.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// Of all members together, whole frames on their links.
+pub struct Measurements {
+    /// Complete frames on the links of all members together.
     pub frames: f64,
+    /// Bytes that all members together sent.
     pub bytes: f64,
     /// Seconds from when all had started until each shard had a leader.
     pub formed: f64,
-    /// Of one core, of all members together.
+    /// Processor time of all members together, of one core.
     pub cpu: f64,
     /// The most of one member.
     pub worst_cpu: f64,
-    /// Bytes of memory that are a member's own, and its descriptors, the most of any.
+    /// Bytes of memory that are a member's own, the most of any.
     pub own: f64,
+    /// Descriptors of a member, the most of any.
     pub descriptors: f64,
 }
 
+/// Where a member listens.
+struct Ports {
+    front: SocketAddr,
+    peers: SocketAddr,
+}
+
+/// A group of processes.
 struct Members {
-    processes: Vec<Counted>,
-    peers: Vec<SocketAddr>,
+    processes: Vec<MeasuredProcess>,
+    ports: Vec<Ports>,
     /// The links, each through a proxy that counts, if they are to be counted.
     proxies: BTreeMap<(usize, usize), Rc<Proxy>>,
+    folder: PathBuf,
 }
 
-async fn start(
-    members: usize,
-    counted: bool,
-    agent: SocketAddr,
-    place: &Place,
-) -> io::Result<Members> {
-    let folder = place.folder.join(format!("group-{members}-{counted}"));
-    let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder)?;
-    let ports = (0..members)
-        .map(|_| Ok([free_port()?, free_port()?]))
-        .collect::<io::Result<Vec<_>>>()?;
-    let mut all = Members {
-        processes: Vec::new(),
-        peers: ports.iter().map(|p| p[1]).collect(),
-        proxies: BTreeMap::new(),
-    };
-    if counted {
-        for (from, to) in (0..members)
-            .flat_map(|a| (0..members).map(move |b| (a, b)))
-            .filter(|(a, b)| a != b)
-        {
-            let proxy = Proxy::open(1).await?;
-            proxy.set_target(Some(ports[to][1]));
-            all.proxies.insert((from, to), proxy);
+impl Members {
+    /// Starts all members, and waits until each is up.
+    async fn start(
+        count: usize,
+        counts_frames: bool,
+        agent: SocketAddr,
+        paths: &Paths,
+    ) -> io::Result<Self> {
+        let folder = paths.folder.join(format!("group-{count}-{counts_frames}"));
+        let _ = fs::remove_dir_all(&folder);
+        fs::create_dir_all(&folder)?;
+        let ports = || -> io::Result<Ports> {
+            Ok(Ports {
+                front: free_port()?,
+                peers: free_port()?,
+            })
+        };
+        let mut members = Self {
+            processes: Vec::new(),
+            ports: (0..count).map(|_| ports()).collect::<io::Result<_>>()?,
+            proxies: BTreeMap::new(),
+            folder,
+        };
+        if counts_frames {
+            members.open_proxies().await?;
+        }
+        for n in 0..count {
+            let process = members.start_member(n, agent, paths)?;
+            members.processes.push(process);
         }
+        for process in &mut members.processes {
+            process.wait_for_output("start name=", 1)?;
+        }
+        Ok(members)
     }
-    for n in 0..members {
-        let seen_from_n = |k: usize| match all.proxies.get(&(n, k)) {
-            Some(proxy) => proxy.addr,
-            None => ports[k][1],
-        };
-        let member = |k: usize| schema::GroupMember {
-            name: name(k),
-            site: String::new(),
-            address: seen_from_n(k).to_string(),
-            folder: folder.join(format!("disk-{k}")).display().to_string(),
+
+    async fn open_proxies(&mut self) -> io::Result<()> {
+        let count = self.ports.len();
+        for from in 0..count {
+            for to in (0..count).filter(|to| *to != from) {
+                let proxy = Proxy::open(1).await?;
+                proxy.set_target(Some(self.ports[to].peers));
+                self.proxies.insert((from, to), proxy);
+            }
+        }
+        Ok(())
+    }
+
+    fn start_member(
+        &self,
+        n: usize,
+        agent: SocketAddr,
+        paths: &Paths,
+    ) -> io::Result<MeasuredProcess> {
+        let group = self.folder.join(format!("{n}.txtpb"));
+        fs::write(&group, schema::to_text(&self.configuration(n)))?;
+        let node = self.folder.join(format!("{n}.json"));
+        let front = self.ports[n].front;
+        let settings = settings::node(&name(n), front, agent, 1, SOCKETS, limits::REQUESTS);
+        fs::write(&node, settings.to_string())?;
+        let mut command = Command::new(program("rainstand-node", paths.programs.as_deref())?);
+        command
+            .env("ROUTER_CONFIG", &node)
+            .env("RAINSTAND_SETTINGS", &group);
+        MeasuredProcess::start(command, &self.folder.join(format!("{n}.log")))
+    }
+
+    /// The group as member `n` sees it: the others through its own links to them.
+    fn configuration(&self, n: usize) -> Configuration {
+        let member = |k: usize| {
+            let proxy = self.proxies.get(&(n, k));
+            let address = proxy.map_or(self.ports[k].peers, |proxy| proxy.addr);
+            schema::GroupMember {
+                name: name(k),
+                site: String::new(),
+                address: address.to_string(),
+                folder: disk_of(&self.folder, k),
+            }
         };
         let group = schema::Group {
             name: "scale".into(),
             shards: SHARDS.into(),
-            copies: COPIES as u64,
-            heartbeat_ns: HEARTBEAT.as_nanos() as u64,
-            election_least_ns: ELECTION[0].as_nanos() as u64,
-            election_most_ns: ELECTION[1].as_nanos() as u64,
+            copies: REPLICAS_PER_SHARD as u64,
+            heartbeat_ns: HEARTBEAT_INTERVAL.as_nanos() as u64,
+            election_least_ns: ELECTION_TIMEOUTS[0].as_nanos() as u64,
+            election_most_ns: ELECTION_TIMEOUTS[1].as_nanos() as u64,
             commit_wait_ns: 0,
             keys: 1_000_000,
             moves: 2,
             testing: false,
-            members: (0..members).map(member).collect(),
+            members: (0..self.ports.len()).map(member).collect(),
             start_within_ns: 1_000_000_000,
             come_back_ns: 500_000_000,
         };
-        let configuration = Configuration {
+        Configuration {
             version: schema::VERSION,
             groups: vec![group],
             ..Configuration::default()
-        };
-        let (node, group) = (
-            folder.join(format!("{n}.json")),
-            folder.join(format!("{n}.txtpb")),
-        );
-        fs::write(&group, schema::to_text(&configuration))?;
-        fs::write(
-            &node,
-            settings::node(&name(n), ports[n][0], agent, 1, 1_024, limits::REQUESTS).to_string(),
-        )?;
-        let mut command = Command::new(program("rainstand-node", place.programs.as_deref())?);
-        command
-            .env("ROUTER_CONFIG", &node)
-            .env("RAINSTAND_SETTINGS", &group);
-        all.processes
-            .push(Counted::start(command, &folder.join(format!("{n}.log")))?);
-    }
-    for process in &mut all.processes {
-        process.says("start name=", 1)?;
+        }
     }
-    Ok(all)
-}
 
-impl Members {
-    async fn ask(&self, n: usize, question: &str) -> io::Result<serde_json::Value> {
-        let asked = async {
-            let mut stream = TcpStream::connect(self.peers[n]).await?;
-            stream
-                .write_all(&with_length_prefix(&status::encode_question(question)))
-                .await?;
+    /// What a member reports of this subject.
+    async fn status(&self, n: usize, subject: &str) -> io::Result<serde_json::Value> {
+        let request = async {
+            let mut stream = TcpStream::connect(self.ports[n].peers).await?;
+            let request = with_length_prefix(&status::encode_question(subject));
+            stream.write_all(&request).await?;
             let mut head = [0; 4];
             stream.read_exact(&mut head).await?;
-            let mut body = vec![0; (u32::from_be_bytes(head) as usize).min(16 << 20)];
+            let length = u32::from_be_bytes(head) as usize;
+            let mut body = vec![0; length.min(MAX_STATUS_BYTES)];
             stream.read_exact(&mut body).await?;
             io::Result::Ok(serde_json::from_slice(&body)?)
         };
-        timeout(TELLS, asked).await?
+        timeout(STATUS_TIMEOUT, request).await?
     }
 
-    async fn forms(&self) -> io::Result<()> {
-        let until = Instant::now() + FORMS;
+    async fn wait_for_leaders(&self) -> io::Result<()> {
+        let deadline = Instant::now() + ELECTION_DEADLINE;
         loop {
             let mut led = 0;
-            for n in 0..self.peers.len() {
-                led += self
-                    .ask(n, "status")
-                    .await
-                    .map_or(0, |told| told["leads"].as_u64().unwrap_or(0));
+            for n in 0..self.ports.len() {
+                let status = self.status(n, "status").await.unwrap_or_default();
+                led += status["leads"].as_u64().unwrap_or(0);
             }
             if led >= SHARDS.into() {
                 return Ok(());
             }
-            if Instant::now() > until {
-                return Err(io::Error::new(
-                    io::ErrorKind::TimedOut,
-                    format!("{led} of {SHARDS} shards are led"),
-                ));
+            if Instant::now() > deadline {
+                let reason = format!("{led} of {SHARDS} shards are led");
+                return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
             }
-            sleep(Duration::from_millis(50)).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Bytes that all members sent on their links so far, by their own count.
     async fn sent(&self) -> io::Result<u64> {
         let mut sum = 0;
-        for n in 0..self.peers.len() {
-            let told = self.ask(n, "members").await?;
-            let peers = told["peers"].as_array().cloned().unwrap_or_default();
-            sum += peers
-                .iter()
-                .filter_map(|peer| peer["sent_bytes"].as_u64())
-                .sum::<u64>();
+        for n in 0..self.ports.len() {
+            let status = self.status(n, "members").await?;
+            let peers = status["peers"].as_array().cloned().unwrap_or_default();
+            let sent = peers.iter().filter_map(|peer| peer["sent_bytes"].as_u64());
+            sum += sent.sum::<u64>();
         }
         Ok(sum)
     }
 
     fn frames(&self) -> u64 {
-        self.proxies
-            .values()
-            .map(|proxy| proxy.whole_frames.get())
-            .sum()
+        let proxies = self.proxies.values();
+        proxies.map(|proxy| proxy.whole_frames.get()).sum()
     }
 
     fn cpu(&self) -> io::Result<Vec<Duration>> {
-        self.processes.iter().map(Counted::cpu).collect()
+        self.processes.iter().map(MeasuredProcess::cpu).collect()
+    }
+
+    /// The most of any member.
+    fn most(&self, of: impl Fn(&MeasuredProcess) -> io::Result<f64>) -> io::Result<f64> {
+        let mut most = 0.0;
+        for process in &self.processes {
+            most = f64::max(most, of(process)?);
+        }
+        Ok(most)
+    }
+
+    /// Watches the members for a while, which rest.
+    async fn measure(&self, formed: f64, window: Duration) -> io::Result<Measurements> {
+        let (sent, frames, cpu) = (self.sent().await?, self.frames(), self.cpu()?);
+        let started = Instant::now();
+        sleep(window).await;
+        let seconds = started.elapsed().as_secs_f64();
+        let (frames_now, cpu_now) = (self.frames(), self.cpu()?);
+        let used = cpu_now.iter().zip(&cpu);
+        let used: Vec<f64> = used
+            .map(|(now, then)| now.saturating_sub(*then).as_secs_f64() / seconds)
+            .collect();
+        let sent_now = self.sent().await?;
+        Ok(Measurements {
+            frames: (frames_now - frames) as f64 / seconds,
+            bytes: (sent_now - sent) as f64 / started.elapsed().as_secs_f64(),
+            formed,
+            cpu: used.iter().sum(),
+            worst_cpu: used.into_iter().fold(0.0, f64::max),
+            own: self.most(MeasuredProcess::private_memory)?,
+            descriptors: self.most(|process| Ok(process.descriptors()? as f64))?,
+        })
     }
 }
 
+fn disk_of(folder: &Path, member: usize) -> String {
+    let disk = folder.join(format!("disk-{member}"));
+    disk.display().to_string()
+}
+
 /// Starts members, waits until they rest, and watches them for a while.
-async fn at_rest(
+async fn measure_at_rest(
     members: usize,
-    counted: bool,
+    counts_frames: bool,
     window: Duration,
     agent: SocketAddr,
-    place: &Place,
-) -> io::Result<Seen> {
-    let mut started = Err(io::Error::other("no try"));
-    for _ in 0..PORTS {
-        started = start(members, counted, agent, place).await;
-        if started.is_ok() {
+    paths: &Paths,
+) -> io::Result<Measurements> {
+    let mut group = Err(io::Error::other("no try"));
+    for _ in 0..PORT_ATTEMPTS {
+        group = Members::start(members, counts_frames, agent, paths).await;
+        if group.is_ok() {
             break;
         }
     }
-    let all = started?;
-    let began = Instant::now();
-    all.forms().await?;
-    let formed = began.elapsed().as_secs_f64();
-    sleep(SETTLES).await;
-    let (sent, frames, cpu, began) = (all.sent().await?, all.frames(), all.cpu()?, Instant::now());
-    sleep(window).await;
-    let seconds = began.elapsed().as_secs_f64();
-    let (frames_now, cpu_now) = (all.frames(), all.cpu()?);
-    let used: Vec<f64> = cpu_now
-        .iter()
-        .zip(&cpu)
-        .map(|(now, then)| now.saturating_sub(*then).as_secs_f64() / seconds)
-        .collect();
-    let sent_now = all.sent().await?;
-    let most = |all: Vec<f64>| all.into_iter().fold(0.0, f64::max);
-    let own = all
-        .processes
-        .iter()
-        .map(Counted::own)
-        .collect::<io::Result<Vec<_>>>()?;
-    let fds = all
-        .processes
-        .iter()
-        .map(|p| Ok(p.descriptors()? as f64))
-        .collect::<io::Result<Vec<_>>>()?;
-    Ok(Seen {
-        frames: (frames_now - frames) as f64 / seconds,
-        bytes: (sent_now - sent) as f64 / began.elapsed().as_secs_f64(),
-        formed,
-        cpu: used.iter().sum(),
-        worst_cpu: most(used),
-        own: most(own),
-        descriptors: most(fds),
-    })
+    let group = group?;
+    let started = Instant::now();
+    group.wait_for_leaders().await?;
+    let formed = started.elapsed().as_secs_f64();
+    sleep(SETTLE_TIME).await;
+    group.measure(formed, window).await
 }
 
-fn wait<T>(what: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
+fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, what)
+    LocalSet::new().block_on(&runtime, future)
 }
 
 /// A hollow group beside as many processes, each at rest, of all members together.
 #[derive(Clone, Copy, Debug)]
-pub struct Compared {
-    pub hollow: hollow::Seen,
+pub struct Comparison {
+    /// What the hollow group came to.
+    pub hollow: hollow::Measurements,
+    /// For how long each of them was watched.
     pub window: Duration,
-    pub real: Seen,
+    /// What the processes came to.
+    pub real: Measurements,
+}
+
+/// One quantity of both.
+#[derive(Clone, Copy, Debug)]
+pub struct ComparedQuantity {
+    /// What it is.
+    pub what: &'static str,
+    /// Of the hollow group.
+    pub hollow: f64,
+    /// Of the processes.
+    pub real: f64,
 }
 
-impl Compared {
-    /// What is compared, of the hollow group and of the processes.
-    pub fn all(&self) -> [(&'static str, f64, f64); 4] {
+impl Comparison {
+    /// All quantities that are compared.
+    pub fn quantities(&self) -> [ComparedQuantity; 4] {
         let seconds = self.window.as_secs_f64();
+        let (hollow, real) = (&self.hollow, &self.real);
+        let quantity = |what, hollow, real| ComparedQuantity { what, hollow, real };
         [
-            (
+            quantity(
                 "frames a second",
-                self.hollow.rest.frames as f64 / seconds,
-                self.real.frames,
+                hollow.rest.frames as f64 / seconds,
+                real.frames,
             ),
-            (
+            quantity(
                 "bytes a second",
-                self.hollow.rest.bytes as f64 / seconds,
-                self.real.bytes,
+                hollow.rest.bytes as f64 / seconds,
+                real.bytes,
             ),
-            (
+            quantity(
                 "processor time, without sockets against with",
-                self.hollow.cpu.as_secs_f64() / seconds,
-                self.real.cpu,
+                hollow.cpu.as_secs_f64() / seconds,
+                real.cpu,
             ),
-            (
+            quantity(
                 "time until each shard is led",
-                self.hollow.formed.as_secs_f64(),
-                self.real.formed,
+                hollow.formed.as_secs_f64(),
+                real.formed,
             ),
         ]
     }
@@ -300,167 +359,129 @@
 ///
 /// # Errors
 /// What could not be started.
-pub fn compare(members: usize, window: Duration, place: &Place) -> io::Result<Compared> {
-    let agent = agent()?;
-    let real = wait(at_rest(members, true, window, agent, place))?;
-    Ok(Compared {
-        hollow: hollow::watch(&Spec::of(members, window))?,
+pub fn compare(members: usize, window: Duration, paths: &Paths) -> io::Result<Comparison> {
+    let agent = serve_agent()?;
+    let real = block_on(measure_at_rest(members, true, window, agent, paths))?;
+    Ok(Comparison {
+        hollow: hollow::watch(&GroupSpec::of(members, window))?,
         window,
         real,
     })
 }
 
+/// All rows of groups.
+///
 /// # Errors
 /// What could not be started.
-pub fn rows(sizes: &Sizes, effort: &Effort, place: &Place) -> io::Result<Vec<Row>> {
-    let agent = agent()?;
-    let mut seen = Vec::new();
-    for members in &effort.members {
-        seen.push((
-            *members as f64,
-            wait(at_rest(*members, false, effort.window, agent, place))?,
-        ));
+pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
+    let agent = serve_agent()?;
+    let mut groups = Vec::new();
+    for members in effort.members.iter().copied() {
+        let group = measure_at_rest(members, false, effort.window, agent, paths);
+        groups.push((members as f64, block_on(group)?));
     }
+    let mut rows = rows_at_rest(sizes, &groups);
+    rows.push(largest_group_row(sizes));
+    let members = effort.members.get(1).copied().unwrap_or(5);
+    rows.extend(comparison_rows(members, effort, paths)?);
+    Ok(rows)
+}
+
+/// Rows of groups by their number of members.
+fn rows_at_rest(sizes: &Sizes, groups: &[(f64, Measurements)]) -> Vec<Row> {
     let nodes = sizes.nodes as f64;
-    let points = |of: fn(&Seen) -> f64| {
-        seen.iter()
-            .map(|(n, seen)| (*n, of(seen)))
-            .collect::<Vec<_>>()
+    let points = |of: &dyn Fn(&Measurements) -> f64| -> Vec<(f64, f64)> {
+        groups.iter().map(|(n, group)| (*n, of(group))).collect()
     };
-    let named = |what, unit, limit, note| Named {
-        role: "node",
-        what,
-        unit,
-        by: "members",
-        limit,
-        note,
-        counted: false,
+    let of_node = |what, unit| Quantity::new("node", what, unit, "members");
+    let row = |quantity: &Quantity<'_>, points: &[(f64, f64)], times: f64| {
+        Row::fitted(quantity, points, nodes, Growth::Linear, times)
     };
-    let first = seen.first().map_or(0.0, |(_, seen)| seen.own);
-    let own: Vec<(f64, f64)> = seen
-        .iter()
-        .map(|(n, seen)| (*n, seen.own - first))
-        .collect();
+    let smallest = groups.first().map_or(0.0, |(_, group)| group.own);
     let links = "crates/cluster/src/transport.rs, each linked to each";
-    let mut rows = vec![
-        Row::fitted(
-            &named(
-                "group at rest, 16 shards: processor time a member",
-                "% of a core",
-                Some(limits::CONTROL_CPU),
-                links,
-            ),
-            &points(|s| s.cpu),
-            nodes,
-            Grows::Line,
-            100.0 / nodes,
-        ),
-        Row::fitted(
-            &named(
-                "group at rest, 16 shards: bytes a second that a member sends",
-                "B/s",
-                Some(limits::CONTROL_BYTES),
-                links,
-            ),
-            &points(|s| s.bytes),
-            nodes,
-            Grows::Line,
-            1.0 / nodes,
-        ),
-        Row::fitted(
-            &named(
-                "group: memory of a member above three",
-                "MB",
-                Some(limits::CONTROL_MB),
-                links,
-            ),
-            &own,
-            nodes,
-            Grows::Line,
-            1e-6,
-        ),
-        Row::fitted(
-            &named(
-                "group: descriptors of a member",
-                "descriptors",
-                Some(1_024.0),
-                "links there and back; limits.sockets of examples/config.json",
-            ),
-            &points(|s| s.descriptors),
-            nodes,
-            Grows::Line,
-            1.0,
-        ),
-    ];
-    rows.push(most_members(sizes));
-    let members = effort.members.get(1).copied().unwrap_or(5);
-    for (what, hollow, real) in compare(members, effort.window, place)?.all() {
+    let time = of_node(
+        "group at rest, 16 shards: processor time a member",
+        "% of a core",
+    )
+    .limit(limits::CONTROL_CPU)
+    .note(links);
+    let bytes = of_node(
+        "group at rest, 16 shards: bytes a second that a member sends",
+        "B/s",
+    )
+    .limit(limits::CONTROL_BYTES)
+    .note(links);
+    let memory = of_node("group: memory of a member above three", "MB")
+        .limit(limits::CONTROL_MB)
+        .note(links);
+    let descriptors = of_node("group: descriptors of a member", "descriptors")
+        .limit(SOCKETS as f64)
+        .note("links there and back; limits.sockets of examples/config.json");
+    vec![
+        row(&time, &points(&|group| group.cpu), 100.0 / nodes),
+        row(&bytes, &points(&|group| group.bytes), 1.0 / nodes),
+        row(&memory, &points(&|group| group.own - smallest), 1e-6),
+        row(&descriptors, &points(&|group| group.descriptors), 1.0),
+    ]
+}
+
+/// How far a hollow group is from as many processes.
+fn comparison_rows(members: usize, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
+    let comparison = compare(members, effort.window, paths)?;
+    let row = |compared: ComparedQuantity| {
+        let ComparedQuantity { what, hollow, real } = compared;
         let what = format!("hollow group against as many processes: {what}");
         let note = format!(
             "hollow {}, processes {}; their frames are counted by crates/testbed/src/proxy.rs",
-            super::table::figure(hollow),
-            super::table::figure(real)
+            table::figure(hollow),
+            table::figure(real)
+        );
+        let quantity = Quantity::new("check", &what, "times", "members").note(&note);
+        let size = members as f64;
+        Row::plain(&quantity, size, size, Some(hollow / real))
+    };
+    Ok(comparison.quantities().map(row).into())
+}
+
+/// Whether the checker accepts a group of so many members.
+fn is_accepted(members: usize) -> bool {
+    let mut text = "rain 1\ngroup g {\n".to_owned();
+    for k in 0..members {
+        let (high, low) = (k / 250, k % 250 + 1);
+        // Writing to a string cannot fail.
+        let _ = writeln!(
+            text,
+            "  member n{k} {{ address: \"10.0.{high}.{low}:5050\"; folder: \"/d\" }}"
         );
-        let named = Named {
-            role: "check",
-            what: &what,
-            unit: "times",
-            by: "members",
-            limit: None,
-            note: &note,
-            counted: false,
-        };
-        rows.push(Row::plain(
-            &named,
-            members as f64,
-            members as f64,
-            Some(hollow / real),
-        ));
     }
-    Ok(rows)
+    text.push_str("}\n");
+    let outcome = rainstand_config::load(&Memory::new([("a.rain", text)]), "a.rain");
+    outcome.configuration.is_some()
 }
 
-/// The most members that the checker takes, by trying.
-fn most_members(sizes: &Sizes) -> Row {
-    let takes = |members: usize| {
-        let mut text = "rain 1\ngroup g {\n".to_owned();
-        for k in 0..members {
-            text.push_str(&format!(
-                "  member n{k} {{ address: \"10.0.{}.{}:5050\"; folder: \"/d\" }}\n",
-                k / 250,
-                k % 250 + 1
-            ));
-        }
-        text.push_str("}\n");
-        rainstand_config::load(&Memory::new([("a.rain", text)]), "a.rain")
-            .configuration
-            .is_some()
-    };
-    // The most that is taken lies between one that is and one that is not.
-    let (mut least, mut most) = (3, sizes.nodes.max(4));
-    if takes(most) {
-        least = most;
+/// The most members that the checker accepts, found by halving.
+fn largest_group_row(sizes: &Sizes) -> Row {
+    let (mut accepted, mut refused) = (3, sizes.nodes.max(4));
+    if is_accepted(refused) {
+        accepted = refused;
     }
-    while most - least > 1 {
-        let middle = least.midpoint(most);
-        if takes(middle) {
-            least = middle;
+    while refused - accepted > 1 {
+        let middle = accepted.midpoint(refused);
+        if is_accepted(middle) {
+            accepted = middle;
         } else {
-            most = middle;
+            refused = middle;
         }
     }
-    Row::plain(
-        &Named {
-            role: "node",
-            what: "one group of all nodes: members",
-            unit: "members",
-            by: "members",
-            limit: Some(least as f64),
-            note: "what `config check` takes, found by trying; crates/config/src/resolve/group.rs",
-            counted: true,
-        },
-        sizes.nodes as f64,
-        sizes.nodes as f64,
-        Some(sizes.nodes as f64),
+    let nodes = sizes.nodes as f64;
+    let quantity = Quantity::new(
+        "node",
+        "one group of all nodes: members",
+        "members",
+        "members",
     )
+    .limit(accepted as f64)
+    .note("what `config check` takes, found by trying; crates/config/src/resolve/group.rs")
+    .counted();
+    Row::plain(&quantity, nodes, nodes, Some(nodes))
 }
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -7,29 +7,31 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// For a process to say what it is waited for.
-pub const SAYS: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(2);
+/// For a process to write what it is waited for.
+pub const OUTPUT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Between two looks at a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The system's unit in `stat`.
-const TICK: Duration = Duration::from_millis(10);
-const PAGE: u64 = 4_096;
+const CLOCK_TICK: Duration = Duration::from_millis(10);
+/// A page of memory.
+const PAGE_BYTES: u64 = 4_096;
 
-/// A child; its end is this one's end.
-pub struct Counted {
+/// A child whose time and memory are read; it ends with this process.
+pub struct MeasuredProcess {
     child: Child,
     pid: Pid,
     log: PathBuf,
 }
 
-impl Drop for Counted {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Counted {
-    /// All it says goes to `log`, which begins empty.
+impl MeasuredProcess {
+    /// Starts a child; all its output goes to `log`, which begins empty.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -53,22 +55,23 @@
         })
     }
 
-    pub fn said(&self) -> String {
+    /// What it has written so far.
+    pub fn output(&self) -> String {
         String::from_utf8_lossy(&fs::read(&self.log).unwrap_or_default()).into_owned()
     }
 
-    /// Waits until lines with `word` were said `times` times.
+    /// Waits until it has written `word` so many times.
     ///
     /// # Errors
-    /// With what it said, if it ended or took too long.
-    pub fn says(&mut self, word: &str, times: usize) -> io::Result<()> {
-        let until = Instant::now() + SAYS;
+    /// With what it wrote last, if it ended or took too long.
+    pub fn wait_for_output(&mut self, word: &str, times: usize) -> io::Result<()> {
+        let until = Instant::now() + OUTPUT_TIMEOUT;
         loop {
-            if self.said().matches(word).count() >= times {
+            if self.output().matches(word).count() >= times {
                 return Ok(());
             }
             if let Some(status) = self.child.try_wait()? {
-                let said = self.said();
+                let said = self.output();
                 let last = said.lines().last().unwrap_or("nothing was said").to_owned();
                 return Err(io::Error::new(
                     io::ErrorKind::BrokenPipe,
@@ -81,12 +84,13 @@
                     format!("`{word}` was not said"),
                 ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
+    /// Sends a signal; none is needed by a process that has ended.
     pub fn signal(&self, signal: Signal) {
-        // Whoever is gone needs no signal; its number is its own until it was waited for.
+        // Its number is its own until it was waited for.
         let _ = kill_process(self.pid, signal);
     }
 
@@ -113,7 +117,8 @@
         self.ticks()
     }
 
-    /// Of all threads, also those that ended, to 10 ms; also of a process that ended and was not waited for.
+    /// Processor time of all threads, also those that ended, to 10 ms; also of a process that ended and was not waited
+    /// for.
     ///
     /// # Errors
     /// If the process is gone.
@@ -130,7 +135,7 @@
             .iter()
             .filter_map(|k| fields.get(*k)?.parse::<u32>().ok())
             .sum::<u32>();
-        Ok(TICK * ticks)
+        Ok(CLOCK_TICK * ticks)
     }
 
     /// Bytes in memory.
@@ -144,15 +149,15 @@
             .nth(1)
             .and_then(|n| n.parse::<u64>().ok())
             .unwrap_or(0);
-        Ok((pages * PAGE) as f64)
+        Ok((pages * PAGE_BYTES) as f64)
     }
 
     /// Bytes of memory that are of no file: what a further process of the same program would take again.
     ///
     /// # Errors
     /// If the process is gone.
-    pub fn own(&self) -> io::Result<f64> {
-        Ok(kb(&self.proc("smaps_rollup")?, "Pss_Anon:"))
+    pub fn private_memory(&self) -> io::Result<f64> {
+        Ok(kilobytes(&self.proc("smaps_rollup")?, "Pss_Anon:"))
     }
 
     /// Open descriptors.
@@ -163,41 +168,56 @@
         Ok(fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
-    /// Waits for its end: its processor time and the most memory that was seen.
+    /// Waits for its end; what it used until then.
     ///
     /// # Errors
     /// If it does not end well, or takes too long.
-    pub fn ends(mut self) -> io::Result<(Duration, f64)> {
-        let until = Instant::now() + SAYS;
-        let (mut cpu, mut most) = (Duration::ZERO, 0f64);
+    pub fn wait_for_end(mut self) -> io::Result<Usage> {
+        let deadline = Instant::now() + OUTPUT_TIMEOUT;
+        let mut usage = Usage::default();
         loop {
             // A process that has ended keeps its times until it was waited for, but no memory.
-            cpu = cpu
+            usage.cpu = usage
+                .cpu
                 .max(self.cpu().unwrap_or_default())
                 .max(self.ticks().unwrap_or_default());
-            most = most.max(kb(&self.proc("status").unwrap_or_default(), "VmHWM:"));
+            let status = self.proc("status").unwrap_or_default();
+            usage.peak_memory = usage.peak_memory.max(kilobytes(&status, "VmHWM:"));
             if let Some(status) = self.child.try_wait()? {
                 return if status.success() {
-                    Ok((cpu, most))
+                    Ok(usage)
                 } else {
-                    Err(io::Error::other(format!("{status}: {:.300}", self.said())))
+                    Err(io::Error::other(format!(
+                        "{status}: {:.300}",
+                        self.output()
+                    )))
                 };
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(io::Error::new(io::ErrorKind::TimedOut, "did not end"));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-fn kb(text: &str, key: &str) -> f64 {
+/// A figure of a file of `/proc` that is in kilobytes, in bytes.
+fn kilobytes(text: &str, key: &str) -> f64 {
     let line = text.lines().find_map(|line| line.strip_prefix(key));
     line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok())
         .unwrap_or(0.0)
         * 1_024.0
 }
 
+/// What a process used until its end.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Usage {
+    /// Its processor time.
+    pub cpu: Duration,
+    /// The most memory that was seen, in bytes.
+    pub peak_memory: f64,
+}
+
 /// Processor time of this thread.
 pub fn own_cpu() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -1,10 +1,10 @@
 //! `rainstand-node` as a process: by tenants, by connections, by requests.
 
-use super::fit::Grows;
-use super::measure::Counted;
-use super::{limits, settings, Effort, Named, Place, Row, Sizes};
+use super::fit::Growth;
+use super::measure::MeasuredProcess;
+use super::{limits, settings, Effort, Paths, Quantity, Row, Sizes};
 use crate::process::{free_port, program};
-use rainstand_protocol::thrift;
+use rainstand_protocol::thrift::{self, What};
 use rainstand_test_servers::node::Make;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -15,40 +15,47 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Of one request, and of a connection's opening.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Descriptors that this process may have open for idle connections, at most.
-const SPARE: u64 = 200;
-/// Runs of requests, of which the cheapest counts.
-const TURNS: usize = 3;
-/// Tries at a port that another process took meanwhile.
-const PORTS: usize = 5;
+/// For one request, and for a connection to open.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Between two requests to a node that serves none yet.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Descriptors that this process keeps back from idle connections.
+const RESERVED_DESCRIPTORS: u64 = 200;
+/// Descriptors that a node may have, by its file; where connections are counted, and elsewhere.
+const MANY_SOCKETS: usize = 20_000;
+const SOCKETS: usize = 1_024;
+/// Repetitions of a run of requests, of which the cheapest counts.
+const REPETITIONS: usize = 3;
+/// Attempts at a port: another process may have taken it meanwhile.
+const PORT_ATTEMPTS: usize = 5;
+/// The longest answer that is read.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// An agent on a thread of its own that finishes each launch at once with its own body.
+/// An agent on a thread of its own that finishes each launch at once with its own body; where it listens.
 ///
 /// # Errors
 /// If it cannot listen.
-pub fn agent() -> io::Result<SocketAddr> {
+pub fn serve_agent() -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let addr = listener.local_addr()?;
+    let address = listener.local_addr()?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
                 // A link that breaks is the node's to open again.
-                let _ = serve(stream);
+                let _ = serve_link(stream);
             });
         }
     });
-    Ok(addr)
+    Ok(address)
 }
 
-fn serve(mut stream: TcpStream) -> io::Result<()> {
+fn serve_link(mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let lines = BufReader::new(stream.try_clone()?).lines();
     let mut offset = 0;
     for line in lines {
         let command: Value = serde_json::from_str(&line?)?;
-        let told = match command["cmd"].as_str() {
+        let reply = match command["cmd"].as_str() {
             Some("subscribe") => {
                 json!({"cmd": "greeting", "result": "running", "elapsed_ms": 60_000})
             }
@@ -62,57 +69,90 @@
             }
             _ => continue,
         };
-        stream.write_all(format!("{told}\n").as_bytes())?;
+        stream.write_all(format!("{reply}\n").as_bytes())?;
     }
     Ok(())
 }
 
 /// A running node and its file.
 struct Node {
-    process: Counted,
-    addr: SocketAddr,
+    process: MeasuredProcess,
+    address: SocketAddr,
     path: PathBuf,
     agent: SocketAddr,
 }
 
-fn start(tenants: usize, sockets: usize, agent: SocketAddr, place: &Place) -> io::Result<Node> {
-    let mut last = io::Error::other("no try");
-    for _ in 0..PORTS {
-        let addr = free_port()?;
-        let path = place.folder.join("node.json");
-        fs::write(
-            &path,
-            settings::node("n1", addr, agent, tenants, sockets, limits::REQUESTS).to_string(),
-        )?;
-        let mut command = Command::new(program("rainstand-node", place.programs.as_deref())?);
-        command
-            .env("ROUTER_CONFIG", &path)
-            .env_remove("RAINSTAND_SETTINGS");
-        let mut process = Counted::start(command, &place.folder.join("node.log"))?;
-        match process.says("start name=", 1) {
-            Ok(()) => {
-                return Ok(Node {
-                    process,
-                    addr,
-                    path,
-                    agent,
-                })
+impl Node {
+    fn start(tenants: usize, sockets: usize, agent: SocketAddr, paths: &Paths) -> io::Result<Self> {
+        let mut last_error = io::Error::other("no try");
+        for _ in 0..PORT_ATTEMPTS {
+            let address = free_port()?;
+            let path = paths.folder.join("node.json");
+            let file = settings::node("n1", address, agent, tenants, sockets, limits::REQUESTS);
+            fs::write(&path, file.to_string())?;
+            let mut command = Command::new(program("rainstand-node", paths.programs.as_deref())?);
+            command
+                .env("ROUTER_CONFIG", &path)
+                .env_remove("RAINSTAND_SETTINGS");
+            let mut process = MeasuredProcess::start(command, &paths.folder.join("node.log"))?;
+            match process.wait_for_output("start name=", 1) {
+                Ok(()) => {
+                    return Ok(Self {
+                        process,
+                        address,
+                        path,
+                        agent,
+                    })
+                }
+                // Another process took the port meanwhile.
+                Err(error) => last_error = error,
             }
-            // Another process took the port meanwhile.
-            Err(why) => last = why,
         }
+        Err(last_error)
+    }
+
+    /// Until the agent has greeted, requests are rejected.
+    fn wait_until_served(&self) -> io::Result<()> {
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        let mut stream = connect(self.address)?;
+        let mut sequence = 0;
+        loop {
+            sequence += 1;
+            if send_request(&mut stream, sequence)? {
+                return Ok(());
+            }
+            if Instant::now() > deadline {
+                let reason = "a node honours nothing";
+                return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
+            }
+            std::thread::sleep(RETRY_DELAY);
+        }
+    }
+
+    /// Processor time of the cheapest of some reloads, each with another rate.
+    fn cheapest_reload(&mut self, tenants: usize, reloads: usize) -> io::Result<Duration> {
+        let mut cheapest = Duration::MAX;
+        for reload in 1..=reloads {
+            let rate = limits::REQUESTS + (reload % 2) as f64;
+            let file = settings::node("n1", self.address, self.agent, tenants, SOCKETS, rate);
+            fs::write(&self.path, file.to_string())?;
+            let before = self.process.cpu()?;
+            self.process.signal(Signal::HUP);
+            // The last of two lines that a reload writes.
+            self.process.wait_for_output("reload agent=", reload)?;
+            cheapest = cheapest.min(self.process.cpu()?.saturating_sub(before));
+        }
+        Ok(cheapest)
     }
-    Err(last)
 }
 
-/// Asks on a connection and waits for the answer; whether it was honoured.
-fn send_request(stream: &mut TcpStream, seq: i32) -> io::Result<bool> {
-    let trace = format!("{seq:016x}");
-    let born = SystemTime::now()
+/// Sends a request on a connection and waits for the answer; whether it was served.
+fn send_request(stream: &mut TcpStream, sequence: i32) -> io::Result<bool> {
+    let trace = format!("{sequence:016x}");
+    let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis()
-        .to_string();
+        .unwrap_or_default();
+    let born = unix.as_millis().to_string();
     let fields = [
         ("route", "check"),
         ("trace", trace.as_str()),
@@ -122,334 +162,294 @@
         ("size", "20"),
         ("order", "0.5"),
     ];
-    stream.write_all(&thrift::process(seq, &fields, &[7; 200]))?;
+    stream.write_all(&thrift::process(sequence, &fields, &[7; 200]))?;
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
-    let mut frame = vec![0; (u32::from_be_bytes(head) as usize).min(1 << 20)];
+    let length = u32::from_be_bytes(head) as usize;
+    let mut frame = vec![0; length.min(MAX_ANSWER_BYTES)];
     stream.read_exact(&mut frame)?;
-    Ok(
-        matches!(thrift::answered(&frame), Ok(told) if matches!(told.what, thrift::What::Answer { .. })),
-    )
+    let answered = thrift::answered(&frame);
+    Ok(answered.is_ok_and(|answered| matches!(answered.what, What::Answer { .. })))
 }
 
 fn connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
+    let stream = TcpStream::connect_timeout(&to, REQUEST_TIMEOUT)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Until the agent has greeted, tickets are turned away.
-fn warm(to: SocketAddr) -> io::Result<()> {
-    let (until, mut stream, mut seq) = (Instant::now() + PATIENCE, connect(to)?, 0);
-    loop {
-        seq += 1;
-        if send_request(&mut stream, seq)? {
-            return Ok(());
-        }
-        if Instant::now() > until {
-            return Err(io::Error::new(
-                io::ErrorKind::TimedOut,
-                "a node honours nothing",
-            ));
-        }
-        std::thread::sleep(Duration::from_millis(5));
-    }
-}
-
+/// All rows of nodes.
+///
 /// # Errors
 /// What could not be started or asked.
-pub fn rows(sizes: &Sizes, effort: &Effort, place: &Place) -> io::Result<Vec<Row>> {
-    let agent = agent()?;
-    let mut rows = by_tenants(sizes, effort, place, agent)?;
-    let at = |part: &'static str| {
-        move |why: io::Error| io::Error::new(why.kind(), format!("{part}: {why}"))
+pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
+    let agent = serve_agent()?;
+    let in_part = |part: &'static str| {
+        move |error: io::Error| io::Error::new(error.kind(), format!("{part}: {error}"))
     };
-    rows.extend(idle(sizes, effort, place, agent).map_err(at("connections at rest"))?);
-    rows.extend(by_requests(sizes, effort, place, agent).map_err(at("requests"))?);
+    let mut rows = rows_by_tenants(sizes, effort, paths, agent)?;
+    let idle = idle_rows(sizes, effort, paths, agent);
+    rows.extend(idle.map_err(in_part("connections at rest"))?);
+    let requests = rows_by_requests(sizes, effort, paths, agent);
+    rows.extend(requests.map_err(in_part("requests"))?);
     Ok(rows)
 }
 
-fn by_tenants(
+fn rows_by_tenants(
     sizes: &Sizes,
     effort: &Effort,
-    place: &Place,
+    paths: &Paths,
     agent: SocketAddr,
 ) -> io::Result<Vec<Row>> {
-    let base = start(1, 1_024, agent, place)?.process.rss()?;
-    let (mut rss, mut after, mut cpu, mut begins, mut files) =
-        (vec![], vec![], vec![], vec![], vec![]);
+    let base = Node::start(1, SOCKETS, agent, paths)?.process.rss()?;
+    let (mut start_rss, mut reloaded_rss) = (vec![], vec![]);
+    let (mut start_cpu, mut reload_cpu, mut file_bytes) = (vec![], vec![], vec![]);
     for part in &effort.parts {
         let tenants = ((sizes.tenants as f64 * part) as usize).max(1);
-        let x = tenants as f64;
-        let mut node = start(tenants, 1_024, agent, place)?;
-        rss.push((x, node.process.rss()? - base));
-        begins.push((x, node.process.cpu()?.as_secs_f64()));
-        files.push((x, fs::metadata(&node.path)?.len() as f64));
-        let mut least = Duration::MAX;
-        for k in 1..=effort.reloads {
-            let rate = limits::REQUESTS + (k % 2) as f64;
-            let text =
-                settings::node("n1", node.addr, node.agent, tenants, 1_024, rate).to_string();
-            fs::write(&node.path, text)?;
-            let before = node.process.cpu()?;
-            node.process.signal(Signal::HUP);
-            // It says both, and this one last.
-            node.process.says("reload agent=", k)?;
-            least = least.min(node.process.cpu()?.saturating_sub(before));
-        }
-        cpu.push((x, least.as_secs_f64()));
-        after.push((x, node.process.rss()? - base));
+        let size = tenants as f64;
+        let mut node = Node::start(tenants, SOCKETS, agent, paths)?;
+        start_rss.push((size, node.process.rss()? - base));
+        start_cpu.push((size, node.process.cpu()?.as_secs_f64()));
+        file_bytes.push((size, fs::metadata(&node.path)?.len() as f64));
+        let cheapest = node.cheapest_reload(tenants, effort.reloads)?;
+        reload_cpu.push((size, cheapest.as_secs_f64()));
+        reloaded_rss.push((size, node.process.rss()? - base));
     }
-    let note = "crates/node/src/reload.rs, crates/settings";
-    let named = |what, unit, limit| Named {
-        role: "node",
-        what,
-        unit,
-        by: "tenants",
-        limit,
-        note,
-        counted: false,
+    let of_node = |what, unit| {
+        Quantity::new("node", what, unit, "tenants")
+            .note("crates/node/src/reload.rs, crates/settings")
     };
-    let share = sizes.changes as f64 / limits::DAY_S * 100.0;
-    let tenants = sizes.tenants as f64;
-    let line = |named: Named<'_>, points: &[(f64, f64)], times: f64| {
-        Row::fitted(&named, points, tenants, Grows::Line, times)
+    let row = |quantity: Quantity<'_>, points: &[(f64, f64)], times: f64| {
+        let size = sizes.tenants as f64;
+        Row::fitted(&quantity, points, size, Growth::Linear, times)
     };
-    let mb = Some(limits::CONTROL_MB);
-    let core = Some(limits::CONTROL_CPU);
+    let percent_of_day = sizes.changes as f64 / limits::DAY_S * 100.0;
+    let memory = |what| of_node(what, "MB").limit(limits::CONTROL_MB);
+    let reload = of_node("each change read as a whole: processor time", "% of a core")
+        .limit(limits::CONTROL_CPU);
+    let mut file = row(of_node("its file", "MB"), &file_bytes, 1e-6);
+    // It is judged as a time is, though it is the same on every run.
+    file.counted = true;
     Ok(vec![
-        line(
-            named("memory after its start above one tenant", "MB", mb),
-            &rss,
+        row(
+            memory("memory after its start above one tenant"),
+            &start_rss,
             1e-6,
         ),
-        line(
-            named("memory after reloads above one tenant", "MB", mb),
-            &after,
+        row(
+            memory("memory after reloads above one tenant"),
+            &reloaded_rss,
             1e-6,
         ),
-        line(
-            named(
-                "each change read as a whole: processor time",
-                "% of a core",
-                core,
-            ),
-            &cpu,
-            share,
-        ),
-        line(named("processor time of a start", "ms", None), &begins, 1e3),
-        Row {
-            counted: true,
-            ..line(named("its file", "MB", None), &files, 1e-6)
-        },
+        row(reload, &reload_cpu, percent_of_day),
+        row(of_node("processor time of a start", "ms"), &start_cpu, 1e3),
+        file,
     ])
 }
 
 /// Descriptors that may be opened here.
-fn descriptors() -> usize {
+fn available_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    limit.current.unwrap_or(1 << 20).saturating_sub(SPARE) as usize
+    let limit = limit.current.unwrap_or(1 << 20);
+    limit.saturating_sub(RESERVED_DESCRIPTORS) as usize
 }
 
 /// Idle connections that each had a request, at a node and at a forwarder.
-fn idle(sizes: &Sizes, effort: &Effort, place: &Place, agent: SocketAddr) -> io::Result<Vec<Row>> {
-    let mut rows = Vec::new();
+fn idle_rows(
+    sizes: &Sizes,
+    effort: &Effort,
+    paths: &Paths,
+    agent: SocketAddr,
+) -> io::Result<Vec<Row>> {
+    let node = Node::start(1, MANY_SOCKETS, agent, paths)?;
+    node.wait_until_served()?;
+    let server = Server {
+        role: "node",
+        process: node.process,
+        address: node.address,
+        note: "crates/node/src/connections.rs",
+    };
+    let at_node = idle_row(sizes, effort, server)?;
     let behind = Make {
         forget_runs: true,
         ..Make::default()
     }
     .start();
-    for role in ["node", "forwarder"] {
-        let (mut points, mut open) = (Vec::new(), Vec::new());
-        let (process, addr) = if role == "node" {
-            let node = start(1, 20_000, agent, place)?;
-            warm(node.addr)?;
-            (node.process, node.addr)
-        } else {
-            forwarder(behind.addr, place)?
-        };
-        for idle in &effort.idle {
-            while open.len() < (*idle).min(descriptors()) {
-                let mut stream = connect(addr)?;
-                let asked = send_request(&mut stream, open.len() as i32 + 1_000);
-                asked.map_err(|why| {
-                    io::Error::new(
-                        why.kind(),
-                        format!("{role}, connection {}: {why}", open.len()),
-                    )
-                })?;
-                open.push(stream);
-            }
-            points.push((open.len() as f64, process.rss()?));
-        }
-        let held = process.descriptors()? >= open.len();
-        let mut row = Row::fitted(
-            &Named {
-                role,
-                what: "memory, a connection at rest from each caller",
-                unit: "MB",
-                by: "callers",
-                limit: None,
-                note: if role == "node" {
-                    "crates/node/src/connections.rs"
-                } else {
-                    "crates/forwarder/src/front.rs"
-                },
-                counted: false,
-            },
-            &points,
-            sizes.callers as f64,
-            Grows::Line,
-            1e-6,
-        );
-        if !held {
-            row.bends = Some("connections were closed while more were opened".into());
-            row.at_size = None;
+    let at_forwarder = idle_row(sizes, effort, start_forwarder(behind.addr, paths)?)?;
+    behind.end();
+    Ok(vec![at_node, at_forwarder])
+}
+
+/// A process that callers connect to.
+struct Server {
+    role: &'static str,
+    process: MeasuredProcess,
+    address: SocketAddr,
+    note: &'static str,
+}
+
+fn idle_row(sizes: &Sizes, effort: &Effort, server: Server) -> io::Result<Row> {
+    let Server {
+        role,
+        process,
+        address,
+        note,
+    } = server;
+    let (mut points, mut open) = (Vec::new(), Vec::new());
+    for idle in &effort.idle {
+        while open.len() < (*idle).min(available_descriptors()) {
+            let mut stream = connect(address)?;
+            let number = open.len();
+            send_request(&mut stream, number as i32 + 1_000).map_err(|error| {
+                let reason = format!("{role}, connection {number}: {error}");
+                io::Error::new(error.kind(), reason)
+            })?;
+            open.push(stream);
         }
-        rows.push(row);
+        points.push((open.len() as f64, process.rss()?));
     }
-    behind.end();
-    Ok(rows)
+    let are_held = process.descriptors()? >= open.len();
+    let what = "memory, a connection at rest from each caller";
+    let quantity = Quantity::new(role, what, "MB", "callers").note(note);
+    let callers = sizes.callers as f64;
+    let mut row = Row::fitted(&quantity, &points, callers, Growth::Linear, 1e-6);
+    if !are_held {
+        row.bends = Some("connections were closed while more were opened".into());
+        row.at_size = None;
+    }
+    Ok(row)
 }
 
 /// A forwarder before one member.
-fn forwarder(member: SocketAddr, place: &Place) -> io::Result<(Counted, SocketAddr)> {
+fn start_forwarder(member: SocketAddr, paths: &Paths) -> io::Result<Server> {
     let text = format!(
         "rain 1\ntype check {{ repeat: rerunnable; goal: 3 s; outer-limit: 7 s }}\n\
          tenant t0 {{ share: 50 % }}\n\
          pool p {{ member m {{ address: \"{member}\" }} }}\nroute r {{ to: p }}\n"
     );
-    let path = place.folder.join("front.rain");
+    let path = paths.folder.join("front.rain");
     fs::write(&path, text)?;
-    let mut command = Command::new(program("rainstand", place.programs.as_deref())?);
+    let mut command = Command::new(program("rainstand", paths.programs.as_deref())?);
     command
         .args(["forward", "--listen", "127.0.0.1:0", "--config"])
         .arg(&path);
-    let mut process = Counted::start(command, &place.folder.join("front.log"))?;
-    process.says("event=\"start\"", 1)?;
-    let said = process.said();
-    let at = said
-        .split("listen=")
-        .nth(1)
-        .and_then(|rest| rest.split_whitespace().next());
-    let at = at.and_then(|at| at.trim_matches('"').parse().ok());
-    Ok((
+    let mut process = MeasuredProcess::start(command, &paths.folder.join("front.log"))?;
+    process.wait_for_output("event=\"start\"", 1)?;
+    let output = process.output();
+    let after = output.split("listen=").nth(1);
+    let address = after.and_then(|after| after.split_whitespace().next());
+    let address = address.and_then(|address| address.trim_matches('"').parse().ok());
+    Ok(Server {
+        role: "forwarder",
         process,
-        at.ok_or_else(|| io::Error::other("a forwarder says no address"))?,
-    ))
+        address: address.ok_or_else(|| io::Error::other("a forwarder says no address"))?,
+        note: "crates/forwarder/src/front.rs",
+    })
 }
 
 /// What one run of requests came to.
-struct Asked {
+struct RequestRun {
     cpu: Duration,
     /// Until the answer, of 99 in 100.
-    late: Duration,
+    latency: Duration,
+}
+
+/// Which connection a request goes over.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Connections {
+    /// One for all requests.
+    Shared,
+    /// One for each.
+    OfItsOwn,
 }
 
-/// One request after the other: all on one connection, or each on its own.
-fn requests(node: &Node, many: usize, each_its_own: bool) -> io::Result<Asked> {
-    let mut kept = connect(node.addr)?;
-    send_request(&mut kept, 1)?;
+/// One request after the other.
+fn run_requests(node: &Node, count: usize, connections: Connections) -> io::Result<RequestRun> {
+    let mut shared = connect(node.address)?;
+    send_request(&mut shared, 1)?;
     let before = node.process.cpu()?;
-    let mut times = Vec::with_capacity(many);
-    for k in 0..many {
-        let began = Instant::now();
-        let honoured = if each_its_own {
-            send_request(&mut connect(node.addr)?, k as i32 + 2)?
-        } else {
-            send_request(&mut kept, k as i32 + 2)?
+    let mut times = Vec::with_capacity(count);
+    for k in 0..count {
+        let sequence = k as i32 + 2;
+        let started = Instant::now();
+        let is_served = match connections {
+            Connections::Shared => send_request(&mut shared, sequence)?,
+            Connections::OfItsOwn => send_request(&mut connect(node.address)?, sequence)?,
         };
-        times.push(began.elapsed());
-        if !honoured {
+        times.push(started.elapsed());
+        if !is_served {
             return Err(io::Error::other("a request was not honoured"));
         }
     }
     times.sort_unstable();
-    let late = times.get(many * 99 / 100).copied().unwrap_or_default();
-    Ok(Asked {
+    Ok(RequestRun {
         cpu: node.process.cpu()?.saturating_sub(before),
-        late,
+        latency: times.get(count * 99 / 100).copied().unwrap_or_default(),
     })
 }
 
 /// A handshake for each request against none: processor time at the node, and time added.
-fn by_requests(
+fn rows_by_requests(
     sizes: &Sizes,
     effort: &Effort,
-    place: &Place,
+    paths: &Paths,
     agent: SocketAddr,
 ) -> io::Result<Vec<Row>> {
-    let node = start(1, 1_024, agent, place)?;
-    warm(node.addr)?;
-    let (mut on_one, mut each, mut added) = (Vec::new(), Vec::new(), Vec::new());
-    for many in effort.requests.iter().copied() {
-        let (mut least_one, mut least_own) = (f64::INFINITY, f64::INFINITY);
-        for _ in 0..TURNS {
-            let (one, own) = (requests(&node, many, false)?, requests(&node, many, true)?);
-            least_one = least_one.min(one.cpu.as_secs_f64());
-            least_own = least_own.min(own.cpu.as_secs_f64());
-            added.push((
-                many as f64,
-                own.late.saturating_sub(one.late).as_secs_f64() * 1e3,
-            ));
+    let node = Node::start(1, SOCKETS, agent, paths)?;
+    node.wait_until_served()?;
+    let (mut shared_cpu, mut own_cpu, mut added) = (Vec::new(), Vec::new(), Vec::new());
+    for count in effort.requests.iter().copied() {
+        let size = count as f64;
+        let (mut cheapest_shared, mut cheapest_own) = (f64::INFINITY, f64::INFINITY);
+        for _ in 0..REPETITIONS {
+            let shared = run_requests(&node, count, Connections::Shared)?;
+            let own = run_requests(&node, count, Connections::OfItsOwn)?;
+            cheapest_shared = cheapest_shared.min(shared.cpu.as_secs_f64());
+            cheapest_own = cheapest_own.min(own.cpu.as_secs_f64());
+            let longer = own.latency.saturating_sub(shared.latency);
+            added.push((size, longer.as_secs_f64() * 1e3));
         }
-        on_one.push((many as f64, least_one));
-        each.push((many as f64, least_own));
+        shared_cpu.push((size, cheapest_shared));
+        own_cpu.push((size, cheapest_own));
     }
-    // Of a second, at this node's part of the fleet's requests.
-    let rate = limits::REQUESTS / sizes.nodes as f64;
-    let named = |what, unit, limit, note| Named {
-        role: "node",
-        what,
-        unit,
-        by: "requests",
-        limit,
-        note,
-        counted: false,
-    };
-    let core = |points: &[(f64, f64)], what| {
-        let note =
-            "the line's slope times the requests of a second; crates/node/src/connections.rs";
-        let mut row = Row::fitted(
-            &named(what, "% of a core", None, note),
-            points,
-            rate,
-            Grows::Line,
-            100.0,
-        );
-        // Of the requests of a second alone, without what a run of them costs once.
-        row.at_size = row
-            .slope
-            .filter(|_| row.bends.is_none())
-            .map(|slope| slope * rate);
-        row
-    };
-    let mut lates: Vec<f64> = added.iter().map(|p| p.1).collect();
-    lates.sort_unstable_by(f64::total_cmp);
-    let middle = lates.get(lates.len() / 2).copied();
-    let up_to = added.iter().map(|p| p.0).fold(0.0, f64::max);
-    let mut late = Row::plain(
-        &named(
-            "time added by a handshake for each request, 99 in 100",
-            "ms",
-            Some(limits::ADDED_MS),
-            "on loopback: add the network's way there and back; the median of all runs",
-        ),
-        up_to,
-        up_to,
-        middle,
-    );
-    late.points = added;
     Ok(vec![
-        core(
-            &on_one,
+        cpu_row(
+            sizes,
             "its part of the requests, connections kept: processor time",
+            &shared_cpu,
         ),
-        core(
-            &each,
+        cpu_row(
+            sizes,
             "its part of the requests, a handshake for each: processor time",
+            &own_cpu,
         ),
-        late,
+        added_latency_row(added),
     ])
 }
+
+/// Processor time of this node's part of the fleet's requests, in a second.
+fn cpu_row(sizes: &Sizes, what: &str, points: &[(f64, f64)]) -> Row {
+    let rate = limits::REQUESTS / sizes.nodes as f64;
+    let quantity = Quantity::new("node", what, "% of a core", "requests")
+        .note("the line's slope times the requests of a second; crates/node/src/connections.rs");
+    let mut row = Row::fitted(&quantity, points, rate, Growth::Linear, 100.0);
+    // Of the requests of a second alone, without what a run of them costs once.
+    let slope = row.slope.filter(|_| row.bends.is_none());
+    row.at_size = slope.map(|slope| slope * rate);
+    row
+}
+
+fn added_latency_row(added: Vec<(f64, f64)>) -> Row {
+    let mut times: Vec<f64> = added.iter().map(|point| point.1).collect();
+    times.sort_unstable_by(f64::total_cmp);
+    let median = times.get(times.len() / 2).copied();
+    let up_to = added.iter().map(|point| point.0).fold(0.0, f64::max);
+    let what = "time added by a handshake for each request, 99 in 100";
+    let quantity = Quantity::new("node", what, "ms", "requests")
+        .limit(limits::ADDED_MS)
+        .note("on loopback: add the network's way there and back; the median of all runs");
+    let mut row = Row::plain(&quantity, up_to, up_to, median);
+    row.points = added;
+    row
+}
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,9 +1,9 @@
-//! What a node is told at its start, with so many tenants.
+//! A node's file, with so many tenants.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Tenants have equal shares; no tier below and no announce service.
+/// Tenants with equal shares of this rate; no downstream tier and no service registry.
 pub fn node(
     name: &str,
     listen: SocketAddr,
--- a/crates/testbed/src/scale/table.rs
+++ b/crates/testbed/src/scale/table.rs
@@ -1,6 +1,6 @@
-//! Rows as people and programs read them.
+//! `rainstand-testbed scale`: its options, and rows as people and programs read them.
 
-use super::{measure, meet, Effort, Place, Row, Sizes};
+use super::{compare_predictions, measure, Effort, Paths, Row, Sizes};
 use clap::Args;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -10,36 +10,28 @@
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
-/// Sizes past which nothing here was thought through, and tenants past which a share has no step.
-const MOST: u64 = 1_000_000;
+/// The largest sizes that are taken.
+const MAX_SIZE: u64 = 1_000_000;
 
 /// `rainstand-testbed scale`.
 #[derive(Args, Clone)]
 pub struct Options {
-    /// One JSON object
-    #[arg(long, conflicts_with = "markdown")]
-    json: bool,
-    /// The head table of docs/CAPACITY.md
-    #[arg(long)]
-    markdown: bool,
-    /// Smaller sizes, within 50 s
-    #[arg(long)]
-    quick: bool,
-    /// Only what runs in this process and is the same on every run
-    #[arg(long)]
-    counts: bool,
-    #[arg(long, default_value_t = 630, value_parser = clap::value_parser!(u64).range(4..=MOST))]
+    #[command(flatten)]
+    format: FormatFlags,
+    #[command(flatten)]
+    effort: EffortFlags,
+    #[arg(long, default_value_t = 630, value_parser = clap::value_parser!(u64).range(4..=MAX_SIZE))]
     nodes: u64,
-    #[arg(long, default_value_t = 8_500, value_parser = clap::value_parser!(u64).range(1..=MOST))]
+    #[arg(long, default_value_t = 8_500, value_parser = clap::value_parser!(u64).range(1..=MAX_SIZE))]
     callers: u64,
-    #[arg(long, default_value_t = 490, value_parser = clap::value_parser!(u64).range(1..=MOST))]
+    #[arg(long, default_value_t = 490, value_parser = clap::value_parser!(u64).range(1..=MAX_SIZE))]
     services: u64,
-    #[arg(long, default_value_t = 5_400, value_parser = clap::value_parser!(u64).range(1..=MOST))]
+    #[arg(long, default_value_t = 5_400, value_parser = clap::value_parser!(u64).range(1..=MAX_SIZE))]
     routes: u64,
     #[arg(long, default_value_t = 23_000, value_parser = clap::value_parser!(u64).range(1..=900_000))]
     tenants: u64,
     /// Of configuration, a day
-    #[arg(long, default_value_t = 2_800, value_parser = clap::value_parser!(u64).range(1..=MOST))]
+    #[arg(long, default_value_t = 2_800, value_parser = clap::value_parser!(u64).range(1..=MAX_SIZE))]
     changes: u64,
     /// What an earlier run wrote with `--json`: its lines are held against what this one measures
     #[arg(long)]
@@ -52,20 +44,53 @@
     programs: Option<PathBuf>,
 }
 
+// No doc comments: they would become the subcommand's help.
+#[derive(Args, Clone)]
+struct FormatFlags {
+    /// One JSON object
+    #[arg(long, conflicts_with = "markdown")]
+    json: bool,
+    /// The head table of docs/CAPACITY.md
+    #[arg(long)]
+    markdown: bool,
+}
+
+#[derive(Args, Clone)]
+struct EffortFlags {
+    /// Smaller sizes, within 50 s
+    #[arg(long)]
+    quick: bool,
+    /// Only what runs in this process and is the same on every run
+    #[arg(long)]
+    counts: bool,
+}
+
+impl EffortFlags {
+    fn effort(&self) -> Effort {
+        if self.counts {
+            Effort::counts()
+        } else if self.quick {
+            Effort::quick()
+        } else {
+            Effort::full()
+        }
+    }
+}
+
 /// What is read of an earlier run.
 #[derive(Deserialize)]
-struct Earlier {
+struct EarlierRun {
     sizes: Sizes,
     rows: Vec<Row>,
 }
 
-fn read(path: &Path) -> io::Result<Earlier> {
+fn read(path: &Path) -> io::Result<EarlierRun> {
     let text = fs::read(path)
         .map_err(|why| io::Error::new(why.kind(), format!("{}: {why}", path.display())))?;
     Ok(serde_json::from_slice(&text)?)
 }
 
-fn fresh(options: &Options) -> io::Result<(Sizes, Vec<Row>)> {
+fn measure_now(options: &Options) -> io::Result<(Sizes, Vec<Row>)> {
     let sizes = Sizes {
         nodes: options.nodes as usize,
         callers: options.callers as usize,
@@ -74,22 +99,17 @@
         tenants: options.tenants as usize,
         changes: options.changes as usize,
     };
-    let effort = match (options.counts, options.quick) {
-        (true, _) => Effort::counts(),
-        (_, true) => Effort::quick(),
-        _ => Effort::full(),
-    };
-    // Wrong use is told before anything is measured.
+    // Wrong use is reported before anything is measured.
     if let Some(earlier) = &options.against {
         read(earlier)?;
     }
     let folder = tempfile::tempdir()?;
-    let place = Place {
+    let paths = Paths {
         programs: options.programs.clone(),
         folder: folder.path().to_owned(),
     };
-    let rows = measure(&sizes, &effort, &place, |part| {
-        eprintln!("measuring: {part}")
+    let rows = measure(&sizes, &options.effort.effort(), &paths, |part| {
+        eprintln!("measuring: {part}");
     })?;
     Ok((sizes, rows))
 }
@@ -101,22 +121,22 @@
 pub fn run(options: &Options) -> io::Result<bool> {
     let (sizes, rows) = match &options.from {
         Some(path) => read(path).map(|earlier| (earlier.sizes, earlier.rows))?,
-        None => fresh(options)?,
+        None => measure_now(options)?,
     };
     if let Some(earlier) = &options.against {
-        for met in meet(&read(earlier)?.rows, &rows) {
+        for prediction in compare_predictions(&read(earlier)?.rows, &rows) {
             eprintln!(
                 "{:.0} % off: {}: {}: at {} told {}, measured {}",
-                met.off() * 100.0,
-                met.role,
-                met.what,
-                figure(met.size),
-                figure(met.predicted),
-                figure(met.measured)
+                prediction.off() * 100.0,
+                prediction.role,
+                prediction.what,
+                figure(prediction.size),
+                figure(prediction.predicted),
+                figure(prediction.measured)
             );
         }
     }
-    let text = match (options.json, options.markdown) {
+    let text = match (options.format.json, options.format.markdown) {
         (true, _) => json(&sizes, &rows).to_string(),
         (_, true) => markdown(&rows),
         _ => plain(&rows),
@@ -125,7 +145,7 @@
     Ok(true)
 }
 
-/// What breaks its limit first, worst first; then what bends, then what has no limit.
+/// Sorts rows: what breaks its limit, worst first; then what bends, what holds, and what has no limit.
 pub fn put_in_order(rows: &mut [Row]) {
     let key = |row: &Row| match (row.holds, row.ratio) {
         (Some(false), ratio) => (0, ratio.unwrap_or(f64::INFINITY)),
@@ -141,12 +161,12 @@
     });
 }
 
-/// One object.
+/// All rows as one JSON object.
 pub fn json(sizes: &Sizes, rows: &[Row]) -> Value {
     json!({"sizes": sizes, "rows": rows})
 }
 
-/// Three figures that matter.
+/// A number with three significant figures.
 pub fn figure(n: f64) -> String {
     let size = n.abs();
     if size >= 1e5 {
@@ -190,7 +210,7 @@
 }
 
 fn cells(row: &Row) -> [String; 8] {
-    let or = |n: Option<f64>| n.map_or("".to_owned(), figure);
+    let or = |n: Option<f64>| n.map_or(String::new(), figure);
     let at = match (&row.bends, row.at_size) {
         (_, Some(at)) => format!("{} {}", figure(at), row.unit),
         (Some(_), None) => "not told".into(),
@@ -248,7 +268,7 @@
     text
 }
 
-/// For a terminal.
+/// All rows for a terminal.
 pub fn plain(rows: &[Row]) -> String {
     let mut text = String::new();
     for row in rows {
--- a/crates/testbed/tests/control_fleet.rs
+++ b/crates/testbed/tests/control_fleet.rs
@@ -9,7 +9,7 @@
 )]
 
 use rainstand_test_servers::size::Limited;
-use rainstand_testbed::scale::control::{watch, Spec, Trouble, MACHINES};
+use rainstand_testbed::scale::control::{watch, FleetSpec, Outage, MACHINES};
 use rainstand_testbed::scale::{decisions, Sizes};
 use std::time::Duration;
 
@@ -25,40 +25,40 @@
     // and the next one is attached to within 2 s. With all gone for 10 s: waits have grown to 8 s when they
     // are back.
     let cases = [
-        (Trouble::None, 0.3),
-        (Trouble::OneKilled, 3.0),
-        (Trouble::AllKilled(away), 10.0 + 8.0 + 1.0),
+        (Outage::None, 0.3),
+        (Outage::OneKilled, 3.0),
+        (Outage::AllKilled(away), 10.0 + 8.0 + 1.0),
         // The region's return: whoever hops between its own machines is attached again within 8 s.
-        (Trouble::Parted, 12.0),
+        (Outage::Partitioned, 12.0),
     ];
-    for (trouble, most) in cases {
+    for (outage, most) in cases {
         let seen = watch(
-            &Spec {
+            &FleetSpec {
                 nodes,
                 changes,
                 every: EVERY,
-                trouble,
+                outage,
             },
             &configuration,
         )
         .unwrap();
         let worst = seen.within(1.0).unwrap();
-        println!("{trouble:?}: worst {worst} s, {} B/s, {seen:?}", seen.bytes);
-        assert_eq!(seen.confirmed.len(), nodes * changes, "{trouble:?}");
+        println!("{outage:?}: worst {worst} s, {} B/s, {seen:?}", seen.bytes);
+        assert_eq!(seen.confirmed.len(), nodes * changes, "{outage:?}");
         assert!(
             worst <= most,
-            "{trouble:?}: the last confirmation after {worst} s"
+            "{outage:?}: the last confirmation after {worst} s"
         );
         assert_eq!(
             seen.snapshots, 0,
-            "{trouble:?}: a delta does for all of them"
+            "{outage:?}: a delta does for all of them"
         );
-        assert!(seen.most_attached <= nodes, "{trouble:?}");
+        assert!(seen.most_attached <= nodes, "{outage:?}");
         // A change of one thing, confirmed, a ping in 2 s: far from the whole, which is some kilobytes even
         // here.
         assert!(
             seen.most_bytes < 400.0,
-            "{trouble:?}: {} B/s",
+            "{outage:?}: {} B/s",
             seen.most_bytes
         );
     }
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -7,9 +7,11 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_testbed::scale::fit::{fit, Bends, Grows};
-use rainstand_testbed::scale::hollow::{watch, Spec};
-use rainstand_testbed::scale::{decisions, measure, meet, table, Effort, Named, Place, Row, Sizes};
+use rainstand_testbed::scale::fit::{fit, FitError, Growth};
+use rainstand_testbed::scale::hollow::{watch, GroupSpec};
+use rainstand_testbed::scale::{
+    compare_predictions, decisions, measure, table, Effort, Paths, Quantity, Row, Sizes,
+};
 use std::process::{Command, Output};
 use std::time::Duration;
 
@@ -41,7 +43,7 @@
 #[test]
 fn a_line_is_found_and_what_bends_is_refused() {
     for parts in PARTS {
-        let line = fit(&points(parts, |n| 900.0 + 3.0 * n), Grows::Line, true).expect("a line");
+        let line = fit(&points(parts, |n| 900.0 + 3.0 * n), Growth::Linear, true).expect("a line");
         assert!(
             (line.slope - 3.0).abs() < 1e-6 && (line.intercept - 900.0).abs() < 1e-3,
             "{line:?}"
@@ -58,31 +60,34 @@
                         0.98
                     }
         };
-        fit(&points(parts, rough), Grows::Line, true).expect("a rough line");
+        fit(&points(parts, rough), Growth::Linear, true).expect("a rough line");
         let refused = |of: &dyn Fn(f64) -> f64| {
-            fit(&points(parts, of), Grows::Line, true).map_err(|(why, _)| why)
+            fit(&points(parts, of), Growth::Linear, true).map_err(|(why, _)| why)
         };
         assert!(
-            matches!(refused(&|n| n * n), Err(Bends::Curves(_))),
+            matches!(refused(&|n| n * n), Err(FitError::Curvature(_))),
             "{:?}",
             refused(&|n| n * n)
         );
         assert!(
-            matches!(refused(&walked), Err(Bends::Curves(_))),
+            matches!(refused(&walked), Err(FitError::Curvature(_))),
             "{:?}",
             refused(&walked)
         );
         assert!(
-            matches!(refused(&doubles), Err(Bends::Curves(_) | Bends::Leaves(_))),
+            matches!(
+                refused(&doubles),
+                Err(FitError::Curvature(_) | FitError::Residual(_))
+            ),
             "{:?}",
             refused(&doubles)
         );
         let one = |n: f64| walked(n) / (n / 50.0);
-        let still = fit(&points(parts, one), Grows::Still, true).map_err(|(why, _)| why);
-        assert!(matches!(still, Err(Bends::Walks(_))), "{still:?}");
+        let still = fit(&points(parts, one), Growth::Constant, true).map_err(|(why, _)| why);
+        assert!(matches!(still, Err(FitError::Grows(_))), "{still:?}");
         fit(
             &points(parts, |n| 1.0 + n.log2() / 10.0),
-            Grows::Still,
+            Growth::Constant,
             true,
         )
         .expect("a tree is not walked");
@@ -92,21 +97,22 @@
         .iter()
         .map(|n| (*n, 100.0 + 3.0 * (n % 2.0)))
         .collect();
-    fit(&still, Grows::Line, false).expect("what stands still");
-    fit(&still, Grows::Line, true).expect_err("a count that goes up and down");
-    let few = fit(&[(1.0, 1.0), (1.0, 1.1), (2.0, 2.0)], Grows::Line, true).map_err(|(why, _)| why);
-    assert_eq!(few, Err(Bends::TooFew));
+    fit(&still, Growth::Linear, false).expect("what stands still");
+    fit(&still, Growth::Linear, true).expect_err("a count that goes up and down");
+    let few =
+        fit(&[(1.0, 1.0), (1.0, 1.1), (2.0, 2.0)], Growth::Linear, true).map_err(|(why, _)| why);
+    assert_eq!(few, Err(FitError::TooFew));
     let none = fit(
         &[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)],
-        Grows::Line,
+        Growth::Linear,
         true,
     )
     .map_err(|(why, _)| why);
-    assert_eq!(none, Err(Bends::TooFew));
+    assert_eq!(none, Err(FitError::TooFew));
 }
 
-fn named(limit: f64) -> Named<'static> {
-    Named {
+fn named(limit: f64) -> Quantity<'static> {
+    Quantity {
         role: "node",
         what: "a quantity",
         unit: "B",
@@ -120,14 +126,14 @@
 #[test]
 fn what_bends_is_not_carried_past_what_was_measured() {
     let square: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 5.0].iter().map(|n| (*n, n * n)).collect();
-    let row = Row::fitted(&named(20.0), &square, 10.0, Grows::Line, 1.0);
+    let row = Row::fitted(&named(20.0), &square, 10.0, Growth::Linear, 1.0);
     assert_eq!((row.at_size, row.holds, row.ratio), (None, None, None));
     assert!(row.bends.is_some() && table::plain(std::slice::from_ref(&row)).contains("bends"));
     // Where it was measured itself it is told, whatever its shape.
-    let row = Row::fitted(&named(20.0), &square, 5.0, Grows::Line, 1.0);
+    let row = Row::fitted(&named(20.0), &square, 5.0, Growth::Linear, 1.0);
     assert_eq!((row.at_size, row.holds), (Some(25.0), Some(false)));
     let line: Vec<(f64, f64)> = [1.0, 2.0, 3.0].iter().map(|n| (*n, 2.0 * n)).collect();
-    let row = Row::fitted(&named(20.0), &line, 9.0, Grows::Line, 1.0);
+    let row = Row::fitted(&named(20.0), &line, 9.0, Growth::Linear, 1.0);
     assert_eq!((row.holds, row.measured_up_to), (Some(true), 3.0));
     assert!(table::markdown(&[row]).contains("carried 3.0 times further"));
 }
@@ -140,7 +146,7 @@
             .map(|n| (*n, slope * n))
             .collect::<Vec<_>>()
     };
-    let row = |slope: f64| Row::fitted(&named(20.0), &line(slope), 10.0, Grows::Line, 1.0);
+    let row = |slope: f64| Row::fitted(&named(20.0), &line(slope), 10.0, Growth::Linear, 1.0);
     let mut rows = vec![row(1.0), row(9.0), row(3.0), row(0.5)];
     rows.push(Row {
         limit: None,
@@ -166,9 +172,9 @@
 #[test]
 fn a_hollow_group_at_rest_sends_its_heartbeats_and_nothing_else() {
     for (members, shards) in [(5, 16), (9, 16), (9, 5), (24, 16)] {
-        let spec = Spec {
+        let spec = GroupSpec {
             shards,
-            ..Spec::of(members, WINDOW)
+            ..GroupSpec::of(members, WINDOW)
         };
         let seen = watch(&spec).expect("a group");
         let beats = u64::from(shards) * 2 * 2 * 40;
@@ -178,7 +184,7 @@
             seen.rest
         );
         assert_eq!(
-            (seen.rest.greetings, seen.rest.soft),
+            (seen.rest.greetings, seen.rest.gossip),
             (0, 0),
             "{members}, {shards}"
         );
@@ -195,31 +201,32 @@
 #[test]
 fn charged_time_is_told_whole_to_each() {
     for (members, charged) in [(4, 50), (7, 300)] {
-        let seen = watch(&Spec {
+        let seen = watch(&GroupSpec {
             charged,
-            ..Spec::of(members, WINDOW)
+            ..GroupSpec::of(members, WINDOW)
         })
         .expect("a group");
         let reports = (members * (members - 1)) as u64 * 4;
         assert!(
-            seen.rest.soft.abs_diff(reports) <= reports / 4,
+            seen.rest.gossip.abs_diff(reports) <= reports / 4,
             "{members}: {:?}",
             seen.rest
         );
-        let each = seen.rest.soft_bytes / seen.rest.soft / charged as u64;
+        let each = seen.rest.gossip_bytes / seen.rest.gossip / charged as u64;
         // A name, a number of some bytes, and what holds them together.
         assert!((8..=16).contains(&each), "{each} bytes a tenant");
-        assert_eq!(seen.kept, (members - 1, charged));
+        let retained = (seen.retained.reports, seen.retained.tenants);
+        assert_eq!(retained, (members - 1, charged));
     }
 }
 
 fn counted(sizes: &Sizes) -> Vec<Row> {
     let folder = tempfile::tempdir().expect("a folder");
-    let place = Place {
+    let paths = Paths {
         programs: None,
         folder: folder.path().to_owned(),
     };
-    let rows = measure(sizes, &Effort::counts(), &place, |_| {}).expect("rows");
+    let rows = measure(sizes, &Effort::counts(), &paths, |_| {}).expect("rows");
     rows.into_iter().filter(|row| row.counted).collect()
 }
 
@@ -234,7 +241,7 @@
         tenants: 7_000,
         ..Sizes::default()
     };
-    let met = meet(&two_years, &counted(&other));
+    let met = compare_predictions(&two_years, &counted(&other));
     assert!(met.len() >= 4, "{met:?}");
     for one in &met {
         assert!(one.off() <= 0.25, "{one:?}");
