--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -9,11 +9,12 @@
 pub(crate) use versions::{versions, Versions};
 
 use crate::config_file::read;
-use crate::out::Code;
-use crate::pcap::trouble;
+use crate::error::{CommandError, CommandResult};
+use crate::log;
+use crate::output::ExitStatus;
 use crate::signals::Signals;
 use clap::Args;
-use rainstand_cluster::{ClusterMember, MemberOptions};
+use rainstand_cluster::{ClusterError, ClusterMember, MemberOptions};
 use rainstand_config_distribution::publisher::PublisherLimits;
 use std::io;
 use std::rc::Rc;
@@ -40,28 +41,36 @@
     name: String,
 }
 
+/// Why the members of a configuration file are not in force after SIGHUP.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error("the configuration has errors")]
+    Findings,
+    #[error("no `group` block")]
+    NoGroup,
+    #[error(transparent)]
+    Rejected(#[from] ClusterError),
+    #[error(transparent)]
+    Io(io::Error),
+}
+
 /// Runs a config server until SIGTERM or SIGINT.
-pub(crate) fn run(options: &Options) -> io::Result<Code> {
+///
+/// # Errors
+/// If its configuration, folder or address cannot be used.
+pub(crate) fn run(options: &Options) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let signals = Signals::install(&runtime)?;
-    let configuration = match read(&options.config, false)? {
-        Ok((configuration, ..)) => configuration,
-        Err(code) => return Ok(code),
-    };
-    let Some(group) = configuration.groups.into_iter().next() else {
-        return Ok(trouble(
+    let configuration = read(&options.config, false)?.configuration;
+    let group = configuration.groups.into_iter().next().ok_or_else(|| {
+        CommandError::unusable(
             &options.config,
             "no `group` block names the control machines",
-        ));
-    };
-    tracing_subscriber::fmt()
-        .with_writer(io::stderr)
-        .log_internal_errors(false)
-        .with_target(false)
-        .with_ansi(false)
-        .init();
+        )
+    })?;
+    log::init();
     let member_options = MemberOptions {
         name: options.name.clone(),
         group,
@@ -74,11 +83,10 @@
     options: &Options,
     member_options: MemberOptions,
     mut signals: Signals,
-) -> io::Result<Code> {
-    let member = match rainstand_cluster::start(member_options).await {
-        Ok(member) => member,
-        Err(error) => return Ok(trouble(&options.config, error)),
-    };
+) -> CommandResult {
+    let member = rainstand_cluster::start(member_options)
+        .await
+        .map_err(|error| CommandError::unusable(&options.config, error))?;
     member.serve_configuration(
         PublisherLimits::default(),
         Box::new(events::log_publisher_event),
@@ -99,24 +107,28 @@
     }
     member.leave(SHUTDOWN_TIMEOUT).await;
     tracing::info!(event = "end");
-    Ok(Code::Good)
+    Ok(ExitStatus::Success)
 }
 
 /// Takes over the members from the configuration file at each SIGHUP.
 async fn reload_on_hangup(member: Rc<ClusterMember>, path: String, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match reload_members(&member, &path) {
-            Ok(()) => tracing::info!(event = "group_reload"),
-            Err(error) => tracing::warn!(event = "group_reload_refused", why = %error),
+            Ok(()) => tracing::info!(event = "group_members_applied"),
+            Err(error) => tracing::warn!(event = "group_members_rejected", why = %error),
         }
     }
 }
 
-fn reload_members(member: &Rc<ClusterMember>, path: &str) -> Result<(), String> {
-    let read = read(path, false).map_err(|error| error.to_string())?;
-    let (configuration, ..) = read.map_err(|_| "the configuration has errors".to_owned())?;
-    match configuration.groups.first() {
-        Some(group) => member.set_members(group).map_err(|error| error.to_string()),
-        None => Err("no `group` block".to_owned()),
-    }
+fn reload_members(member: &Rc<ClusterMember>, path: &str) -> Result<(), ReloadError> {
+    let loaded = read(path, false).map_err(|error| match error {
+        CommandError::Io(error) => ReloadError::Io(error),
+        error => {
+            error.print();
+            ReloadError::Findings
+        }
+    })?;
+    let group = loaded.configuration.groups.first();
+    member.set_members(group.ok_or(ReloadError::NoGroup)?)?;
+    Ok(())
 }
--- a/crates/cli/src/attach.rs
+++ b/crates/cli/src/forward/attachment.rs
@@ -12,9 +12,9 @@
 use rainstand_config_distribution::snapshot::{self, DecodedSnapshot};
 use rainstand_config_distribution::subscriber::{Event, PendingUpdate, Subscriber};
 use rainstand_config_distribution::UpdateError;
-use rainstand_forwarder::admin::ControlLine;
+use rainstand_forwarder::admin::{ConfigSourceLine, RejectedVersion};
 use rainstand_forwarder::config_updates::table_changes;
-use rainstand_forwarder::Hub;
+use rainstand_forwarder::ForwarderContext;
 use rainstand_routing::subset::reduce;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::task::{spawn_blocking, spawn_local};
+use tokio::task::{spawn_blocking, spawn_local, JoinError};
 
 /// File in the version folder that holds the last version.
 const SNAPSHOT_FILE: &str = "version.packed";
@@ -64,6 +64,31 @@
     pub(crate) configuration: Configuration,
 }
 
+/// An attachment was asked for by options that do not say enough.
+#[derive(Debug, thiserror::Error)]
+#[error("with control machines, `--name` says which process this is")]
+pub(crate) struct MissingName;
+
+/// Why the configuration that an update leads to is not known.
+#[derive(Debug, thiserror::Error)]
+enum PendingError {
+    #[error("nothing is pending")]
+    NothingPending,
+    #[error(transparent)]
+    Update(#[from] UpdateError),
+}
+
+/// Why a version is not on the disk.
+#[derive(Debug, thiserror::Error)]
+enum StoreError {
+    #[error(transparent)]
+    Encode(#[from] UpdateError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Thread(#[from] JoinError),
+}
+
 impl Options {
     /// The attachment that the options and the `control` block ask for; `None` if neither names a config server.
     ///
@@ -75,7 +100,7 @@
         zone: &str,
         forwarder_number: usize,
         seed: u64,
-    ) -> Result<Option<AttachmentPlan>, String> {
+    ) -> Result<Option<AttachmentPlan>, MissingName> {
         let by_address = |address: &SocketAddr| ControlMember {
             name: address.to_string(),
             address: address.to_string(),
@@ -87,7 +112,7 @@
             None => return Ok(None),
         };
         if self.name.is_empty() {
-            return Err("with control machines, `--name` says which process this is".to_owned());
+            return Err(MissingName);
         }
         let configured_folder = block
             .map(|block| &block.folder)
@@ -132,7 +157,7 @@
     }
 
     /// Starts the attachment in the background, from the `stored` version on if there is one.
-    pub(crate) fn start(self, hub: &Rc<Hub>, stored: Option<DecodedSnapshot>) {
+    pub(crate) fn start(self, context: &Rc<ForwarderContext>, stored: Option<DecodedSnapshot>) {
         let identity = self.identity.clone();
         let subscriber = match stored {
             Some(DecodedSnapshot { version, state }) => {
@@ -146,14 +171,14 @@
             ..AttachmentStatus::default()
         }));
         let (reported_status, started) = (status.clone(), Instant::now());
-        hub.control.replace(Some(Box::new(move || {
+        context.config_source.replace(Some(Box::new(move || {
             status_line(&reported_status.borrow(), started)
         })));
         let options = AttachmentOptions {
             identity: self.identity,
             machines: self.servers,
             seed: self.seed,
-            apply: apply_callback(hub.clone(), self.forwarder_number),
+            apply: apply_callback(context.clone(), self.forwarder_number),
             on_event: Box::new(log_event),
             on_status: store_callback(self.folder, subscriber.version()),
             status,
@@ -174,14 +199,14 @@
 
 /// Applies the pending update to the forwarder: a delta by its own cost where that is possible, and the full
 /// configuration otherwise.
-fn apply_callback(hub: Rc<Hub>, forwarder_number: usize) -> ApplyCallback {
+fn apply_callback(context: Rc<ForwarderContext>, forwarder_number: usize) -> ApplyCallback {
     Box::new(move |subscriber| {
         if let Some(PendingUpdate::Delta(delta)) = subscriber.pending() {
             // The first version is a full configuration, whatever it is sent as.
             if subscriber.version() > 0 {
                 let changes = table_changes(subscriber.state(), delta, forwarder_number)
                     .map_err(ApplyError::new)?;
-                match hub.apply(&changes) {
+                match context.apply_changes(&changes) {
                     Ok(_) => return Ok(()),
                     Err(error) => {
                         tracing::warn!(event = "delta_not_applied", version = delta.to, why = %error);
@@ -191,23 +216,24 @@
         }
         let mut configuration = pending_configuration(subscriber).map_err(ApplyError::new)?;
         reduce(&mut configuration, forwarder_number);
-        hub.replace(configuration)
+        context
+            .install_configuration(configuration)
             .map(drop)
             .map_err(ApplyError::new)
     })
 }
 
 /// The full configuration that the pending update leads to.
-fn pending_configuration(subscriber: &Subscriber) -> Result<Configuration, String> {
+fn pending_configuration(subscriber: &Subscriber) -> Result<Configuration, PendingError> {
     let configuration = match subscriber.pending() {
         Some(PendingUpdate::Snapshot { state, .. }) => state.configuration(),
         Some(PendingUpdate::Delta(delta)) => {
             let mut state = subscriber.state().clone();
             state.apply(delta).and_then(|()| state.configuration())
         }
-        None => return Err("nothing is pending".to_owned()),
+        None => return Err(PendingError::NothingPending),
     };
-    configuration.map_err(|error| error.to_string())
+    Ok(configuration?)
 }
 
 /// Writes the version in force to `folder`, at most once in [`SNAPSHOT_INTERVAL`] and when the attachment ends. One write
@@ -235,35 +261,36 @@
         spawn_local(async move {
             let written = spawn_blocking(move || write_snapshot(&path, version, &state)).await;
             is_writing.set(false);
-            if let Err(error) = written.unwrap_or_else(|error| Err(error.to_string())) {
+            if let Err(error) = written.unwrap_or_else(|error| Err(error.into())) {
                 tracing::warn!(event = "version_write_failed", version, why = %error);
             }
         });
     })
 }
 
-fn write_snapshot(path: &Path, version: u64, state: &ConfigState) -> Result<(), String> {
-    let bytes = snapshot::encode(version, state).map_err(|error| error.to_string())?;
-    replace(path, &bytes).map_err(|error| error.to_string())
+fn write_snapshot(path: &Path, version: u64, state: &ConfigState) -> Result<(), StoreError> {
+    let bytes = snapshot::encode(version, state)?;
+    replace(path, &bytes)?;
+    Ok(())
 }
 
-fn status_line(status: &AttachmentStatus, started: Instant) -> ControlLine {
+fn status_line(status: &AttachmentStatus, started: Instant) -> ConfigSourceLine {
     let age = status.known_newest_at.unwrap_or(started).elapsed();
-    ControlLine {
+    ConfigSourceLine {
         version: status.version,
         digest: format!("{:016x}", status.digest),
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        machine: status.machine.clone(),
-        refused: status
-            .rejected
-            .clone()
-            .map(|rejected| (rejected.version, rejected.reason)),
+        server: status.machine.clone(),
+        last_rejected: status.rejected.clone().map(|rejected| RejectedVersion {
+            version: rejected.version,
+            reason: rejected.reason,
+        }),
         attachments: status.attachments,
-        lost: status.lost_attachments,
-        dials: status.connection_attempts,
-        in_force: status.counters.applied,
-        refusals: status.counters.nacks,
-        differs: status.counters.divergences,
+        lost_attachments: status.lost_attachments,
+        connection_attempts: status.connection_attempts,
+        applied_versions: status.counters.applied,
+        rejected_versions: status.counters.nacks,
+        divergences: status.counters.divergences,
         bytes_in: status.counters.bytes_in,
         bytes_out: status.counters.bytes_out,
     }
@@ -294,7 +321,7 @@
             tracing::info!(event = "version_applied", version, digest);
         }
         Event::Rejected { version, reason } => {
-            tracing::warn!(event = "version_refused", version, why = reason, holds);
+            tracing::warn!(event = "version_rejected", version, why = reason, holds);
         }
         Event::Diverged { version, reason } => {
             tracing::error!(event = "version_diverged", version, why = %reason, holds);
--- a/crates/testbed/src/peers/caller.rs
+++ b/crates/testbed/src/peers/caller.rs
@@ -362,7 +362,7 @@
     }
 
     /// Takes whole frames off the front of what was received.
-    fn on_received(&self, node: &Node, received: &mut Vec<u8>) -> Result<(), thrift::Flaw> {
+    fn on_received(&self, node: &Node, received: &mut Vec<u8>) -> Result<(), thrift::ReasonCode> {
         while let Some(length) = thrift::frame(received)? {
             let frame: Vec<u8> = received.drain(..4 + length).skip(4).collect();
             if thrift::kind(&frame) == Some(thrift::ONEWAY) {
--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -344,7 +344,7 @@
         role: "forwarder",
         process,
         address: address.ok_or_else(|| io::Error::other("a forwarder says no address"))?,
-        note: "crates/forwarder/src/front.rs",
+        note: "crates/forwarder/src/listener.rs",
     })
 }
 
--- /dev/null
+++ b/src/choice/assembly.rs
@@ -0,0 +1,77 @@
+//! How an [`AdmissionController`] is assembled from its components, and takes new settings while it runs.
+
+use super::fleet_load::FleetLoad;
+use super::health::HealthMonitor;
+use super::idle_connections::IdleConnections;
+use super::scheduling::ClassQueue;
+use super::stalls::StallClock;
+use super::{
+    AdmissionController, ConcurrencyLimiter, DownstreamLimiter, LoadAdvertiser, TenantQuotas,
+};
+use crate::host::RequestClass;
+use crate::in_flight::InFlightRequests;
+use std::collections::VecDeque;
+
+/// The components of an [`AdmissionController`] that are made from settings of their own.
+pub struct Components {
+    /// What each tenant may spend and has spent.
+    pub quotas: TenantQuotas,
+    /// How many requests may run at once.
+    pub limiter: ConcurrencyLimiter,
+    /// Requests in flight with their timers and memory.
+    pub in_flight: InFlightRequests,
+    /// The rate of downstream calls.
+    pub downstream: DownstreamLimiter,
+    /// What callers learn of the node's load.
+    pub advertiser: LoadAdvertiser,
+}
+
+impl AdmissionController {
+    /// A controller that has not begun. `by_work`: value is counted for each unit of work, not for each
+    /// request.
+    pub fn new(classes: Vec<RequestClass>, by_work: bool, components: Components) -> Self {
+        let Components {
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+        } = components;
+        let queues = vec![ClassQueue::new(quotas.accounts()); classes.len()];
+        let idle_connections = IdleConnections::new(advertiser.options.clients);
+        Self {
+            classes,
+            by_work,
+            quotas,
+            limiter,
+            in_flight,
+            downstream,
+            advertiser,
+            idle_connections,
+            fleet_load: FleetLoad::default(),
+            health: HealthMonitor::default(),
+            stalls: StallClock::new(),
+            shutdown: None,
+            queues,
+            awaiting_call: VecDeque::new(),
+            cores_busy: false,
+        }
+    }
+
+    /// New settings under load, from a controller made of them; requests in flight and all that was learned
+    /// stay. Other counts of classes or tenants, which the reader of settings refuses, change neither.
+    pub fn reconfigure(&mut self, new: AdmissionController) {
+        let same_classes = new.classes.len() == self.classes.len();
+        if same_classes && new.quotas.tenants() == self.quotas.tenants() {
+            self.classes = new.classes;
+            self.by_work = new.by_work;
+            self.quotas.set_rates(new.quotas);
+        }
+        self.limiter.set_overload_factor(&new.limiter);
+        let (calling, time_limits) = (self.in_flight.calling(), self.in_flight.reserved());
+        self.downstream
+            .set_share(&new.downstream, calling, time_limits);
+        self.advertiser.options = new.advertiser.options;
+        self.idle_connections.cap(new.advertiser.options.clients);
+    }
+}
--- /dev/null
+++ b/src/choice/runs.rs
@@ -0,0 +1,91 @@
+//! What the start of a run costs its class, and what its end is charged and teaches.
+//!
+//! A tenant is charged the time from the order to run to the end, less waits for downstream calls and less the
+//! time for which the process stood still ([`stalls`](super::stalls)); [`run_charge`] makes core time of it. Runs
+//! that failed or were cancelled are charged too, as they used the cores. What could not be started is charged to
+//! nobody, is no demand of its tenant and teaches nothing.
+//!
+//! Source: KIP-124's record of the time on the broker's threads; waits are ours to take off, as a run keeps its
+//! place through them.
+
+use super::tenant_quotas::run_charge;
+use super::AdmissionController;
+use crate::host::{Host, Outcome};
+use crate::in_flight::{Request, RunStart, Stage};
+use std::time::Duration;
+
+/// Time that a request has spent at downstream calls, the one that it is at included.
+fn call_wait(now: Duration, request: &Request) -> Duration {
+    match request.stage {
+        Stage::Running => request.call_wait,
+        _ => request.call_wait + now.saturating_sub(request.call_requested),
+    }
+}
+
+impl AdmissionController {
+    /// Starts a queued request's run.
+    pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
+        let start = RunStart {
+            at: now,
+            stalled: self.stalls.total(),
+        };
+        self.in_flight.begin_run(index, start);
+        let request = self.in_flight.expect(index);
+        let weight = self.classes[request.class_index].value;
+        let queue = &mut self.queues[request.class_index];
+        queue.remove(request.account, index);
+        queue.charge_start(request.size_hint, self.by_work, weight);
+        self.in_flight.set_timer_to_deadline(index);
+        host.run(index);
+    }
+
+    /// A run ended, or could not be started.
+    pub(super) fn end_run(
+        &mut self,
+        now: Duration,
+        host: &mut dyn Host,
+        index: usize,
+        outcome: Outcome,
+    ) {
+        let request = self.in_flight.expect(index);
+        let Some(start) = request.run_start else {
+            return;
+        };
+        if outcome == Outcome::Cancelled && !request.answered {
+            // Cancelled, but not by an order from here: it ran, so only an error is left.
+            host.fail(index);
+        }
+        if request.stage == Stage::Calling {
+            self.downstream
+                .on_call_ended(now, request.call, Outcome::Cancelled);
+        }
+        if outcome == Outcome::NeverStarted {
+            self.quotas.withdraw_request(now, request.account);
+        } else {
+            self.charge_run(now, index, start);
+            self.learn_from_run(now, index, start, outcome);
+        }
+        self.release(host, index);
+    }
+
+    fn charge_run(&mut self, now: Duration, index: usize, start: RunStart) {
+        let running = self.in_flight.running().max(1);
+        let request = self.in_flight.expect(index);
+        let stalled = self.stalls.total().saturating_sub(start.stalled);
+        let waits = call_wait(now, request) + stalled;
+        let time = now.saturating_sub(start.at + waits);
+        let charge = run_charge(time, self.limiter.cores(), running);
+        self.quotas.charge_run(now, request.account, charge);
+    }
+
+    fn learn_from_run(&mut self, now: Duration, index: usize, start: RunStart, outcome: Outcome) {
+        let succeeded = outcome == Outcome::Succeeded;
+        if succeeded {
+            self.limiter.on_run_succeeded();
+        }
+        self.health.on_run_ended(now, outcome);
+        let request = self.in_flight.expect(index);
+        let run_time = now.saturating_sub(start.at);
+        self.queues[request.class_index].record_run(now, run_time, request.size_hint, succeeded);
+    }
+}
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -2,13 +2,10 @@
 //!
 //! Bookkeeping alone: what happens to a request is decided in [`choice`](crate::choice).
 
-use crate::host::{Arrival, Host, Outcome, RequestClass};
+use crate::host::{Arrival, RequestClass};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What follows a run, a cached reply or a call: called with its outcome.
-pub type Continuation<N> = Box<dyn FnOnce(&mut N, Duration, &mut dyn Host, usize, Outcome)>;
-
 /// Where a request in flight stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
@@ -43,8 +40,17 @@
     }
 }
 
+/// When a run began.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RunStart {
+    /// Time of the order to run.
+    pub at: Duration,
+    /// How long the process had stood still by then, since its start.
+    pub stalled: Duration,
+}
+
 /// A request in flight; times are on the clock that the controller is called with.
-pub struct Request<N> {
+pub struct Request {
     /// Index of its class.
     pub class_index: usize,
     /// Its class as it was on arrival: what was promised then holds to its end.
@@ -63,8 +69,8 @@
     pub is_retry: bool,
     /// Where it stands; changed by [`InFlightRequests::set_stage`] alone.
     pub stage: Stage,
-    /// Whether it was ever run.
-    pub ran: bool,
+    /// When its run began; `None` for one that was never run.
+    pub run_start: Option<RunStart>,
     /// Whether its caller has an answer, or left.
     pub answered: bool,
     /// Until when its result is cached for repeats.
@@ -77,14 +83,10 @@
     pub call_attempts: u32,
     /// The last attempt of a downstream call.
     pub call: DownstreamCall,
-    /// What follows its run or cached reply.
-    pub after_run: Option<Continuation<N>>,
-    /// What follows the attempt of a downstream call.
-    pub after_call: Option<Continuation<N>>,
     timer: Option<Duration>,
 }
 
-impl<N> Request<N> {
+impl Request {
     /// A request of `class` that has just arrived, with `arrived` and `deadline` on the controller's clock.
     pub fn new(
         arrival: &Arrival,
@@ -103,15 +105,16 @@
             size_hint: arrival.size_hint,
             is_retry: arrival.is_retry,
             stage: Stage::Queued,
-            ran: false,
+            run_start: None,
             answered: false,
             cached_until: None,
             call_requested: arrived,
             call_wait: Duration::ZERO,
             call_attempts: 0,
-            call: DownstreamCall { started: arrived, deadline: arrived },
-            after_run: None,
-            after_call: None,
+            call: DownstreamCall {
+                started: arrived,
+                deadline: arrived,
+            },
             timer: None,
         }
     }
@@ -120,8 +123,8 @@
 /// All requests in flight, by their small indices, with their timers and the memory they take.
 ///
 /// Each request has at most one timer; counts, timers and memory always match the requests held.
-pub struct InFlightRequests<N> {
-    requests: Vec<Option<Request<N>>>,
+pub struct InFlightRequests {
+    requests: Vec<Option<Request>>,
     timers: BTreeSet<(Duration, usize)>,
     cached: BTreeSet<(Duration, usize)>,
     counts: [usize; STAGES],
@@ -131,36 +134,45 @@
     entry_kb: f64,
 }
 
-impl<N> InFlightRequests<N> {
+impl InFlightRequests {
     /// `memory_kb`: memory that all requests share; `run_factor`: memory of a run over that of the held
     /// request; `entry_kb`: memory of a cached result.
     pub fn new(memory_kb: f64, run_factor: f64, entry_kb: f64) -> Self {
         let (requests, timers, cached) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
-        Self { requests, timers, cached, counts: [0; STAGES], used_kb: 0.0, memory_kb, run_factor, entry_kb }
+        Self {
+            requests,
+            timers,
+            cached,
+            counts: [0; STAGES],
+            used_kb: 0.0,
+            memory_kb,
+            run_factor,
+            entry_kb,
+        }
     }
 
     /// Adds a request under a free index, with its timer at its deadline.
-    pub fn insert(&mut self, ix: usize, request: Request<N>) {
-        if self.requests.len() <= ix {
-            self.requests.resize_with(ix + 1, || None);
+    pub fn insert(&mut self, index: usize, request: Request) {
+        if self.requests.len() <= index {
+            self.requests.resize_with(index + 1, || None);
         }
         self.used_kb += request.held_kb;
         self.counts[request.stage as usize] += 1;
-        self.requests[ix] = Some(request);
-        self.set_timer_to_deadline(ix);
+        self.requests[index] = Some(request);
+        self.set_timer_to_deadline(index);
     }
 
     /// The request of an index, unless it was removed.
-    pub fn get(&mut self, ix: usize) -> Option<&mut Request<N>> {
-        self.requests.get_mut(ix).and_then(Option::as_mut)
+    pub fn get(&mut self, index: usize) -> Option<&mut Request> {
+        self.requests.get_mut(index).and_then(Option::as_mut)
     }
 
     /// A request known to be in flight.
     ///
     /// # Panics
     /// If it is not.
-    pub fn expect(&mut self, ix: usize) -> &mut Request<N> {
-        self.get(ix).expect("a request in flight")
+    pub fn expect(&mut self, index: usize) -> &mut Request {
+        self.get(index).expect("a request in flight")
     }
 
     /// Number of requests in a stage.
@@ -188,90 +200,108 @@
         self.running() + self.count(Stage::AwaitingCall) + self.calling()
     }
 
-    /// Moves a request to a stage; its first run takes its memory.
+    /// Moves a request to a stage.
     ///
     /// # Panics
     /// If it is not in flight.
-    pub fn set_stage(&mut self, ix: usize, stage: Stage) {
-        let factor = self.run_factor;
-        let request = self.expect(ix);
-        let (before, held_kb) = (request.stage, request.held_kb);
-        request.stage = stage;
-        if stage == Stage::Running && !request.ran {
-            request.ran = true;
-            self.used_kb += held_kb * (factor - 1.0);
-        }
+    pub fn set_stage(&mut self, index: usize, stage: Stage) {
+        let before = std::mem::replace(&mut self.expect(index).stage, stage);
         self.counts[before as usize] -= 1;
         self.counts[stage as usize] += 1;
     }
 
+    /// Begins the run of a request that was never run; it takes the memory of a run.
+    ///
+    /// # Panics
+    /// If it is not in flight.
+    pub fn begin_run(&mut self, index: usize, start: RunStart) {
+        self.set_stage(index, Stage::Running);
+        let request = self.expect(index);
+        request.run_start = Some(start);
+        let held_kb = request.held_kb;
+        self.used_kb += held_kb * (self.run_factor - 1.0);
+    }
+
     /// Removes a request with its timer and memory; a cached result stays until its time.
-    pub fn remove(&mut self, ix: usize) -> Option<Request<N>> {
-        self.set_timer(ix, None);
-        let request = self.requests.get_mut(ix)?.take()?;
+    pub fn remove(&mut self, index: usize) -> Option<Request> {
+        self.set_timer(index, None);
+        let request = self.requests.get_mut(index)?.take()?;
         self.counts[request.stage as usize] -= 1;
-        self.used_kb -= request.held_kb * if request.ran { self.run_factor } else { 1.0 };
+        self.used_kb -= request.held_kb
+            * if request.run_start.is_some() {
+                self.run_factor
+            } else {
+                1.0
+            };
         Some(request)
     }
 
     /// Sets the timer of a request, in place of the one before; `None` clears it.
-    pub fn set_timer(&mut self, ix: usize, at: Option<Duration>) {
-        let Some(request) = self.get(ix) else { return };
+    pub fn set_timer(&mut self, index: usize, at: Option<Duration>) {
+        let Some(request) = self.get(index) else {
+            return;
+        };
         let before = std::mem::replace(&mut request.timer, at);
         if let Some(before) = before {
-            self.timers.remove(&(before, ix));
+            self.timers.remove(&(before, index));
         }
         if let Some(at) = at {
-            self.timers.insert((at, ix));
+            self.timers.insert((at, index));
         }
     }
 
     /// Sets the timer of a request to its deadline.
-    pub fn set_timer_to_deadline(&mut self, ix: usize) {
-        let deadline = self.get(ix).map(|request| request.deadline);
-        self.set_timer(ix, deadline);
+    pub fn set_timer_to_deadline(&mut self, index: usize) {
+        let deadline = self.get(index).map(|request| request.deadline);
+        self.set_timer(index, deadline);
     }
 
     /// The longest that all calls in progress may occupy the downstream tier together, linger not counted.
     pub fn reserved(&self) -> Duration {
-        let calling = self.requests.iter().flatten().filter(|request| request.stage == Stage::Calling);
+        let calling = self
+            .requests
+            .iter()
+            .flatten()
+            .filter(|request| request.stage == Stage::Calling);
         calling.map(|request| request.call.time_limit()).sum()
     }
 
     /// Brings deadlines and timers of all unanswered requests forward to `latest` where they are later.
     pub fn cap_deadlines(&mut self, latest: Duration) {
-        for ix in 0..self.requests.len() {
-            let Some(request) = self.get(ix).filter(|request| !request.answered) else { continue };
+        for index in 0..self.requests.len() {
+            let Some(request) = self.get(index).filter(|request| !request.answered) else {
+                continue;
+            };
             request.deadline = request.deadline.min(latest);
             if request.timer.is_none_or(|at| at > latest) {
-                self.set_timer(ix, Some(latest));
+                self.set_timer(index, Some(latest));
             }
         }
     }
 
     /// The next request whose timer has expired; the timer is cleared.
     pub fn next_expired(&mut self, now: Duration) -> Option<usize> {
-        let ix = self.timers.first().filter(|timer| timer.0 <= now)?.1;
-        self.set_timer(ix, None);
-        Some(ix)
+        let index = self.timers.first().filter(|timer| timer.0 <= now)?.1;
+        self.set_timer(index, None);
+        Some(index)
     }
 
     /// Counts the memory of a cached result, until its time.
     ///
     /// # Panics
     /// If the request is not in flight.
-    pub fn cache_result(&mut self, ix: usize, until: Duration) {
-        self.expect(ix).cached_until = Some(until);
-        self.cached.insert((until, ix));
+    pub fn cache_result(&mut self, index: usize, until: Duration) {
+        self.expect(index).cached_until = Some(until);
+        self.cached.insert((until, index));
     }
 
     /// Discards a cached result; whether there was one whose time had not passed.
     ///
     /// # Panics
     /// If the request is not in flight.
-    pub fn discard_result(&mut self, now: Duration, ix: usize) -> bool {
-        let cached_until = self.expect(ix).cached_until.take();
-        cached_until.is_some_and(|until| self.cached.remove(&(until, ix)) && until > now)
+    pub fn discard_result(&mut self, now: Duration, index: usize) -> bool {
+        let cached_until = self.expect(index).cached_until.take();
+        cached_until.is_some_and(|until| self.cached.remove(&(until, index)) && until > now)
     }
 
     /// Share of the memory in use, were request `running` to run too.
@@ -282,7 +312,8 @@
         while self.cached.first().is_some_and(|entry| entry.0 < now) {
             self.cached.pop_first();
         }
-        let more = running.map_or(0.0, |ix| self.expect(ix).held_kb) * (self.run_factor - 1.0);
+        let more =
+            running.map_or(0.0, |index| self.expect(index).held_kb) * (self.run_factor - 1.0);
         (self.used_kb + more + self.cached.len() as f64 * self.entry_kb) / self.memory_kb
     }
 }
