--- a/crates/cli/src/config/explain.rs
+++ b/crates/cli/src/config/explain.rs
@@ -4,8 +4,8 @@
 use crate::error::{CommandError, CommandResult};
 use crate::output::{self, ExitStatus};
 use clap::Args;
+use rainstand_config::matching::Mismatch;
 use rainstand_config::schema::Configuration;
-use rainstand_config::space::Miss;
 use rainstand_routing::explain::{explain, Explanation};
 use rainstand_routing::table::{PlacementReason, Request, RoutingError, Table};
 use rainstand_routing::time_budget::{Stage, Times};
@@ -223,7 +223,7 @@
 
 fn print_json(explanation: &Explanation) -> io::Result<()> {
     for step in &explanation.steps {
-        let missed = step.miss.map(Miss::key);
+        let missed = step.miss.map(Mismatch::key);
         output::json(
             &json!({"route": step.route, "takes": missed.is_none(), "missed": missed, "wants": step.wanted}),
         )?;
--- a/crates/cli/src/config/fmt.rs
+++ b/crates/cli/src/config/fmt.rs
@@ -5,8 +5,8 @@
 use crate::error::{CommandError, CommandResult};
 use crate::output::{self, ExitStatus};
 use clap::Args;
-use rainstand_config::form::form;
-use rainstand_config::source::{Disk, Files, Sources, Trouble};
+use rainstand_config::formatter::format;
+use rainstand_config::source::{Disk, Files, SourceMap};
 use std::path::Path;
 
 #[derive(Args)]
@@ -22,10 +22,10 @@
 pub(super) fn run(options: &Options) -> CommandResult {
     for_each_file(&options.files, |file| {
         let text = read_text(file)?;
-        let formatted = match form(&text) {
+        let formatted = match format(&text) {
             Ok(formatted) => formatted,
             Err(findings) => {
-                output::findings(&Sources::of_one(file, text), &findings, false)?;
+                output::findings(&SourceMap::from_text(file, text), &findings, false)?;
                 eprintln!("{file}: left as it is");
                 return Ok(ExitStatus::Found);
             }
@@ -53,15 +53,6 @@
 }
 
 fn read_text(file: &str) -> Result<String, CommandError> {
-    Disk.read(Path::new(file)).map_err(|error| {
-        let reason = match error {
-            Trouble::Missing => "there is no such file".to_owned(),
-            Trouble::Unreadable(reason) => reason,
-            Trouble::TooLarge(size) => format!("{size} bytes are too many"),
-            Trouble::NotUtf8(offset) => {
-                format!("not UTF-8: byte {offset} belongs to no character")
-            }
-        };
-        CommandError::unusable(file, reason)
-    })
+    Disk.read(Path::new(file))
+        .map_err(|error| CommandError::unusable(file, error))
 }
--- a/crates/cli/src/forward/background_read.rs
+++ b/crates/cli/src/forward/background_read.rs
@@ -25,7 +25,7 @@
     BrokenOff,
     /// The thread's bytes cannot be decoded.
     #[error(transparent)]
-    Malformed(#[from] schema::Refused),
+    Malformed(#[from] schema::DecodeError),
 }
 
 impl From<CommandError> for ReadError {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,7 +1,7 @@
 //! Results to standard output, findings to standard error, and how the program ends.
 
 use rainstand_config::codes::Severity;
-use rainstand_config::source::Sources;
+use rainstand_config::source::SourceMap;
 use rainstand_config::{report, Finding};
 use serde::Serialize;
 use std::io::{self, IsTerminal, Write};
@@ -70,7 +70,7 @@
 
 /// Prints findings with the lines they are about: in colour on a terminal's standard error, or as JSON on standard
 /// output.
-pub(crate) fn findings(sources: &Sources, findings: &[Finding], as_json: bool) -> io::Result<()> {
+pub(crate) fn findings(sources: &SourceMap, findings: &[Finding], as_json: bool) -> io::Result<()> {
     if as_json {
         return findings
             .iter()
@@ -84,7 +84,7 @@
     report::show(&mut StandardStream::stderr(colour), sources, findings)
 }
 
-fn finding_json<'a>(sources: &'a Sources, finding: &'a Finding) -> FindingJson<'a> {
+fn finding_json<'a>(sources: &'a SourceMap, finding: &'a Finding) -> FindingJson<'a> {
     let place = |at, message| {
         let (line, column) = sources.line_column(at);
         PlaceJson {
@@ -99,13 +99,13 @@
         Severity::Warning => "warning",
     };
     FindingJson {
-        place: place(finding.at, &finding.message),
+        place: place(finding.span, &finding.message),
         code: finding.code.id(),
         severity,
         also: finding
-            .also
+            .labels
             .iter()
-            .map(|(at, message)| place(*at, message))
+            .map(|label| place(label.span, &label.message))
             .collect(),
         help: finding.help.as_deref(),
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,55 +4,48 @@
 //!
 //! | layer | job |
 //! | --- | --- |
-//! | [`source`] | files and places in them |
-//! | [`include`] | the includes between files |
-//! | [`lex`] | bytes to tokens |
-//! | [`tree`] | the lossless tree: every byte is in it |
-//! | [`parse`] | tokens to the tree; goes on after an error |
-//! | [`ast`] | the tree without what means nothing |
+//! | [`source`] | where files come from, the source map, spans |
+//! | [`mod@include`] | the includes between files |
+//! | [`lexer`] | bytes to tokens |
+//! | [`syntax`] | the lossless syntax tree: every byte is in it |
+//! | [`parser`] | tokens to the syntax tree; resumes after an error |
+//! | [`ast`] | the syntax tree without trivia |
 //! | [`units`] | exact amounts with their units |
 //! | [`resolve`] | names, defaults, one policy built on another: the message of [`schema`] |
-//! | [`check`] | what the four rules and plain sense ask of it |
-//! | [`space`] | which tickets a route can match, decided exactly |
-//! | [`form`] | the one way to write a file |
+//! | [`check`] | the four rules, and plain contradictions |
+//! | [`matching`] | which requests a route can match, decided exactly |
+//! | [`formatter`] | the one way to write a file |
 //! | [`diff`] | what changed in meaning |
 //! | [`report`] | findings as a person or a program reads them; [`codes`] explains each |
 //!
-//! Nothing here decides about a ticket: that is `rainstand-routing`, from the compiled message.
+//! Nothing here decides about a request: that is `rainstand-routing`, from the compiled message.
 //!
 //! ```
 //! use rainstand_config::{load, source::Memory};
 //! let files = Memory::new([("a.rain", "rain 1\ntype check {\n  repeat: rerunnable\n  goal: 40 tickets/s\n}\n")]);
 //! let outcome = load(&files, "a.rain");
 //! let found = outcome.findings.iter().find(|finding| finding.code.id() == "U202").unwrap();
-//! assert_eq!(outcome.sources.line_column(found.at), (4, 9));
+//! assert_eq!(outcome.sources.line_column(found.span), (4, 9));
 //! assert_eq!(found.message, "`goal` wants a time such as `250 ms`; `40 tickets/s` is a rate");
 //! ```
 
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::pedantic,
-    reason = "not yet brought to the workspace's lints, see docs/ROADMAP.md"
-)]
-
 pub mod ast;
 pub mod check;
 pub mod codes;
 pub mod diff;
 mod finding;
-pub mod form;
+pub mod formatter;
 pub mod include;
-pub mod lex;
+pub mod lexer;
 mod load;
-pub mod parse;
+pub mod matching;
+pub mod parser;
 pub mod report;
 pub mod resolve;
 pub mod schema;
 pub mod source;
-pub mod space;
-pub mod tree;
+pub mod syntax;
 pub mod units;
 
-pub use finding::{Finding, Findings};
+pub use finding::{Finding, Findings, Label};
 pub use load::{load, Outcome};
--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -5,7 +5,7 @@
 use super::{limits, settings, Effort, Paths, Quantity, Row, Sizes};
 use crate::process::{free_port, program};
 use rainstand_protocol::thrift::{self, What};
-use rainstand_test_servers::node::Make;
+use rainstand_test_servers::server::TestServerOptions;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::fs;
@@ -271,13 +271,13 @@
         note: "crates/node/src/connections.rs",
     };
     let at_node = idle_row(sizes, effort, server)?;
-    let behind = Make {
+    let behind = TestServerOptions {
         forget_runs: true,
-        ..Make::default()
+        ..TestServerOptions::default()
     }
     .start();
     let at_forwarder = idle_row(sizes, effort, start_forwarder(behind.addr, paths)?)?;
-    behind.end();
+    behind.kill();
     Ok(vec![at_node, at_forwarder])
 }
 
