--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes: started with their output in a file, told by signals, ended by their own number alone.
+//! Child processes: started with their output in a file, signalled, and ended by their own number alone.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::OpenOptions;
@@ -10,9 +10,10 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// For a process to take connections, or to be gone after it was killed.
-pub const COMES_UP: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(3);
+/// For a process to take connections, or to end after it was killed.
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Between two looks at a log.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// A program of this repository beside the one that runs, or in the folder named.
 ///
@@ -49,23 +50,24 @@
     StdListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// How often a node's log says that it is up.
-pub fn starts(log: &Path) -> usize {
+/// How often a node's log says that it started.
+pub fn count_starts(log: &Path) -> usize {
     let text = std::fs::read(log).unwrap_or_default();
     text.split(|b| *b == b'\n')
         .filter(|line| line.starts_with(b"start name="))
         .count()
 }
 
-/// A child, and what it is called.
+/// A child process.
 pub struct Process {
+    /// What it is called in reports.
     pub name: String,
     child: Child,
     pid: Pid,
 }
 
 impl Process {
-    /// Its output is appended to `log`; it ends with the rig.
+    /// Starts a child whose errors are appended to `log`; it ends with this process.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -89,12 +91,14 @@
         self.pid.as_raw_nonzero().get()
     }
 
+    /// The child, for its streams and its end.
     pub fn child(&mut self) -> &mut Child {
         &mut self.child
     }
 
+    /// Sends a signal; none is needed by a process that has ended.
     pub fn signal(&self, signal: Signal) {
-        // Whoever is gone needs no signal; its number is its own until it was waited for.
+        // Its number is its own until it was waited for.
         let _ = kill_process(self.pid, signal);
     }
 
@@ -103,20 +107,20 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Killed, and gone when this returns.
+    /// Kills it, and waits for its end.
     ///
     /// # Errors
-    /// If it does not go.
+    /// If it does not end.
     pub async fn kill(mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::KILL);
-        self.gone(COMES_UP).await
+        self.wait(START_TIMEOUT).await
     }
 
     /// Waits for its end.
     ///
     /// # Errors
     /// If it has not come in time.
-    pub async fn gone(&mut self, within: Duration) -> io::Result<ExitStatus> {
+    pub async fn wait(&mut self, within: Duration) -> io::Result<ExitStatus> {
         let name = self.name.clone();
         match timeout(within, self.child.wait()).await {
             Ok(ended) => ended,
@@ -132,10 +136,10 @@
     ///
     /// # Errors
     /// If it ends first, or does not come up in time.
-    pub async fn is_up(&mut self, log: &Path, before: usize) -> io::Result<()> {
-        let until = Instant::now() + COMES_UP;
+    pub async fn wait_until_up(&mut self, log: &Path, before: usize) -> io::Result<()> {
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
-            if starts(log) > before {
+            if count_starts(log) > before {
                 return Ok(());
             }
             if let Some(status) = self.ended() {
@@ -144,13 +148,13 @@
                     self.name
                 )));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(io::Error::new(
                     io::ErrorKind::TimedOut,
                     format!("{}: not up", self.name),
                 ));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/testbed/src/soak/verdict.rs
+++ b/crates/testbed/src/soak/verdict.rs
@@ -3,7 +3,7 @@
 use super::client::ClientLog;
 use super::{signals, SoakReport};
 use crate::check::check;
-use crate::history::{self, Event, Seen};
+use crate::history::{self, Event, Observation};
 use crate::process::Process;
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
@@ -24,17 +24,17 @@
 }
 
 /// Signals to drain, in series and around a stop, and the kill exactly `stop` after the first one.
-pub async fn drain_until_kill(process: &mut Process, chance: &mut WyRand, stop: Duration) -> Drain {
-    let is_paused = chance.generate_range(0..4u32) == 0;
+pub async fn drain_until_kill(process: &mut Process, random: &mut WyRand, stop: Duration) -> Drain {
+    let is_paused = random.generate_range(0..4u32) == 0;
     if is_paused {
         process.signal(Signal::STOP);
     }
-    let first = [Signal::TERM, Signal::INT][chance.generate_range(0..2usize)];
+    let first = [Signal::TERM, Signal::INT][random.generate_range(0..2usize)];
     let noticed = Instant::now();
     process.signal(first);
     let mut signals = 1;
     if is_paused {
-        sleep(Duration::from_millis(chance.generate_range(5..100))).await;
+        sleep(Duration::from_millis(random.generate_range(5..100))).await;
         process.signal(Signal::CONT);
         signals += 2;
     }
@@ -42,14 +42,14 @@
     let kill_at = noticed + stop;
     let mut status = None;
     while status.is_none() && Instant::now() < kill_at {
-        let wait = Duration::from_millis(chance.generate_range(1..400));
+        let wait = Duration::from_millis(random.generate_range(1..400));
         let until = (Instant::now() + wait).min(kill_at);
         let left = until.saturating_duration_since(Instant::now());
         let ended = timeout(left, process.child().wait()).await;
         status = ended.ok().and_then(Result::ok);
         if status.is_none() && until < kill_at {
-            let count = chance.generate_range(1..5);
-            signals += signals::series(process, chance, &kinds, count).await;
+            let count = random.generate_range(1..5);
+            signals += signals::series(process, random, &kinds, count).await;
         }
     }
     if status.is_none() {
@@ -123,21 +123,21 @@
         }
         let mut seen = log.seen.borrow().clone();
         // Proved by the counters to be unread, or told above.
-        let is_unread = |event: &Event| matches!(event, Event::Ask { ticket, .. } if unfinished.contains(ticket));
+        let is_unread = |event: &Event| matches!(event, Event::Requested { request, .. } if unfinished.contains(request));
         seen.retain(|one| !is_unread(&one.event));
         let agent = fs::read(self.agent_history)?;
-        let (runs, _) = history::read(BufReader::new(&agent[..]))
-            .map_err(|error| io::Error::other(error.why))?;
+        let (runs, _) = history::read_history(BufReader::new(&agent[..]))
+            .map_err(|error| io::Error::other(error.reason))?;
         report.runs += runs.len() as u64;
         number_lines(&mut seen, runs);
-        for broken in check(&seen).broken.iter().take(3) {
-            report.violate("rules", format!("{name}: {broken}"));
+        for violation in check(&seen).violations.iter().take(3) {
+            report.violate("rules", format!("{name}: {violation}"));
         }
         Ok(())
     }
 }
 
-fn number_lines(seen: &mut Vec<Seen>, more: Vec<Seen>) {
+fn number_lines(seen: &mut Vec<Observation>, more: Vec<Observation>) {
     seen.extend(more);
     for (at, one) in seen.iter_mut().enumerate() {
         one.line = at + 1;
