--- a/crates/forwarder/src/drain.rs
+++ b/crates/forwarder/src/drain.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown, from the notice to the end of the process, in this order:
 //!
 //! 1. New connections are accepted only as far as the system had taken them already; probes are answered "not well";
-//!    every client is sent the shutdown notice.
+//!    every client that is connected then is sent the shutdown notice; one that is accepted later is only rejected.
 //! 2. New requests are rejected; those in flight are waited for until the deadline.
 //! 3. Requests that are still in flight at the deadline are answered as failed.
 //! 4. Answers are written, and calls that crossed the notice are rejected, for at least `DRAIN_SETTLE_TIME` and at
@@ -45,10 +45,10 @@
     }
 }
 
-/// Shuts down as the module describes; `grace`: from now to the deadline for requests in flight.
-pub(crate) async fn drain(context: &ForwarderContext, grace: Duration) {
+/// Shuts down as the module describes; `drain_timeout`: from now to the deadline for requests in flight.
+pub(crate) async fn drain(context: &ForwarderContext, drain_timeout: Duration) {
     begin(context);
-    let deadline = Instant::now() + grace;
+    let deadline = Instant::now() + drain_timeout;
     wait_for_requests(context, deadline).await;
     context.fail_all_in_flight();
     write_answers(context, deadline + FINAL_WRITE_TIMEOUT).await;
--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Answers all that is in flight as failed, at the end of a drain. The decisions are not asked any more.
+    /// Answers all that is in flight as failed, at the end of a drain. It bypasses the decisions: these requests are in no
+    /// counter, and their places are not released, as the process ends.
     pub(crate) fn fail_all_in_flight(&self) {
         for request_id in self.requests.ids() {
             self.answer(request_id, Reply::Failed);
--- a/crates/forwarder/src/server.rs
+++ b/crates/forwarder/src/server.rs
@@ -15,21 +15,22 @@
 /// Between two evaluations of the members' health.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Serves until `shutdown` completes, then drains: everything is answered at most `grace` later, see [`crate::drain`].
+/// Serves until `shutdown` completes, then drains: requests in flight have `drain_timeout` to end, and their answers a
+/// little longer to be written, see [`crate::drain`].
 ///
 /// # Panics
 /// Outside of a [`tokio::task::LocalSet`].
 pub async fn run(
     context: Rc<ForwarderContext>,
     listener: TcpListener,
-    grace: Duration,
+    drain_timeout: Duration,
     shutdown: impl Future<Output = ()>,
 ) {
     spawn_local(listener::accept(context.clone(), listener));
     spawn_local(run_timers(context.clone()));
     spawn_local(evaluate_health(context.clone()));
     shutdown.await;
-    drain(&context, grace).await;
+    drain(&context, drain_timeout).await;
     tracing::info!(event = "counts", words = "counts", what = %context.counters_line());
 }
 
--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -39,6 +39,7 @@
         ("request", _, Some(body)) => on_call_requested(context, index, offset, body),
         // Not read as an empty body, which would make another call than the run asked for: the notice is replayed, and
         // the request fails if it is no better then.
+        // The guard holds for both patterns.
         ("request", ..) | ("outcome", "fine", None) if !is_replayed => return Err(UNREADABLE),
         ("request", ..) => context.drive_policy(|policy, now, table| {
             table.fail(index);
@@ -136,6 +137,7 @@
         if has_claim {
             idempotency::on_run_finished(table, index, run_end(outcome, result));
         } else if outcome != Outcome::Cancelled {
+            // One that was cancelled is answered by the policy, which knows whether it ordered that.
             table.finish(index, outcome, result);
         }
         policy.on_run_finished(now, table, index, outcome);
--- a/crates/node/src/connections/exchange.rs
+++ b/crates/node/src/connections/exchange.rs
@@ -208,7 +208,7 @@
     /// The deadline has passed that [`wait_for_event`] waited for.
     fn on_deadline(&mut self, context: &NodeContext, conn: &Connection) {
         if self.end_code.is_some() {
-            ingress::cancel_all(context, conn);
+            ingress::fail_open_requests(context, conn);
             self.deadlines.clear_answer_deadline();
         } else if !self.incoming.is_empty() {
             self.stop(close_reason::HALF_A_FRAME);
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -17,16 +17,18 @@
 /// Share of the time until the kill in which the node still listens: what comes last must also end.
 const LISTENING_SHARE: f64 = 0.6;
 
-/// After the end of listening, for frames that crossed it: the protocol speaks of 50 ms.
+/// After the end of listening, for frames that crossed it: the protocol allows 50 ms.
 const CROSSING_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// For the leadership of shards to be transferred to other members.
+/// How long the transfer of the shards' leadership to other members may take.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Between checks of what is still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Drains the node; returns when no answer is pending any more, or when the kill is near.
+/// Drains the node; returns when it no longer listens and all connections are closed, or shortly before the kill.
+///
+/// `planted`: a deliberate bug for the testbed; always false without the feature `planted`.
 pub async fn drain(context: &Rc<NodeContext>) {
     let noticed = Instant::now();
     let until_kill = context.config.stop;
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -119,7 +119,7 @@
 }
 
 /// Fails all that is open on a connection that is to end: its caller sent what cannot be read.
-pub fn cancel_all(context: &NodeContext, conn: &Connection) {
+pub fn fail_open_requests(context: &NodeContext, conn: &Connection) {
     let pop_first = || conn.open_requests.borrow_mut().pop_first();
     while let Some((_, index)) = pop_first() {
         context.drive_policy(|policy, now, table| {
@@ -163,16 +163,16 @@
     trace: Trace,
     /// Since it was born at its caller.
     waited: Duration,
-    /// How much longer its caller waits; None where it does not say.
-    patience: Option<Duration>,
+    /// How much longer its caller waits, from now; `None` where it does not say.
+    caller_timeout: Option<Duration>,
     held_kb: f64,
     route: &'a str,
     /// As it came: it may be no text, and is unknown then.
     customer: Option<&'a [u8]>,
     nonce: Option<&'a str>,
     entity: Option<&'a str>,
-    /// The caller says that an earlier try may have run.
-    is_redo: bool,
+    /// Its sender marked it as a retry; whether an earlier attempt ran is not said.
+    is_retry: bool,
     body: &'a [u8],
 }
 
@@ -199,7 +199,7 @@
         let route = fields.text("route").ok_or("route: missing")?;
         let nonce = fields.name("nonce", "nonce: empty or too long")?;
         let entity = fields.name("entity", "entity: empty or too long")?;
-        let is_redo = match fields.bytes("redo") {
+        let is_retry = match fields.bytes("redo") {
             None => false,
             Some(b"1") => true,
             Some(_) => return Err("redo: neither 1 nor absent"),
@@ -207,13 +207,13 @@
         Ok(Self {
             trace,
             waited,
-            patience,
+            caller_timeout: patience,
             held_kb,
             route,
             customer: fields.bytes("customer"),
             nonce,
             entity,
-            is_redo,
+            is_retry,
             body,
         })
     }
@@ -279,7 +279,7 @@
         }
         let limits = table.class_limits.get(class).copied().unwrap_or_default();
         let time_left = request
-            .patience
+            .caller_timeout
             .unwrap_or(limits.deadline.saturating_sub(request.waited));
         let deadline = now + time_left;
         // All attempts of a request carry the same nonce. Without one, the entity identifies it where retries are recognized.
@@ -393,11 +393,11 @@
         class: identity.class,
         tenant: identity.tenant,
         waited: parsed.waited,
-        caller_timeout: parsed.patience,
+        caller_timeout: parsed.caller_timeout,
         retry_of: identity.retry,
         size_hint: None,
         held_kb: parsed.held_kb,
-        is_retry: parsed.is_redo,
+        is_retry: parsed.is_retry,
     };
     let index = table.insert(new_request(&parsed, identity, reply));
     conn.open_requests.borrow_mut().insert(seq, index);
--- a/crates/protocol/src/thrift/writer.rs
+++ b/crates/protocol/src/thrift/writer.rs
@@ -110,7 +110,8 @@
     frame.end(1)
 }
 
-/// A call of `process` whose arguments are forwarded as they were read ([`Message::args`](super::Message::args)).
+/// A call of `process` that forwards another one: its own sequence number, the arguments unchanged as they were read
+/// ([`Message::args`](super::Message::args)). It adds no mark of a retry.
 ///
 /// ```
 /// use rainstand_protocol::thrift::{message, process, process_again};
--- a/crates/replicated-state/src/member/reads.rs
+++ b/crates/replicated-state/src/member/reads.rs
@@ -66,7 +66,7 @@
         Some(id)
     }
 
-    /// Starts a read at the leader, or at a member that may know it.
+    /// Sends a read to the shard's leader, or to a member that may know the leader.
     fn send_read(&mut self, id: u64) {
         let Some(read) = self.pending_reads.get_mut(&id) else {
             return;
@@ -190,6 +190,7 @@
         let shards = &self.shards;
         let is_applied = |read: &PendingRead| {
             let applied = shards.get(&read.shard).map(|state| state.replica.applied());
+            // Both are options: a read that is not confirmed, or whose shard is gone, is not applied.
             read.index.is_some() && read.index <= applied
         };
         let finished = self
--- a/crates/replicated-state/src/member/requests.rs
+++ b/crates/replicated-state/src/member/requests.rs
@@ -91,6 +91,7 @@
         request.deadline = now + BACKGROUND_TIMEOUT;
         request.retry_at = now;
         if matches!(request.command.operation, Some(Operation::Start(_))) {
+            // The wire's flag is always true.
             request.command.operation = Some(Operation::Withdraw(true));
             self.send_request(id);
         }
@@ -325,7 +326,8 @@
     }
 }
 
-/// A withdrawn start may still be answered by the grant that it was overtaken by: that one does not end it.
+/// Whether an outcome ends a request in the background. The outcome of a claim may still arrive after the claim was turned
+/// into a withdrawal: it does not end it.
 fn is_final_in_background(command: &Command, outcome: &ClaimOutcome) -> bool {
     let is_withdrawal = matches!(command.operation, Some(Operation::Withdraw(_)));
     !is_withdrawal
--- a/crates/routing/src/adaptive_concurrency.rs
+++ b/crates/routing/src/adaptive_concurrency.rs
@@ -2,7 +2,8 @@
 //!
 //! The limit follows the gradient of response times. Each window compares its mean with the lowest mean known: while
 //! they agree and the limit is in use, the limit grows by its square root; when times rise it shrinks in proportion,
-//! at most by half a window. A rejection or failure shrinks it by a tenth, at most once a window. Losses alone
+//! at most by half a window. A rejection or failure shrinks it by a tenth, at most once a window and not below
+//! [`NEAR_MIN_LIMIT`]. Losses alone
 //! (additive increase, multiplicative decrease) would react too late, since a node queues before it rejects.
 //!
 //! The baseline does not follow the mean: it would learn the queue that the limit itself causes, and the limit would
@@ -20,7 +21,8 @@
 /// Lowest limit, in requests. Below one it counts as a fraction of the pool's places: hundreds of forwarders at one
 /// node have less than one each.
 pub const MIN_LIMIT: f64 = 0.1;
-/// A limit of at most twice this, in requests, counts as near its minimum; losses alone do not shrink it below this.
+/// A rejection or failure alone does not shrink the limit below this many requests; response times can, down to
+/// [`MIN_LIMIT`]. A limit of at most twice this counts as near its minimum: the baseline is learned again then.
 pub const NEAR_MIN_LIMIT: f64 = 4.0;
 /// Limit toward a member of which nothing is known, in requests.
 pub const INITIAL_LIMIT: f64 = 16.0;
--- a/crates/routing/src/fleet/attempts.rs
+++ b/crates/routing/src/fleet/attempts.rs
@@ -341,7 +341,8 @@
         }
     }
 
-    /// Ends a request that gets no further attempt: failed if it may have run, else rejected.
+    /// Ends a request that gets no further attempt. It fails if it may have run; but one that may run any number of times
+    /// is rejected if its last attempt is proved not to have run, or was not made.
     fn conclude(
         &mut self,
         now: Duration,
@@ -371,14 +372,20 @@
         self.complete(now, request, outcome, reason)
     }
 
-    /// When a request that found no member may come back.
-    fn retry_after(&mut self, now: Duration, request: &RequestState, attempted: bool) -> Duration {
+    /// When a rejected request may come back. `last_attempt_failed`: it ends with an attempt that reached no member, not for
+    /// want of one to send to.
+    fn retry_after(
+        &mut self,
+        now: Duration,
+        request: &RequestState,
+        last_attempt_failed: bool,
+    ) -> Duration {
         let earliest = self
             .current_pool(&request.decision)
             .and_then(|pool| self.earliest_retry(pool, request.tenant_key, now))
             .unwrap_or(retry_after::DEFAULT);
         // A member that was just unreachable is not back within a typical duration.
-        let min = if attempted {
+        let min = if last_attempt_failed {
             retry_after::DEFAULT
         } else {
             Duration::ZERO
--- a/crates/routing/src/fleet/eligibility.rs
+++ b/crates/routing/src/fleet/eligibility.rs
@@ -24,6 +24,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct Skip {
     pub(super) reason: SkipReason,
+    /// On the fleet's clock. Not known for [`SkipReason::Full`]: it is the present time then, and callers assume a typical
+    /// attempt.
     pub(super) until: Duration,
 }
 
--- a/crates/routing/src/fleet/types.rs
+++ b/crates/routing/src/fleet/types.rs
@@ -150,9 +150,9 @@
 /// What happened since the start, in requests or attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Requests that were admitted.
+    /// Requests that were admitted, also those for which no member was found.
     pub first_attempts: u64,
-    /// Attempts after the first.
+    /// Retries that came due, also those for which no member was found.
     pub retries: u64,
     /// Requests that ended as [`RequestOutcome::Served`].
     pub served: u64,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,8 +1,8 @@
 //! Decides whether a request is retried, after what backoff, and how long each attempt may take.
 //!
-//! A request that may have run is repeated only if its class allows it. Beyond that, there is no retry if the server
-//! asked for none, if the request is itself a retry (its sender retries), past the policy's number of attempts, without
-//! retry budget, or without time for it.
+//! A request that may have run is repeated only if its class and the policy's proof allow it. Beyond that, there is no
+//! retry, in this order: if the member discouraged other members, if the request is itself a retry (its sender retries),
+//! past the policy's number of attempts, without time for a typical attempt after the backoff, or without retry budget.
 //!
 //! The budget holds for the whole process: retries never exceed [`INITIAL_RETRIES`] plus the configured share of first
 //! attempts, however many requests fail at once.
@@ -26,7 +26,8 @@
     NotRun,
     /// Rejected, so it did not run.
     Rejected {
-        /// When the server asked to come back; zero if it did not say.
+        /// The member's retry-after, from now; zero if it gave none. It does not delay a retry, which goes to another member
+        /// if there is one; it goes to the caller if there is no retry.
         pause: Duration,
         /// The server asked not to try other members.
         nowhere_else: bool,
@@ -146,6 +147,8 @@
 
 /// Whether the class of a request and the policy allow another run after this result.
 fn allows_rerun(repeat: RepeatKind, result: AttemptResult, proof: Proof) -> bool {
+    // `Proof::None`: after any failure. `Mark`: under the key that identifies a repeat. `NotRun`: only where nothing ran.
+    // Each value serves one kind of class: an idempotent one is not rerun under `Mark`, nor a keyed one under `None`.
     match (result, repeat) {
         (AttemptResult::NotRun | AttemptResult::Rejected { .. }, _) => true,
         (AttemptResult::MayHaveRun, RepeatKind::Rerunnable) => proof == Proof::None,
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -23,13 +23,18 @@
 /// How long a turn stays open, as a part of the window: long enough to be met by the next request or two.
 const TURN_LIFETIME_WINDOW_FRACTION: f64 = 0.25;
 
+/// Shortest wait for a turn, in seconds: never none, or the caller would ask again at the same time.
+const MIN_WAIT_S: f64 = 1e-6;
+/// Longest wait for a turn, in seconds: a very small rate would overflow the time, and about a year stands for never.
+const MAX_WAIT_S: f64 = 3e7;
+
 /// The rule for one member, as far as this forwarder has to keep it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpRule {
-    /// Turns a second once it is warm.
-    share: f64,
-    warm_up: f64,
-    open: Duration,
+    turns_per_second_when_warm: f64,
+    warm_up_s: f64,
+    /// How long a turn may be used.
+    turn_lifetime: Duration,
 }
 
 impl WarmUpRule {
@@ -42,31 +47,33 @@
             senders
         };
         // A window may hold the turns that came up in it and those that were still open when it began.
-        let share = rate / senders as f64 / (1.0 + TURN_LIFETIME_WINDOW_FRACTION);
+        let turns_per_second = rate / senders as f64 / (1.0 + TURN_LIFETIME_WINDOW_FRACTION);
         Self {
-            share,
-            warm_up: warm_up.as_secs_f64(),
-            open: window.mul_f64(TURN_LIFETIME_WINDOW_FRACTION),
+            turns_per_second_when_warm: turns_per_second,
+            warm_up_s: warm_up.as_secs_f64(),
+            turn_lifetime: window.mul_f64(TURN_LIFETIME_WINDOW_FRACTION),
         }
     }
 
-    /// Turns since its start for one of this age, s.
-    fn sum(&self, age: f64) -> f64 {
-        let flat = age.min(INITIAL_SHARE * self.warm_up);
-        let rising = age.clamp(flat, self.warm_up.max(flat));
+    /// Turns since the start of a member of this age, in seconds.
+    fn turns_until_age(&self, age: f64) -> f64 {
+        let flat = age.min(INITIAL_SHARE * self.warm_up_s);
+        let rising = age.clamp(flat, self.warm_up_s.max(flat));
         let over = age - rising;
-        let rise = (rising * rising - flat * flat) / (2.0 * self.warm_up);
-        self.share * (INITIAL_SHARE * flat + rise + over)
+        let rise = (rising * rising - flat * flat) / (2.0 * self.warm_up_s);
+        self.turns_per_second_when_warm * (INITIAL_SHARE * flat + rise + over)
     }
 
-    /// The age at which there have been so many, s.
-    fn age(&self, sum: f64) -> f64 {
-        let (of_full, flat) = (sum / self.share, INITIAL_SHARE * self.warm_up);
-        if of_full <= INITIAL_SHARE * flat {
-            return of_full / INITIAL_SHARE;
+    /// The age in seconds at which there have been so many turns.
+    fn age_at_turns(&self, turns: f64) -> f64 {
+        let warm_seconds = turns / self.turns_per_second_when_warm;
+        let flat = INITIAL_SHARE * self.warm_up_s;
+        if warm_seconds <= INITIAL_SHARE * flat {
+            return warm_seconds / INITIAL_SHARE;
         }
-        let rising = (2.0 * self.warm_up * (of_full - INITIAL_SHARE * flat) + flat * flat).sqrt();
-        rising.min(self.warm_up)
+        let rising =
+            (2.0 * self.warm_up_s * (warm_seconds - INITIAL_SHARE * flat) + flat * flat).sqrt();
+        rising.min(self.warm_up_s)
     }
 }
 
@@ -75,10 +82,11 @@
 pub struct WarmUpLimiter {
     rule: WarmUpRule,
     /// Connected without a gap since then.
-    since: Option<Duration>,
-    /// The sum is `level` at `from`, when something was last learned.
-    from: Duration,
-    level: f64,
+    connected_since: Option<Duration>,
+    /// When something was last learned; turns are counted from then.
+    counted_from: Duration,
+    /// The part of a turn that had come up by then.
+    turns_before: f64,
     /// Turns up to this one are used or lost.
     used: f64,
 }
@@ -88,62 +96,69 @@
     pub fn new(rule: WarmUpRule, phase: f64, now: Duration) -> Self {
         Self {
             rule,
-            since: None,
-            from: now,
-            level: phase.clamp(0.0, 1.0 - f64::EPSILON),
+            connected_since: None,
+            counted_from: now,
+            turns_before: phase.clamp(0.0, 1.0 - f64::EPSILON),
             used: 0.0,
         }
     }
 
     /// Connected without a gap since then; whatever was known before is no longer.
     pub fn on_connected(&mut self, since: Duration, now: Duration) {
-        if self.since != Some(since) {
-            self.turn(now);
-            self.since = Some(since);
+        if self.connected_since != Some(since) {
+            self.restart_turns(now);
+            self.connected_since = Some(since);
         }
     }
 
     /// No connection is left: what answers there next may have just started.
     pub fn on_disconnected(&mut self, now: Duration) {
-        if self.since.is_some() {
-            self.turn(now);
-            self.since = None;
+        if self.connected_since.is_some() {
+            self.restart_turns(now);
+            self.connected_since = None;
         }
     }
 
     /// What was known under another rule holds, but for turns that were open.
     pub fn carry(&mut self, before: &WarmUpLimiter, now: Duration) {
-        (self.since, self.from, self.used) = (before.since, now, 0.0);
-        self.level = before.at(now).fract();
+        self.connected_since = before.connected_since;
+        self.counted_from = now;
+        self.used = 0.0;
+        self.turns_before = before.turns_until(now).fract();
     }
 
-    fn turn(&mut self, now: Duration) {
-        (self.level, self.from, self.used) = (self.at(now).fract(), now, 0.0);
+    /// Counts again from now: the fraction of the next turn is kept, turns that are open are lost.
+    fn restart_turns(&mut self, now: Duration) {
+        self.turns_before = self.turns_until(now).fract();
+        self.counted_from = now;
+        self.used = 0.0;
     }
 
-    /// The sum of turns at a time.
-    fn at(&self, now: Duration) -> f64 {
+    /// The turns that have come up by a time.
+    fn turns_until(&self, now: Duration) -> f64 {
         let rule = &self.rule;
-        let Some(since) = self.since else {
-            return self.level
-                + rule.share * INITIAL_SHARE * now.saturating_sub(self.from).as_secs_f64();
+        let Some(since) = self.connected_since else {
+            let elapsed = now.saturating_sub(self.counted_from).as_secs_f64();
+            return self.turns_before + rule.turns_per_second_when_warm * INITIAL_SHARE * elapsed;
         };
         let age = |at: Duration| at.saturating_sub(since).as_secs_f64();
-        self.level + rule.sum(age(now.max(self.from))) - rule.sum(age(self.from))
+        self.turns_before + rule.turns_until_age(age(now.max(self.counted_from)))
+            - rule.turns_until_age(age(self.counted_from))
     }
 
     /// Whether it is known to be warm.
     pub fn is_warm(&self, now: Duration) -> bool {
-        self.since
-            .is_some_and(|since| now.saturating_sub(since).as_secs_f64() >= self.rule.warm_up)
+        self.connected_since
+            .is_some_and(|since| now.saturating_sub(since).as_secs_f64() >= self.rule.warm_up_s)
     }
 
     /// Turns that are used or lost by then.
     fn used_at(&self, now: Duration) -> f64 {
         let old = now
-            .checked_sub(self.rule.open)
-            .filter(|then| *then > self.from);
-        self.used.max(old.map_or(0.0, |then| self.at(then).floor()))
+            .checked_sub(self.rule.turn_lifetime)
+            .filter(|then| *then > self.counted_from);
+        self.used
+            .max(old.map_or(0.0, |then| self.turns_until(then).floor()))
     }
 
     /// Until when it may get nothing, if it may get nothing now.
@@ -151,20 +166,19 @@
         if self.is_warm(now) {
             return None;
         }
-        let (sum, used) = (self.at(now), self.used_at(now));
-        if used + 1.0 <= sum {
+        let (turns, used) = (self.turns_until(now), self.used_at(now));
+        if used + 1.0 <= turns {
             return None;
         }
-        let (rule, missing) = (&self.rule, used + 1.0 - sum);
-        let wait = match self.since {
-            None => missing / (rule.share * INITIAL_SHARE),
+        let (rule, missing) = (&self.rule, used + 1.0 - turns);
+        let wait = match self.connected_since {
+            None => missing / (rule.turns_per_second_when_warm * INITIAL_SHARE),
             Some(since) => {
                 let age = now.saturating_sub(since).as_secs_f64();
-                rule.age(rule.sum(age) + missing) - age
+                rule.age_at_turns(rule.turns_until_age(age) + missing) - age
             }
         };
-        // Rates may be as small as one likes; a year is never.
-        Some(now + Duration::from_secs_f64(wait.clamp(1e-6, 3e7)))
+        Some(now + Duration::from_secs_f64(wait.clamp(MIN_WAIT_S, MAX_WAIT_S)))
     }
 
     /// A call goes to it.
--- a/crates/test-servers/src/size.rs
+++ b/crates/test-servers/src/size.rs
@@ -1,7 +1,7 @@
 //! Configurations of a fleet of a given size: the operators' in two years, or a part of it.
 //!
 //! Their shape is that of a deployment of many services: each service has routes of its own, told apart by what its
-//! entities begin with; one route in [`OWN_TENANTS`] is for a few tenants alone; members stand in pools by zone.
+//! entities begin with; one route in eight is for a few tenants alone; members stand in pools by zone.
 //! The same size gives the same text. Names are numbers, so that nothing depends on them.
 
 use std::fmt::Write as _;
