--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,34 +1,34 @@
-//! Ejection of pool members that misbehave (outlier detection), judged from their answers alone: no health checks
-//! are sent.
+//! Passive outlier detection: ejects pool members based on their responses alone; no health checks are sent.
 //!
 //! A member is ejected for consecutive failures, for its failure rate, for being slow compared with the pool's median,
-//! or for silence while it owes answers. It is slow by its mean response time, if several answers were slow, each by a
-//! difference that a caller would feel. Time for which this process itself stood still counts for none of these. After its ejection time it is probed with a part of its usual traffic, and
-//! is in service again once it has answered well often enough; each further ejection doubles the ejection time,
-//! within bounds. If more members would be ejected than the configuration allows, all are used again: the fault is
-//! then not with the members.
+//! or for sending nothing while responses are pending. It counts as slow if its mean response time is too high and
+//! several responses were slow, each by a difference that is noticeable to a caller. Time for which this process itself
+//! was stalled counts for none of these. After its ejection time a member is probed with a fraction of its usual
+//! traffic, and is healthy again after enough consecutive successes. Each further ejection doubles the ejection time,
+//! up to a maximum. If more members would be ejected than the configuration allows, all of them are used: the cause is
+//! then probably not in the members.
 //!
-//! Invariants: [`Health::ejected_count`] counts exactly the members whose [`Health::usable`] is 0; `since` of a
-//! member is the time of its last change of status.
+//! Invariants: [`Health::ejected_count`] is the number of members whose [`Health::usable`] is 0; `since` of a member is
+//! the time of its last status change.
 
 use rainstand_config::schema;
 use rainstand_config::units::ONE;
 use std::time::Duration;
 
-/// Results, decayed, before a failure rate or a mean response time is significant.
+/// Minimum decayed number of results before a failure rate or a mean response time is significant.
 const MIN_SAMPLES: f64 = 20.0;
-/// Difference to the pool's median up to which an answer is not slow, in seconds: callers do not feel it, and beside other
-/// processes it is a few turns of the system's scheduler.
-const MIN_SLOWNESS: f64 = 0.020;
-/// Slow answers, decayed, before a member is slow: a mean alone may be due to one of them.
+/// Difference to the pool's median, in seconds, up to which a response is not slow: callers do not notice it, and on a
+/// shared machine a few scheduler time slices add as much.
+const MIN_EXCESS_S: f64 = 0.020;
+/// Minimum decayed number of slow responses before a member counts as slow: one of them alone can raise the mean.
 const MIN_SLOW_SAMPLES: f64 = 4.5;
-/// Time constant with which results decay: long enough for twenty of them, short compared with an outage.
-const DECAY_SPAN: Duration = Duration::from_secs(10);
-/// Consecutive good answers after which a probed member is healthy again.
+/// Time constant of the decay of results: long enough to collect twenty of them, short compared with an outage.
+const DECAY_TIME_CONSTANT: Duration = Duration::from_secs(10);
+/// Consecutive successes after which a probed member is healthy again.
 const RECOVERY_SUCCESSES: u32 = 10;
-/// Members with a known mean response time below which there is no median to compare with.
+/// Minimum number of members with a known mean response time for a median to compare with.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
-/// Doublings of the ejection time after which it grows no further, so that the shift cannot overflow.
+/// Maximum number of doublings of the ejection time, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Why a member is ejected.
@@ -36,11 +36,11 @@
 pub enum EjectionReason {
     /// Too many failures in a row.
     ConsecutiveFailures,
-    /// Too large a share of its recent answers were failures.
+    /// The failure rate of its recent responses is too high.
     FailureRate,
     /// Its mean response time is too far above the pool's median.
     Slow,
-    /// It owes answers and has sent nothing for too long.
+    /// Responses are pending and it has sent nothing for too long.
     Unresponsive,
 }
 
@@ -59,20 +59,20 @@
 /// Why a member is ejected, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ejection {
-    /// What it was ejected for.
+    /// Cause of the ejection.
     pub reason: EjectionReason,
-    /// From then on it is probed.
+    /// End of the ejection; the member is probed from then on.
     pub until: Duration,
 }
 
-/// Whether a member is in service.
+/// How much traffic a member gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It gets its usual traffic.
+    /// Gets its usual traffic.
     Healthy,
-    /// It gets none.
+    /// Gets no traffic.
     Ejected(Ejection),
-    /// It gets a part of its usual traffic.
+    /// Gets a fraction of its usual traffic.
     Probing,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// A change of a member's status.
+/// A status change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusChange {
     /// Index of the member in its pool.
@@ -96,24 +96,24 @@
     pub to: MemberStatus,
 }
 
-/// The health rules of one pool.
+/// Outlier detection settings of one pool.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthRules {
-    /// Failures in a row that eject a member; at least 1.
+    /// Consecutive failures that eject a member; at least 1.
     pub max_consecutive_failures: u32,
-    /// Share of failures that ejects a member, in millionths.
+    /// Failure rate that ejects a member, in millionths.
     pub max_failure_rate: u64,
-    /// Factor over the pool's median response time that ejects a member, in millionths.
+    /// Multiple of the pool's median response time above which a member is ejected, in millionths.
     pub slow_factor: u64,
-    /// Time without any answer, while some are owed, that ejects a member.
+    /// Time without any response, while some are pending, after which a member is ejected.
     pub silence_timeout: Duration,
-    /// Ejection time of the first ejection; doubles with each further one.
+    /// Duration of the first ejection; doubles with each further one.
     pub min_ejection_time: Duration,
-    /// Upper bound of the ejection time.
+    /// Maximum duration of an ejection.
     pub max_ejection_time: Duration,
-    /// Part of its usual traffic that a probed member gets, in millionths.
+    /// Fraction of its usual traffic that a probed member gets, in millionths.
     pub probe_share: u64,
-    /// Share of the members that must not be ejected, in millionths.
+    /// Minimum fraction of the members that stay in service, in millionths.
     pub min_in_service: u64,
 }
 
@@ -136,23 +136,23 @@
 struct Member {
     status: MemberStatus,
     since: Duration,
-    /// Ejections without a full recovery in between.
+    /// Ejections since the member was last healthy for the maximum ejection time.
     ejections: u32,
     consecutive_failures: u32,
     consecutive_successes: u32,
-    /// Decayed numbers of good and failed answers.
-    good: f64,
-    failed: f64,
-    /// Decayed sum of the response times of good answers, in seconds.
-    duration_sum: f64,
-    /// Decayed number of slow answers.
-    slow: f64,
-    /// When the decayed values were last brought up to date.
+    /// Decayed numbers of successful and failed responses.
+    successes: f64,
+    failures: f64,
+    /// Decayed sum of the response times of successful responses, in seconds.
+    response_time_sum: f64,
+    /// Decayed number of slow responses.
+    slow_count: f64,
+    /// When the decay was last applied.
     decayed_at: Duration,
-    /// Answers that are outstanding.
+    /// Number of pending responses.
     outstanding: u32,
-    /// Time of its last answer, or since when an answer is outstanding.
-    last_signal: Duration,
+    /// Time of its last response, or since when a response is pending.
+    silent_since: Duration,
 }
 
 impl Member {
@@ -163,62 +163,63 @@
             ejections: 0,
             consecutive_failures: 0,
             consecutive_successes: 0,
-            good: 0.0,
-            failed: 0.0,
-            duration_sum: 0.0,
-            slow: 0.0,
+            successes: 0.0,
+            failures: 0.0,
+            response_time_sum: 0.0,
+            slow_count: 0.0,
             decayed_at: now,
             outstanding: 0,
-            last_signal: now,
+            silent_since: now,
         }
     }
 
     fn decay(&mut self, now: Duration) {
-        let past = now.saturating_sub(self.decayed_at).as_secs_f64() / DECAY_SPAN.as_secs_f64();
-        let left = (-past).exp();
-        self.good *= left;
-        self.failed *= left;
-        self.duration_sum *= left;
-        self.slow *= left;
+        let time_constants =
+            now.saturating_sub(self.decayed_at).as_secs_f64() / DECAY_TIME_CONSTANT.as_secs_f64();
+        let remaining = (-time_constants).exp();
+        self.successes *= remaining;
+        self.failures *= remaining;
+        self.response_time_sum *= remaining;
+        self.slow_count *= remaining;
         self.decayed_at = self.decayed_at.max(now);
     }
 
     fn reset_samples(&mut self) {
-        (self.good, self.failed) = (0.0, 0.0);
-        (self.duration_sum, self.slow) = (0.0, 0.0);
+        (self.successes, self.failures) = (0.0, 0.0);
+        (self.response_time_sum, self.slow_count) = (0.0, 0.0);
         (self.consecutive_failures, self.consecutive_successes) = (0, 0);
     }
 
-    fn mean(&self) -> Option<f64> {
-        (self.good >= MIN_SAMPLES / 4.0).then(|| self.duration_sum / self.good)
+    fn mean_response_time(&self) -> Option<f64> {
+        (self.successes >= MIN_SAMPLES / 4.0).then(|| self.response_time_sum / self.successes)
     }
 }
 
-/// The status of all members of one pool.
+/// Outlier detection state of all members of one pool.
 #[derive(Clone, Debug)]
 pub struct Health {
     rules: HealthRules,
     members: Vec<Member>,
-    /// More members would be ejected than allowed, so all are used.
+    /// Whether all members are used because more would be ejected than allowed.
     all_in_service: bool,
-    /// Median of the members' mean response times, in seconds. Updated once per pool's worth of answers: a sort for
-    /// each answer would dominate the cost of a request in a pool of a hundred.
+    /// Median of the members' mean response times, in seconds. Updated once per as many responses as there are members:
+    /// a selection for each response would dominate the cost of a request in a pool of a hundred.
     median: Option<f64>,
-    answers: usize,
+    responses: usize,
 }
 
 impl Health {
-    /// The rules that hold now.
+    /// The current settings.
     pub fn rules(&self) -> HealthRules {
         self.rules
     }
 
-    /// Replaces the rules; statuses stay until the members are evaluated by the new ones.
+    /// Replaces the settings; statuses are kept until the next evaluation.
     pub fn set_rules(&mut self, rules: HealthRules) {
         self.rules = rules;
     }
 
-    /// All of `members` members are healthy at first.
+    /// Creates the state for `members` members, all healthy.
     pub fn new(rules: HealthRules, members: usize, now: Duration) -> Self {
         let members = vec![Member::new(now); members];
         Self {
@@ -226,187 +227,198 @@
             members,
             all_in_service: false,
             median: None,
-            answers: 0,
+            responses: 0,
         }
     }
 
     /// Records that a request was sent to a member.
     pub fn on_sent(&mut self, member: usize, now: Duration) {
-        let one = &mut self.members[member];
-        if one.outstanding == 0 {
-            one.last_signal = one.last_signal.max(now);
+        let state = &mut self.members[member];
+        if state.outstanding == 0 {
+            state.silent_since = state.silent_since.max(now);
         }
-        one.outstanding += 1;
+        state.outstanding += 1;
     }
 
-    /// Records the answer to a request, its response time `took` and whether it was `good`; returns the change of
-    /// status that it caused.
+    /// Records the response to a request, its response time and whether it succeeded; returns the status change that it
+    /// caused.
     pub fn on_answer(
         &mut self,
         member: usize,
         now: Duration,
-        took: Duration,
-        good: bool,
+        response_time: Duration,
+        succeeded: bool,
     ) -> Option<StatusChange> {
-        let is_slow = self.is_slow(took);
-        let one = &mut self.members[member];
-        one.outstanding = one.outstanding.saturating_sub(1);
-        one.last_signal = now;
-        one.decay(now);
-        if good {
-            one.good += 1.0;
-            one.duration_sum += took.as_secs_f64();
-            one.slow += f64::from(u8::from(is_slow));
-            one.consecutive_failures = 0;
-            one.consecutive_successes = one.consecutive_successes.saturating_add(1);
+        let is_slow = self.is_slow(response_time);
+        let state = &mut self.members[member];
+        state.outstanding = state.outstanding.saturating_sub(1);
+        state.silent_since = now;
+        state.decay(now);
+        if succeeded {
+            state.successes += 1.0;
+            state.response_time_sum += response_time.as_secs_f64();
+            state.slow_count += f64::from(u8::from(is_slow));
+            state.consecutive_failures = 0;
+            state.consecutive_successes = state.consecutive_successes.saturating_add(1);
         } else {
-            one.failed += 1.0;
-            one.consecutive_successes = 0;
-            one.consecutive_failures = one.consecutive_failures.saturating_add(1);
+            state.failures += 1.0;
+            state.consecutive_successes = 0;
+            state.consecutive_failures = state.consecutive_failures.saturating_add(1);
         }
-        self.answers += 1;
-        if self.answers >= self.members.len() {
+        self.responses += 1;
+        if self.responses >= self.members.len() {
             self.update_median();
         }
         self.evaluate(member, now)
     }
 
-    /// Records a request whose caller left or whose connection this side closed: that proves nothing about the member.
+    /// Records a request whose caller disconnected or whose connection this side closed, which says nothing about the
+    /// member's health.
     pub fn on_abandoned(&mut self, member: usize) {
-        let one = &mut self.members[member];
-        one.outstanding = one.outstanding.saturating_sub(1);
+        let state = &mut self.members[member];
+        state.outstanding = state.outstanding.saturating_sub(1);
     }
 
-    /// Records an answer that says nothing about the health of the member.
+    /// Records a response that says nothing about the member's health, except that it is responsive.
     pub fn on_signal(&mut self, member: usize, now: Duration) {
-        let one = &mut self.members[member];
-        one.outstanding = one.outstanding.saturating_sub(1);
-        one.last_signal = now;
+        let state = &mut self.members[member];
+        state.outstanding = state.outstanding.saturating_sub(1);
+        state.silent_since = now;
     }
 
-    /// Forgets a member that restarted.
+    /// Resets the state of a member that restarted.
     pub fn on_restarted(&mut self, member: usize, now: Duration) {
         self.members[member] = Member::new(now);
     }
 
-    /// This process stood still for so long, until now: nobody can have been heard meanwhile.
+    /// Records that this process was stalled for `stall` until `now`: no response could be received in that time.
     pub fn on_stall(&mut self, now: Duration, stall: Duration) {
-        for one in &mut self.members {
-            one.last_signal = (one.last_signal + stall).min(now);
+        for state in &mut self.members {
+            state.silent_since = (state.silent_since + stall).min(now);
         }
     }
 
-    /// Finds silent members and ends ejections that are over. To be called several times a second.
+    /// Ejects unresponsive members and ends ejections that have expired. To be called several times a second.
     pub fn tick(&mut self, now: Duration) -> Vec<StatusChange> {
         self.update_median();
         let changes: Vec<_> = (0..self.members.len())
             .filter_map(|member| self.evaluate(member, now))
             .collect();
-        let out = self
+        let ejected = self
             .members
             .iter()
-            .filter(|one| matches!(one.status, MemberStatus::Ejected(_)))
+            .filter(|state| matches!(state.status, MemberStatus::Ejected(_)))
             .count();
-        self.all_in_service = out > self.max_ejected();
+        self.all_in_service = ejected > self.max_ejected();
         changes
     }
 
     fn evaluate(&mut self, member: usize, now: Duration) -> Option<StatusChange> {
         let reason = self.reason(member, now);
         let rules = self.rules;
-        let one = &mut self.members[member];
-        let to = match (one.status, reason) {
+        let state = &mut self.members[member];
+        let to = match (state.status, reason) {
             (MemberStatus::Healthy | MemberStatus::Probing, Some(reason)) => {
-                let doubled = rules
+                let ejection_time = rules
                     .min_ejection_time
-                    .saturating_mul(1 << one.ejections.min(MAX_DOUBLINGS));
-                one.ejections += 1;
-                one.reset_samples();
+                    .saturating_mul(1 << state.ejections.min(MAX_DOUBLINGS));
+                state.ejections += 1;
+                state.reset_samples();
                 MemberStatus::Ejected(Ejection {
                     reason,
-                    until: now + doubled.min(rules.max_ejection_time),
+                    until: now + ejection_time.min(rules.max_ejection_time),
                 })
             }
             (MemberStatus::Ejected(ejection), _) if now >= ejection.until => {
-                one.reset_samples();
+                state.reset_samples();
                 MemberStatus::Probing
             }
-            (MemberStatus::Probing, None) if one.consecutive_successes >= RECOVERY_SUCCESSES => {
+            (MemberStatus::Probing, None) if state.consecutive_successes >= RECOVERY_SUCCESSES => {
                 MemberStatus::Healthy
             }
             (MemberStatus::Healthy, None) => {
-                // Healthy for as long as the longest ejection: earlier ejections no longer count.
-                if one.ejections > 0 && now.saturating_sub(one.since) > rules.max_ejection_time {
-                    one.ejections = 0;
+                // Healthy for longer than the maximum ejection time: earlier ejections no longer count.
+                if state.ejections > 0 && now.saturating_sub(state.since) > rules.max_ejection_time
+                {
+                    state.ejections = 0;
                 }
                 return None;
             }
             _ => return None,
         };
-        one.status = to;
-        one.since = now;
-        let out = self
+        state.status = to;
+        state.since = now;
+        let ejected = self
             .members
             .iter()
-            .filter(|one| matches!(one.status, MemberStatus::Ejected(_)))
+            .filter(|state| matches!(state.status, MemberStatus::Ejected(_)))
             .count();
-        self.all_in_service = out > self.max_ejected();
+        self.all_in_service = ejected > self.max_ejected();
         Some(StatusChange { member, to })
     }
 
     fn reason(&self, member: usize, now: Duration) -> Option<EjectionReason> {
-        let (one, rules) = (&self.members[member], &self.rules);
-        if one.consecutive_failures >= rules.max_consecutive_failures.max(1) {
+        let (state, rules) = (&self.members[member], &self.rules);
+        if state.consecutive_failures >= rules.max_consecutive_failures.max(1) {
             return Some(EjectionReason::ConsecutiveFailures);
         }
-        let all = one.good + one.failed;
-        if all >= MIN_SAMPLES && one.failed / all >= rules.max_failure_rate as f64 / ONE as f64 {
+        let results = state.successes + state.failures;
+        if results >= MIN_SAMPLES
+            && state.failures / results >= rules.max_failure_rate as f64 / ONE as f64
+        {
             return Some(EjectionReason::FailureRate);
         }
-        if one.outstanding > 0 && now.saturating_sub(one.last_signal) > rules.silence_timeout {
+        if state.outstanding > 0 && now.saturating_sub(state.silent_since) > rules.silence_timeout {
             return Some(EjectionReason::Unresponsive);
         }
-        let mean = one.mean().filter(|_| one.good >= MIN_SAMPLES)?;
-        let is_slow = mean > self.slow_limit()? && one.slow >= MIN_SLOW_SAMPLES;
+        let mean_response_time = state
+            .mean_response_time()
+            .filter(|_| state.successes >= MIN_SAMPLES)?;
+        let is_slow =
+            mean_response_time > self.slow_limit()? && state.slow_count >= MIN_SLOW_SAMPLES;
         is_slow.then_some(EjectionReason::Slow)
     }
 
-    /// The response time above which a mean is too far above the median, in seconds.
+    /// The mean response time above which a member is slow, in seconds.
     fn slow_limit(&self) -> Option<f64> {
         let median = self.median?;
         Some(median * self.rules.slow_factor as f64 / ONE as f64)
     }
 
-    /// Whether one answer is too far above the median, and a caller feels it.
-    fn is_slow(&self, took: Duration) -> bool {
+    /// Whether a response time is too far above the median, and by a difference that is noticeable to a caller.
+    fn is_slow(&self, time: Duration) -> bool {
         let limits = self.slow_limit().zip(self.median);
-        limits.is_some_and(|(limit, median)| took.as_secs_f64() > limit.max(median + MIN_SLOWNESS))
+        limits.is_some_and(|(limit, median)| time.as_secs_f64() > limit.max(median + MIN_EXCESS_S))
     }
 
     fn update_median(&mut self) {
-        self.answers = 0;
-        let mut means: Vec<f64> = self.members.iter().filter_map(Member::mean).collect();
-        // The lower median, so that slowness of half of the members does not become the norm.
-        let at = means.len().saturating_sub(1) / 2;
+        self.responses = 0;
+        let mut means: Vec<f64> = self
+            .members
+            .iter()
+            .filter_map(Member::mean_response_time)
+            .collect();
+        // The lower median, so that half of the members being slow does not raise it.
+        let median_index = means.len().saturating_sub(1) / 2;
         self.median = (means.len() >= MIN_MEMBERS_FOR_MEDIAN)
-            .then(|| *means.select_nth_unstable_by(at, f64::total_cmp).1);
+            .then(|| *means.select_nth_unstable_by(median_index, f64::total_cmp).1);
     }
 
-    /// How many members may be ejected: never all.
+    /// Maximum number of ejected members, always less than the number of members.
     pub fn max_ejected(&self) -> usize {
         let members = self.members.len();
-        let kept = (members as u64 * self.rules.min_in_service).div_ceil(ONE) as usize;
-        members - kept.clamp(1, members.max(1)).min(members)
+        let min_members = (members as u64 * self.rules.min_in_service).div_ceil(ONE) as usize;
+        members - min_members.clamp(1, members.max(1)).min(members)
     }
 
-    /// How many members are ejected now; 0 while all are used because too many would be ejected.
+    /// Number of ejected members; 0 while all are used because too many would be ejected.
     pub fn ejected_count(&self) -> usize {
         (0..self.members.len())
             .filter(|member| self.usable(*member) == 0)
             .count()
     }
 
-    /// The part of its usual traffic that a member may get now, in millionths.
+    /// The fraction of its usual traffic that a member may get now, in millionths.
     pub fn usable(&self, member: usize) -> u64 {
         if self.all_in_service {
             return ONE;
@@ -418,7 +430,7 @@
         }
     }
 
-    /// The ejection of a member, unless all members are used.
+    /// The ejection of a member; `None` while all members are used.
     pub fn ejection(&self, member: usize) -> Option<Ejection> {
         match self.members[member].status {
             MemberStatus::Ejected(ejection) if !self.all_in_service => Some(ejection),
@@ -436,7 +448,7 @@
         self.members.len()
     }
 
-    /// The pool's median response time of good answers, if it is known.
+    /// The median over the members of the mean time of successful responses, if it is known.
     pub fn typical_duration(&self) -> Option<Duration> {
         self.median
             .and_then(|s| Duration::try_from_secs_f64(s).ok())
--- a/crates/routing/src/member_selection.rs
+++ b/crates/routing/src/member_selection.rs
@@ -1,12 +1,13 @@
 //! Selects the member of a pool for a request.
 //!
-//! The member with the lowest load for its weight takes the request, as far as this process knows; ties are broken at
-//! random. Each process knows only its own load, so that knowledge is never stale and processes do not all run after one
-//! number. Members in the near zone come first, until the zone has `ZONE_SPILL_FACTOR` times the load of the pool. An
-//! entity goes to its own member while that has at most `AFFINITY_LOAD_FACTOR` times the mean load, else to the next
-//! one that its hash ranks, so that affinity overloads no member.
+//! The member with the lowest load relative to its weight is selected; ties are broken at random. Each process counts
+//! only its own requests as load: that is never stale, and processes do not all send to the member that a shared figure
+//! reports as idle. Members in the near zone are preferred until the zone's load relative to its weight exceeds
+//! `ZONE_SPILL_FACTOR` times that of the pool. Requests of an entity go to its preferred member while that has at most
+//! `AFFINITY_LOAD_FACTOR` times the mean load, else to the next one in the order of the entity's hash scores, so that
+//! affinity overloads no member.
 //!
-//! A failed attempt counts as load for the pool's typical duration: a member that fails within a millisecond would
+//! A failed attempt counts as load for the pool's typical response time: a member that fails within a millisecond would
 //! otherwise look idle and attract all requests.
 
 use crate::warm_up::{WarmUpLimiter, INITIAL_SHARE};
@@ -15,41 +16,42 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Load for its weight, relative to the mean, up to which a member keeps its entities.
+/// Load relative to weight, as a multiple of the mean, up to which a member gets the requests of its entities.
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
-/// Load for its weight, relative to the pool's, up to which the near zone keeps its requests.
+/// Load relative to weight, as a multiple of the pool's, up to which all requests stay in the near zone.
 const ZONE_SPILL_FACTOR: f64 = 1.5;
-/// Recent failures that are counted for one member.
+/// Maximum number of recent failures that are counted for one member.
 const MAX_RECENT_FAILURES: usize = 256;
-/// Draws for a second member before the first is taken: with tiny weights beside large ones draws may miss.
+/// Draws for a second member before the first is selected: if one weight is far larger than the others, draws may keep
+/// hitting the same member.
 const MAX_DRAWS: usize = 16;
 
-/// What is known of one member.
+/// Load and selection settings of one member.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Hash of its address ([`crate::weighted_split::name_hash`]).
-    pub mark: u64,
+    pub address_hash: u64,
     /// Its configured weight; 1 is usual.
     pub weight: f64,
-    /// It is in the zone of this forwarder.
+    /// Whether it is in the zone of this forwarder.
     pub near: bool,
-    /// How long it warms up after a start; zero if it does not.
+    /// Warm-up time after a start; zero if it does not warm up.
     pub warm_up: Duration,
-    /// When it started, if it warms up.
+    /// When it last started; `None` if unknown or if it does not warm up.
     pub started: Option<Duration>,
-    /// What it may be sent while it is not known to be warm, if the pool limits that.
+    /// Limits the attempts to it while it is not known to be warm, if the pool has such a limit.
     pub ramp: Option<WarmUpLimiter>,
-    /// Attempts that are at it.
+    /// Attempts in flight to it.
     pub open: u32,
-    /// Until when each recent failure counts as open, in order.
+    /// When each recent failure stops to count as load, in ascending order.
     recent_failures: VecDeque<Duration>,
 }
 
 impl Member {
-    /// A member of which nothing is known.
-    pub fn new(mark: u64, weight: f64, near: bool, warm_up: Duration) -> Self {
+    /// Creates a member without load and with an unknown start time. `address_hash`: see the field.
+    pub fn new(address_hash: u64, weight: f64, near: bool, warm_up: Duration) -> Self {
         Self {
-            mark,
+            address_hash,
             weight,
             near,
             warm_up,
@@ -60,25 +62,26 @@
         }
     }
 
-    /// A request failed: it counts as open until the usual time since it was sent is over.
-    pub fn failed(&mut self, sent: Duration, usual: Duration) {
-        let until = sent + usual;
+    /// Records a failed attempt, which counts as load until `typical_duration` after it was sent.
+    pub fn failed(&mut self, sent: Duration, typical_duration: Duration) {
+        let until = sent + typical_duration;
         if self.recent_failures.len() >= MAX_RECENT_FAILURES {
             self.recent_failures.pop_front();
         }
-        let place = self.recent_failures.partition_point(|end| *end <= until);
-        self.recent_failures.insert(place, until);
+        let position = self.recent_failures.partition_point(|end| *end <= until);
+        self.recent_failures.insert(position, until);
     }
 
-    /// Its weight now: a member that just started gets its part by and by.
-    fn weight_at(&self, now: Duration, part: f64) -> f64 {
-        let warm = match self.started {
+    /// The weight times `traffic_fraction`, reduced after a start in proportion to the elapsed part of the warm-up
+    /// time.
+    fn weight_at(&self, now: Duration, traffic_fraction: f64) -> f64 {
+        let warm_up_fraction = match self.started {
             Some(started) if !self.warm_up.is_zero() => (now.saturating_sub(started).as_secs_f64()
                 / self.warm_up.as_secs_f64())
             .clamp(INITIAL_SHARE, 1.0),
             _ => 1.0,
         };
-        self.weight * warm * part
+        self.weight * warm_up_fraction * traffic_fraction
     }
 
     fn load(&mut self, now: Duration) -> f64 {
@@ -96,21 +99,21 @@
 /// How members are selected for requests without an entity. All but the first are for comparisons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// The one with the lowest load for its weight; ties are broken at random.
+    /// The member with the lowest load relative to its weight; ties are broken at random.
     #[default]
     LeastLoaded,
-    /// The less loaded of two that are drawn by weight.
+    /// The less loaded of two members that are drawn with a probability in proportion to their weights.
     TwoChoices,
-    /// One after another, whatever their load.
+    /// All members in turn, regardless of load; holds the index of the next one.
     RoundRobin(u32),
 }
 
 /// How a member was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionReason {
-    /// It is the entity's own.
+    /// It is the entity's preferred member.
     Affinity,
-    /// The entity's own is overloaded; so many were skipped.
+    /// The entity's preferred member is overloaded; holds the number of members that were skipped.
     AffinitySkipped(u32),
     /// By load, in the near zone.
     Near,
@@ -130,7 +133,7 @@
     }
 }
 
-/// Load and weight of a set of members.
+/// Sums of load and weight over a set of members.
 #[derive(Clone, Copy, Default)]
 struct Totals {
     load: f64,
@@ -146,19 +149,19 @@
 
 /// Selects the member for a request; `None` if no member can take it.
 ///
-/// `part`: the part of its usual traffic that a member may get now, as a fraction
-/// ([`crate::health::Health::usable`]); 0 for none.
+/// `traffic_fraction`: the fraction of its usual traffic that a member may get now, by its index; 0 for none
+/// ([`crate::health::Health::usable`] has it in millionths).
 pub fn choose(
-    pick: &mut SelectionPolicy,
+    policy: &mut SelectionPolicy,
     members: &mut [Member],
     now: Duration,
     entity: &str,
-    chance: &mut WyRand,
-    part: impl Fn(usize) -> f64,
+    rng: &mut WyRand,
+    traffic_fraction: impl Fn(usize) -> f64,
 ) -> Option<(usize, SelectionReason)> {
     let (mut near, mut all) = (Totals::default(), Totals::default());
-    for (k, member) in members.iter_mut().enumerate() {
-        let weight = member.weight_at(now, part(k));
+    for (index, member) in members.iter_mut().enumerate() {
+        let weight = member.weight_at(now, traffic_fraction(index));
         if weight <= 0.0 {
             continue;
         }
@@ -172,153 +175,172 @@
         return None;
     }
     if !entity.is_empty() {
-        return by_affinity(members, now, entity, all, &part);
+        return by_affinity(members, now, entity, all, &traffic_fraction);
     }
-    // One more request in each set, so that an idle pool has a mean too.
-    let spills = near.weight <= 0.0
+    // One is added to the load of each set, so that the comparison also works in an idle pool.
+    let spills_over = near.weight <= 0.0
         || (near.load + 1.0) / near.weight > ZONE_SPILL_FACTOR * (all.load + 1.0) / all.weight;
-    let (total_weight, only_near, reason) = if spills {
+    let (total_weight, only_near, reason) = if spills_over {
         (all.weight, false, SelectionReason::Any)
     } else {
         (near.weight, true, SelectionReason::Near)
     };
-    let selected = match pick {
-        SelectionPolicy::LeastLoaded => least_loaded(members, now, chance, only_near, &part),
-        SelectionPolicy::RoundRobin(next) => round_robin(members, next, only_near, &part),
-        SelectionPolicy::TwoChoices => {
-            two_choices(members, now, chance, only_near, total_weight, &part)
+    let selected = match policy {
+        SelectionPolicy::LeastLoaded => {
+            least_loaded(members, now, rng, only_near, &traffic_fraction)
         }
+        SelectionPolicy::RoundRobin(next) => {
+            round_robin(members, next, only_near, &traffic_fraction)
+        }
+        SelectionPolicy::TwoChoices => two_choices(
+            members,
+            now,
+            rng,
+            only_near,
+            total_weight,
+            &traffic_fraction,
+        ),
     };
     selected.map(|member| (member, reason))
 }
 
-/// The next member in turn.
+/// The next usable member in order of index.
 fn round_robin(
     members: &[Member],
     next: &mut u32,
     only_near: bool,
-    part: &impl Fn(usize) -> f64,
+    traffic_fraction: &impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let count = members.len();
-    let fits = |k: &usize| part(*k) > 0.0 && (!only_near || members[*k].near);
+    let is_usable =
+        |index: &usize| traffic_fraction(*index) > 0.0 && (!only_near || members[*index].near);
     let selected = (0..count)
-        .map(|k| (k + *next as usize) % count)
-        .find(fits)?;
+        .map(|index| (index + *next as usize) % count)
+        .find(is_usable)?;
     *next = (selected as u32 + 1) % count as u32;
     Some(selected)
 }
 
-/// Of two members drawn by weight, the one with the lower load for its weight.
+/// The one of two members drawn by weight that has the lower load relative to its weight.
 fn two_choices(
     members: &mut [Member],
     now: Duration,
-    chance: &mut WyRand,
+    rng: &mut WyRand,
     only_near: bool,
     total_weight: f64,
-    part: &impl Fn(usize) -> f64,
+    traffic_fraction: &impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let mut draw = |except: Option<usize>| {
-        let fraction = f64::from(chance.generate::<u32>());
-        let mut left = total_weight * fraction / (f64::from(u32::MAX) + 1.0);
+        let fraction = f64::from(rng.generate::<u32>());
+        let mut remaining = total_weight * fraction / (f64::from(u32::MAX) + 1.0);
         let mut last = None;
-        for (k, member) in members.iter().enumerate() {
-            let weight = member.weight_at(now, part(k));
+        for (index, member) in members.iter().enumerate() {
+            let weight = member.weight_at(now, traffic_fraction(index));
             if weight <= 0.0 || (only_near && !member.near) {
                 continue;
             }
-            last = Some(k);
-            if left < weight {
+            last = Some(index);
+            if remaining < weight {
                 break;
             }
-            left -= weight;
+            remaining -= weight;
         }
-        last.filter(|found| Some(*found) != except)
+        last.filter(|drawn| Some(*drawn) != except)
     };
     let first = draw(None)?;
     let second = (0..MAX_DRAWS)
         .find_map(|_| draw(Some(first)))
         .unwrap_or(first);
-    let mut rate = |k: usize| (members[k].load(now) + 1.0) / members[k].weight_at(now, part(k));
-    Some(if rate(second) < rate(first) {
+    let mut relative_load = |index: usize| {
+        (members[index].load(now) + 1.0) / members[index].weight_at(now, traffic_fraction(index))
+    };
+    Some(if relative_load(second) < relative_load(first) {
         second
     } else {
         first
     })
 }
 
-/// The one with the lowest load for its weight; ties are broken at random.
+/// The member with the lowest load relative to its weight; ties are broken at random.
 fn least_loaded(
     members: &mut [Member],
     now: Duration,
-    chance: &mut WyRand,
+    rng: &mut WyRand,
     only_near: bool,
-    part: &impl Fn(usize) -> f64,
+    traffic_fraction: &impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let mut best: Option<(f64, usize)> = None;
-    let mut equals = 0u32;
-    for (k, member) in members.iter_mut().enumerate() {
+    let mut ties = 0u32;
+    for (index, member) in members.iter_mut().enumerate() {
         if only_near && !member.near {
             continue;
         }
-        let weight = member.weight_at(now, part(k));
+        let weight = member.weight_at(now, traffic_fraction(index));
         if weight <= 0.0 {
             continue;
         }
-        let rate = (member.load(now) + 1.0) / weight;
+        let relative_load = (member.load(now) + 1.0) / weight;
         match best {
-            Some((least, _)) if rate > least => {}
+            Some((least, _)) if relative_load > least => {}
             #[expect(
                 clippy::float_cmp,
-                reason = "only exact ties are drawn; near ones are ordered"
+                reason = "only exact ties are broken at random; other loads are ordered"
             )]
-            Some((least, _)) if rate == least => {
-                // Each of those that are alike is taken with the same chance.
-                equals += 1;
-                if chance.generate_range(0..equals) == 0 {
-                    best = Some((rate, k));
+            Some((least, _)) if relative_load == least => {
+                // Reservoir sampling: each tied member is selected with the same probability.
+                ties += 1;
+                if rng.generate_range(0..ties) == 0 {
+                    best = Some((relative_load, index));
                 }
             }
-            _ => (best, equals) = (Some((rate, k)), 1),
+            _ => (best, ties) = (Some((relative_load, index)), 1),
         }
     }
-    best.map(|(_, k)| k)
+    best.map(|(_, index)| index)
 }
 
-/// The first in the entity's order of preference whose load is within its bound.
+/// The first member in the entity's order of preference whose load is within its bound.
 fn by_affinity(
     members: &mut [Member],
     now: Duration,
     entity: &str,
     all: Totals,
-    part: &impl Fn(usize) -> f64,
+    traffic_fraction: &impl Fn(usize) -> f64,
 ) -> Option<(usize, SelectionReason)> {
     let bound = |weight: f64| AFFINITY_LOAD_FACTOR * (all.load + 1.0) * weight / all.weight;
     let mut best: Option<(usize, f64)> = None;
-    let (mut passed_over, mut highest) = (0, f64::NEG_INFINITY);
-    // The order of all is not needed: the best of those with room, and how many stand before it.
-    let mut full = Vec::new();
-    for (k, member) in members.iter_mut().enumerate() {
-        let weight = member.weight_at(now, part(k));
+    let (mut skipped, mut best_score) = (0, f64::NEG_INFINITY);
+    // No sort is needed: only the best member with capacity, and the number of members that score higher.
+    let mut overloaded_scores = Vec::new();
+    for (index, member) in members.iter_mut().enumerate() {
+        let weight = member.weight_at(now, traffic_fraction(index));
         if weight <= 0.0 {
             continue;
         }
-        // By its lasting weight: warming up must not move everybody's entities twice.
-        let score = score(member.mark, (member.weight * 1_000.0) as u64, entity);
+        // Scored by its configured weight: otherwise each warm-up would move entities away and back again.
+        let score = score(
+            member.address_hash,
+            (member.weight * 1_000.0) as u64,
+            entity,
+        );
         if member.load(now) + 1.0 > bound(weight).ceil().max(1.0) {
-            full.push(score);
-        } else if score > highest {
-            highest = score;
-            best = Some((k, score));
+            overloaded_scores.push(score);
+        } else if score > best_score {
+            best_score = score;
+            best = Some((index, score));
         }
     }
-    let (chosen, of) = best?;
-    passed_over += full.iter().filter(|score| **score > of).count() as u32;
+    let (selected, selected_score) = best?;
+    skipped += overloaded_scores
+        .iter()
+        .filter(|score| **score > selected_score)
+        .count() as u32;
     Some((
-        chosen,
-        if passed_over == 0 {
+        selected,
+        if skipped == 0 {
             SelectionReason::Affinity
         } else {
-            SelectionReason::AffinitySkipped(passed_over)
+            SelectionReason::AffinitySkipped(skipped)
         },
     ))
 }
--- a/crates/routing/src/tenant_fairness.rs
+++ b/crates/routing/src/tenant_fairness.rs
@@ -1,13 +1,13 @@
-//! Divides the places of a pool among tenants while they are scarce.
+//! Divides the places of a pool among tenants while they are scarce. A place is capacity for one request in flight.
 //!
 //! Below [`SCARCITY_THRESHOLD`] any tenant may take a place. Above it a tenant is admitted only while it holds fewer
 //! places than its entitlement: its share relative to the shares of all tenants active within the last two seconds.
-//! A tenant that is alone may therefore fill the pool, and one that floods it cannot exclude the others. Requests are
-//! never queued here.
+//! A tenant that is the only active one may therefore fill the pool, and one that floods it cannot exclude the others.
+//! Requests are never queued here.
 //!
-//! Tenants that the configuration does not name share one entitlement, divided evenly among a fixed number of cells
-//! by a hash of the tenant's name. Made-up names thus cost a bounded amount of memory and take nothing from
-//! configured tenants.
+//! Tenants that the configuration does not name share one entitlement, divided evenly among the active ones of a fixed
+//! number of cells, to which they are assigned by a hash of the tenant's name. Made-up names thus use a bounded amount
+//! of memory and take nothing from configured tenants beyond that one entitlement.
 //!
 //! Inactive tenants have no entry, so memory and the cost of a tick depend on the active tenants.
 //!
@@ -17,18 +17,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fraction of a pool's places in use from which on they are scarce; the remainder is reserved for tenants below
+/// Fraction of a pool's places in use at and above which they are scarce; the remainder is reserved for tenants below
 /// their entitlement.
 pub const SCARCITY_THRESHOLD: f64 = 0.8;
 /// A tenant is active for this long after its last request.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(2);
-/// Cells over which tenants without configuration are spread.
+/// Number of cells among which unknown tenants are distributed.
 pub const UNKNOWN_TENANT_CELLS: usize = 1_024;
-/// Minimum share of all unknown tenants together, whatever was promised to others: one of them may be a new customer.
+/// Minimum share of all unknown tenants together, even if configured shares leave less: one may be a new customer.
 const UNKNOWN_TENANTS_MIN_SHARE: f64 = 0.05;
 /// Sums of fractions below this are rounding errors.
 const WEIGHT_EPSILON: f64 = 1e-9;
-/// Entry of all unknown tenants together; sorts behind every configured tenant.
+/// Entry of all unknown tenants together; sorts after every configured tenant.
 const UNKNOWN_TENANTS: u32 = u32::MAX;
 
 /// The tenant of a request, as far as fairness distinguishes tenants.
@@ -36,7 +36,7 @@
 pub enum TenantKey {
     /// A configured tenant, by its index in the table.
     Configured(u16),
-    /// A tenant that the configuration does not name, by the cell of its name's hash.
+    /// A tenant that the configuration does not name, by the cell that its name's hash selects.
     Unknown(u16),
 }
 
@@ -60,15 +60,14 @@
 /// The share of each tenant, the same in all pools of a configuration version.
 #[derive(Debug, Default)]
 pub struct TenantShares {
-    /// Promised shares by tenant index, in millionths; 0: nothing was promised.
+    /// Configured shares by tenant index, in millionths; 0: none configured.
     shares: Vec<u32>,
-    promised: u64,
-    without_promise: usize,
+    configured_sum: u64,
+    unconfigured_count: usize,
 }
 
 impl TenantShares {
-    /// `shares`: each tenant's in millionths, by tenant index. A tenant with 0 gets an even part of what the others
-    /// leave.
+    /// `shares`: in millionths, by tenant index. A tenant with 0 gets an even part of what the others leave.
     pub fn new(shares: impl Iterator<Item = u64>) -> Self {
         let mut all = Self::default();
         for (tenant, share) in shares.enumerate() {
@@ -80,15 +79,16 @@
     /// Sets the share of a tenant in millionths, or appends a new tenant if the index is past the last one.
     pub fn set(&mut self, tenant: usize, share: u64) {
         let share = u32::try_from(share).unwrap_or(u32::MAX);
-        let before = if let Some(entry) = self.shares.get_mut(tenant) {
+        let previous = if let Some(entry) = self.shares.get_mut(tenant) {
             Some(std::mem::replace(entry, share))
         } else {
             self.shares.push(share);
             None
         };
-        self.promised = self.promised + u64::from(share) - u64::from(before.unwrap_or(0));
-        self.without_promise =
-            self.without_promise + usize::from(share == 0) - usize::from(before == Some(0));
+        self.configured_sum =
+            self.configured_sum + u64::from(share) - u64::from(previous.unwrap_or(0));
+        self.unconfigured_count =
+            self.unconfigured_count + usize::from(share == 0) - usize::from(previous == Some(0));
     }
 
     /// Number of configured tenants.
@@ -101,13 +101,13 @@
         self.shares.is_empty()
     }
 
-    /// Share of a tenant without a promise, and of all unknown tenants together.
+    /// Share of a tenant without a configured share, and of all unknown tenants together.
     fn default_share(&self) -> f64 {
-        let unpromised = 1.0 - self.promised as f64 / ONE as f64;
-        unpromised.max(UNKNOWN_TENANTS_MIN_SHARE) / (self.without_promise + 1) as f64
+        let unassigned = 1.0 - self.configured_sum as f64 / ONE as f64;
+        unassigned.max(UNKNOWN_TENANTS_MIN_SHARE) / (self.unconfigured_count + 1) as f64
     }
 
-    /// The share that an entry has ([`TenantKey::entry`]), as a fraction of 1.
+    /// The share of an entry ([`TenantKey::entry`]), as a fraction of 1.
     pub fn share_of(&self, entry: u32) -> f64 {
         match self.shares.get(entry as usize) {
             None | Some(0) => self.default_share(),
@@ -116,10 +116,10 @@
     }
 }
 
-/// What one tenant, or one cell of unknown tenants, uses of a pool.
+/// Usage of a pool by one tenant, all unknown tenants, or one cell of them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TenantUsage {
-    /// Places that it holds.
+    /// Number of places held.
     pub open: u32,
     /// Time of its last request; `None` once it is no longer active.
     pub last_request: Option<Duration>,
@@ -128,7 +128,7 @@
 impl TenantUsage {
     /// Updates whether the tenant is active; `false` if its entry can be dropped.
     fn refresh_activity(&mut self, now: Duration) -> bool {
-        let expired = |at: Duration| now.saturating_sub(at) > ACTIVE_WINDOW;
+        let expired = |time: Duration| now.saturating_sub(time) > ACTIVE_WINDOW;
         if self.open == 0 && self.last_request.is_some_and(expired) {
             self.last_request = None;
         }
@@ -136,7 +136,7 @@
     }
 }
 
-/// The places of one pool by tenant. See the module's documentation.
+/// The places of one pool, by tenant. See the module's documentation.
 #[derive(Clone, Debug, Default)]
 pub struct FairShare {
     /// By [`TenantKey::entry`]; ordered, so that sums of fractions are reproducible.
@@ -148,7 +148,7 @@
 }
 
 impl FairShare {
-    /// What the tenant of an entry uses.
+    /// The usage of an entry.
     pub fn usage(&self, entry: u32) -> TenantUsage {
         self.entries.get(&entry).copied().unwrap_or_default()
     }
@@ -163,23 +163,24 @@
         self.active_weight
     }
 
-    /// The places out of `places` to which an entry is entitled if it is active; at least 1. `None` if no other
-    /// tenant is active.
+    /// How many of `places` an entry is entitled to while it is active; at least 1. `None` if no other tenant is
+    /// active.
     pub fn entitlement(&self, shares: &TenantShares, entry: u32, places: f64) -> Option<f64> {
         let weight = shares.share_of(entry);
-        let own = if self.usage(entry).last_request.is_some() {
+        let own_weight = if self.usage(entry).last_request.is_some() {
             weight
         } else {
             0.0
         };
-        let others = self.active_weight - own;
-        (others > WEIGHT_EPSILON).then(|| (places * weight / (others + weight)).max(1.0))
+        let other_weight = self.active_weight - own_weight;
+        (other_weight > WEIGHT_EPSILON)
+            .then(|| (places * weight / (other_weight + weight)).max(1.0))
     }
 
     /// Whether a request may take one of `places` places now.
     ///
     /// # Errors
-    /// By what factor, at least 1, its tenant exceeds its entitlement; scales the time after which to retry.
+    /// The tenant's usage divided by its entitlement, at least 1; scales the time after which to retry.
     pub fn check_share(
         &self,
         shares: &TenantShares,
@@ -191,32 +192,32 @@
             return Ok(());
         }
         let entry = tenant.entry();
-        // A tenant that is alone may use all places; whether one is free is not decided here.
+        // The only active tenant may use all places; whether one is free is checked elsewhere.
         let Some(entitlement) = self.entitlement(shares, entry, places) else {
             return Ok(());
         };
         let entry_open = f64::from(self.usage(entry).open);
-        let (held, entitlement) = match tenant {
+        let (used, entitlement) = match tenant {
             TenantKey::Configured(_) => (entry_open, entitlement),
-            // Unknown tenants have one entitlement together, however many names they use.
+            // Unknown tenants have one entitlement together, regardless of how many names they use.
             TenantKey::Unknown(_) if entry_open >= entitlement => {
                 return Err((entry_open / entitlement).max(1.0));
             }
             TenantKey::Unknown(cell) => {
                 let usage = self.cells.get(&cell).copied().unwrap_or_default();
                 let cells = self.active_cells + u32::from(usage.last_request.is_none());
-                let of_cell = (entitlement / f64::from(cells)).max(1.0);
-                (f64::from(usage.open), of_cell)
+                let cell_entitlement = (entitlement / f64::from(cells)).max(1.0);
+                (f64::from(usage.open), cell_entitlement)
             }
         };
-        if held < entitlement {
+        if used < entitlement {
             Ok(())
         } else {
-            Err((held / entitlement).max(1.0))
+            Err((used / entitlement).max(1.0))
         }
     }
 
-    /// Records a request, admitted or not: its tenant is active from now on.
+    /// Records a request, admitted or not, which makes its tenant active.
     pub fn on_request(&mut self, shares: &TenantShares, tenant: TenantKey, now: Duration) {
         let entry = tenant.entry();
         let usage = self.entries.entry(entry).or_default();
@@ -240,10 +241,13 @@
         }
     }
 
-    /// Releases a place that a tenant took.
+    /// Releases a place that a tenant holds.
     pub fn release(&mut self, tenant: TenantKey) {
         let entry = tenant.entry();
-        debug_assert!(self.usage(entry).open > 0, "more left than came in");
+        debug_assert!(
+            self.usage(entry).open > 0,
+            "released more places than acquired"
+        );
         if let Some(usage) = self.entries.get_mut(&entry) {
             usage.open = usage.open.saturating_sub(1);
         }
@@ -273,8 +277,8 @@
             .count() as u32;
     }
 
-    /// Numbers of entries and of cells: what memory and the cost of a tick are proportional to.
-    pub fn active_entries(&self) -> (usize, usize) {
+    /// Numbers of entries and of cells, to which memory use and the cost of a tick are proportional.
+    pub fn entry_counts(&self) -> (usize, usize) {
         (self.entries.len(), self.cells.len())
     }
 
--- a/crates/routing/src/token_buckets.rs
+++ b/crates/routing/src/token_buckets.rs
@@ -1,17 +1,18 @@
-//! The buckets of limits: created on first use, known by name across versions, bounded in number.
+//! The buckets of limits: created on first use, identified by name across versions, bounded in number.
 //!
-//! A limit by key has as many buckets as there are keys, and 5,400 routes that limit each of 23,000 tenants would have
-//! 124 million, of which few are ever used. A bucket is therefore created when a request acquires it, and freed when it
-//! is idle: no request is in flight and its full burst is available. It then equals a new one to the nanosecond, so
-//! freeing it lets nobody gain a burst.
+//! A limit by key has one bucket for each key, and 5,400 routes that limit each of 23,000 tenants would have 124
+//! million, of which few are ever used. A bucket is therefore created when a request acquires it, and freed when it
+//! is idle: no request is in flight and its full burst is available. It is then exactly equivalent to a new one,
+//! so that freeing it admits no extra request.
 //!
 //! Idle buckets are found by a sweep over the slots. Each new bucket advances it by `SLOTS_PER_NEW_BUCKET`, so at most
-//! half of all buckets are idle ones that the sweep has not met; each tick advances it by one part in
-//! `TICKS_PER_SWEEP` of all slots. At the bound, a request that needs one more bucket searches `MAX_SLOTS_SEARCHED`
-//! slots and is then rejected with a reason of its own, to come back when the sweep has visited all.
+//! half of all buckets are idle ones that the sweep has not visited; each tick advances it by a fraction of
+//! 1 / `TICKS_PER_SWEEP` of all slots. At the maximum number of buckets, a request that needs one more searches
+//! `MAX_SLOTS_SEARCHED` slots and is then rejected with a separate reason and a retry-after in which the sweep visits
+//! all slots.
 //!
-//! Invariants: `index` has each slot in use by its key, `free` each other slot; a slot with a request in flight keeps
-//! its index, by which the request holds it.
+//! Invariants: `index` maps the key of each slot in use to the slot, and `free` holds all other slots; a slot with a
+//! request in flight is not freed, since the request refers to it by its number.
 
 use crate::rate_limit::{Bucket, LimitExceeded, LimitRule, LimitScope};
 use crate::weighted_split::name_hash;
@@ -19,31 +20,32 @@
 use rainstand_config::schema::Per;
 use std::time::Duration;
 
-/// Buckets in use at once, some 128 bytes each with their entry in the index.
+/// Maximum number of buckets in use, about 128 bytes each including the entry in the index.
 pub const MAX_BUCKETS: usize = 1 << 20;
-/// Slots that are allocated from the start: with fewer in use nothing on the path of a request allocates.
+/// Number of slots allocated at the start: up to that number in use, admitting a request allocates no memory.
 const INITIAL_CAPACITY: usize = 512;
-/// Slots that the sweep visits for each new bucket: more than one, or it would never gain on new ones.
+/// Slots that the sweep visits for each new bucket: more than one, or it would never catch up with new ones.
 const SLOTS_PER_NEW_BUCKET: usize = 2;
-/// Slots searched for a request that would be rejected: some microseconds.
+/// Slots searched before a request is rejected for lack of a bucket; takes a few microseconds.
 const MAX_SLOTS_SEARCHED: usize = 64;
-/// Ticks in which the sweep visits all slots. There are ten a second; a rejected caller comes back after one second.
+/// Ticks in which the sweep visits all slots. There are ten per second, and a rejected caller retries after one second.
 const TICKS_PER_SWEEP: usize = 8;
 
-/// Identity of a bucket across versions, as hashes of names: with 64 bits, two of 23,000 keys of one limit collide
-/// with a probability of one in 70 thousand million.
+/// Identity of a bucket across versions, as hashes of names: with 64 bits, the probability that two of 23,000 keys of
+/// one limit collide is one in 70 thousand million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Key {
-    /// The limit: kind and name of its scope, and the kind of its key.
+    /// Hash of the limit: kind and name of its scope, and the kind of its key.
     pub(crate) limit: u64,
-    /// The name that it is keyed by; 0 where there is none, or for all unknown tenants.
+    /// Hash of the name that the limit is keyed by; 0 if there is none, and for all unknown tenants.
     keyed_by: u64,
 }
 
 impl Key {
-    /// The bucket of the limit at a scope and name; `keyed_by`: the name of the request's key, where the limit has one.
+    /// The key of a limit's bucket. `name`: of the limit's scope; `keyed_by`: name of the request's key, if the limit
+    /// has one.
     pub(crate) fn new(scope: LimitScope, name: &str, per: Per, keyed_by: Option<&str>) -> Self {
-        // Not as the hash's seed: with names of three letters another seed came to the hash of another name.
+        // Not used as the hash's seed: for names of three letters, another seed led to the hash of another name.
         let kind = ((scope as u64) << 8 | per as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         Self {
             limit: name_hash(name) ^ kind,
@@ -66,7 +68,7 @@
     index: HashMap<Key, u32>,
     slots: Vec<Slot>,
     free: Vec<u32>,
-    /// The slot that the sweep visited last.
+    /// Index of the slot that the sweep visited last.
     sweep_position: usize,
     max: usize,
 }
@@ -84,22 +86,23 @@
 }
 
 impl Buckets {
-    /// Sets the number of buckets; at most [`MAX_BUCKETS`].
+    /// Sets the maximum number of buckets in use, up to [`MAX_BUCKETS`].
     pub(crate) fn set_max(&mut self, max: usize) {
         self.max = max.min(MAX_BUCKETS);
     }
 
-    /// Buckets in use.
+    /// Number of buckets in use.
     pub(crate) fn in_use(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Buckets for which memory is allocated.
+    /// Number of buckets for which memory is allocated.
     pub(crate) fn capacity(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether a request would be admitted now; nothing changes. A bucket that does not exist is full.
+    /// Checks whether a request may be admitted now, without changing anything. A bucket that does not exist has its
+    /// full burst.
     ///
     /// # Errors
     /// As [`Bucket::check`].
@@ -115,20 +118,20 @@
         }
     }
 
-    /// Whether there is capacity for all of these, after idle buckets were reclaimed where some are new.
+    /// Reclaims idle buckets if some of the keys have no bucket yet; returns whether there is capacity for all keys.
     pub(crate) fn ensure_capacity<K: Iterator<Item = Key>>(
         &mut self,
         keys: impl Fn() -> K,
         now: Duration,
     ) -> bool {
-        let new = |all: &Self| keys().filter(|key| !all.index.contains_key(key)).count();
-        let mut searched = SLOTS_PER_NEW_BUCKET * new(self);
+        let new_keys = |all: &Self| keys().filter(|key| !all.index.contains_key(key)).count();
+        let mut searched = SLOTS_PER_NEW_BUCKET * new_keys(self);
         if searched == 0 {
             return true;
         }
         self.reclaim_idle(searched, now);
-        // Counted again each time: one of them may have been reclaimed.
-        while self.in_use() + new(self) > self.max {
+        // The new keys are counted again each time, since the bucket of one of the keys may have been reclaimed.
+        while self.in_use() + new_keys(self) > self.max {
             if searched >= MAX_SLOTS_SEARCHED {
                 return false;
             }
@@ -138,27 +141,28 @@
         true
     }
 
-    /// Admits a request, after [`Buckets::check`] and [`Buckets::ensure_capacity`]; the slot that it holds until its end.
+    /// Admits a request, after [`Buckets::check`] and [`Buckets::ensure_capacity`]; returns the slot to release at its
+    /// end.
     pub(crate) fn acquire(&mut self, key: Key, rule: &LimitRule, now: Duration) -> u32 {
         let Self {
             index, slots, free, ..
         } = self;
-        let at = *index.entry(key).or_insert_with(|| {
+        let slot_index = *index.entry(key).or_insert_with(|| {
             let slot = Slot {
                 key,
                 bucket: Bucket::default(),
                 rule: *rule,
                 used: true,
             };
-            if let Some(at) = free.pop() {
-                slots[at as usize] = slot;
-                return at;
+            if let Some(free_index) = free.pop() {
+                slots[free_index as usize] = slot;
+                return free_index;
             }
             slots.push(slot);
             slots.len() as u32 - 1
         });
-        slots[at as usize].bucket.acquire(rule, now);
-        at
+        slots[slot_index as usize].bucket.acquire(rule, now);
+        slot_index
     }
 
     /// Records the end of a request in the bucket of a slot.
@@ -166,8 +170,8 @@
         self.slots[slot as usize].bucket.release();
     }
 
-    /// Applies a version's rules, by `Key::limit`, to existing buckets. A bucket of a limit that they do not name keeps
-    /// its rule until it is idle.
+    /// Applies a version's rules, by `Key::limit`, to existing buckets. A bucket whose limit has no rule in `rules`
+    /// keeps its old one until it is idle.
     pub(crate) fn set_rules(&mut self, rules: &HashMap<u64, LimitRule>, now: Duration) {
         for slot in self.slots.iter_mut().filter(|slot| slot.used) {
             if let Some(rule) = rules.get(&slot.key.limit) {
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Frees idle buckets among the next part of the slots.
+    /// Frees idle buckets in the next 1 / `TICKS_PER_SWEEP` of the slots.
     pub(crate) fn sweep(&mut self, now: Duration) {
         self.reclaim_idle(self.slots.len().div_ceil(TICKS_PER_SWEEP), now);
         if self.in_use() == 0 && self.slots.len() > INITIAL_CAPACITY {
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Visits the next `count` slots, and frees those whose buckets are idle.
+    /// Visits the next `count` slots and frees those whose buckets are idle.
     fn reclaim_idle(&mut self, count: usize, now: Duration) {
         for _ in 0..count.min(self.slots.len()) {
             let next = self.sweep_position + 1;
--- a/crates/routing/tests/rate_limit.rs
+++ b/crates/routing/tests/rate_limit.rs
@@ -18,7 +18,7 @@
 
 fn rule(micro: u64, per: u64, burst: u64) -> LimitRule {
     LimitRule {
-        pace: Some(RateLimit {
+        rate: Some(RateLimit {
             micro_requests: micro,
             per_ns: per,
             burst,
@@ -50,7 +50,7 @@
 #[test]
 fn the_concurrency_limit_counts_requests_in_flight() {
     let rule = LimitRule {
-        pace: None,
+        rate: None,
         max_concurrent: 2,
     };
     let mut bucket = Bucket::default();
--- a/crates/routing/tests/tenant_fairness.rs
+++ b/crates/routing/tests/tenant_fairness.rs
@@ -77,7 +77,7 @@
         "its share of 200, all of it"
     );
     assert_eq!(fill(&mut room, TenantKey::Configured(1), 120, 200), 120);
-    assert_eq!(room.1.active_entries().1, UNKNOWN_TENANT_CELLS);
+    assert_eq!(room.1.entry_counts().1, UNKNOWN_TENANT_CELLS);
     assert_eq!(room.1.open(), got + 180);
 }
 
@@ -119,11 +119,11 @@
         room.1.acquire(TenantKey::Configured(tenant));
     }
     assert!(asks(&mut room, TenantKey::Unknown(3), MS(0), 10).is_ok());
-    assert_eq!(room.1.active_entries(), (3, 1));
+    assert_eq!(room.1.entry_counts(), (3, 1));
     room.1.release(TenantKey::Configured(7));
     room.1.tick(&room.0, MS(2_500));
     assert_eq!(
-        (room.1.active_entries(), room.1.open()),
+        (room.1.entry_counts(), room.1.open()),
         ((1, 0), 1),
         "who has something open stays"
     );
@@ -134,7 +134,7 @@
     );
     room.1.release(TenantKey::Configured(22_999));
     room.1.tick(&room.0, MS(2_600));
-    assert_eq!((room.1.active_entries(), room.1.open()), ((0, 0), 0));
+    assert_eq!((room.1.entry_counts(), room.1.open()), ((0, 0), 0));
 }
 
 proptest! {
