--- a/crates/routing/benches/pick.rs
+++ b/crates/routing/benches/pick.rs
@@ -1,4 +1,5 @@
-//! Picks a second on one core, and what an open version costs. `cargo bench -p rainstand-routing`
+//! Decisions per second on one core, and the memory of a configuration version in use.
+//! `cargo bench -p rainstand-routing`
 
 #![allow(
     missing_docs,
@@ -18,11 +19,14 @@
 fn main() {
     let table = Table::new(&configuration(1_000)).unwrap();
     println!(
-        "an open version of 1,000 routes, 400 tenants, 60 pools: {} KiB",
+        "memory of a version with 1,000 routes, 400 tenants, 60 pools: {} KiB",
         table.size() >> 10
     );
     let table = Table::new(&configuration(6)).unwrap();
-    println!("an open version of 6 routes: {} KiB", table.size() >> 10);
+    println!(
+        "memory of a version with 6 routes: {} KiB",
+        table.size() >> 10
+    );
     divan::main();
 }
 
@@ -67,24 +71,24 @@
 }
 
 fn requests() -> Vec<(u16, Option<u16>, String)> {
-    let mut chance = WyRand::new_seed(5);
-    let one = |_| {
-        let entity = format!("NO-{}", chance.generate_range(0..100_000u32));
+    let mut rng = WyRand::new_seed(5);
+    let random_request = |_| {
+        let entity = format!("NO-{}", rng.generate_range(0..100_000u32));
         (
-            chance.generate_range(0..10u16),
-            Some(chance.generate_range(0..400u16)),
+            rng.generate_range(0..10u16),
+            Some(rng.generate_range(0..400u16)),
             entity,
         )
     };
-    (0..4_096).map(one).collect()
+    (0..4_096).map(random_request).collect()
 }
 
-/// The route and the pool, by entity.
+/// Selection of the route and, by entity, the pool.
 #[divan::bench(args = [6, 1_000])]
-fn place(bencher: divan::Bencher<'_, '_>, routes: usize) {
+fn select_route_and_pool(bencher: divan::Bencher<'_, '_>, routes: usize) {
     let table = Table::new(&configuration(routes)).unwrap();
     let all = requests();
-    let mut chance = WyRand::new_seed(1);
+    let mut rng = WyRand::new_seed(1);
     bencher
         .counter(divan::counter::ItemsCount::new(all.len()))
         .bench_local(|| {
@@ -100,7 +104,7 @@
                 };
                 sum += u64::from(
                     table
-                        .place(&request, &mut chance, |_| true)
+                        .place(&request, &mut rng, |_| true)
                         .map_or(0, |place| place.pool),
                 );
             }
@@ -108,9 +112,9 @@
         });
 }
 
-/// The whole decision with limits, and the request's end.
+/// The complete decision with limits, and the end of the request.
 #[divan::bench(args = [6, 1_000])]
-fn arrived_and_ended(bencher: divan::Bencher<'_, '_>, routes: usize) {
+fn admit_and_complete(bencher: divan::Bencher<'_, '_>, routes: usize) {
     let mut router = Router::new(&configuration(routes), 1).unwrap();
     let all = requests();
     let mut now = Duration::ZERO;
@@ -127,17 +131,17 @@
                     size: 900,
                     ..Request::default()
                 };
-                if let Admission::Admitted(way) = router.on_arrival(now, &request, |_| true) {
-                    router.on_completed(way);
+                if let Admission::Admitted(decision) = router.on_arrival(now, &request, |_| true) {
+                    router.on_completed(decision);
                 }
             }
             router.counts().admitted
         });
 }
 
-/// The member of a pool of eight that an entity belongs to.
+/// Selection of the member for an entity in a pool of eight.
 #[divan::bench]
-fn member_of_eight(bencher: divan::Bencher<'_, '_>) {
+fn select_member_of_eight(bencher: divan::Bencher<'_, '_>) {
     let table = Table::new(&configuration(6)).unwrap();
     let all = requests();
     bencher
@@ -149,12 +153,12 @@
         });
 }
 
-/// A version by one named thing: a tenant's share, and a new route in front and its removal.
+/// An incremental update of one entry: a change of a tenant's share.
 #[divan::bench(args = [6, 1_000])]
-fn a_change_of_a_tenant(bencher: divan::Bencher<'_, '_>, routes: usize) {
-    let whole = configuration(routes);
-    let mut router = Router::new(&whole, 1).unwrap();
-    let mut tenant = whole.tenants[7].clone();
+fn update_tenant(bencher: divan::Bencher<'_, '_>, routes: usize) {
+    let initial = configuration(routes);
+    let mut router = Router::new(&initial, 1).unwrap();
+    let mut tenant = initial.tenants[7].clone();
     bencher.bench_local(|| {
         tenant.share ^= 1;
         router.apply(&[TableChange::Tenant(tenant.clone())], Duration::ZERO)
@@ -162,10 +166,10 @@
 }
 
 #[divan::bench(args = [6, 1_000])]
-fn a_route_comes_in_front_and_goes(bencher: divan::Bencher<'_, '_>, routes: usize) {
-    let whole = configuration(routes);
-    let mut router = Router::new(&whole, 1).unwrap();
-    let mut route = whole.routes[0].clone();
+fn insert_and_remove_first_route(bencher: divan::Bencher<'_, '_>, routes: usize) {
+    let initial = configuration(routes);
+    let mut router = Router::new(&initial, 1).unwrap();
+    let mut route = initial.routes[0].clone();
     let before = Some(std::mem::replace(&mut route.name, "new".into()));
     bencher.bench_local(|| {
         router
@@ -183,10 +187,10 @@
     });
 }
 
-/// What a version costs that comes as the whole.
+/// Installation of a complete configuration.
 #[divan::bench(args = [6, 1_000])]
-fn the_whole_anew(bencher: divan::Bencher<'_, '_>, routes: usize) {
-    let whole = configuration(routes);
-    let mut router = Router::new(&whole, 1).unwrap();
-    bencher.bench_local(|| router.install(&whole, Duration::ZERO));
+fn install_complete_configuration(bencher: divan::Bencher<'_, '_>, routes: usize) {
+    let initial = configuration(routes);
+    let mut router = Router::new(&initial, 1).unwrap();
+    bencher.bench_local(|| router.install(&initial, Duration::ZERO));
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -6,7 +6,7 @@
 //! was stalled counts for none of these. After its ejection time a member is probed with a fraction of its usual
 //! traffic, and is healthy again after enough consecutive successes. Each further ejection doubles the ejection time,
 //! up to a maximum. If more members would be ejected than the configuration allows, all of them are used: the cause is
-//! then probably not in the members.
+//! then not in the members.
 //!
 //! Invariants: [`Health::ejected_count`] is the number of members whose [`Health::usable`] is 0; `since` of a member is
 //! the time of its last status change.
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -11,8 +11,8 @@
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{Configuration, Pool};
 
-/// Reduces each pool with a configured subset size to the members that forwarder number `forwarder` uses, in rounds.
-/// Pools are shuffled differently, so that an uneven subset does not repeat in all of them.
+/// Reduces each pool with a configured subset size to the members that forwarder number `forwarder` uses, in rounds:
+/// decisions and reports cover only these. Pools are shuffled differently, so that an uneven subset does not repeat.
 ///
 /// ```
 /// use rainstand_config::{load, source::Memory};
--- a/crates/routing/tests/member_selection.rs
+++ b/crates/routing/tests/member_selection.rs
@@ -30,133 +30,136 @@
 }
 
 #[test]
-fn load_follows_weight() {
+fn load_is_proportional_to_weight() {
     let mut members = pool(10);
     members.iter_mut().for_each(|member| member.near = true);
     members[3].weight = 2.0;
-    let mut chance = WyRand::new_seed(2);
+    let mut rng = WyRand::new_seed(2);
     for _ in 0..1_100 {
-        let (k, how) = choose(
+        let (k, reason) = choose(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
             "",
-            &mut chance,
+            &mut rng,
             |_| 1.0,
         )
         .unwrap();
-        assert_eq!(how, SelectionReason::Near);
+        assert_eq!(reason, SelectionReason::Near);
         members[k].open += 1;
     }
     for (k, member) in members.iter().enumerate() {
-        let wanted = if k == 3 { 200 } else { 100 };
-        assert!(member.open.abs_diff(wanted) <= 10, "{k}: {}", member.open);
+        let expected = if k == 3 { 200 } else { 100 };
+        assert!(member.open.abs_diff(expected) <= 10, "{k}: {}", member.open);
     }
 }
 
 #[test]
-fn fast_failure_draws_no_traffic() {
-    // Member 0 fails in 1 ms, the others take 50 ms; 200 requests a second for 20 s.
+fn member_that_fails_fast_attracts_no_extra_traffic() {
+    // Member 0 fails after 1 ms, the others respond after 50 ms; 200 requests per second for 20 s.
     let mut members = pool(5);
     members.iter_mut().for_each(|member| member.near = true);
-    let mut chance = WyRand::new_seed(3);
+    let mut rng = WyRand::new_seed(3);
     let mut open: Vec<(u64, usize)> = Vec::new();
-    let mut got = [0u32; 5];
-    for t in (0..20_000).step_by(5) {
-        open.retain(|(until, k)| {
-            let over = *until <= t;
-            if over {
+    let mut counts = [0u32; 5];
+    for now_ms in (0..20_000).step_by(5) {
+        open.retain(|(until_ms, k)| {
+            let ended = *until_ms <= now_ms;
+            if ended {
                 members[*k].open -= 1;
                 if *k == 0 {
-                    members[0].failed(ms(*until - 1), ms(50));
+                    members[0].failed(ms(*until_ms - 1), ms(50));
                 }
             }
-            !over
+            !ended
         });
         let (k, _) = choose(
             &mut SelectionPolicy::default(),
             &mut members,
-            ms(t),
+            ms(now_ms),
             "",
-            &mut chance,
+            &mut rng,
             |_| 1.0,
         )
         .unwrap();
         members[k].open += 1;
-        got[k] += 1;
-        open.push((t + if k == 0 { 1 } else { 50 }, k));
+        counts[k] += 1;
+        open.push((now_ms + if k == 0 { 1 } else { 50 }, k));
     }
-    let fair = got.iter().sum::<u32>() / 5;
-    assert!(got[0] <= fair + fair / 10, "{got:?}");
+    let fair_share = counts.iter().sum::<u32>() / 5;
+    assert!(counts[0] <= fair_share + fair_share / 10, "{counts:?}");
 }
 
 #[test]
-fn other_policies_select_as_documented() {
+fn least_loaded_and_round_robin_select_as_documented() {
     let mut members = pool(4);
     members.iter_mut().for_each(|member| member.near = true);
     members[2].open = 0;
     [0, 1, 3].into_iter().for_each(|k| members[k].open = 5);
-    let mut chance = WyRand::new_seed(8);
-    let mut least = SelectionPolicy::LeastLoaded;
+    let mut rng = WyRand::new_seed(8);
+    let mut policy = SelectionPolicy::LeastLoaded;
     assert_eq!(
-        choose(&mut least, &mut members, ms(0), "", &mut chance, |_| 1.0)
+        choose(&mut policy, &mut members, ms(0), "", &mut rng, |_| 1.0)
             .unwrap()
             .0,
         2
     );
-    let mut turn = SelectionPolicy::RoundRobin(3);
-    let mut next = |members: &mut Vec<Member>| {
-        choose(&mut turn, members, ms(0), "", &mut chance, |k| {
+    let mut round_robin = SelectionPolicy::RoundRobin(3);
+    let mut select_next = |members: &mut Vec<Member>| {
+        choose(&mut round_robin, members, ms(0), "", &mut rng, |k| {
             f64::from(u8::from(k != 1))
         })
         .unwrap()
         .0
     };
-    let order: Vec<usize> = (0..5).map(|_| next(&mut members)).collect();
+    let order: Vec<usize> = (0..5).map(|_| select_next(&mut members)).collect();
     assert_eq!(order, [3, 0, 2, 3, 0]);
 }
 
 #[test]
-fn near_members_first_until_they_exceed_their_share() {
+fn near_members_are_preferred_until_their_load_exceeds_the_spill_factor() {
     let mut members = pool(4);
-    let mut chance = WyRand::new_seed(4);
+    let mut rng = WyRand::new_seed(4);
     for _ in 0..40 {
-        let (k, how) = choose(
+        let (k, reason) = choose(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
             "",
-            &mut chance,
+            &mut rng,
             |_| 1.0,
         )
         .unwrap();
         members[k].open += 1;
-        assert!(how != SelectionReason::Near || members[k].near);
+        assert!(reason != SelectionReason::Near || members[k].near);
     }
     let near: u32 = members
         .iter()
         .filter(|member| member.near)
         .map(|member| member.open)
         .sum();
-    assert!((28..=32).contains(&near), "three of four parts: {near}");
-    // No near one can be used: the others take all.
-    let (k, how) = choose(
+    assert!(
+        (28..=32).contains(&near),
+        "three quarters of the requests: {near}"
+    );
+    // No near member is usable: a remote one is selected.
+    let (k, reason) = choose(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
         "",
-        &mut chance,
+        &mut rng,
         |k| f64::from(k as u32 % 2),
     )
     .unwrap();
-    assert_eq!((members[k].near, how), (false, SelectionReason::Any));
+    assert_eq!((members[k].near, reason), (false, SelectionReason::Any));
     assert_eq!(
         choose(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
             "",
-            &mut chance,
+            &mut rng,
             |_| 0.0
         ),
         None
@@ -166,32 +169,32 @@
 #[test]
 fn affinity_is_stable_and_overloads_no_member() {
     let mut members = pool(8);
-    let mut chance = WyRand::new_seed(5);
-    let (own, how) = choose(
+    let mut rng = WyRand::new_seed(5);
+    let (preferred, reason) = choose(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
         "NO-1",
-        &mut chance,
+        &mut rng,
         |_| 1.0,
     )
     .unwrap();
-    assert_eq!(how, SelectionReason::Affinity);
+    assert_eq!(reason, SelectionReason::Affinity);
     for _ in 0..400 {
         let (k, _) = choose(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
             "NO-1",
-            &mut chance,
+            &mut rng,
             |_| 1.0,
         )
         .unwrap();
         members[k].open += 1;
     }
-    let most = members.iter().map(|member| member.open).max().unwrap();
-    assert!(most <= 64, "of 400 over 8: {most}");
-    assert!(members[own].open > 50);
+    let max_open = members.iter().map(|member| member.open).max().unwrap();
+    assert!(max_open <= 64, "of 400 requests over 8 members: {max_open}");
+    assert!(members[preferred].open > 50);
     members.iter_mut().for_each(|member| member.open = 0);
     assert_eq!(
         choose(
@@ -199,55 +202,55 @@
             &mut members,
             ms(0),
             "NO-1",
-            &mut chance,
+            &mut rng,
             |_| 1.0
         )
         .unwrap()
         .0,
-        own
+        preferred
     );
     let (other, _) = choose(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
         "NO-1",
-        &mut chance,
-        |k| f64::from(u8::from(k != own)),
+        &mut rng,
+        |k| f64::from(u8::from(k != preferred)),
     )
     .unwrap();
-    assert_ne!(other, own);
+    assert_ne!(other, preferred);
 }
 
 #[test]
-fn a_restarted_member_warms_up_gradually() {
+fn restarted_member_gets_a_gradually_rising_share() {
     let mut members = pool(4);
     for member in &mut members {
         member.near = true;
         member.warm_up = ms(10_000);
     }
     members[1].started = Some(ms(100_000));
-    let mut part_at = |now: u64| {
-        let mut chance = WyRand::new_seed(6);
-        let mut got = 0;
+    let mut count_at = |now: u64| {
+        let mut rng = WyRand::new_seed(6);
+        let mut count = 0;
         for _ in 0..4_000 {
             let (k, _) = choose(
                 &mut SelectionPolicy::default(),
                 &mut members,
                 ms(now),
                 "",
-                &mut chance,
+                &mut rng,
                 |_| 1.0,
             )
             .unwrap();
-            got += u32::from(k == 1);
+            count += u32::from(k == 1);
             members[k].open += 1;
         }
         members.iter_mut().for_each(|member| member.open = 0);
-        got
+        count
     };
-    let (cold, half, warm) = (part_at(100_000), part_at(105_000), part_at(115_000));
+    let (cold, half_warm, warm) = (count_at(100_000), count_at(105_000), count_at(115_000));
     assert!(
-        cold < 120 && (450..700).contains(&half) && (930..1_070).contains(&warm),
-        "{cold} {half} {warm}"
+        cold < 120 && (450..700).contains(&half_warm) && (930..1_070).contains(&warm),
+        "{cold} {half_warm} {warm}"
     );
 }
--- a/crates/routing/tests/rate_limit.rs
+++ b/crates/routing/tests/rate_limit.rs
@@ -16,11 +16,11 @@
     Duration::from_millis(n)
 }
 
-fn rule(micro: u64, per: u64, burst: u64) -> LimitRule {
+fn rule(micro: u64, period_ns: u64, burst: u64) -> LimitRule {
     LimitRule {
         rate: Some(RateLimit {
             micro_requests: micro,
-            per_ns: per,
+            per_ns: period_ns,
             burst,
         }),
         max_concurrent: 0,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_third_of_a_second_is_exact() {
+fn rate_of_three_per_second_is_exact() {
     let rule = rule(3_000_000, 1_000_000_000, 1);
     let mut bucket = Bucket::default();
     bucket.acquire(&rule, ms(0));
@@ -36,19 +36,20 @@
         bucket.check(&rule, ms(0)),
         Err(LimitExceeded::RateUntil(Duration::from_nanos(333_333_334)))
     );
-    let mut in_an_hour = 1;
+    let mut in_one_hour = 1;
     for n in 1..3_600_000 {
         if bucket.check(&rule, ms(n)).is_ok() {
             bucket.acquire(&rule, ms(n));
-            in_an_hour += 1;
+            in_one_hour += 1;
         }
     }
-    // Each comes on the first millisecond after its third, which loses 2/3 ms on two of three.
-    assert!((10_769..=10_800).contains(&in_an_hour), "{in_an_hour}");
+    // Each request arrives in the first full millisecond after its third of a second, so up to 2/3 ms are lost for two
+    // of three requests.
+    assert!((10_769..=10_800).contains(&in_one_hour), "{in_one_hour}");
 }
 
 #[test]
-fn the_concurrency_limit_counts_requests_in_flight() {
+fn concurrency_limit_counts_requests_in_flight() {
     let rule = LimitRule {
         rate: None,
         max_concurrent: 2,
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_change_of_rate_keeps_the_debt() {
+fn rate_change_keeps_the_debt_in_requests() {
     let (slow, fast) = (
         rule(1_000_000, 1_000_000_000, 4),
         rule(10_000_000, 1_000_000_000, 4),
@@ -86,61 +87,61 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random arrivals: in no window more than rate * length + burst; and a told time holds.
+    /// With random arrivals, no window admits more than rate * length + burst, and a retry time is exact.
     #[test]
-    fn never_more_than_rate_and_burst(
+    fn no_window_admits_more_than_rate_and_burst(
         micro in 1u64..50_000_000,
-        per in proptest::sample::select(vec![1_000_000_000u64, 60_000_000_000]),
+        period_ns in proptest::sample::select(vec![1_000_000_000u64, 60_000_000_000]),
         burst in 1u64..6,
-        gaps in proptest::collection::vec(0u64..400_000_000, 1..120),
+        gaps_ns in proptest::collection::vec(0u64..400_000_000, 1..120),
     ) {
-        let rule = rule(micro, per, burst);
+        let rule = rule(micro, period_ns, burst);
         let mut bucket = Bucket::default();
         let mut now = Duration::from_secs(3);
-        let mut let_in: Vec<u128> = Vec::new();
-        for gap in gaps {
-            now += Duration::from_nanos(gap);
+        let mut admitted_ns: Vec<u128> = Vec::new();
+        for gap_ns in gaps_ns {
+            now += Duration::from_nanos(gap_ns);
             match bucket.check(&rule, now) {
                 Ok(()) => {
                     bucket.acquire(&rule, now);
-                    let_in.push(now.as_nanos());
+                    admitted_ns.push(now.as_nanos());
                 }
-                Err(LimitExceeded::RateUntil(then)) => {
-                    prop_assert!(then > now);
-                    prop_assert!(bucket.check(&rule, then).is_ok());
-                    prop_assert!(bucket.check(&rule, then - Duration::from_nanos(1)).is_err());
+                Err(LimitExceeded::RateUntil(until)) => {
+                    prop_assert!(until > now);
+                    prop_assert!(bucket.check(&rule, until).is_ok());
+                    prop_assert!(bucket.check(&rule, until - Duration::from_nanos(1)).is_err());
                 }
                 Err(LimitExceeded::Concurrency) => prop_assert!(false),
             }
         }
-        for (k, from) in let_in.iter().enumerate() {
-            for (n, to) in let_in[k..].iter().enumerate() {
+        for (k, from) in admitted_ns.iter().enumerate() {
+            for (n, to) in admitted_ns[k..].iter().enumerate() {
                 let count = n as u128 + 1;
-                // count <= burst + rate * length, times 1e6 * per to stay whole.
-                let room = u128::from(burst) * 1_000_000 * u128::from(per) + (to - from) * u128::from(micro);
-                prop_assert!(count * 1_000_000 * u128::from(per) <= room);
+                // count <= burst + rate * length, multiplied by 1e6 * period_ns to use integers.
+                let allowed = u128::from(burst) * 1_000_000 * u128::from(period_ns) + (to - from) * u128::from(micro);
+                prop_assert!(count * 1_000_000 * u128::from(period_ns) <= allowed);
             }
         }
     }
 
-    /// However rates change, nobody gains a burst by it.
+    /// No sequence of rate changes admits an extra burst.
     #[test]
     fn rate_changes_admit_no_extra_requests(rates in proptest::collection::vec(1u64..20_000_000, 1..20)) {
-        let second = 1_000_000_000;
-        let mut rule_now = rule(20_000_000, second, 3);
+        let second_ns = 1_000_000_000;
+        let mut current_rule = rule(20_000_000, second_ns, 3);
         let mut bucket = Bucket::default();
         let (mut now, mut count) = (ms(0), 0u64);
         for micro in rates {
-            while bucket.check(&rule_now, now).is_ok() {
-                bucket.acquire(&rule_now, now);
+            while bucket.check(&current_rule, now).is_ok() {
+                bucket.acquire(&current_rule, now);
                 count += 1;
             }
-            let next = rule(micro, second, 3);
-            bucket.set_rules(&rule_now, &next, now);
-            rule_now = next;
+            let next_rule = rule(micro, second_ns, 3);
+            bucket.set_rules(&current_rule, &next_rule, now);
+            current_rule = next_rule;
             now += ms(50);
         }
-        // At the highest rate of all, 20 a second, with one burst.
+        // The highest rate, 20 per second, with one burst.
         prop_assert!(count <= 3 + now.as_millis() as u64 / 50);
     }
 }
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets of a pool: even coverage and little movement.
+//! Subsets of a pool: even coverage, and few changes when a member is removed.
 
 #![allow(
     missing_docs,
@@ -12,61 +12,64 @@
 use rainstand_routing::subset::*;
 use rainstand_routing::weighted_split::name_hash;
 
-fn known(subsets: impl Iterator<Item = Vec<usize>>, members: usize) -> (usize, usize) {
-    let mut known = vec![0; members];
-    subsets.flatten().for_each(|k| known[k] += 1);
-    (*known.iter().min().unwrap(), *known.iter().max().unwrap())
+/// Minimum and maximum number of subsets that contain a member.
+fn usage_range(subsets: impl Iterator<Item = Vec<usize>>, members: usize) -> (usize, usize) {
+    let mut counts = vec![0; members];
+    subsets.flatten().for_each(|index| counts[index] += 1);
+    (*counts.iter().min().unwrap(), *counts.iter().max().unwrap())
 }
 
 #[test]
-fn rounds_cover_members_evenly_and_scores_less_so() {
-    let (members, know, forwarders) = (1_000, 20, 500);
-    let (least, most) = known(
-        (0..forwarders).map(|me| in_rounds(members, know, me, 3)),
+fn rounds_use_members_evenly_and_scores_less_evenly() {
+    let (members, subset_size, forwarders) = (1_000, 20, 500);
+    let (min, max) = usage_range(
+        (0..forwarders).map(|forwarder| in_rounds(members, subset_size, forwarder, 3)),
         members,
     );
-    assert_eq!((least, most), (10, 10));
-    let marks: Vec<u64> = (0..members).map(|k| name_hash(&format!("n{k}"))).collect();
-    let (least, most) = known(
-        (0..forwarders).map(|me| by_score(&marks, know, &format!("f{me}"))),
+    assert_eq!((min, max), (10, 10));
+    let member_hashes: Vec<u64> = (0..members)
+        .map(|index| name_hash(&format!("n{index}")))
+        .collect();
+    let (min, max) = usage_range(
+        (0..forwarders)
+            .map(|forwarder| by_score(&member_hashes, subset_size, &format!("f{forwarder}"))),
         members,
     );
-    assert!(
-        least >= 1 && most <= 25 && most > least + 8,
-        "{least} {most}"
-    );
+    assert!(min >= 1 && max <= 25 && max > min + 8, "{min} {max}");
 }
 
 #[test]
-fn a_removed_member_changes_little_by_score() {
-    let marks: Vec<u64> = (0..200).map(|k| name_hash(&format!("n{k}"))).collect();
-    let before = by_score(&marks, 20, "f1");
-    let without: Vec<u64> = marks
+fn removing_a_member_replaces_only_that_member_by_score() {
+    let member_hashes: Vec<u64> = (0..200)
+        .map(|index| name_hash(&format!("n{index}")))
+        .collect();
+    let before = by_score(&member_hashes, 20, "f1");
+    let remaining: Vec<u64> = member_hashes
         .iter()
         .enumerate()
-        .filter(|(k, _)| *k != before[3])
-        .map(|(_, m)| *m)
+        .filter(|(index, _)| *index != before[3])
+        .map(|(_, member_hash)| *member_hash)
         .collect();
-    let after: Vec<u64> = by_score(&without, 20, "f1")
+    let after: Vec<u64> = by_score(&remaining, 20, "f1")
         .into_iter()
-        .map(|k| without[k])
+        .map(|index| remaining[index])
         .collect();
-    let stays = before
+    let unchanged = before
         .iter()
-        .filter(|k| after.contains(&marks[**k]))
+        .filter(|index| after.contains(&member_hashes[**index]))
         .count();
-    assert_eq!(stays, 19);
+    assert_eq!(unchanged, 19);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn subsets_have_the_requested_size_without_duplicates(members in 1usize..400, know in 0usize..60, me in 0usize..900) {
-        let mine = in_rounds(members, know, me, 11);
-        let wanted = if know == 0 { members } else { know.min(members) };
-        prop_assert_eq!(mine.len(), wanted);
-        prop_assert!(mine.windows(2).all(|two| two[0] < two[1]) && mine.iter().all(|k| *k < members));
-        prop_assert_eq!(in_rounds(members, know, me, 11), mine);
+    fn subsets_have_the_configured_size_and_no_duplicates(members in 1usize..400, subset_size in 0usize..60, forwarder in 0usize..900) {
+        let subset = in_rounds(members, subset_size, forwarder, 11);
+        let expected = if subset_size == 0 { members } else { subset_size.min(members) };
+        prop_assert_eq!(subset.len(), expected);
+        prop_assert!(subset.windows(2).all(|pair| pair[0] < pair[1]) && subset.iter().all(|index| *index < members));
+        prop_assert_eq!(in_rounds(members, subset_size, forwarder, 11), subset);
     }
 }
--- a/crates/routing/tests/token_buckets.rs
+++ b/crates/routing/tests/token_buckets.rs
@@ -1,5 +1,5 @@
-//! Buckets of limits: made when first used, bounded, given back when idle, and nobody gains by it. All against a
-//! plain list that keeps every bucket for ever.
+//! Buckets of limits: created on first use, bounded in number, and freed when idle, without an effect on decisions.
+//! Compared with a reference that never frees a bucket.
 
 #![allow(
     missing_docs,
@@ -24,7 +24,8 @@
     Duration::from_millis(n)
 }
 
-/// So many routes, told apart by entity, and tenants; each route has these limits, by tenant.
+/// A configuration with `routes` routes, which match by entity, and `tenants` tenants. Each route has the limits given by
+/// `rate` (requests per second), `burst` and `at_once`, per tenant.
 fn limited(routes: usize, tenants: usize, rate: u64, burst: u64, at_once: u64) -> Configuration {
     let rate = (rate > 0).then_some(Rate {
         micro_tickets: rate * 1_000_000,
@@ -43,7 +44,7 @@
         }),
         ..Default::default()
     };
-    let traffic = schema::TrafficType {
+    let request_class = schema::TrafficType {
         name: "t".into(),
         goal_ns: 3 * SECOND,
         ..Default::default()
@@ -59,7 +60,7 @@
     };
     Configuration {
         version: 1,
-        types: vec![traffic],
+        types: vec![request_class],
         tenants: (0..tenants).map(tenant).collect(),
         pools: vec![schema::Pool {
             name: "p".into(),
@@ -78,7 +79,7 @@
     }
 }
 
-fn arrives(router: &mut Router, now: Duration, tenant: usize, route: usize) -> Admission {
+fn arrive(router: &mut Router, now: Duration, tenant: usize, route: usize) -> Admission {
     let entity = format!("r{route}");
     let request = Request {
         tenant: Some(tenant as u16),
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn limits_by_tenant_on_5_400_routes_for_23_000_tenants_are_accepted() {
+fn per_tenant_limits_on_5_400_routes_for_23_000_tenants_are_supported() {
     let all = limited(5_400, 23_000, 100, 1, 0);
     let mut router = Router::new(&all, 1).expect("it starts");
     assert_eq!(
@@ -99,14 +100,14 @@
             allocated: 0
         }
     );
-    let mut ways = Vec::new();
+    let mut decisions = Vec::new();
     for (tenant, route) in [(0, 0), (22_999, 0), (0, 5_399), (22_999, 5_399)] {
-        match arrives(&mut router, ms(1), tenant, route) {
-            Admission::Admitted(way) => ways.push(way),
-            Admission::Rejected(turned) => panic!("{tenant} {route}: {turned:?}"),
+        match arrive(&mut router, ms(1), tenant, route) {
+            Admission::Admitted(decision) => decisions.push(decision),
+            Admission::Rejected(rejection) => panic!("{tenant} {route}: {rejection:?}"),
         }
         assert!(matches!(
-            arrives(&mut router, ms(1), tenant, route),
+            arrive(&mut router, ms(1), tenant, route),
             Admission::Rejected(_)
         ));
     }
@@ -117,38 +118,40 @@
             allocated: 4
         }
     );
-    // And a change of version keeps what was let in.
+    // A version change keeps the state of the buckets.
     router.install(&all, ms(1)).unwrap();
     assert!(matches!(
-        arrives(&mut router, ms(1), 22_999, 5_399),
+        arrive(&mut router, ms(1), 22_999, 5_399),
         Admission::Rejected(_)
     ));
-    ways.into_iter().for_each(|way| router.on_completed(way));
+    decisions
+        .into_iter()
+        .for_each(|decision| router.on_completed(decision));
 }
 
-/// Every bucket, kept for ever, under the rule of the present version.
+/// Reference implementation: keeps every bucket, under the rule of the current version.
 #[derive(Default)]
-struct Plain {
+struct Reference {
     rule: LimitRule,
     all: HashMap<(usize, usize), Bucket>,
 }
 
-impl Plain {
-    fn take(&mut self, rule: LimitRule, now: Duration) {
+impl Reference {
+    fn set_rule(&mut self, rule: LimitRule, now: Duration) {
         self.all
             .values_mut()
             .for_each(|bucket| bucket.set_rules(&self.rule, &rule, now));
         self.rule = rule;
     }
 
-    fn arrives(&mut self, now: Duration, key: (usize, usize)) -> Result<(), Duration> {
+    fn arrive(&mut self, now: Duration, key: (usize, usize)) -> Result<(), Duration> {
         let bucket = self.all.entry(key).or_default();
         match bucket.check(&self.rule, now) {
             Ok(()) => {
                 bucket.acquire(&self.rule, now);
                 Ok(())
             }
-            Err(LimitExceeded::RateUntil(then)) => Err(then - now),
+            Err(LimitExceeded::RateUntil(until)) => Err(until - now),
             Err(LimitExceeded::Concurrency) => Err(ms(100)),
         }
     }
@@ -159,38 +162,39 @@
     const ROUTES: usize = 3;
     const TENANTS: usize = 400;
     for seed in 0..24 {
-        let mut chance = WyRand::new_seed(seed);
-        let mut draw = |from: u64, to: u64| chance.generate_range(from..to);
+        let mut rng = WyRand::new_seed(seed);
+        let mut draw = |from: u64, to: u64| rng.generate_range(from..to);
         let rules: Vec<(u64, u64, u64)> = (0..4)
             .map(|_| (draw(0, 9), draw(1, 4), draw(0, 4)))
             .collect();
-        let made = |(rate, burst, at_once): (u64, u64, u64)| {
+        let with_rule = |(rate, burst, at_once): (u64, u64, u64)| {
             limited(ROUTES, TENANTS, rate, burst, at_once)
         };
-        let first = made(rules[0]);
-        let mut plain = Plain {
+        let first = with_rule(rules[0]);
+        let mut reference = Reference {
             rule: LimitRule::from(&first.limits[0]),
-            ..Plain::default()
+            ..Reference::default()
         };
         let mut router = Router::new(&first, seed).unwrap();
-        let mut inside: Vec<(RouteDecision, (usize, usize))> = Vec::new();
-        let (mut now, mut let_in, mut turned_away, mut most) = (ms(0), 0, 0, 0);
+        let mut in_flight: Vec<(RouteDecision, (usize, usize))> = Vec::new();
+        let (mut now, mut admitted, mut rejected, mut max_in_use) = (ms(0), 0, 0, 0);
         for step in 0..6_000u64 {
             now += Duration::from_micros(draw(0, 2_000));
             match draw(0, 100) {
                 0 => {
-                    let next = made(rules[draw(0, 4) as usize]);
-                    plain.take(LimitRule::from(&next.limits[0]), now);
+                    let next = with_rule(rules[draw(0, 4) as usize]);
+                    reference.set_rule(LimitRule::from(&next.limits[0]), now);
                     router.install(&next, now).unwrap();
                 }
                 1..=5 => router.tick(now),
-                6..=35 if !inside.is_empty() => {
-                    let (way, key) = inside.swap_remove(draw(0, inside.len() as u64) as usize);
-                    plain.all.get_mut(&key).unwrap().release();
-                    router.on_completed(way);
+                6..=35 if !in_flight.is_empty() => {
+                    let (decision, key) =
+                        in_flight.swap_remove(draw(0, in_flight.len() as u64) as usize);
+                    reference.all.get_mut(&key).unwrap().release();
+                    router.on_completed(decision);
                 }
                 _ => {
-                    // A crowd that moves on, and some of it that stays.
+                    // Mostly tenants that change over time, and a few that stay.
                     let tenant = if draw(0, 3) == 0 {
                         draw(0, 4)
                     } else {
@@ -198,42 +202,42 @@
                     };
                     let key = (tenant as usize % TENANTS, draw(0, ROUTES as u64) as usize);
                     match (
-                        arrives(&mut router, now, key.0, key.1),
-                        plain.arrives(now, key),
+                        arrive(&mut router, now, key.0, key.1),
+                        reference.arrive(now, key),
                     ) {
-                        (Admission::Admitted(way), Ok(())) => {
-                            let_in += 1;
-                            inside.push((way, key));
+                        (Admission::Admitted(decision), Ok(())) => {
+                            admitted += 1;
+                            in_flight.push((decision, key));
                         }
-                        (Admission::Rejected(turned), Err(after)) => {
-                            turned_away += 1;
+                        (Admission::Rejected(rejection), Err(after)) => {
+                            rejected += 1;
                             assert_eq!(
-                                (turned.reason, turned.after),
+                                (rejection.reason, rejection.after),
                                 (RejectReason::Limit(LimitScope::Route), after)
                             );
                         }
-                        (found, wanted) => {
-                            panic!("seed {seed} step {step}: {found:?}, kept all: {wanted:?}")
+                        (actual, expected) => {
+                            panic!("seed {seed} step {step}: {actual:?}, reference: {expected:?}")
                         }
                     }
                 }
             }
-            most = most.max(router.bucket_usage().in_use);
+            max_in_use = max_in_use.max(router.bucket_usage().in_use);
         }
         assert!(
-            let_in > 500 && turned_away > 50,
-            "seed {seed}: {let_in} let in, {turned_away} turned away"
+            admitted > 500 && rejected > 50,
+            "seed {seed}: {admitted} admitted, {rejected} rejected"
         );
-        // Of those that came, most have gone again: else nothing was tried here.
+        // At least a tenth of all buckets must have been freed, otherwise this test shows nothing.
         (0..8).for_each(|_| router.tick(now));
         assert!(
-            router.bucket_usage().in_use < plain.all.len() * 9 / 10,
+            router.bucket_usage().in_use < reference.all.len() * 9 / 10,
             "seed {seed}: {:?}",
             router.bucket_usage()
         );
-        inside
+        in_flight
             .into_iter()
-            .for_each(|(way, _)| router.on_completed(way));
+            .for_each(|(decision, _)| router.on_completed(decision));
         (0..8).for_each(|_| router.tick(now + ms(3_600_000)));
         assert_eq!(router.bucket_usage().in_use, 0, "seed {seed}");
     }
@@ -241,12 +245,12 @@
 
 #[test]
 fn buckets_of_past_tenants_are_freed() {
-    // Each comes once, at 1,000 a second, and owes for 100 ms: a hundred are in use at a time.
+    // One request from each tenant, 1,000 per second; a bucket is idle after 100 ms, so 100 are in use at a time.
     let mut router = Router::new(&limited(1, 60_000, 10, 1, 0), 1).unwrap();
     for n in 0..60_000u64 {
-        match arrives(&mut router, ms(n), n as usize, 0) {
-            Admission::Admitted(way) => router.on_completed(way),
-            Admission::Rejected(turned) => panic!("{n}: {turned:?}"),
+        match arrive(&mut router, ms(n), n as usize, 0) {
+            Admission::Admitted(decision) => router.on_completed(decision),
+            Admission::Rejected(rejection) => panic!("{n}: {rejection:?}"),
         }
         assert!(
             router.bucket_usage().allocated <= 2 * 101,
@@ -257,74 +261,78 @@
 }
 
 #[test]
-fn past_the_bound_a_request_is_rejected_and_takes_nothing() {
-    const MOST: usize = 300;
+fn request_beyond_the_maximum_number_of_buckets_is_rejected_and_changes_nothing() {
+    const MAX: usize = 300;
     let mut all = limited(1, 1_000, 10, 1, 0);
-    // A second limit, for the type, of which one dismissed by the bound must use nothing.
+    // A second limit, on the type, which a request rejected for lack of a bucket must not use.
     all.limits.push(schema::Limits {
         name: "type".into(),
-        at_once: MOST as u64 + 2,
+        at_once: MAX as u64 + 2,
         per: Per::All.into(),
         ..Default::default()
     });
     all.types[0].limits = "type".into();
     let mut router = Router::new(&all, 1).unwrap();
-    router.bound_buckets(MOST);
-    let mut ways = Vec::new();
-    for tenant in 0..MOST - 1 {
-        match arrives(&mut router, ms(0), tenant, 0) {
-            Admission::Admitted(way) => ways.push(way),
-            Admission::Rejected(turned) => panic!("{tenant}: {turned:?}"),
+    router.bound_buckets(MAX);
+    let mut decisions = Vec::new();
+    for tenant in 0..MAX - 1 {
+        match arrive(&mut router, ms(0), tenant, 0) {
+            Admission::Admitted(decision) => decisions.push(decision),
+            Admission::Rejected(rejection) => panic!("{tenant}: {rejection:?}"),
         }
     }
     assert_eq!(
         router.bucket_usage(),
         BucketUsage {
-            in_use: MOST,
-            allocated: MOST
+            in_use: MAX,
+            allocated: MAX
         }
     );
-    let refused = |verdict: Admission| match verdict {
-        Admission::Rejected(turned) => (turned.reason, turned.after),
-        Admission::Admitted(way) => panic!("{way:?}"),
+    let rejection_of = |admission: Admission| match admission {
+        Admission::Rejected(rejection) => (rejection.reason, rejection.after),
+        Admission::Admitted(decision) => panic!("{decision:?}"),
     };
-    for tenant in MOST..1_000 {
-        let told = refused(arrives(&mut router, ms(0), tenant, 0));
-        assert_eq!(told, (RejectReason::NoBucket, ms(1_000)));
+    for tenant in MAX..1_000 {
+        let rejection = rejection_of(arrive(&mut router, ms(0), tenant, 0));
+        assert_eq!(rejection, (RejectReason::NoBucket, ms(1_000)));
     }
     let counts = router.counts();
     assert_eq!(
         (counts.no_bucket, counts.limited, counts.admitted),
-        (700, 0, MOST as u64 - 1)
+        (700, 0, MAX as u64 - 1)
     );
-    // Whoever has one goes on, and nobody was pushed out: each has its one inside, and its rate.
+    // Tenants with a bucket keep it and its state: the request in flight and the rate.
     assert_eq!(
-        refused(arrives(&mut router, ms(50), 7, 0)),
+        rejection_of(arrive(&mut router, ms(50), 7, 0)),
         (RejectReason::Limit(LimitScope::Route), ms(50))
     );
-    ways.push(match arrives(&mut router, ms(100), 7, 0) {
-        Admission::Admitted(way) => way,
-        Admission::Rejected(turned) => panic!("{turned:?}"),
+    decisions.push(match arrive(&mut router, ms(100), 7, 0) {
+        Admission::Admitted(decision) => decision,
+        Admission::Rejected(rejection) => panic!("{rejection:?}"),
     });
-    // Once others have ended, owe nothing and the looks have been around, there is room within what was told.
-    ways.drain(..MOST / 2)
-        .for_each(|way| router.on_completed(way));
+    // Within the retry-after, other requests have ended, their buckets are idle and the sweep has visited them, so there
+    // are free buckets.
+    decisions
+        .drain(..MAX / 2)
+        .for_each(|decision| router.on_completed(decision));
     (1..=10).for_each(|n| router.tick(ms(100 * n)));
-    // (Tenant 7 has its second inside, so half but one were given back.)
-    for tenant in MOST..MOST + MOST / 2 - 1 {
-        match arrives(&mut router, ms(1_000), tenant, 0) {
-            Admission::Admitted(way) => ways.push(way),
-            Admission::Rejected(turned) => panic!("{tenant}: {turned:?}"),
+    // Tenant 7 has a second request in flight, so half of the buckets less one were freed.
+    for tenant in MAX..MAX + MAX / 2 - 1 {
+        match arrive(&mut router, ms(1_000), tenant, 0) {
+            Admission::Admitted(decision) => decisions.push(decision),
+            Admission::Rejected(rejection) => panic!("{tenant}: {rejection:?}"),
         }
     }
     assert_eq!(
-        refused(arrives(&mut router, ms(1_000), 999, 0)).0,
+        rejection_of(arrive(&mut router, ms(1_000), 999, 0)).0,
         RejectReason::NoBucket
     );
     assert!(
-        router.bucket_usage().allocated <= MOST,
+        router.bucket_usage().allocated <= MAX,
         "{:?}",
         router.bucket_usage()
     );
-    ways.into_iter().for_each(|way| router.on_completed(way));
+    decisions
+        .into_iter()
+        .for_each(|decision| router.on_completed(decision));
 }
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -1,5 +1,6 @@
-//! A cold server falls under the sum of what all forwarders send it: so many of them on one clock against a member
-//! that counts. With N what its settings allow in a window, at most 2√N + 2 more may be chance.
+//! Guards against overload of a cold member by the sum of what all forwarders send it. Simulates several forwarders on a
+//! common clock and counts the calls to the member: if the settings allow N calls in a window, up to N + 2√N + 2 are
+//! accepted as random variation.
 
 #![allow(
     missing_docs,
@@ -20,28 +21,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members of the pool; the first is the one that starts.
+/// Number of members of the pool; the first one starts during the test.
 const MEMBERS: usize = 5;
-/// Calls a second that a warm member bears, over windows of a second.
+/// Calls per second that a warm member can handle.
 const RATE: f64 = 200.0;
+/// Window over which calls are counted, in seconds.
 const WINDOW: f64 = 1.0;
+/// Warm-up time, in seconds.
 const WARM_UP: f64 = 10.0;
-/// The part that one gets that just started.
-const START: f64 = 0.05;
-/// The clock at which it starts, ms: all forwarders have known all members for a minute by then.
-const BORN: u64 = 60_000;
-const LASTS: u64 = 12_000;
+/// Fraction of `RATE` for a member that has just started.
+const INITIAL_SHARE: f64 = 0.05;
+/// Time of the first member's start, in ms: by then all forwarders have been connected to all members for a minute.
+const START_MS: u64 = 60_000;
+/// Simulated time after that start, in ms.
+const DURATION_MS: u64 = 12_000;
 
-/// What the other members do.
+/// Behaviour of the other members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Others {
-    /// They honour.
-    Well,
-    /// They dismiss.
-    Full,
-    /// Nobody is there.
-    Out,
-    /// They started at the same time.
+    /// They serve all requests.
+    Healthy,
+    /// They reject all requests.
+    Rejecting,
+    /// They are unreachable.
+    Unreachable,
+    /// They start at the same time as the first one.
     Cold,
 }
 
@@ -49,126 +53,126 @@
 struct Case {
     name: &'static str,
     senders: usize,
-    /// Requests a second that come to all of them together.
-    asked: f64,
+    /// Requests per second to all forwarders together.
+    requests_per_s: f64,
     others: Others,
-    /// Half of the forwarders start anew in the middle.
-    restart: bool,
-    /// Some hear of the start up to three seconds late.
-    late: bool,
-    /// It starts anew again and again.
-    flaps: bool,
-    /// All that comes to a member fails, and is sent again.
-    fails: bool,
-    /// Requests come for 150 ms in each 3.9 s, and nothing between.
+    /// Half of the forwarders restart during the test.
+    restarts: bool,
+    /// Some forwarders learn of the start up to three seconds late.
+    late_notice: bool,
+    /// The member restarts several times.
+    flapping: bool,
+    /// All attempts at cold members fail, and are retried.
+    failing: bool,
+    /// Requests arrive only during 150 ms of each 3.9 s.
     bursts: bool,
-    /// All of them are of the entity whose own member is the cold one.
+    /// All requests are for an entity whose preferred member is the cold one.
     entity: bool,
-    /// The configuration is taken anew each half second.
+    /// The configuration is reinstalled every half second.
     reloads: bool,
-    /// The configuration says how many send.
-    told: bool,
+    /// The configuration gives the number of senders.
+    senders_known: bool,
 }
 
-const PLAIN: Case = Case {
-    name: "others well",
+const BASE: Case = Case {
+    name: "others healthy",
     senders: 20,
-    asked: 300.0,
-    others: Others::Well,
-    restart: false,
-    late: false,
-    flaps: false,
-    fails: false,
+    requests_per_s: 300.0,
+    others: Others::Healthy,
+    restarts: false,
+    late_notice: false,
+    flapping: false,
+    failing: false,
     bursts: false,
     entity: false,
     reloads: false,
-    told: true,
+    senders_known: true,
 };
 
-/// One of each trouble; each is played with 1, 20 and 30 forwarders, with few requests and with far too many.
+/// One case for each fault; see `for_each_case` for the numbers of forwarders and requests.
 const CASES: [Case; 14] = [
-    PLAIN,
+    BASE,
     Case {
-        name: "others full",
-        others: Others::Full,
-        ..PLAIN
+        name: "others reject",
+        others: Others::Rejecting,
+        ..BASE
     },
     Case {
-        name: "others out",
-        others: Others::Out,
-        ..PLAIN
+        name: "others unreachable",
+        others: Others::Unreachable,
+        ..BASE
     },
     Case {
         name: "all cold",
         others: Others::Cold,
-        ..PLAIN
+        ..BASE
     },
     Case {
         name: "forwarders restart",
-        others: Others::Full,
-        restart: true,
-        ..PLAIN
+        others: Others::Rejecting,
+        restarts: true,
+        ..BASE
     },
     Case {
         name: "forwarders restart, all cold",
         others: Others::Cold,
-        restart: true,
-        ..PLAIN
+        restarts: true,
+        ..BASE
     },
     Case {
-        name: "some hear late",
-        others: Others::Full,
-        late: true,
-        ..PLAIN
+        name: "some learn of the start late",
+        others: Others::Rejecting,
+        late_notice: true,
+        ..BASE
     },
     Case {
-        name: "it flaps",
-        others: Others::Full,
-        flaps: true,
-        ..PLAIN
+        name: "member restarts repeatedly",
+        others: Others::Rejecting,
+        flapping: true,
+        ..BASE
     },
     Case {
-        name: "all fails, retries",
+        name: "all attempts fail and are retried",
         others: Others::Cold,
-        fails: true,
-        ..PLAIN
+        failing: true,
+        ..BASE
     },
     Case {
         name: "bursts",
-        others: Others::Full,
+        others: Others::Rejecting,
         bursts: true,
-        ..PLAIN
+        ..BASE
     },
     Case {
         name: "one entity",
         entity: true,
-        ..PLAIN
+        ..BASE
     },
     Case {
         name: "reloads",
-        others: Others::Full,
+        others: Others::Rejecting,
         reloads: true,
-        ..PLAIN
+        ..BASE
     },
     Case {
-        name: "not said how many send",
-        others: Others::Full,
-        told: false,
-        ..PLAIN
+        name: "number of senders not configured",
+        others: Others::Rejecting,
+        senders_known: false,
+        ..BASE
     },
     Case {
-        name: "all at once",
+        name: "all faults together",
         others: Others::Cold,
-        restart: true,
-        late: true,
-        flaps: true,
-        fails: true,
+        restarts: true,
+        late_notice: true,
+        flapping: true,
+        failing: true,
         bursts: true,
-        ..PLAIN
+        ..BASE
     },
 ];
 
-fn text(senders: usize, knob: &str) -> String {
+fn text(senders: usize, pool_settings: &str) -> String {
     let member = |k: usize| {
         format!(
             "member n{k} {{ address: \"10.0.0.{}:1\"; warm-up: 10 s }}\n",
@@ -176,49 +180,49 @@
         )
     };
     let members: String = (0..MEMBERS).map(member).collect();
-    let knob = knob.replace('S', &senders.to_string());
+    let pool_settings = pool_settings.replace('S', &senders.to_string());
     format!(
         "rain 1
 type check {{ repeat: rerunnable; goal: 3 s; outer-limit: 7 s }}
 tenant acme {{ share: 50 % }}
 attempts a {{ tries: 3; budget: 100 %; wait: 1 ms .. 4 ms; proof: none }}
 health h {{ back-after: 1 s .. 2 s; keep: 20 %; out-after: 100000 tickets; out-share: 100 % }}
-pool p {{ health: h; {knob}\n{members} }}
+pool p {{ health: h; {pool_settings}\n{members} }}
 route r {{ to: p; attempts: a }}"
     )
 }
 
-/// An entity whose own member is the first one.
-fn own() -> String {
+/// An entity whose preferred member is the first one.
+fn preferred_entity() -> String {
     let score = |member: usize, name: &str| score(name_hash(&address(member)), 1_000, name);
-    let first = |name: &String| (1..MEMBERS).all(|k| score(0, name) > score(k, name));
-    (0..).map(|n| format!("NO-{n}")).find(first).unwrap()
+    let is_preferred = |name: &String| (1..MEMBERS).all(|k| score(0, name) > score(k, name));
+    (0..).map(|n| format!("NO-{n}")).find(is_preferred).unwrap()
 }
 
-/// Its rule as it is used here, all of it.
-const KNOB: &str = "warm-rate: 200 tickets/s; senders: S;";
+/// Pool settings of the warm-up limit; `S` is replaced by the number of senders.
+const POOL_SETTINGS: &str = "warm-rate: 200 tickets/s; senders: S;";
 
-/// A forwarder, and which members it has a connection to.
-struct One {
+/// A forwarder and its connections, one of the senders.
+struct Sender {
     fleet: Fleet,
-    linked: [bool; MEMBERS],
-    /// When it hears that the first member started anew; calls until then go to one that is no longer there.
-    hears: u64,
+    connected: [bool; MEMBERS],
+    /// When it learns of the last start of cold members, in ms; until then its calls go to the previous incarnation.
+    notified_at: u64,
 }
 
-fn read(text: String) -> Configuration {
+fn parse(text: String) -> Configuration {
     let outcome = load(&Memory::new([("a.rain", text)]), "a.rain");
     outcome
         .configuration
         .unwrap_or_else(|| panic!("{:?}", outcome.findings))
 }
 
-fn one(made: &Configuration, seed: u64, now: u64) -> One {
-    let fleet = Fleet::new(made, "", seed, ms(now)).unwrap();
-    One {
+fn sender(config: &Configuration, seed: u64, now: u64) -> Sender {
+    let fleet = Fleet::new(config, "", seed, ms(now)).unwrap();
+    Sender {
         fleet,
-        linked: [false; MEMBERS],
-        hears: 0,
+        connected: [false; MEMBERS],
+        notified_at: 0,
     }
 }
 
@@ -230,147 +234,152 @@
     format!("10.0.0.{}:1", member + 1)
 }
 
-impl One {
-    fn open(&mut self, member: usize, now: u64) {
-        if !std::mem::replace(&mut self.linked[member], true) {
+impl Sender {
+    fn connect(&mut self, member: usize, now: u64) {
+        if !std::mem::replace(&mut self.connected[member], true) {
             self.fleet.on_connected(&address(member), ms(now), ms(now));
         }
     }
 
-    fn broke(&mut self, member: usize, now: u64) {
-        if std::mem::replace(&mut self.linked[member], false) {
+    fn disconnect(&mut self, member: usize, now: u64) {
+        if std::mem::replace(&mut self.connected[member], false) {
             self.fleet.on_disconnected(&address(member), ms(now));
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Played {
-    /// Calls that came to each member, by life: its start, and when they came, ms.
-    lives: BTreeMap<(usize, u64), Vec<u64>>,
-    honoured: u64,
-    /// Told when to come back, and whether any was told nothing.
-    dismissed: u64,
-    told_nothing: u64,
+struct Totals {
+    /// Times of the calls that reached a member, by member and time of its start, all in ms.
+    calls: BTreeMap<(usize, u64), Vec<u64>>,
+    served: u64,
+    /// All rejected requests, and those rejected with a retry-after below 10 ms.
+    rejected: u64,
+    without_retry_after: u64,
 }
 
-/// Calls that may come in a window that begins at this age, s.
+/// Calls allowed in a window that begins at this age of the member, in seconds.
 fn allowed(age: f64) -> f64 {
-    let rising = |age: f64| age.clamp(START * WARM_UP, WARM_UP);
+    let ramp_age = |age: f64| age.clamp(INITIAL_SHARE * WARM_UP, WARM_UP);
     let sum = |age: f64| {
-        let flat = age.min(START * WARM_UP);
-        let (from, to) = (START * WARM_UP, rising(age));
-        START * flat + (to * to - from * from) / (2.0 * WARM_UP)
+        let flat = age.min(INITIAL_SHARE * WARM_UP);
+        let (from, to) = (INITIAL_SHARE * WARM_UP, ramp_age(age));
+        INITIAL_SHARE * flat + (to * to - from * from) / (2.0 * WARM_UP)
     };
     RATE * (sum(age + WINDOW) - sum(age))
 }
 
-/// The window that is furthest past what is allowed: past N by this many times what may be chance, and how.
-fn worst(calls: &[u64], born: u64) -> (f64, String) {
-    let mut worst = (f64::NEG_INFINITY, String::from("nothing came"));
-    for (k, first) in calls.iter().enumerate() {
-        let age = (first - born) as f64 / 1_000.0;
+/// The window that exceeds the allowed number N the most: its excess over N as a multiple of the accepted variation, and
+/// a description.
+fn worst_window(calls: &[u64], started: u64) -> (f64, String) {
+    let mut worst = (f64::NEG_INFINITY, String::from("no calls"));
+    for (k, start) in calls.iter().enumerate() {
+        let age = (start - started) as f64 / 1_000.0;
         if age + WINDOW > WARM_UP {
             break;
         }
-        let end = first + (WINDOW * 1_000.0) as u64;
-        let came = calls[k..].iter().take_while(|at| **at < end).count() as f64;
+        let end = start + (WINDOW * 1_000.0) as u64;
+        let count = calls[k..].iter().take_while(|at| **at < end).count() as f64;
         let n = allowed(age);
-        let over = (came - n) / (2.0 * n.sqrt() + 2.0);
-        if over > worst.0 {
+        let excess = (count - n) / (2.0 * n.sqrt() + 2.0);
+        if excess > worst.0 {
             worst = (
-                over,
-                format!("{came} at the age of {age:.2} s, {n:.1} allowed"),
+                excess,
+                format!("{count} calls at the age of {age:.2} s, {n:.1} allowed"),
             );
         }
     }
     worst
 }
 
-fn play(case: &Case, seed: u64, knob: &str) -> Played {
-    let made = read(text(if case.told { case.senders } else { 0 }, knob));
-    let mut chance = WyRand::new_seed(seed);
+fn run_case(case: &Case, seed: u64, pool_settings: &str) -> Totals {
+    let config = parse(text(
+        if case.senders_known { case.senders } else { 0 },
+        pool_settings,
+    ));
+    let mut rng = WyRand::new_seed(seed);
     let mut seeds = WyRand::new_seed(seed ^ 0xf0);
-    let mut all: Vec<One> = (0..case.senders)
-        .map(|_| one(&made, seeds.generate(), 0))
+    let mut all: Vec<Sender> = (0..case.senders)
+        .map(|_| sender(&config, seeds.generate(), 0))
         .collect();
-    for one in &mut all {
-        (0..MEMBERS).for_each(|member| one.open(member, 0));
+    for sender in &mut all {
+        (0..MEMBERS).for_each(|member| sender.connect(member, 0));
     }
-    let starts: &[u64] = if case.flaps {
+    let starts: &[u64] = if case.flapping {
         &[0, 700, 2_900, 4_000, 6_500]
     } else {
         &[0]
     };
-    let (mut played, own) = (Played::default(), own());
-    let mut born = [0u64; MEMBERS];
-    // What happens to a forwarder then: a try comes back, or a wait is over.
+    let (mut totals, preferred_entity) = (Totals::default(), preferred_entity());
+    let mut started = [0u64; MEMBERS];
+    // Events by due time in ms: sender, request, and the outcome of its attempt, or `None` at the end of a backoff.
     let mut due: BTreeMap<u64, Vec<(usize, RequestState, Option<AttemptOutcome>)>> =
         BTreeMap::new();
-    for t in BORN..BORN + LASTS {
-        if starts.contains(&(t - BORN)) {
+    for now in START_MS..START_MS + DURATION_MS {
+        if starts.contains(&(now - START_MS)) {
             let cold = if case.others == Others::Cold {
                 MEMBERS
             } else {
                 1
             };
-            for (member, born) in born.iter_mut().enumerate().take(cold) {
-                *born = t;
-                played.lives.insert((member, t), Vec::new());
+            for (member, started) in started.iter_mut().enumerate().take(cold) {
+                *started = now;
+                totals.calls.insert((member, now), Vec::new());
             }
-            for (k, one) in all.iter_mut().enumerate() {
-                one.hears = if case.late && k % 3 > 0 {
-                    t + chance.generate_range(0..3_000u64)
+            for (k, sender) in all.iter_mut().enumerate() {
+                sender.notified_at = if case.late_notice && k % 3 > 0 {
+                    now + rng.generate_range(0..3_000u64)
                 } else {
-                    t
+                    now
                 };
             }
         }
-        for one in &mut all {
-            if one.hears == t {
+        for sender in &mut all {
+            if sender.notified_at == now {
                 (0..MEMBERS)
-                    .filter(|k| born[*k] > 0)
-                    .for_each(|k| one.broke(k, t));
+                    .filter(|k| started[*k] > 0)
+                    .for_each(|k| sender.disconnect(k, now));
             }
         }
-        if case.restart && t == BORN + 3_000 {
-            // Those that were there before keep their trips to themselves.
+        if case.restarts && now == START_MS + 3_000 {
+            // Requests of the previous incarnations are dropped.
             let count = all.len();
-            for one in all.iter_mut().take(count.div_ceil(2)) {
-                *one = self::one(&made, seeds.generate(), t);
+            for sender in all.iter_mut().take(count.div_ceil(2)) {
+                *sender = self::sender(&config, seeds.generate(), now);
             }
             due.values_mut()
                 .for_each(|due| due.retain(|(k, ..)| *k >= count.div_ceil(2)));
         }
-        if case.reloads && t % 500 == 250 {
+        if case.reloads && now % 500 == 250 {
             all.iter_mut()
-                .for_each(|one| drop(one.fleet.install(&made, ms(t))));
+                .for_each(|sender| drop(sender.fleet.install(&config, ms(now))));
         }
-        if t % 100 == 0 {
-            all.iter_mut().for_each(|one| drop(one.fleet.tick(ms(t))));
+        if now % 100 == 0 {
+            all.iter_mut()
+                .for_each(|sender| drop(sender.fleet.tick(ms(now))));
         }
         let mut steps: Vec<(usize, NextAction)> = Vec::new();
-        for (k, trip, back) in due.remove(&t).unwrap_or_default() {
+        for (k, state, outcome) in due.remove(&now).unwrap_or_default() {
             let fleet = &mut all[k].fleet;
             steps.push((
                 k,
-                match back {
-                    Some(back) => fleet.on_attempt_outcome(ms(t), trip, back),
-                    None => fleet.on_retry_due(ms(t), trip),
+                match outcome {
+                    Some(outcome) => fleet.on_attempt_outcome(ms(now), state, outcome),
+                    None => fleet.on_retry_due(ms(now), state),
                 },
             ));
         }
-        for (k, one) in all.iter_mut().enumerate() {
-            let now = if !case.bursts {
+        for (k, sender) in all.iter_mut().enumerate() {
+            let burst_factor = if !case.bursts {
                 1.0
-            } else if t % 3_900 < 150 {
+            } else if now % 3_900 < 150 {
                 26.0
             } else {
                 0.0
             };
-            let mean = now * case.asked / case.senders as f64 / 1_000.0;
-            let mut left = f64::from(chance.generate::<u32>()) / f64::from(u32::MAX);
-            // As many as a Poisson process brings in a millisecond.
+            let mean = burst_factor * case.requests_per_s / case.senders as f64 / 1_000.0;
+            let mut left = f64::from(rng.generate::<u32>()) / f64::from(u32::MAX);
+            // Number of arrivals of a Poisson process in one millisecond.
             let mut p = (-mean).exp();
             let mut n = 0;
             while left > p && n < 50 {
@@ -379,54 +388,57 @@
                 p *= mean / f64::from(n);
             }
             for _ in 0..n {
-                let entity = if case.entity { &*own } else { "" };
+                let entity = if case.entity { &*preferred_entity } else { "" };
                 let request = Request {
                     tenant: Some(0),
                     entity,
                     ..Request::default()
                 };
-                steps.push((k, one.fleet.on_arrival(ms(t), &request)));
+                steps.push((k, sender.fleet.on_arrival(ms(now), &request)));
             }
         }
         for (k, step) in steps {
             match step {
-                NextAction::Dispatch(trip, Attempt { to, .. }) => {
+                NextAction::Dispatch(state, Attempt { to, .. }) => {
                     let member = usize::from(to.member);
-                    let (back, took) = reaches(case, &mut all[k], member, t, &mut played, &born);
-                    due.entry(t + took).or_default().push((k, trip, Some(back)));
+                    let (outcome, delay) =
+                        send_attempt(case, &mut all[k], member, now, &mut totals, &started);
+                    due.entry(now + delay)
+                        .or_default()
+                        .push((k, state, Some(outcome)));
                 }
-                NextAction::Backoff(trip, wait) => {
-                    due.entry(t + (wait.as_millis() as u64).max(1))
+                NextAction::Backoff(state, wait) => {
+                    due.entry(now + (wait.as_millis() as u64).max(1))
                         .or_default()
-                        .push((k, trip, None));
+                        .push((k, state, None));
                 }
-                NextAction::Completed(over) => match over.outcome {
-                    RequestOutcome::Served => played.honoured += 1,
+                NextAction::Completed(completion) => match completion.outcome {
+                    RequestOutcome::Served => totals.served += 1,
                     RequestOutcome::Rejected { after, .. } => {
-                        played.dismissed += 1;
-                        played.told_nothing += u64::from(after < ms(10));
+                        totals.rejected += 1;
+                        totals.without_retry_after += u64::from(after < ms(10));
                     }
                     RequestOutcome::Failed | RequestOutcome::CallerGone => {}
                 },
             }
         }
     }
-    played
+    totals
 }
 
-/// A try on its way: what comes back after how many ms.
-fn reaches(
+/// Sends an attempt; returns its outcome and the time until it is known, in ms.
+fn send_attempt(
     case: &Case,
-    one: &mut One,
+    sender: &mut Sender,
     member: usize,
-    t: u64,
-    played: &mut Played,
-    born: &[u64; MEMBERS],
+    now: u64,
+    totals: &mut Totals,
+    started: &[u64; MEMBERS],
 ) -> (AttemptOutcome, u64) {
-    if born[member] == 0 {
+    if started[member] == 0 {
         return match case.others {
-            Others::Out => (AttemptOutcome::Unreachable, 1),
-            Others::Full => (
+            Others::Unreachable => (AttemptOutcome::Unreachable, 1),
+            Others::Rejecting => (
                 AttemptOutcome::Rejected {
                     pause: ms(300),
                     nowhere_else: false,
@@ -434,42 +446,42 @@
                 1,
             ),
             _ => {
-                one.open(member, t);
+                sender.connect(member, now);
                 (AttemptOutcome::Served, 10)
             }
         };
     }
-    if one.linked[member] && one.hears > t {
-        // The connection is to the one before, and nobody told yet.
-        return (AttemptOutcome::Broken, one.hears - t);
+    if sender.connected[member] && sender.notified_at > now {
+        // The connection is to the previous incarnation, whose end has not been noticed yet.
+        return (AttemptOutcome::Broken, sender.notified_at - now);
     }
-    one.open(member, t);
-    played
-        .lives
-        .get_mut(&(member, born[member]))
+    sender.connect(member, now);
+    totals
+        .calls
+        .get_mut(&(member, started[member]))
         .unwrap()
-        .push(t);
-    if case.fails {
+        .push(now);
+    if case.failing {
         (AttemptOutcome::Failed, 5)
     } else {
         (AttemptOutcome::Served, 20)
     }
 }
 
-/// Each case with each number of forwarders, with few requests for each and with far more than all members bear.
-fn each(mut what: impl FnMut(&Case, &str)) {
+/// Runs each case with 1, 20 and 30 forwarders, with few requests and with far more than all members can handle.
+fn for_each_case(mut check: impl FnMut(&Case, &str)) {
     for senders in [1, 20, 30] {
-        for asked in [30.0, 300.0, 2_000.0] {
+        for requests_per_s in [30.0, 300.0, 2_000.0] {
             for case in CASES {
                 let case = Case {
                     senders,
-                    asked,
+                    requests_per_s,
                     ..case
                 };
-                what(
+                check(
                     &case,
                     &format!(
-                        "{senders} forwarders, {asked} tickets a second, {}",
+                        "{senders} forwarders, {requests_per_s} requests per second, {}",
                         case.name
                     ),
                 );
@@ -481,44 +493,53 @@
 #[test]
 fn all_senders_together_stay_within_the_limit_of_a_cold_member() {
     for seed in 1..=3 {
-        each(|case, name| {
-            let played = play(case, seed, KNOB);
-            for ((member, born), calls) in &played.lives {
-                let (over, how) = worst(calls, *born);
-                assert!(over <= 1.0, "{name}, seed {seed}, member {member}: {how}");
+        for_each_case(|case, name| {
+            let totals = run_case(case, seed, POOL_SETTINGS);
+            for ((member, started), calls) in &totals.calls {
+                let (excess, details) = worst_window(calls, *started);
+                assert!(
+                    excess <= 1.0,
+                    "{name}, seed {seed}, member {member}: {details}"
+                );
             }
-            assert_eq!(played.told_nothing, 0, "{name}: a time to come back");
+            assert_eq!(
+                totals.without_retry_after, 0,
+                "{name}: a rejection without a useful retry-after"
+            );
         });
     }
 }
 
-/// A bound that lets nothing through would hold too.
+/// Guards against a limit that admits far too little, which the test above would not detect.
 #[test]
 fn a_cold_member_gets_most_of_its_limit_and_everything_once_warm() {
     for senders in [1, 20, 30] {
         let case = Case {
             senders,
-            asked: 2_000.0,
-            others: Others::Full,
-            ..PLAIN
+            requests_per_s: 2_000.0,
+            others: Others::Rejecting,
+            ..BASE
         };
-        let played = play(&case, 4, KNOB);
-        let calls = &played.lives[&(0, BORN)];
-        let in_all = |from: u64, to: u64| {
+        let totals = run_case(&case, 4, POOL_SETTINGS);
+        let calls = &totals.calls[&(0, START_MS)];
+        let count_between = |from: u64, to: u64| {
             calls
                 .iter()
-                .filter(|at| (BORN + from..BORN + to).contains(at))
+                .filter(|at| (START_MS + from..START_MS + to).contains(at))
                 .count() as f64
         };
         let allowed: f64 = (2..9).map(|s| allowed(f64::from(s))).sum();
-        let got = in_all(2_000, 9_000);
-        // Each hears of the start with its first turn, and is behind by as much.
-        let least = if senders == 1 { 0.75 } else { 0.5 };
-        assert!(got > least * allowed, "{senders}: {got} of {allowed}");
+        let got = count_between(2_000, 9_000);
+        // Each forwarder learns of the start only with its first permit, so its rate lags behind.
+        let min_fraction = if senders == 1 { 0.75 } else { 0.5 };
+        assert!(
+            got > min_fraction * allowed,
+            "{senders}: {got} of {allowed}"
+        );
         if senders == 1 {
             assert!(
-                in_all(11_000, 12_000) > 2.0 * RATE,
-                "warm, it is bounded by others' rules only"
+                count_between(11_000, 12_000) > 2.0 * RATE,
+                "a warm member has no warm-up limit"
             );
         }
     }
@@ -528,21 +549,21 @@
 fn without_a_rate_there_is_no_warm_up_limit() {
     let case = Case {
         senders: 1,
-        asked: 2_000.0,
-        others: Others::Full,
-        ..PLAIN
+        requests_per_s: 2_000.0,
+        others: Others::Rejecting,
+        ..BASE
     };
-    let played = play(&case, 4, "senders: S;");
-    let (over, _) = worst(&played.lives[&(0, BORN)], BORN);
+    let totals = run_case(&case, 4, "senders: S;");
+    let (excess, _) = worst_window(&totals.calls[&(0, START_MS)], START_MS);
     assert!(
-        over > 10.0,
-        "{over}: then this test's members are too kind to show anything"
+        excess > 10.0,
+        "{excess}: without a limit the member must be overloaded, or these tests show nothing"
     );
 }
 
-/// What a sum of senders may send, by the decision alone: those who ask at each moment.
+/// The sum over all senders that request a permit in each millisecond, tested on the limiter alone.
 #[test]
-fn turns_add_up_across_joins_restarts_and_reloads() {
+fn permits_of_all_senders_stay_within_the_limit_across_reconnects_and_reloads() {
     let rule = |senders| {
         WarmUpRule::new(
             RATE,
@@ -551,91 +572,97 @@
             Duration::from_secs(10),
         )
     };
-    let mut chance = WyRand::new_seed(12);
-    let mut phase = || f64::from(chance.generate::<u32>()) / (f64::from(u32::MAX) + 1.0);
-    type Does = fn(&mut WarmUpLimiter, u64);
-    let table: [(&str, u64, Does); 6] = [
-        ("nothing", 0, |_, _| {}),
-        ("silent for five seconds", 5_000, |_, _| {}),
-        ("loses touch each 70 ms", 0, |ramp, t| {
-            if t % 70 == 0 {
-                ramp.on_disconnected(ms(t));
-                ramp.on_connected(ms(t), ms(t));
+    let mut rng = WyRand::new_seed(12);
+    let mut phase = || f64::from(rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0);
+    type Action = fn(&mut WarmUpLimiter, u64);
+    let table: [(&str, u64, Action); 6] = [
+        ("no events", 0, |_, _| {}),
+        ("no requests for five seconds", 5_000, |_, _| {}),
+        ("reconnects every 70 ms", 0, |limiter, now| {
+            if now % 70 == 0 {
+                limiter.on_disconnected(ms(now));
+                limiter.on_connected(ms(now), ms(now));
             }
         }),
-        ("loses touch for good", 0, |ramp, t| {
-            if t == 300 {
-                ramp.on_disconnected(ms(t));
+        ("disconnects permanently", 0, |limiter, now| {
+            if now == 300 {
+                limiter.on_disconnected(ms(now));
             }
         }),
-        ("is told the same again", 0, |ramp, t| {
-            ramp.on_connected(ms(0), ms(t))
+        ("connect reported again", 0, |limiter, now| {
+            limiter.on_connected(ms(0), ms(now))
         }),
-        ("takes a version each 90 ms", 0, |ramp, t| {
-            if t % 90 == 0 {
-                let before = ramp.clone();
+        ("new version every 90 ms", 0, |limiter, now| {
+            if now % 90 == 0 {
+                let before = limiter.clone();
                 let rule =
                     WarmUpRule::new(RATE, Duration::from_secs(1), 30, Duration::from_secs(10));
-                *ramp = WarmUpLimiter::new(rule, 0.99, ms(t));
-                ramp.carry(&before, ms(t));
+                *limiter = WarmUpLimiter::new(rule, 0.99, ms(now));
+                limiter.carry(&before, ms(now));
             }
         }),
     ];
-    for (name, asks_from, does) in table {
+    for (name, requests_from, action) in table {
         let mut all: Vec<WarmUpLimiter> = (0..30)
             .map(|_| WarmUpLimiter::new(rule(30), phase(), ms(0)))
             .collect();
         all.iter_mut()
-            .for_each(|ramp| ramp.on_connected(ms(0), ms(0)));
+            .for_each(|limiter| limiter.on_connected(ms(0), ms(0)));
         let mut calls = Vec::new();
-        for t in 0..8_000 {
-            for ramp in &mut all {
-                does(ramp, t);
-                if t >= asks_from && ramp.blocked_until(ms(t)).is_none() {
-                    ramp.take(ms(t));
-                    calls.push(t);
-                    // One turn, one call.
+        for now in 0..8_000 {
+            for limiter in &mut all {
+                action(limiter, now);
+                if now >= requests_from && limiter.blocked_until(ms(now)).is_none() {
+                    limiter.take(ms(now));
+                    calls.push(now);
+                    // One call per permit.
                     assert!(
-                        ramp.blocked_until(ms(t)).is_some_and(|until| until > ms(t)),
+                        limiter
+                            .blocked_until(ms(now))
+                            .is_some_and(|until| until > ms(now)),
                         "{name}"
                     );
                 }
             }
         }
-        let (over, how) = worst(&calls, 0);
-        assert!(over <= 1.0, "{name}: {how}");
+        let (excess, details) = worst_window(&calls, 0);
+        assert!(excess <= 1.0, "{name}: {details}");
         assert!(calls.len() > 40, "{name}: {}", calls.len());
     }
 }
 
 #[test]
-fn a_turn_comes_at_the_announced_time() {
+fn permit_is_issued_at_the_predicted_time() {
     let rule = WarmUpRule::new(RATE, Duration::from_secs(1), 20, Duration::from_secs(10));
-    for known in [None, Some(0), Some(5_000)] {
-        let mut ramp = WarmUpLimiter::new(rule, 0.3, ms(10_000));
-        if let Some(age) = known {
-            ramp.on_connected(ms(10_000 - age), ms(10_000));
+    for age_ms in [None, Some(0), Some(5_000)] {
+        let mut limiter = WarmUpLimiter::new(rule, 0.3, ms(10_000));
+        if let Some(age) = age_ms {
+            limiter.on_connected(ms(10_000 - age), ms(10_000));
         }
-        let until = ramp.blocked_until(ms(10_000)).expect("no turn yet");
+        let until = limiter.blocked_until(ms(10_000)).expect("no permit yet");
         assert!(
-            until > ms(10_000) && ramp.blocked_until(until + ms(1)).is_none(),
-            "{known:?}: {until:?}"
+            until > ms(10_000) && limiter.blocked_until(until + ms(1)).is_none(),
+            "{age_ms:?}: {until:?}"
         );
         assert!(
-            ramp.blocked_until(until.checked_sub(ms(1)).unwrap())
+            limiter
+                .blocked_until(until.checked_sub(ms(1)).unwrap())
                 .is_some(),
-            "{known:?}: not sooner"
+            "{age_ms:?}: not before the predicted time"
         );
-        // Not used, it is lost, and the next one is some time off.
-        let share = RATE / 20.0 * known.map_or(START, |age| (age as f64 / 10_000.0).max(START));
+        // An unused permit expires, and the next one is not issued immediately.
+        let share = RATE / 20.0
+            * age_ms.map_or(INITIAL_SHARE, |age| {
+                (age as f64 / 10_000.0).max(INITIAL_SHARE)
+            });
         assert!(
-            share > 1.5 || ramp.blocked_until(until + ms(251)).is_some(),
-            "{known:?}"
+            share > 1.5 || limiter.blocked_until(until + ms(251)).is_some(),
+            "{age_ms:?}"
         );
     }
-    let mut ramp = WarmUpLimiter::new(rule, 0.3, ms(0));
-    ramp.on_connected(ms(0), ms(0));
-    assert!(!ramp.is_warm(ms(9_999)) && ramp.is_warm(ms(10_000)));
-    ramp.on_disconnected(ms(11_000));
-    assert!(!ramp.is_warm(ms(11_000)) && ramp.blocked_until(ms(11_000)).is_some());
+    let mut limiter = WarmUpLimiter::new(rule, 0.3, ms(0));
+    limiter.on_connected(ms(0), ms(0));
+    assert!(!limiter.is_warm(ms(9_999)) && limiter.is_warm(ms(10_000)));
+    limiter.on_disconnected(ms(11_000));
+    assert!(!limiter.is_warm(ms(11_000)) && limiter.blocked_until(ms(11_000)).is_some());
 }
