--- a/crates/routing/src/decision_log.rs
+++ b/crates/routing/src/decision_log.rs
@@ -1,7 +1,7 @@
-//! A bounded log of the last decisions, to explain where requests were sent and why others were rejected. Writing to it
-//! does not allocate once it is full.
+//! A bounded log of the last decisions: where requests were sent, and why others were rejected. Writing does not
+//! allocate once the log is full.
 //!
-//! Indices are those of the version that decided; the fleet clears the log when indices change.
+//! Indices are those of the version that made the decision; the fleet clears the log when indices change.
 
 use crate::health::EjectionReason;
 use crate::member_selection::SelectionReason;
@@ -9,25 +9,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Decisions that the log holds, 120 bytes each.
+/// Capacity of the log in decisions, 120 bytes each.
 pub const MAX_DECISIONS: usize = 1_024;
-/// Skipped members that one decision names; further ones are only counted.
+/// Skipped members that a decision lists; further ones are only counted.
 pub const MAX_SKIPPED_MEMBERS: usize = 6;
 
-/// Why a member was not considered.
+/// Why a member was skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SkipReason {
     /// It is ejected.
     Ejected(EjectionReason),
     /// It, or its pool, is at its concurrency limit.
     Full,
-    /// It asked this tenant to come back later.
+    /// It sent this tenant a retry-after that has not ended.
     RetryAfter,
-    /// The last attempt of this request went there.
+    /// The last attempt of this request was sent to it.
     AlreadyTried,
     /// It announced its shutdown.
-    Leaving,
-    /// It warms up, or may, and this forwarder's share of what it may get is used up.
+    Draining,
+    /// It warms up, or may do so, and this forwarder has used its share of the warm-up rate.
     WarmingUp,
 }
 
@@ -39,7 +39,7 @@
             SkipReason::Full => "full",
             SkipReason::RetryAfter => "told_to_wait",
             SkipReason::AlreadyTried => "tried",
-            SkipReason::Leaving => "leaving",
+            SkipReason::Draining => "leaving",
             SkipReason::WarmingUp => "warming",
         }
     }
@@ -54,18 +54,18 @@
         member: u16,
         /// How it was selected.
         selected_by: SelectionReason,
-        /// Members that could take it.
+        /// Number of members that could take it.
         of: u16,
-        /// Attempts that the member had already.
+        /// Attempts that were already in flight to the member.
         open_attempts: u32,
         /// Number of the attempt, from 1.
         attempt_number: u32,
     },
-    /// There was no further attempt.
+    /// No attempt was sent.
     Rejected {
-        /// Why.
+        /// Why none was sent.
         reason: OutcomeReason,
-        /// When the caller was asked to come back, from then on.
+        /// The retry-after, counted from the decision.
         after: Duration,
     },
 }
@@ -79,71 +79,76 @@
     pub request_class: u16,
     /// Index of the tenant, if it is configured.
     pub tenant: Option<u16>,
-    /// Index of the route, if one took the request.
+    /// Index of the route, if one matched.
     pub route: Option<u16>,
-    /// Index of the pool, if there was one.
+    /// Index of the pool, if one was selected.
     pub pool: Option<u16>,
     /// What was decided.
     pub what: DecisionOutcome,
     /// The first members that were skipped.
-    passed: [(u16, Option<SkipReason>); MAX_SKIPPED_MEMBERS],
+    skipped: [(u16, Option<SkipReason>); MAX_SKIPPED_MEMBERS],
     /// How many further members were skipped.
     pub more_skipped: u16,
 }
 
 impl Decision {
-    /// A decision without route, pool and skipped members.
-    pub fn new(at: Duration, traffic: u16, tenant: Option<u16>, what: DecisionOutcome) -> Self {
+    /// A decision without a route, a pool and skipped members.
+    pub fn new(
+        at: Duration,
+        request_class: u16,
+        tenant: Option<u16>,
+        what: DecisionOutcome,
+    ) -> Self {
         Self {
             at,
-            request_class: traffic,
+            request_class,
             tenant,
             route: None,
             pool: None,
             what,
-            passed: [(0, None); MAX_SKIPPED_MEMBERS],
+            skipped: [(0, None); MAX_SKIPPED_MEMBERS],
             more_skipped: 0,
         }
     }
 
     /// Records that a member was skipped.
     pub fn record_skipped(&mut self, member: u16, reason: SkipReason) {
-        match self.passed.iter_mut().find(|one| one.1.is_none()) {
-            Some(place) => *place = (member, Some(reason)),
+        match self.skipped.iter_mut().find(|slot| slot.1.is_none()) {
+            Some(slot) => *slot = (member, Some(reason)),
             None => self.more_skipped = self.more_skipped.saturating_add(1),
         }
     }
 
-    /// The skipped members that are named, in order.
+    /// The listed skipped members, in order.
     pub fn skipped_members(&self) -> impl Iterator<Item = (u16, SkipReason)> + '_ {
-        self.passed
+        self.skipped
             .iter()
             .filter_map(|(member, reason)| Some((*member, (*reason)?)))
     }
 }
 
-/// The last [`MAX_DECISIONS`] decisions, oldest first.
+/// Holds the last [`MAX_DECISIONS`] decisions, oldest first.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
-    ring: VecDeque<Decision>,
+    decisions: VecDeque<Decision>,
 }
 
 impl DecisionLog {
     /// Appends a decision; drops the oldest one if the log is full.
     pub fn push(&mut self, decision: Decision) {
-        if self.ring.len() >= MAX_DECISIONS {
-            self.ring.pop_front();
+        if self.decisions.len() >= MAX_DECISIONS {
+            self.decisions.pop_front();
         }
-        self.ring.push_back(decision);
+        self.decisions.push_back(decision);
     }
 
     /// All decisions, oldest first.
     pub fn all(&self) -> impl DoubleEndedIterator<Item = &Decision> {
-        self.ring.iter()
+        self.decisions.iter()
     }
 
     /// Drops all decisions.
     pub fn clear(&mut self) {
-        self.ring.clear();
+        self.decisions.clear();
     }
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,13 +1,13 @@
-//! All decisions about one request in a forwarder: route and limits, a member, what follows each attempt, and the one
-//! answer. Sockets are elsewhere: the caller sends each [`Attempt`] and reports its [`AttemptOutcome`].
+//! All decisions of a forwarder about one request: route and limits, member selection, retries, and the outcome.
+//! It does no I/O: its user sends each [`Attempt`] and reports the [`AttemptOutcome`].
 //!
 //! Guarantees: every [`RequestState`] ends in exactly one [`RequestOutcome`]; a request that may have run is never
-//! rejected unless its class may run any number of times, and is retried only as [`crate::retry`] allows; the timeout
-//! of each attempt lies within what is left of the latency objective.
+//! rejected unless its class may run any number of times, and is retried only as [`crate::retry`] allows; no attempt
+//! times out later than the latency objective.
 //!
-//! Invariants: a member's `open` count, its concurrency limit and its outstanding answers are the attempts that are at
-//! it; a pool's [`FairShare`](crate::tenant_fairness::FairShare) holds the requests whose route decision leads to it,
-//! from their arrival to their end.
+//! Invariants: a member's `open` count, its concurrency limit and its pending answers count the attempts in flight to
+//! it; a pool's [`FairShare`](crate::tenant_fairness::FairShare) counts the requests routed to the pool, from arrival
+//! to completion.
 
 mod attempts;
 mod eligibility;
@@ -40,33 +40,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bound of the factor by which a tenant over its share extends its retry-after.
+/// Upper bound of the factor by which the retry-after grows for a tenant over its share.
 const MAX_SHARE_EXCESS: f64 = 1_000.0;
-/// Weight of a member that shuts down, against others: used only if there is no other.
-const LEAVING_WEIGHT: f64 = 1e-6;
-/// Distinguishes the random sequence of warm-up phases from the others of the same seed.
+/// Selection weight of a draining member: low enough that it is used only if there is no other.
+const DRAINING_WEIGHT: f64 = 1e-6;
+/// Combined with the seed by XOR, so that warm-up phases have a random sequence of their own.
 const PHASES_SEED: u64 = 0x7261_6d70;
-/// Distinguishes the random sequence of selections and jitter from the others of the same seed.
-const CHANCE_SEED: u64 = 0x666c_6565;
+/// Combined with the seed by XOR, so that selection and jitter have a random sequence of their own.
+const SELECTION_SEED: u64 = 0x666c_6565;
 
-/// Until when a member asked a tenant to stay away, by member and [`eligibility::pause_key`].
+/// When the retry-after of a member for a tenant ends, by member and [`eligibility::pause_key`].
 type Pauses = HashMap<(MemberRef, u32), Duration>;
 
-/// The last attempt of a request. Pool and member are also known by name, since a version installed in the meantime may
-/// have given their indices to others.
+/// The last attempt of a request. It also names pool and member, since a version installed in the meantime may have
+/// changed their indices.
 #[derive(Debug)]
 struct SentAttempt {
     member: MemberRef,
     pool_name: Rc<str>,
     address: Rc<str>,
     sent_at: Duration,
-    /// How long this process had stood still by then, since its start.
+    /// Total time for which this process had stalled when the attempt was sent.
     stalled_before: Duration,
 }
 
-/// An admitted request. It must be handed back with [`Fleet::on_attempt_outcome`] or [`Fleet::on_retry_due`]: if it is
+/// An admitted request. It must be passed back to [`Fleet::on_attempt_outcome`] or [`Fleet::on_retry_due`]: if it is
 /// dropped, its places are never released.
-#[must_use = "a request state that is dropped holds its places for ever"]
+#[must_use = "a dropped request state never releases its places"]
 #[derive(Debug)]
 pub struct RequestState {
     decision: RouteDecision,
@@ -75,16 +75,16 @@
     tenant_key: TenantKey,
     entity: Box<str>,
     repeat: RepeatKind,
-    /// It arrived marked as a retry.
+    /// Whether it arrived marked as a retry.
     is_retry: bool,
     policy: RetryPolicy,
     attempts: u32,
     arrived: Duration,
-    /// Its latency objective.
+    /// Latency objective, counted from `arrived`.
     objective: Duration,
     may_have_run: bool,
     last_attempt: Option<SentAttempt>,
-    /// The last attempt has not ended yet.
+    /// Whether the last attempt is pending.
     in_flight: bool,
 }
 
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy)]
 struct RetryPlan {
     policy: RetryPolicy,
-    /// What a first attempt adds to the retry budget, in millionths of a retry.
+    /// Amount that each first attempt adds to the retry budget, in millionths of a retry.
     budget_share: u64,
 }
 
@@ -100,39 +100,40 @@
 #[derive(Clone, Copy)]
 struct ShareExcess {
     pool: u16,
-    /// By what factor it exceeds its share.
+    /// Factor by which it exceeds its share.
     factor: f64,
 }
 
-/// Routes, pools and members as one forwarder sees them. See the module's documentation.
+/// Routes, pools and members as one forwarder sees them. See the module documentation.
 pub struct Fleet {
     router: Router,
-    /// By route of the current version.
+    /// By index of the route in the current version.
     retry_plans: Vec<RetryPlan>,
     zone: String,
     pools: Vec<Pool>,
     shares: TenantShares,
-    /// The version since which routes, pools, members, tenants and classes have their indices.
+    /// The version that last changed indices of routes, pools, members, tenants or classes.
     indices_since: u64,
-    /// The version since which the pools' fair shares count requests.
+    /// The version that last reset the fair shares of the pools.
     fair_shares_since: u64,
     pauses: Pauses,
     budget: RetryBudget,
-    chance: WyRand,
-    /// For the phases of warm-up limits alone.
+    /// Random numbers for selection, backoff and jitter.
+    random: WyRand,
+    /// Random numbers for the phases of warm-up limits.
     phases: WyRand,
     has_warm_up: bool,
     counts: FleetCounts,
     stalls: StallClock,
-    /// Changes of status since the last tick.
+    /// Status changes since the last tick.
     status_changes: Vec<MemberStatusChange>,
     decisions: DecisionLog,
     selection_policy: SelectionPolicy,
-    /// What each member of the pool at hand may get; a field only to reuse its memory.
+    /// Selection weights of the members of one pool; a field only to reuse its memory.
     weights: Vec<f64>,
 }
 
-/// How each route's requests are retried: by the route's own policy, else by that of its first pool.
+/// The retry plan of each route: from the route's own policy, else from that of its first pool.
 fn retry_plans(table: &Table) -> impl Iterator<Item = RetryPlan> + '_ {
     let configuration = table.configuration();
     let no_retry = RetryPlan {
@@ -146,15 +147,18 @@
     };
     let routes = configuration.routes.iter().zip(&table.routes);
     routes.map(move |(route, compiled)| {
-        let of_pool = compiled.to.first().map_or("", |target| {
+        let pool_policy = compiled.to.first().map_or("", |target| {
             &configuration.pools[usize::from(target.pool)].attempts
         });
         let name = if route.attempts.is_empty() {
-            of_pool
+            pool_policy
         } else {
             &route.attempts
         };
-        let attempts = configuration.attempts.iter().find(|one| one.name == name);
+        let attempts = configuration
+            .attempts
+            .iter()
+            .find(|attempts| attempts.name == name);
         attempts.map_or(no_retry, |attempts| RetryPlan {
             policy: RetryPolicy::from(attempts),
             budget_share: attempts.budget,
@@ -167,7 +171,7 @@
 }
 
 impl Fleet {
-    /// `zone`: where this forwarder runs; empty if it does not say.
+    /// `zone` is the zone of this forwarder; empty if none is configured.
     ///
     /// # Errors
     /// As [`Router::new`].
@@ -205,7 +209,7 @@
             phases,
             pauses: HashMap::new(),
             budget: RetryBudget::default(),
-            chance: WyRand::new_seed(seed ^ CHANCE_SEED),
+            random: WyRand::new_seed(seed ^ SELECTION_SEED),
             counts: FleetCounts::default(),
             stalls: StallClock::default(),
             status_changes: Vec::new(),
@@ -215,23 +219,23 @@
         })
     }
 
-    /// Sets another policy than the default, for comparisons.
+    /// Replaces the default selection policy, for comparisons.
     pub fn set_selection_policy(&mut self, policy: SelectionPolicy) {
         self.selection_policy = policy;
     }
 
-    /// Has time for which this process stands still count for no member. [`Fleet::on_turn`] is to be called at least each
-    /// `interval` from now on while requests are in flight.
+    /// Excludes stalls of this process from the measurements of members. From now on, [`Fleet::on_turn`] must be called
+    /// at least every `interval` while requests are in flight.
     pub fn expect_turns(&mut self, interval: Duration) {
         self.stalls.expect_turns(interval);
     }
 
-    /// Nothing is in flight; the next request ends that.
+    /// Records that no request is in flight; no turns are expected until the next request.
     pub fn on_idle(&mut self) {
         self.stalls.on_idle();
     }
 
-    /// The process has a turn. All that happens to a request is one too.
+    /// Records a turn of the event loop. Each event of a request counts as one, too.
     pub fn on_turn(&mut self, now: Duration) {
         let Some(stall) = self.stalls.on_turn(now) else {
             return;
@@ -243,7 +247,7 @@
         healths.for_each(|health| health.on_stall(now, stall));
     }
 
-    /// How long this process has stood still since its start, as far as turns are expected of it.
+    /// Total time for which this process has stalled while turns were expected.
     pub fn stalled(&self) -> Duration {
         self.stalls.total()
     }
@@ -259,17 +263,17 @@
         versions.last().map_or(0, |version| version.number)
     }
 
-    /// The version since which routes, pools, members, tenants and classes have the indices that they have now.
+    /// The version that last changed indices of routes, pools, members, tenants or classes.
     pub fn indices_since(&self) -> u64 {
         self.indices_since
     }
 
-    /// What happened since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> FleetCounts {
         self.counts
     }
 
-    /// The router below.
+    /// The router that this fleet uses.
     pub fn router(&self) -> &Router {
         &self.router
     }
@@ -287,7 +291,7 @@
         &self.pools[usize::from(at.pool)].addresses[usize::from(at.member)]
     }
 
-    /// How full a pool is.
+    /// The places of a pool, and how many are held.
     ///
     /// # Panics
     /// If there is no such pool in the current version.
@@ -299,12 +303,12 @@
         }
     }
 
-    /// Pauses that members asked for and that are held.
+    /// Number of stored retry-afters of members.
     pub fn pause_count(&self) -> usize {
         self.pauses.len()
     }
 
-    /// Decides about a request that arrived: its first attempt, or its rejection.
+    /// Admits or rejects a new request; an admitted one gets its first attempt.
     pub fn on_arrival(&mut self, now: Duration, request: &Request<'_>) -> NextAction {
         self.on_turn(now);
         let tenant_key = TenantKey::new(request.tenant, request.tenant_hash);
@@ -319,7 +323,7 @@
             let pool = &eligibility.pools[usize::from(index)];
             let shares = &self.shares;
             match pool.fair_share.check_share(shares, tenant_key, pool.places) {
-                Ok(()) => eligibility.any(index, None),
+                Ok(()) => eligibility.any_usable(index, None),
                 Err(factor) => {
                     let pool = index;
                     excess.set(Some(ShareExcess { pool, factor }));
@@ -387,12 +391,12 @@
         if let (RejectReason::NoPool, Some(route)) = (reject_reason, route) {
             if let Some(excess) = excess {
                 after = self.retry_after_excess(now, tenant_key, excess);
-                reason = OutcomeReason::Room;
+                reason = OutcomeReason::TenantOverShare;
                 self.counts.room += 1;
             } else if let Some(earliest) = self.earliest_retry_on_route(route, tenant_key, now) {
                 after = earliest;
             }
-            after = with_jitter(after, &mut self.chance);
+            after = with_jitter(after, &mut self.random);
             after = clamp_to_configuration(self.table(), Some(route), None, after);
         }
         self.counts.rejected += 1;
@@ -414,7 +418,8 @@
         })
     }
 
-    /// Records the request of a tenant over its share; when as much as it is over has probably ended.
+    /// Records the request of a tenant over its share. Returns the time after which as many of its requests as exceed
+    /// the share have probably ended.
     fn retry_after_excess(
         &mut self,
         now: Duration,
@@ -427,7 +432,7 @@
             .mul_f64(excess.factor.min(MAX_SHARE_EXCESS))
     }
 
-    /// As [`Fleet::earliest_retry`], over all pools that a route leads to.
+    /// As [`Fleet::earliest_retry`], over all pools of a route.
     fn earliest_retry_on_route(
         &self,
         route: u16,
@@ -441,7 +446,7 @@
             .min()
     }
 
-    /// From now on, when the first member of a pool may take a request again; `None` for a pool without members.
+    /// Time until the first member of a pool may take a request; `None` for a pool without members.
     fn earliest_retry(&self, pool: u16, tenant_key: TenantKey, now: Duration) -> Option<Duration> {
         let eligibility = Eligibility {
             pools: &self.pools,
--- a/crates/routing/src/fleet/attempts.rs
+++ b/crates/routing/src/fleet/attempts.rs
@@ -1,11 +1,11 @@
-//! The attempts of an admitted request: dispatch to a member, the outcome, and the one answer.
+//! The attempts of an admitted request: dispatch to a member, outcome, and completion of the request.
 
 use super::eligibility::{pause_key, Eligibility};
 use super::pool::{Pool, DEFAULT_DURATION};
 use super::types::{
     Attempt, AttemptOutcome, Completed, MemberRef, MemberStatusChange, NextAction, RequestOutcome,
 };
-use super::{Fleet, RequestState, SentAttempt, LEAVING_WEIGHT};
+use super::{Fleet, RequestState, SentAttempt, DRAINING_WEIGHT};
 use crate::decision_log::{Decision, DecisionOutcome, SkipReason};
 use crate::member_selection;
 use crate::outcome_reason::OutcomeReason;
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Changes of status that are held between two ticks.
+/// Status changes that are stored between two ticks; further ones are dropped.
 const MAX_STATUS_CHANGES: usize = 1_000;
-/// Pauses that are held, 24 bytes each; beyond it members' wishes to be left alone are not recorded.
+/// Stored retry-afters of members, 24 bytes each; further ones are dropped.
 const MAX_PAUSES: usize = 1 << 20;
 
 /// What the outcome of an attempt says about its member.
@@ -26,9 +26,9 @@
 enum MemberVerdict {
     Good,
     Bad,
-    /// It answered, but not in a way that counts for or against it.
+    /// The member is alive, but the outcome counts neither for nor against it.
     Alive,
-    /// Nothing.
+    /// The outcome says nothing about the member.
     None,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What is left of its latency objective.
+    /// Time left of the latency objective.
     fn remaining(&self, now: Duration) -> Duration {
         self.objective
             .saturating_sub(now.saturating_sub(self.arrived))
@@ -70,16 +70,16 @@
         self.dispatch(now, request)
     }
 
-    /// The pool of a request in the current version.
+    /// Index of the request's pool in the current version.
     fn current_pool(&self, decision: &RouteDecision) -> Option<u16> {
         if decision.version >= self.indices_since {
             return Some(decision.placement.pool);
         }
-        // Its indices are those of an earlier version.
+        // The decision has indices of an earlier version, so the pool is looked up by name.
         self.table().pool(&decision.pool)
     }
 
-    /// Sends an attempt to a member of the request's pool; to another than the last one, if there is one.
+    /// Sends an attempt to a member of the request's pool, if possible to another one than the last attempt.
     pub(super) fn dispatch(&mut self, now: Duration, mut request: RequestState) -> NextAction {
         let Some(pool) = self.current_pool(&request.decision) else {
             return self.conclude(now, request, None, OutcomeReason::NoMember);
@@ -94,7 +94,7 @@
             &mut self.pools[usize::from(pool)].members,
             now,
             &request.entity,
-            &mut self.chance,
+            &mut self.random,
             |member| weights[member],
         );
         let Some((member, selected_by)) = selected else {
@@ -137,8 +137,8 @@
         decision
     }
 
-    /// Fills `weights` with what each member may get, and the decision with those that are skipped; the number of
-    /// members that could take the attempt.
+    /// Stores the selection weight of each member in `weights` and records skipped members in the decision. Returns the
+    /// number of members that could take the attempt.
     fn weigh_members(
         &mut self,
         request: &RequestState,
@@ -152,27 +152,30 @@
             now: decision.at,
             tenant: request.tenant_key,
         };
-        let avoid_last = last.is_none() || eligibility.any(pool, last);
+        let avoid_last = last.is_none() || eligibility.any_usable(pool, last);
         let weights = &mut self.weights;
         weights.clear();
         let mut candidates = 0;
         for member in 0..eligibility.member_count(pool) {
-            let at = MemberRef { pool, member };
-            let mut weight = eligibility.weight(at);
-            if weight > 0.0 && avoid_last && last == Some(at) {
+            let member_ref = MemberRef { pool, member };
+            let mut weight = eligibility.weight(member_ref);
+            if weight > 0.0 && avoid_last && last == Some(member_ref) {
                 weight = 0.0;
                 decision.record_skipped(member, SkipReason::AlreadyTried);
-            } else if let Some(skip) = eligibility.skip(at).filter(|_| weight <= LEAVING_WEIGHT) {
+            } else if let Some(skip) = eligibility
+                .skip(member_ref)
+                .filter(|_| weight <= DRAINING_WEIGHT)
+            {
                 decision.record_skipped(member, skip.reason);
             }
             candidates += u16::from(weight > 0.0);
             weights.push(weight);
         }
-        // Members that shut down are used only if there is no other.
-        if weights.iter().any(|weight| *weight > LEAVING_WEIGHT) {
+        // Draining members are used only if there is no other.
+        if weights.iter().any(|weight| *weight > DRAINING_WEIGHT) {
             for weight in weights
                 .iter_mut()
-                .filter(|weight| **weight <= LEAVING_WEIGHT)
+                .filter(|weight| **weight <= DRAINING_WEIGHT)
             {
                 *weight = 0.0;
             }
@@ -180,7 +183,7 @@
         candidates
     }
 
-    /// Counts the next attempt; the time that it may take.
+    /// Counts the next attempt and returns its timeout.
     fn next_timeout(&self, now: Duration, pool: u16, request: &mut RequestState) -> Duration {
         let typical_duration = self.pools[usize::from(pool)].typical_duration();
         let attempts_left = request.policy.attempts.saturating_sub(request.attempts);
@@ -218,7 +221,7 @@
         request.in_flight = true;
     }
 
-    /// Records how the attempt of a request ended; what follows.
+    /// Records how an attempt of a request ended, and decides what follows.
     pub fn on_attempt_outcome(
         &mut self,
         now: Duration,
@@ -226,7 +229,7 @@
         outcome: AttemptOutcome,
     ) -> NextAction {
         self.on_turn(now);
-        let typical_duration = self.settle(now, &mut request, outcome);
+        let typical_duration = self.record_outcome(now, &mut request, outcome);
         let result = match outcome {
             AttemptOutcome::Served => {
                 return self.complete(now, request, RequestOutcome::Served, OutcomeReason::Done);
@@ -249,8 +252,8 @@
         };
         request.may_have_run |= result == AttemptResult::MayHaveRun;
         let context = request.retry_context(now, typical_duration);
-        let (budget, chance) = (&mut self.budget, &mut self.chance);
-        match retry::next(&context, result, &request.policy, budget, chance) {
+        let (budget, random) = (&mut self.budget, &mut self.random);
+        match retry::next(&context, result, &request.policy, budget, random) {
             RetryDecision::Retry { wait } => NextAction::Backoff(request, wait),
             RetryDecision::Stop(reason) => {
                 self.conclude(now, request, Some(result), OutcomeReason::Stopped(reason))
@@ -258,42 +261,42 @@
         }
     }
 
-    /// Fails a request as the forwarder ends. That says nothing about its member.
+    /// Fails a request because the forwarder stops. This does not count against the member.
     pub fn on_drain_ended(&mut self, now: Duration, mut request: RequestState) -> Completed {
-        self.settle(now, &mut request, AttemptOutcome::CallerLeft);
-        let reason = OutcomeReason::Stopped(NoRetryReason::Time);
+        self.record_outcome(now, &mut request, AttemptOutcome::CallerLeft);
+        let reason = OutcomeReason::Stopped(NoRetryReason::NoTimeLeft);
         self.finish(now, request, RequestOutcome::Failed, reason)
     }
 
-    /// Records what an outcome says about its member; the typical duration of an attempt in its pool.
-    fn settle(
+    /// Records the outcome of an attempt at its member. Returns the typical duration of an attempt in its pool.
+    fn record_outcome(
         &mut self,
         now: Duration,
         request: &mut RequestState,
         outcome: AttemptOutcome,
     ) -> Duration {
-        // A caller may leave during a backoff: no member has the request then.
+        // A caller may disconnect during a backoff, when no member has the request.
         if !std::mem::replace(&mut request.in_flight, false) {
             return DEFAULT_DURATION;
         }
         let Some(attempt) = &request.last_attempt else {
             return DEFAULT_DURATION;
         };
-        let Some(at) = self.locate(attempt) else {
+        let Some(member_ref) = self.locate(attempt) else {
             return DEFAULT_DURATION;
         };
         let stalled = self.stalls.total().saturating_sub(attempt.stalled_before);
         let elapsed = now.saturating_sub(attempt.sent_at).saturating_sub(stalled);
         let verdict = match verdict(outcome) {
-            // Its answer may lie unread.
+            // The process stalled, so the answer may have arrived but not been read.
             MemberVerdict::Bad if outcome == AttemptOutcome::TimedOut && !stalled.is_zero() => {
                 MemberVerdict::None
             }
             verdict => verdict,
         };
-        let pool = &mut self.pools[usize::from(at.pool)];
+        let pool = &mut self.pools[usize::from(member_ref.pool)];
         let typical_duration = pool.typical_duration();
-        let index = usize::from(at.member);
+        let index = usize::from(member_ref.member);
         let member = &mut pool.members[index];
         member.open = member.open.saturating_sub(1);
         pool.in_flight = pool.in_flight.saturating_sub(1);
@@ -303,63 +306,66 @@
         if verdict == MemberVerdict::Bad {
             member.failed(attempt.sent_at, typical_duration);
         }
-        self.record_health(now, at, elapsed, verdict);
+        self.record_health(now, member_ref, elapsed, verdict);
         if let AttemptOutcome::Rejected { pause, .. } = outcome {
             if !pause.is_zero() && self.pauses.len() < MAX_PAUSES {
                 let until = now + pause.min(MAX_RETRY_AFTER);
                 self.pauses
-                    .insert((at, pause_key(request.tenant_key)), until);
+                    .insert((member_ref, pause_key(request.tenant_key)), until);
             }
         }
         typical_duration
     }
 
-    /// The member of an attempt in the current version, in which pools and members may have other indices.
+    /// The member of an attempt by its indices in the current version; `None` if that lacks it.
     fn locate(&self, attempt: &SentAttempt) -> Option<MemberRef> {
-        let mut at = attempt.member;
-        let pool = self.pools.get(usize::from(at.pool));
+        let mut member_ref = attempt.member;
+        let pool = self.pools.get(usize::from(member_ref.pool));
         if pool.is_none_or(|pool| pool.name != attempt.pool_name) {
             let moved = |pool: &Pool| pool.name == attempt.pool_name;
-            at.pool = self.pools.iter().position(moved)? as u16;
+            member_ref.pool = self.pools.iter().position(moved)? as u16;
         }
-        let addresses = &self.pools[usize::from(at.pool)].addresses;
+        let addresses = &self.pools[usize::from(member_ref.pool)].addresses;
         let same = |address| Rc::ptr_eq(address, &attempt.address);
-        if !addresses.get(usize::from(at.member)).is_some_and(same) {
+        if !addresses
+            .get(usize::from(member_ref.member))
+            .is_some_and(same)
+        {
             let moved = |address: &Rc<str>| *address == attempt.address;
-            at.member = addresses.iter().position(moved)? as u16;
+            member_ref.member = addresses.iter().position(moved)? as u16;
         }
-        Some(at)
+        Some(member_ref)
     }
 
     fn record_health(
         &mut self,
         now: Duration,
-        at: MemberRef,
+        member_ref: MemberRef,
         elapsed: Duration,
         verdict: MemberVerdict,
     ) {
-        let Some(health) = &mut self.pools[usize::from(at.pool)].health else {
+        let Some(health) = &mut self.pools[usize::from(member_ref.pool)].health else {
             return;
         };
-        let member = usize::from(at.member);
+        let member = usize::from(member_ref.member);
         let good = match verdict {
             MemberVerdict::Good => true,
             MemberVerdict::Bad => false,
-            // A rejection proves that it is alive, and to be busy is no failure.
+            // A rejection proves that the member is alive, and overload is no failure.
             MemberVerdict::Alive => return health.on_signal(member, now),
             MemberVerdict::None => return health.on_abandoned(member),
         };
         let change = health.on_answer(member, now, elapsed, good);
         if let Some(change) = change.filter(|_| self.status_changes.len() < MAX_STATUS_CHANGES) {
             self.status_changes.push(MemberStatusChange {
-                member: at,
+                member: member_ref,
                 status: change.to,
             });
         }
     }
 
-    /// Ends a request that gets no further attempt. It fails if it may have run; but one that may run any number of times
-    /// is rejected if its last attempt is proved not to have run, or was not made.
+    /// Completes a request that gets no further attempt. It fails if it may have run; but a rerunnable one is rejected
+    /// if its last attempt is proved not to have run, or was not made.
     fn conclude(
         &mut self,
         now: Duration,
@@ -389,8 +395,8 @@
         self.complete(now, request, outcome, reason)
     }
 
-    /// When a rejected request may come back. `last_attempt_failed`: it ends with an attempt that reached no member, not for
-    /// want of one to send to.
+    /// The retry-after of a rejected request. `last_attempt_failed`: an attempt was made but reached no member; `false`
+    /// if there was no member to send it to.
     fn retry_after(
         &mut self,
         now: Duration,
@@ -401,13 +407,13 @@
             .current_pool(&request.decision)
             .and_then(|pool| self.earliest_retry(pool, request.tenant_key, now))
             .unwrap_or(retry_after::DEFAULT);
-        // A member that was just unreachable is not back within a typical duration.
+        // A member that was just unreachable does not recover within a typical duration.
         let min = if last_attempt_failed {
             retry_after::DEFAULT
         } else {
             Duration::ZERO
         };
-        with_jitter(earliest.max(min), &mut self.chance)
+        with_jitter(earliest.max(min), &mut self.random)
     }
 
     fn complete(
@@ -420,7 +426,7 @@
         NextAction::Completed(self.finish(now, request, outcome, reason))
     }
 
-    /// Counts the end of a request and releases its places.
+    /// Counts the outcome of a request and releases its places.
     fn finish(
         &mut self,
         now: Duration,
@@ -436,7 +442,7 @@
         };
         *count += 1;
         let decision = request.decision;
-        // Fair shares restart when indices change; requests from before are not counted in them.
+        // Fair shares are reset when indices change; they do not count requests of earlier versions.
         if decision.version >= self.fair_shares_since {
             let pool = &mut self.pools[usize::from(decision.placement.pool)];
             pool.fair_share.release(request.tenant_key);
--- a/crates/routing/src/fleet/membership.rs
+++ b/crates/routing/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! What is learned of members outside of requests: connections, restarts, shutdowns and the passing of time.
+//! Changes of members that do not come from requests: connections, restarts, shutdowns and ticks.
 
 use super::pool::Pool;
 use super::types::{MemberRef, MemberSnapshot, MemberStatusChange};
@@ -7,52 +7,55 @@
 use crate::warm_up::WarmUpLimiter;
 use std::time::Duration;
 
-/// A member that announced its shutdown gets no requests for this long; after that it has stopped, or stayed.
-const LEAVING_HOLD: Duration = Duration::from_secs(2);
+/// How long a member that announced its shutdown gets no requests; by then it has stopped, or did not shut down.
+const DRAIN_PERIOD: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    /// The member with this address in each pool that has it.
+    /// The member with this address, in each pool that has one.
     fn members_at(&self, address: &str) -> Vec<MemberRef> {
-        let find = |(pool, one): (usize, &Pool)| {
-            let member = one.addresses.iter().position(|known| **known == *address)?;
+        let find = |(index, pool): (usize, &Pool)| {
+            let member = pool
+                .addresses
+                .iter()
+                .position(|known| **known == *address)?;
             Some(MemberRef {
-                pool: pool as u16,
+                pool: index as u16,
                 member: member as u16,
             })
         };
         self.pools.iter().enumerate().filter_map(find).collect()
     }
 
-    /// Records that the member at an address restarted: what was learned of it no longer holds.
+    /// Records that the member at an address restarted: its learned state is reset.
     pub fn on_restarted(&mut self, address: &str, now: Duration) {
-        for at in self.members_at(address) {
-            let pool = &mut self.pools[usize::from(at.pool)];
-            let index = usize::from(at.member);
+        for member_ref in self.members_at(address) {
+            let pool = &mut self.pools[usize::from(member_ref.pool)];
+            let index = usize::from(member_ref.member);
             let member = &mut pool.members[index];
             member.started = Some(now);
             if let Some(ramp) = &mut member.ramp {
                 ramp.on_connected(now, now);
             }
-            pool.leaving[index] = Duration::ZERO;
+            pool.draining_until[index] = Duration::ZERO;
             if let Some(health) = &mut pool.health {
                 health.on_restarted(index, now);
             }
         }
     }
 
-    /// Whether any member has a warm-up limit. Only then [`Fleet::on_connected`] and [`Fleet::on_disconnected`] need
-    /// to be called.
+    /// Whether any member has a warm-up limit. Otherwise [`Fleet::on_connected`] and [`Fleet::on_disconnected`] need not
+    /// be called.
     pub fn has_warm_up(&self) -> bool {
         self.has_warm_up
     }
 
-    /// Records that there has been a connection to the member at an address without a gap since `since`: it is at least
-    /// as old.
+    /// Records that the member at an address has been connected without a gap since `since`: its process has run at
+    /// least that long.
     pub fn on_connected(&mut self, address: &str, since: Duration, now: Duration) {
         self.for_each_warm_up(address, |ramp| ramp.on_connected(since, now));
     }
 
-    /// Records that the last connection to an address closed: the process there may be another one next time.
+    /// Records that the last connection to an address closed: the next one may reach a new process.
     pub fn on_disconnected(&mut self, address: &str, now: Duration) {
         self.for_each_warm_up(address, |ramp| ramp.on_disconnected(now));
     }
@@ -61,23 +64,24 @@
         if !self.has_warm_up {
             return;
         }
-        for at in self.members_at(address) {
-            let member = &mut self.pools[usize::from(at.pool)].members[usize::from(at.member)];
+        for member_ref in self.members_at(address) {
+            let member = &mut self.pools[usize::from(member_ref.pool)].members
+                [usize::from(member_ref.member)];
             member.ramp.iter_mut().for_each(&update);
         }
     }
 
-    /// Records that the member at an address announced its shutdown: others get its requests, as long as there are
-    /// others.
+    /// Records that the member at an address announced its shutdown: other members get its requests, if there are any.
     pub fn on_leaving(&mut self, address: &str, now: Duration) {
-        for at in self.members_at(address) {
-            self.pools[usize::from(at.pool)].leaving[usize::from(at.member)] = now + LEAVING_HOLD;
+        for member_ref in self.members_at(address) {
+            self.pools[usize::from(member_ref.pool)].draining_until
+                [usize::from(member_ref.member)] = now + DRAIN_PERIOD;
         }
     }
 
-    /// Lets time pass: ends pauses and ejections, and frees what is idle. To be called several times a second.
+    /// Ends expired retry-afters and ejections, and frees idle entries. Must be called several times a second.
     ///
-    /// Returns the changes of status since the last call.
+    /// Returns the status changes since the last call.
     pub fn tick(&mut self, now: Duration) -> Vec<MemberStatusChange> {
         self.on_turn(now);
         self.router.tick(now);
@@ -112,8 +116,10 @@
     ) -> impl Iterator<Item = MemberSnapshot<'_>> + '_ {
         let pool = &self.pools[usize::from(pool)];
         let status = |member: usize| {
-            let of = |health: &Health| health.status(member);
-            pool.health.as_ref().map_or(MemberStatus::Healthy, of)
+            let status_of = |health: &Health| health.status(member);
+            pool.health
+                .as_ref()
+                .map_or(MemberStatus::Healthy, status_of)
         };
         let addresses = pool.addresses.iter().enumerate();
         addresses.map(move |(member, address)| MemberSnapshot {
@@ -122,7 +128,7 @@
             limit: pool.limits[member].limit(),
             status: status(member),
             near: pool.members[member].near,
-            leaving: pool.leaving[member] > now,
+            leaving: pool.draining_until[member] > now,
         })
     }
 }
--- a/crates/routing/src/fleet/pool.rs
+++ b/crates/routing/src/fleet/pool.rs
@@ -1,4 +1,4 @@
-//! The state of one pool: its members with their limits, health, places and shares.
+//! The state of one pool: its members with their limits and health, its places and its fair shares.
 
 use crate::adaptive_concurrency::ConcurrencyLimit;
 use crate::health::{Health, HealthRules};
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Assumed duration of an attempt while none is known.
+/// Assumed typical duration of an attempt while none is measured.
 pub(super) const DEFAULT_DURATION: Duration = Duration::from_millis(20);
 
-/// A pool of the current version. The vectors are parallel, by index of the member.
+/// A pool of the current version. The vectors are indexed by member.
 pub(super) struct Pool {
     pub(super) name: Rc<str>,
     pub(super) addresses: Vec<Rc<str>>,
@@ -23,16 +23,16 @@
     pub(super) limits: Vec<ConcurrencyLimit>,
     pub(super) health: Option<Health>,
     pub(super) fair_share: FairShare,
-    /// Places at all members in service, as of the last tick.
+    /// Sum of the places of all members in service, as of the last tick.
     pub(super) places: u32,
-    /// Attempts that are at any member.
+    /// Attempts in flight to any member.
     pub(super) in_flight: u32,
-    /// Until when each member counts as shutting down.
-    pub(super) leaving: Vec<Duration>,
+    /// When each member stops counting as draining.
+    pub(super) draining_until: Vec<Duration>,
 }
 
 impl Pool {
-    /// A pool of the configuration, of whose members nothing is known. Draws one phase for each member that warms up.
+    /// A pool of the configuration with no learned state. Draws one phase for each member with a warm-up limit.
     pub(super) fn new(
         pool: &schema::Pool,
         configuration: &Configuration,
@@ -58,17 +58,17 @@
             fair_share: FairShare::default(),
             places: 0,
             in_flight: 0,
-            leaving: vec![Duration::ZERO; members.len()],
+            draining_until: vec![Duration::ZERO; members.len()],
         };
         new.update_places();
         new
     }
 
-    /// Takes over what `before` learned of the members that are still there, known by address.
+    /// Takes over the learned state of `before` for the members that both have, matched by address.
     pub(super) fn carry(&mut self, before: Pool, now: Duration) {
         let same_members = before.addresses == self.addresses;
         for (old, address) in before.addresses.iter().enumerate() {
-            let Some(new) = self.addresses.iter().position(|one| one == address) else {
+            let Some(new) = self.addresses.iter().position(|other| other == address) else {
                 continue;
             };
             let (member, old_member) = (&mut self.members[new], &before.members[old]);
@@ -79,9 +79,9 @@
                 ramp.carry(old_ramp, now);
             }
             self.limits[new].carry(&before.limits[old]);
-            self.leaving[new] = before.leaving[old];
+            self.draining_until[new] = before.draining_until[old];
         }
-        // Statuses go by index, so they stay only where the members are the same.
+        // Statuses are stored by index, so they are kept only if the members are unchanged.
         if let (true, Some(health), Some(mut old_health)) =
             (same_members, &mut self.health, before.health)
         {
@@ -91,7 +91,7 @@
         self.update_places();
     }
 
-    /// Sums the places of all members in service. A probed member counts in full, in case the others are ejected.
+    /// Recomputes `places`. A probed member counts in full, in case the others are ejected.
     pub(super) fn update_places(&mut self) {
         let in_service = |member: &usize| {
             self.health
@@ -153,7 +153,7 @@
     new
 }
 
-/// What all forwarders together may send to a member while it warms up, and this one's part of it.
+/// The rate at which all forwarders together may send to a member that warms up, and the share of this one.
 fn warm_up_rule(pool: &schema::Pool, member: &schema::Member) -> Option<WarmUpRule> {
     let rate = pool
         .warm_rate
@@ -161,12 +161,12 @@
         .filter(|rate| rate.micro_tickets > 0 && rate.per_ns > 0)?;
     let window = Duration::from_nanos(rate.per_ns);
     let warm_up = Duration::from_nanos(member.warm_up_ns);
-    let micro = rate.micro_tickets as f64 * (member.weight as f64 / ONE as f64);
-    let rate = micro / ONE as f64 / window.as_secs_f64();
+    let weighted_micro = rate.micro_tickets as f64 * (member.weight as f64 / ONE as f64);
+    let rate = weighted_micro / ONE as f64 / window.as_secs_f64();
     (rate > 0.0 && !warm_up.is_zero()).then(|| WarmUpRule::new(rate, window, pool.senders, warm_up))
 }
 
-/// The configured bound of each member's concurrency limit.
+/// The configured upper bound of the concurrency limit of each member.
 fn max_concurrent(pool: &schema::Pool, configuration: &Configuration) -> Option<u64> {
     configuration
         .limits
--- a/crates/routing/src/fleet/types.rs
+++ b/crates/routing/src/fleet/types.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`Fleet`](super::Fleet): attempts, outcomes, counters and snapshots.
+//! Inputs and outputs of [`Fleet`](super::Fleet): attempts, outcomes, counters and snapshots.
 
 use super::RequestState;
 use crate::health::MemberStatus;
@@ -20,9 +20,9 @@
 pub struct Attempt {
     /// The member to send it to.
     pub to: MemberRef,
-    /// Without an answer after this time it ends as [`AttemptOutcome::TimedOut`].
+    /// Time after which it ends as [`AttemptOutcome::TimedOut`] if there is no answer.
     pub timeout: Duration,
-    /// It is sent marked as a retry.
+    /// Whether it is marked as a retry.
     pub is_retry: bool,
     /// Number of the attempt, from 1.
     pub attempt_number: u32,
@@ -37,20 +37,20 @@
     Served,
     /// The member rejected it.
     Rejected {
-        /// When the member asked to come back; zero if it did not say.
+        /// The member's retry-after, from now; zero if it gave none.
         pause: Duration,
-        /// The member asked not to try others.
+        /// Whether the member asked not to try other members.
         nowhere_else: bool,
     },
     /// The member failed it, or answered with an exception.
     Failed,
-    /// There was no connection, or it broke before the request was sent: proved not run.
+    /// There was no connection, or it broke before the request was sent: it is proved not to have run.
     Unreachable,
     /// The connection broke after the request was sent.
     Broken,
     /// No answer within the attempt's timeout.
     TimedOut,
-    /// The caller left; no answer is due any more.
+    /// The caller disconnected, so no answer is needed.
     CallerLeft,
 }
 
@@ -69,21 +69,21 @@
     }
 }
 
-/// The one answer that a request gets.
+/// The one outcome that a request has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A member served it.
     Served,
     /// It did not run.
     Rejected {
-        /// When the caller may come back, from now on.
+        /// The retry-after for the caller, from now.
         after: Duration,
-        /// The caller should not try another forwarder.
+        /// Whether the caller should not try another forwarder.
         nowhere_else: bool,
     },
     /// It may have run without a result.
     Failed,
-    /// The caller left; there is no answer.
+    /// The caller disconnected; no answer is sent.
     CallerGone,
 }
 
@@ -99,18 +99,18 @@
     }
 }
 
-/// The end of a request.
+/// A completed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completed {
-    /// The answer to its caller.
+    /// Its outcome.
     pub outcome: RequestOutcome,
-    /// Why it is this one.
+    /// Why it has this outcome.
     pub reason: OutcomeReason,
-    /// The version under which it arrived, and whose indices `route` and `pool` are.
+    /// The version that routed it; `route` and `pool` are indices of that version.
     pub version: u64,
-    /// The route that took it.
+    /// The route that matched it.
     pub route: Option<u16>,
-    /// The pool that the route led to.
+    /// The pool that the route selected.
     pub pool: Option<u16>,
     /// Attempts made.
     pub attempts: u32,
@@ -118,10 +118,10 @@
     pub elapsed: Duration,
 }
 
-/// What the caller of [`Fleet`](super::Fleet) does next with a request.
+/// What the user of [`Fleet`](super::Fleet) does next with a request.
 #[derive(Debug)]
 pub enum NextAction {
-    /// Send an attempt now; its end goes to [`Fleet::on_attempt_outcome`](super::Fleet::on_attempt_outcome).
+    /// Send an attempt now; its outcome goes to [`Fleet::on_attempt_outcome`](super::Fleet::on_attempt_outcome).
     Dispatch(RequestState, Attempt),
     /// Wait this long, then call [`Fleet::on_retry_due`](super::Fleet::on_retry_due).
     Backoff(RequestState, Duration),
@@ -129,7 +129,7 @@
     Completed(Completed),
 }
 
-/// A member's status changed.
+/// A status change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatusChange {
     /// The member.
@@ -138,21 +138,21 @@
     pub status: MemberStatus,
 }
 
-/// How full a pool is.
+/// The places of a pool, and how many are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolOccupancy {
-    /// Places at all its members in service, as of the last tick.
+    /// Sum of the places of all members in service, as of the last tick.
     pub places: u32,
-    /// Requests that hold one.
+    /// Requests that hold a place.
     pub held: u32,
 }
 
-/// What happened since the start, in requests or attempts.
+/// Counters of requests and attempts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Requests that were admitted, also those for which no member was found.
+    /// Admitted requests, including those for which no member was found.
     pub first_attempts: u64,
-    /// Retries that came due, also those for which no member was found.
+    /// Retries whose backoff ended, including those for which no member was found.
     pub retries: u64,
     /// Requests that ended as [`RequestOutcome::Served`].
     pub served: u64,
@@ -162,7 +162,7 @@
     pub failed: u64,
     /// Requests that ended as [`RequestOutcome::CallerGone`].
     pub caller_gone: u64,
-    /// Rejected requests whose tenant had its share of a scarce pool.
+    /// Requests rejected because their tenant had used its share of a scarce pool.
     pub room: u64,
 }
 
@@ -171,14 +171,14 @@
 pub struct MemberSnapshot<'f> {
     /// Its address as configured.
     pub address: &'f str,
-    /// Attempts that are at it.
+    /// Attempts in flight to it.
     pub open: u32,
-    /// Attempts that may be at it.
+    /// Maximum of attempts in flight to it.
     pub limit: u32,
-    /// Its health.
+    /// Its health status.
     pub status: MemberStatus,
-    /// It is in the zone of this forwarder.
+    /// Whether it is in the zone of this forwarder.
     pub near: bool,
-    /// It announced that it shuts down.
+    /// Whether it is draining: it announced its shutdown a short time ago.
     pub leaving: bool,
 }
--- a/crates/routing/src/fleet/updates.rs
+++ b/crates/routing/src/fleet/updates.rs
@@ -1,4 +1,4 @@
-//! New versions of the configuration, and changes of single entries, under running requests.
+//! Installs new versions of the configuration, and changes of single entries, while requests are in flight.
 
 use super::pool::{any_warm_up, new_pools, Pool};
 use super::{retry_plans, tenant_shares, Fleet};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The names of the entries of one kind that changes put or remove.
+/// The names of the entries of one kind that the changes add, replace or remove.
 fn names(changes: &[TableChange], kind: EntryKind) -> impl Iterator<Item = &str> {
     changes
         .iter()
@@ -19,14 +19,14 @@
         .map(|key| key.name)
 }
 
-/// Whether changes remove an entry of this kind, so that others take its index.
+/// Whether the changes remove an entry of this kind, so that indices of others change.
 fn removes(changes: &[TableChange], kind: EntryKind) -> bool {
     changes
         .iter()
-        .any(|change| matches!(change, TableChange::Remove(of, _) if *of == kind))
+        .any(|change| matches!(change, TableChange::Remove(removed, _) if *removed == kind))
 }
 
-/// Whether changes put a pool, or the limits or health rules that it refers to.
+/// Whether the changes name a pool, or the limits or health rules that it refers to.
 fn affects(changes: &[TableChange], pool: &schema::Pool) -> bool {
     names(changes, EntryKind::Pool).any(|name| name == pool.name)
         || names(changes, EntryKind::Limits).any(|name| name == pool.limits)
@@ -34,8 +34,8 @@
 }
 
 impl Fleet {
-    /// Installs a new version. Members are known by address: what was learned of one stays with it in each pool that
-    /// keeps it, requests at it are still counted, and those at a removed member end as they would have.
+    /// Installs a new version. Members are matched by address: one that stays in its pool keeps its learned state and
+    /// its count of attempts in flight. Attempts at a removed member end as usual.
     ///
     /// # Errors
     /// As [`Router::install`](crate::router::Router::install); nothing has changed then.
@@ -68,14 +68,14 @@
         }
         self.rebuild_retry_plans();
         self.reset_indexed_state(number);
-        // Pauses and fair shares refer to tenants and pools by index.
+        // Retry-afters of members and fair shares refer to tenants and pools by index.
         self.pauses.clear();
         self.fair_shares_since = number;
         Ok(number)
     }
 
-    /// Applies changes of named entries as a new version: what they do not name stays as it is, with all that was
-    /// learned. A changed pool comes with all its members.
+    /// Applies changes of named entries as a new version. All other entries stay unchanged and keep their learned
+    /// state. A changed pool must list all its members.
     ///
     /// # Errors
     /// As [`Router::apply`](crate::router::Router::apply); nothing has changed then.
@@ -90,10 +90,10 @@
         let pools_changed = self.update_pools(changes, now);
         let routes = self.table().route_places(names(changes, EntryKind::Route));
         let routes_moved = routes_before != routes;
-        let names_plan = [EntryKind::Route, EntryKind::Attempts]
+        let plan_named = [EntryKind::Route, EntryKind::Attempts]
             .into_iter()
             .any(|kind| names(changes, kind).next().is_some());
-        if routes_moved || pools_changed || names_plan {
+        if routes_moved || pools_changed || plan_named {
             self.rebuild_retry_plans();
         }
         let indices_moved = [EntryKind::Tenant, EntryKind::Pool, EntryKind::Type]
@@ -123,14 +123,14 @@
             let Some(changed) = table.tenant(name).map(usize::from) else {
                 continue;
             };
-            // New tenants have the indices behind all others.
+            // New tenants have indices after all others.
             for index in self.shares.len().min(changed)..=changed {
                 self.shares.set(index, configuration.tenants[index].share);
             }
         }
     }
 
-    /// Rebuilds the pools that changes affect; whether there were any.
+    /// Rebuilds the pools that the changes affect. Returns whether there were any.
     fn update_pools(&mut self, changes: &[TableChange], now: Duration) -> bool {
         let mut changed = removes(changes, EntryKind::Pool);
         if changed {
@@ -154,7 +154,7 @@
         changed
     }
 
-    /// Brings the pools into the order of the table, after one was removed.
+    /// Sorts the pools in the order of the table after one was removed.
     fn reorder_pools(&mut self, now: Duration) {
         let configuration = self.router.table().configuration();
         let mut by_name: HashMap<Rc<str>, Pool> = self
@@ -182,7 +182,7 @@
         self.retry_plans.extend(retry_plans(self.router.table()));
     }
 
-    /// Forgets what refers to indices of the version before.
+    /// Clears state that refers to indices of the previous version.
     fn reset_indexed_state(&mut self, number: u64) {
         self.indices_since = number;
         self.has_warm_up = any_warm_up(&self.pools);
--- a/crates/routing/src/outcome_reason.rs
+++ b/crates/routing/src/outcome_reason.rs
@@ -1,20 +1,20 @@
-//! Why a request ended as it did, under the names of JSON and metrics.
+//! Why a request has its outcome, with the names used in JSON and metrics.
 
 use crate::rate_limit::LimitScope;
 use crate::retry::NoRetryReason;
 use crate::router::RejectReason;
 
-/// Why a request ended as it did.
+/// Why a request has its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutcomeReason {
     /// It was served.
     Done,
-    /// Its caller left.
+    /// Its caller disconnected.
     CallerLeft,
-    /// No route, no usable pool, or a limit of the configuration.
+    /// The router rejected it: no route, no usable pool, no bucket, or a configured limit.
     Router(RejectReason),
-    /// The pool's places are scarce, and the tenant has its share.
-    Room,
+    /// The pool's places are scarce, and the tenant has used its share.
+    TenantOverShare,
     /// No member could take it.
     NoMember,
     /// No retry after a failure, a rejection or a lost connection.
@@ -34,14 +34,14 @@
             OutcomeReason::Router(RejectReason::Limit(LimitScope::Tenant)) => "limit_of_tenant",
             OutcomeReason::Router(RejectReason::Limit(LimitScope::Route)) => "limit_of_route",
             OutcomeReason::Router(RejectReason::Limit(LimitScope::Pool)) => "limit_of_pool",
-            OutcomeReason::Room => "room_of_tenant",
+            OutcomeReason::TenantOverShare => "room_of_tenant",
             OutcomeReason::NoMember => "no_member",
             OutcomeReason::Stopped(NoRetryReason::MayHaveRun) => "may_have_run",
             OutcomeReason::Stopped(NoRetryReason::NowhereElse) => "nowhere_else",
-            OutcomeReason::Stopped(NoRetryReason::FurtherTry) => "further_try",
-            OutcomeReason::Stopped(NoRetryReason::Tries) => "tries",
-            OutcomeReason::Stopped(NoRetryReason::Budget) => "budget",
-            OutcomeReason::Stopped(NoRetryReason::Time) => "time",
+            OutcomeReason::Stopped(NoRetryReason::IsRetry) => "further_try",
+            OutcomeReason::Stopped(NoRetryReason::AttemptsExhausted) => "tries",
+            OutcomeReason::Stopped(NoRetryReason::BudgetExhausted) => "budget",
+            OutcomeReason::Stopped(NoRetryReason::NoTimeLeft) => "time",
         }
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,11 +1,12 @@
-//! Decides whether a request is retried, after what backoff, and how long each attempt may take.
+//! Decides whether a request is retried, its backoff, and the timeout of each attempt.
 //!
-//! A request that may have run is repeated only if its class and the policy's proof allow it. Beyond that, there is no
-//! retry, in this order: if the member discouraged other members, if the request is itself a retry (its sender retries),
-//! past the policy's number of attempts, without time for a typical attempt after the backoff, or without retry budget.
+//! A request that may have run is retried only if its class and the policy's proof allow it. Further reasons against a
+//! retry, checked in this order: the member asked not to try others, the request is itself a retry (its sender
+//! retries), the policy's attempts are used up, no time is left for a typical attempt after the backoff, or the budget
+//! is empty.
 //!
-//! The budget holds for the whole process: retries never exceed [`INITIAL_RETRIES`] plus the configured share of first
-//! attempts, however many requests fail at once.
+//! The budget is per process: retries never exceed [`INITIAL_RETRIES`] plus the configured share of first attempts,
+//! however many requests fail at the same time.
 
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{self, Proof, RepeatKind};
@@ -14,22 +15,22 @@
 
 /// Retries that a process may make before any first attempt: enough for a few isolated failures.
 pub const INITIAL_RETRIES: u64 = 10;
-/// Retries that can be saved up: a burst of failures beyond that is an outage.
+/// Maximum of the budget, in retries: a larger burst of failures is an outage.
 const MAX_SAVED_RETRIES: u64 = 100;
-/// Typical durations that an attempt gets at least, if the request may run again: few runs last longer.
+/// Shortest timeout of an attempt that may be retried, in typical durations: few runs last longer.
 const MIN_TIMEOUT_FACTOR: u32 = 4;
 
-/// How an attempt ended, as far as a retry depends on it.
+/// How an attempt ended, reduced to what a retry decision needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Proved not run: there was no connection, or the server said so.
+    /// Proved not to have run: there was no connection, or the server said so.
     NotRun,
     /// Rejected, so it did not run.
     Rejected {
-        /// The member's retry-after, from now; zero if it gave none. It does not delay a retry, which goes to another member
-        /// if there is one; it goes to the caller if there is no retry.
+        /// The member's retry-after, from now; zero if it gave none. It does not delay a retry, which goes to another
+        /// member if there is one. Without a retry it is sent to the caller.
         pause: Duration,
-        /// The server asked not to try other members.
+        /// Whether the server asked not to try other members.
         nowhere_else: bool,
     },
     /// It failed, timed out or lost its connection: it may have run.
@@ -39,13 +40,13 @@
 /// A retry policy of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Attempts in all, the first one included; at least 1.
+    /// Maximum of attempts, including the first; at least 1.
     pub attempts: u32,
     /// Shortest wait before a retry.
     pub min_backoff: Duration,
     /// Longest wait before a retry.
     pub max_backoff: Duration,
-    /// What must be proved before a request that may have run is repeated.
+    /// What must be proved before a request that may have run is retried.
     pub proof: Proof,
 }
 
@@ -60,18 +61,18 @@
     }
 }
 
-/// What a retry decision needs to know of a request.
+/// The data of a request that a retry decision needs.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryContext {
     /// Whether its class allows it to run again.
     pub repeat: RepeatKind,
-    /// It arrived marked as a retry.
+    /// Whether it arrived marked as a retry.
     pub is_retry: bool,
-    /// Attempts made so far, the first one included.
+    /// Attempts made so far, including the first.
     pub attempts: u32,
-    /// What is left of its latency objective.
+    /// Time left of its latency objective.
     pub remaining: Duration,
-    /// How long a typical attempt takes.
+    /// Typical duration of an attempt.
     pub typical_duration: Duration,
 }
 
@@ -82,14 +83,14 @@
     MayHaveRun,
     /// The server asked not to try other members.
     NowhereElse,
-    /// It arrived as a retry.
-    FurtherTry,
+    /// It arrived marked as a retry.
+    IsRetry,
     /// All attempts of the policy are made.
-    Tries,
+    AttemptsExhausted,
     /// The process has no retry budget left.
-    Budget,
-    /// Too little is left of its latency objective.
-    Time,
+    BudgetExhausted,
+    /// Too little time is left of its latency objective.
+    NoTimeLeft,
 }
 
 /// What follows an attempt that did not succeed.
@@ -97,14 +98,14 @@
 pub enum RetryDecision {
     /// Another attempt, marked as a retry.
     Retry {
-        /// How long to wait before.
+        /// Backoff before the attempt.
         wait: Duration,
     },
     /// No further attempt.
     Stop(NoRetryReason),
 }
 
-/// The retries that the process may still make.
+/// Limits the retries of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// In millionths of a retry.
@@ -125,17 +126,17 @@
         Self { remaining: 0 }
     }
 
-    /// Records a first attempt, which earns `share` millionths of a retry.
+    /// Records a first attempt, which adds `share` millionths of a retry.
     pub fn on_first_attempt(&mut self, share: u64) {
         self.remaining = (self.remaining + share).min(MAX_SAVED_RETRIES * ONE);
     }
 
-    /// What is left, in millionths of a retry.
+    /// The rest of the budget, in millionths of a retry.
     pub fn remaining(&self) -> u64 {
         self.remaining
     }
 
-    /// Takes one retry, if there is one left.
+    /// Spends one retry if the budget suffices. Returns whether it did.
     fn try_spend(&mut self) -> bool {
         let enough = self.remaining >= ONE;
         if enough {
@@ -145,10 +146,10 @@
     }
 }
 
-/// Whether the class of a request and the policy allow another run after this result.
+/// Whether the class of a request and the policy's proof allow another run after this result.
 fn allows_rerun(repeat: RepeatKind, result: AttemptResult, proof: Proof) -> bool {
-    // `Proof::None`: after any failure. `Mark`: under the key that identifies a repeat. `NotRun`: only where nothing ran.
-    // Each value serves one kind of class: an idempotent one is not rerun under `Mark`, nor a keyed one under `None`.
+    // `Proof::None`: after any failure. `Mark`: with the key that identifies a repeat. `NotRun`: only if nothing ran.
+    // Each value applies to one kind of class: a rerunnable one is not rerun under `Mark`, nor a keyed one under `None`.
     match (result, repeat) {
         (AttemptResult::NotRun | AttemptResult::Rejected { .. }, _) => true,
         (AttemptResult::MayHaveRun, RepeatKind::Rerunnable) => proof == Proof::None,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Whether an attempt that times out may be followed by another.
+/// Whether an attempt that times out may be retried.
 pub fn may_retry(request: &RetryContext, policy: &RetryPolicy, budget: &RetryBudget) -> bool {
     allows_rerun(request.repeat, AttemptResult::MayHaveRun, policy.proof)
         && !request.is_retry
@@ -165,11 +166,11 @@
         && budget.remaining >= ONE
 }
 
-/// The time that one attempt may take, out of `remaining`.
+/// The timeout of one attempt, out of the `remaining` time.
 ///
-/// All of it, if no other attempt may follow: cutting it short would only lose its work. Else an even part for each of
-/// the `attempts_left`, but at least a few typical durations, or long runs would be cut off at one member and started
-/// again at the next.
+/// Without a further attempt it is all of that, since a shorter timeout would only lose work. Otherwise it is an equal
+/// part for each of the `attempts_left`, but at least a few typical durations: else long runs would be cut off at one
+/// member and restarted at the next.
 pub fn attempt_timeout(
     remaining: Duration,
     attempts_left: u32,
@@ -184,13 +185,13 @@
         .min(remaining)
 }
 
-/// Decides what follows an attempt with this result. Spends from the budget only if there is a retry.
+/// Decides what follows an attempt that did not succeed. Spends from the budget only if there is a retry.
 pub fn next(
     request: &RetryContext,
     result: AttemptResult,
     policy: &RetryPolicy,
     budget: &mut RetryBudget,
-    chance: &mut WyRand,
+    random: &mut WyRand,
 ) -> RetryDecision {
     if !allows_rerun(request.repeat, result, policy.proof) {
         return RetryDecision::Stop(NoRetryReason::MayHaveRun);
@@ -202,26 +203,26 @@
         return RetryDecision::Stop(NoRetryReason::NowhereElse);
     }
     if request.is_retry {
-        return RetryDecision::Stop(NoRetryReason::FurtherTry);
+        return RetryDecision::Stop(NoRetryReason::IsRetry);
     }
     if request.attempts >= policy.attempts {
-        return RetryDecision::Stop(NoRetryReason::Tries);
+        return RetryDecision::Stop(NoRetryReason::AttemptsExhausted);
     }
-    let wait = backoff(policy, chance);
+    let wait = backoff(policy, random);
     let remaining = request.remaining.saturating_sub(wait);
     if remaining < request.typical_duration || remaining.is_zero() {
-        return RetryDecision::Stop(NoRetryReason::Time);
+        return RetryDecision::Stop(NoRetryReason::NoTimeLeft);
     }
-    // Checked last, so that nothing is spent on an attempt that is not made.
+    // Checked last, so that no budget is spent on an attempt that is not made.
     if !budget.try_spend() {
-        return RetryDecision::Stop(NoRetryReason::Budget);
+        return RetryDecision::Stop(NoRetryReason::BudgetExhausted);
     }
     RetryDecision::Retry { wait }
 }
 
-/// A random wait within the policy's bounds.
-fn backoff(policy: &RetryPolicy, chance: &mut WyRand) -> Duration {
+/// A random duration within the policy's bounds.
+fn backoff(policy: &RetryPolicy, random: &mut WyRand) -> Duration {
     let spread = policy.max_backoff.saturating_sub(policy.min_backoff);
-    let fraction = f64::from(chance.generate::<u32>()) / f64::from(u32::MAX);
+    let fraction = f64::from(random.generate::<u32>()) / f64::from(u32::MAX);
     policy.min_backoff + spread.mul_f64(fraction)
 }
--- a/crates/routing/src/stall_clock.rs
+++ b/crates/routing/src/stall_clock.rs
@@ -1,37 +1,37 @@
-//! Time for which this process stood still, so that it is not held against the members.
+//! Measures stalls of this process, so that they do not count against members.
 //!
-//! While the process has no processor, answers lie unread and timers do not fire; on the first turn afterwards every
-//! member looks slow or silent. The caller therefore reports turns at a known interval, and a longer gap between two of
-//! them is a stall (as the local health of Lifeguard holds its own lateness against the detector).
+//! While the process gets no CPU time, it reads no answers and fires no timers; on its next turn every member looks
+//! slow or silent. The user of the clock therefore reports turns of the event loop at a known interval, and a longer gap
+//! between two turns is a stall (like Lifeguard's local health, which attributes delays to the detector itself).
 
 use std::time::Duration;
 
-/// A gap between two turns of more than this many intervals is a stall; timers are a little late anyway.
+/// A gap of more than this many intervals between two turns is a stall; smaller delays of timers are normal.
 const MAX_TURN_INTERVALS: u32 = 2;
 
 /// Adds up the gaps between the turns of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallClock {
-    /// Longest time between two turns that is no stall; none while no turns are expected.
+    /// Longest gap between two turns that is not a stall; `None` while no turns are expected.
     max_gap: Option<Duration>,
     last_turn: Duration,
-    /// No turns are reported until a request comes.
+    /// Whether no turns are reported until the next request.
     is_idle: bool,
     total: Duration,
 }
 
 impl StallClock {
-    /// From now on a turn is reported at least each `interval` while requests are in flight.
+    /// From now on a turn is reported at least every `interval` while requests are in flight.
     pub fn expect_turns(&mut self, interval: Duration) {
         self.max_gap = Some(interval * MAX_TURN_INTERVALS);
     }
 
-    /// Nothing is in flight: no turns are reported until the next request.
+    /// Records that no request is in flight: no turns are reported until the next request.
     pub fn on_idle(&mut self) {
         self.is_idle = true;
     }
 
-    /// The process had a turn. How long it stood still before, if it did.
+    /// Records a turn. Returns the length of the stall before it, if there was one.
     pub fn on_turn(&mut self, now: Duration) -> Option<Duration> {
         let gap = now.saturating_sub(self.last_turn);
         self.last_turn = self.last_turn.max(now);
@@ -42,7 +42,7 @@
         stall
     }
 
-    /// How long the process has stood still since its start.
+    /// Total duration of all stalls since the start of the process.
     pub fn total(&self) -> Duration {
         self.total
     }
--- a/crates/routing/src/time_budget.rs
+++ b/crates/routing/src/time_budget.rs
@@ -1,8 +1,7 @@
 //! Divides the latency objective of a request among its stages.
 //!
-//! The deadline of a stage leaves the time that the later stages are promised. Time that a stage does not need is left
-//! to the later ones; time by which it overruns is taken from the next stage first, so that the answer still goes out
-//! in time.
+//! The deadline of a stage reserves the time promised to the later stages. Time that a stage does not use is available
+//! to the later ones; an overrun is taken from the next stage first, so that the answer is still sent in time.
 
 use rainstand_config::schema;
 use rainstand_config::units::ONE;
@@ -19,7 +18,7 @@
     Run,
     /// Calls to other servers.
     Call,
-    /// The way of the answer.
+    /// Sending the answer.
     Answer,
 }
 
@@ -28,18 +27,18 @@
 pub struct Times {
     /// The latency objective.
     pub goal: Duration,
-    /// The deadline of each stage, since the request's arrival.
-    ends: [Duration; 5],
+    /// The deadline of each stage, counted from the request's arrival.
+    deadlines: [Duration; 5],
 }
 
-/// A part of a time, rounded down. `share`: in millionths.
-pub fn part(of: Duration, share: u64) -> Duration {
-    let ns = of.as_nanos() * u128::from(share) / u128::from(ONE);
+/// A share of a duration, rounded down. `share` is in millionths.
+pub fn part(total: Duration, share: u64) -> Duration {
+    let ns = total.as_nanos() * u128::from(share) / u128::from(ONE);
     Duration::from_nanos(u64::try_from(ns).unwrap_or(u64::MAX))
 }
 
 impl Times {
-    /// Without a budget every stage may take the whole objective.
+    /// Without a budget each stage may use the whole objective.
     pub fn new(goal: Duration, budget: Option<&schema::Budget>) -> Self {
         let stages = budget.map_or([None; 5], |b| [b.forward, b.queue, b.run, b.call, b.answer]);
         let promised = stages.map(|stage| {
@@ -48,14 +47,14 @@
                 fixed => Duration::from_nanos(fixed),
             })
         });
-        let mut ends = [goal; 5];
+        let mut deadlines = [goal; 5];
         for stage in (0..4).rev() {
-            ends[stage] = ends[stage + 1].saturating_sub(promised[stage + 1]);
+            deadlines[stage] = deadlines[stage + 1].saturating_sub(promised[stage + 1]);
         }
-        Self { goal, ends }
+        Self { goal, deadlines }
     }
 
-    /// What is left for a stage, `spent` after the request's arrival.
+    /// Time left for a stage, `spent` after the request's arrival.
     ///
     /// ```
     /// use rainstand_config::schema;
@@ -70,6 +69,6 @@
     /// assert_eq!(times.left(Stage::Answer, ms(2_500)), ms(0));
     /// ```
     pub fn left(&self, stage: Stage, spent: Duration) -> Duration {
-        self.ends[stage as usize].saturating_sub(spent)
+        self.deadlines[stage as usize].saturating_sub(spent)
     }
 }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A forwarder's decisions against members that fail, on a clock of its own: one answer each, no exclusive
-//! request run twice, further tries within their budget, service back soon after the members are.
+//! A forwarder's decisions while members fail, on a virtual clock: each request has one outcome, no exclusive request
+//! runs twice, retries stay within their budget, and service recovers soon after the members do.
 
 #![allow(
     missing_docs,
@@ -10,7 +10,7 @@
 
 use nanorand::{Rng, WyRand};
 use rainstand_config::{load, source::Memory};
-use rainstand_invariants::{Answer, InvariantChecker, Kind, Step as Saw, Violation};
+use rainstand_invariants::{Answer, InvariantChecker, Kind, Step as InvariantStep, Violation};
 use rainstand_routing::fleet::{
     AttemptOutcome, Completed, Fleet, NextAction, RequestOutcome, RequestState,
 };
@@ -37,41 +37,41 @@
 route x {{ match {{ type: register }}; to: p; attempts: b }}
 route r {{ to: p; attempts: a }}"
     );
-    let outcome = load(&Memory::new([("a.rain", text)]), "a.rain");
-    Fleet::new(&outcome.configuration.expect("good"), "", 7, Duration::ZERO).unwrap()
+    let loaded = load(&Memory::new([("a.rain", text)]), "a.rain");
+    Fleet::new(&loaded.configuration.expect("valid"), "", 7, Duration::ZERO).unwrap()
 }
 
-/// What a member does with a try that reaches it at a time: what comes back after how long, and whether it ran.
-type Does = fn(usize, u64, &mut WyRand) -> (AttemptOutcome, u64, bool);
+/// How a member, by index, handles an attempt at a time in ms: outcome, its delay in ms, and whether the request ran.
+type MemberBehavior = fn(usize, u64, &mut WyRand) -> (AttemptOutcome, u64, bool);
 
-struct Played {
-    /// Ends by the time of arrival, ms.
-    ends: Vec<(u64, u64, RequestOutcome)>,
-    /// Tries at each member by time.
-    tries: Vec<(u64, usize)>,
+struct SimulationResult {
+    /// Arrival and completion time in ms, and the outcome of each request.
+    outcomes: Vec<(u64, u64, RequestOutcome)>,
+    /// Time in ms and member of each attempt.
+    attempts: Vec<(u64, usize)>,
     runs: BTreeMap<u64, u32>,
-    rules: InvariantChecker,
+    checker: InvariantChecker,
     fleet: Fleet,
 }
 
-/// Bugs that are planted on purpose: what network code could get wrong.
+/// Injected bugs: mistakes that network code could make.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A connection that broke with a request on it is taken for none at all.
+    /// A connection that broke after a request was sent is reported as unreachable.
     BrokenIsUnreachable,
-    /// What came too late is taken for a dismissal.
-    LateIsDismissed,
+    /// A timeout is reported as a rejection.
+    LateIsRejected,
 }
 
 enum Event {
-    Arrives,
-    Back(RequestState, AttemptOutcome, u64),
-    Again(RequestState, u64),
-    Look,
+    Arrival,
+    Outcome(RequestState, AttemptOutcome, u64),
+    RetryDue(RequestState, u64),
+    Tick,
 }
 
-/// Events in order of time; alike ones in order of their making.
+/// Time in ms, sequence number and event. Ordered by time; events of the same time by sequence number.
 struct Timed(u64, u64, Event);
 impl PartialEq for Timed {
     fn eq(&self, other: &Self) -> bool {
@@ -90,155 +90,160 @@
     }
 }
 
-/// An answer is due so long after a request came: its goal time, and a hundred milliseconds.
-const DUE: Duration = Duration::from_millis(3_100);
+/// Time from the arrival of a request until its answer is due: its latency objective plus 100 ms.
+const ANSWER_DEADLINE: Duration = Duration::from_millis(3_100);
 
-/// Requests at `rate` a second for `seconds`, one in five exclusive.
-fn play(fleet: Fleet, rate: u64, seconds: u64, does: Does) -> Played {
-    let (played, broken) = play_with(fleet, rate, seconds, does, Bug::None);
-    broken.unwrap_or_else(|broken| panic!("{broken}"));
-    played
+/// Simulates `rate` requests per second for `seconds`; one in five is exclusive.
+fn simulate(fleet: Fleet, rate: u64, seconds: u64, behavior: MemberBehavior) -> SimulationResult {
+    let (result, checked) = simulate_bug(fleet, rate, seconds, behavior, Bug::None);
+    checked.unwrap_or_else(|violation| panic!("{violation}"));
+    result
 }
 
-fn play_with(
+fn simulate_bug(
     mut fleet: Fleet,
     rate: u64,
     seconds: u64,
-    does: Does,
+    behavior: MemberBehavior,
     bug: Bug,
-) -> (Played, Result<(), Violation>) {
-    let mut chance = WyRand::new_seed(21);
+) -> (SimulationResult, Result<(), Violation>) {
+    let mut random = WyRand::new_seed(21);
     let mut events = BinaryHeap::new();
-    let mut made = 0u64;
-    let mut push = |events: &mut BinaryHeap<Timed>, at: u64, event: Event| {
-        made += 1;
-        events.push(Timed(at, made, event));
+    let mut sequence = 0u64;
+    let mut push = |events: &mut BinaryHeap<Timed>, event_ms: u64, event: Event| {
+        sequence += 1;
+        events.push(Timed(event_ms, sequence, event));
     };
     for n in 0..rate * seconds {
-        push(&mut events, n * 1_000 / rate, Event::Arrives);
+        push(&mut events, n * 1_000 / rate, Event::Arrival);
     }
     for n in 0..(seconds + 10) * 5 {
-        push(&mut events, n * 200, Event::Look);
+        push(&mut events, n * 200, Event::Tick);
     }
-    let (mut ends, mut tries, mut runs, mut rules) =
+    let (mut outcomes, mut attempts, mut runs, mut checker) =
         (vec![], vec![], BTreeMap::new(), InvariantChecker::default());
-    let (mut next, mut born) = (0u64, BTreeMap::new());
-    let mut first_broken = Ok(());
-    while let Some(Timed(t, _, event)) = events.pop() {
-        let now = Duration::from_millis(t);
-        let mut saw = |request: u64, step: Saw| {
-            let found = rules.record(now, request, step);
-            if first_broken.is_ok() {
-                first_broken = found;
+    let (mut last_request, mut arrivals) = (0u64, BTreeMap::new());
+    let mut first_violation = Ok(());
+    while let Some(Timed(ms, _, event)) = events.pop() {
+        let now = Duration::from_millis(ms);
+        let mut record = |request: u64, step: InvariantStep| {
+            let checked = checker.record(now, request, step);
+            if first_violation.is_ok() {
+                first_violation = checked;
             }
         };
-        let (request, step) = match event {
-            Event::Look => {
+        let (request, action) = match event {
+            Event::Tick => {
                 fleet.tick(now);
                 continue;
             }
-            Event::Arrives => {
-                next += 1;
-                born.insert(next, t);
-                let traffic = u16::from(next.is_multiple_of(5));
-                let kind = if traffic == 1 {
+            Event::Arrival => {
+                last_request += 1;
+                arrivals.insert(last_request, ms);
+                let request_class = u16::from(last_request.is_multiple_of(5));
+                let kind = if request_class == 1 {
                     Kind::Exclusive
                 } else {
                     Kind::Rerunnable
                 };
-                saw(
-                    next,
-                    Saw::Asked {
+                record(
+                    last_request,
+                    InvariantStep::Asked {
                         kind,
-                        due: now + DUE,
+                        due: now + ANSWER_DEADLINE,
                         front: 0,
                     },
                 );
                 (
-                    next,
+                    last_request,
                     fleet.on_arrival(
                         now,
                         &Request {
-                            request_class: traffic,
+                            request_class,
                             tenant: Some(0),
                             ..Request::default()
                         },
                     ),
                 )
             }
-            Event::Back(trip, back, request) => {
-                (request, fleet.on_attempt_outcome(now, trip, back))
+            Event::Outcome(state, outcome, request) => {
+                (request, fleet.on_attempt_outcome(now, state, outcome))
             }
-            Event::Again(trip, request) => (request, fleet.on_retry_due(now, trip)),
+            Event::RetryDue(state, request) => (request, fleet.on_retry_due(now, state)),
         };
-        match step {
-            NextAction::Dispatch(trip, send) => {
-                let member = usize::from(send.to.member);
-                tries.push((t, member));
-                let (back, took, ran) = does(member, t, &mut chance);
+        match action {
+            NextAction::Dispatch(state, attempt) => {
+                let member = usize::from(attempt.to.member);
+                attempts.push((ms, member));
+                let (outcome, delay_ms, ran) = behavior(member, ms, &mut random);
                 if ran {
                     *runs.entry(request).or_default() += 1;
-                    saw(
+                    record(
                         request,
-                        Saw::Ran {
+                        InvariantStep::Ran {
                             on: member as u32,
-                            marked: send.is_retry,
+                            marked: attempt.is_retry,
                         },
                     );
                 }
-                let cut = send.timeout.as_millis() as u64;
-                let (back, took) = if took > cut {
-                    (AttemptOutcome::TimedOut, cut)
+                let timeout_ms = attempt.timeout.as_millis() as u64;
+                let (outcome, delay_ms) = if delay_ms > timeout_ms {
+                    (AttemptOutcome::TimedOut, timeout_ms)
                 } else {
-                    (back, took)
+                    (outcome, delay_ms)
                 };
-                let back = match (bug, back) {
+                let outcome = match (bug, outcome) {
                     (Bug::BrokenIsUnreachable, AttemptOutcome::Broken) => {
                         AttemptOutcome::Unreachable
                     }
-                    (Bug::LateIsDismissed, AttemptOutcome::TimedOut) => AttemptOutcome::Rejected {
+                    (Bug::LateIsRejected, AttemptOutcome::TimedOut) => AttemptOutcome::Rejected {
                         pause: Duration::ZERO,
                         nowhere_else: true,
                     },
-                    (_, back) => back,
+                    (_, outcome) => outcome,
                 };
-                push(&mut events, t + took, Event::Back(trip, back, request));
+                push(
+                    &mut events,
+                    ms + delay_ms,
+                    Event::Outcome(state, outcome, request),
+                );
             }
-            NextAction::Backoff(trip, wait) => push(
+            NextAction::Backoff(state, wait) => push(
                 &mut events,
-                t + wait.as_millis() as u64,
-                Event::Again(trip, request),
+                ms + wait.as_millis() as u64,
+                Event::RetryDue(state, request),
             ),
-            NextAction::Completed(over) => {
-                let answer = match over.outcome {
+            NextAction::Completed(completed) => {
+                let answer = match completed.outcome {
                     RequestOutcome::Served => Answer::Honoured,
                     RequestOutcome::Rejected { .. } => Answer::Dismissed,
                     RequestOutcome::Failed | RequestOutcome::CallerGone => Answer::GivenUp,
                 };
-                saw(request, Saw::Answered(answer));
-                ends.push((born[&request], t, over.outcome));
+                record(request, InvariantStep::Answered(answer));
+                outcomes.push((arrivals[&request], ms, completed.outcome));
             }
         }
     }
-    let all = first_broken.and_then(|()| rules.finish(Duration::from_secs(seconds + 10)).map(drop));
+    let checked =
+        first_violation.and_then(|()| checker.finish(Duration::from_secs(seconds + 10)).map(drop));
     (
-        Played {
-            ends,
-            tries,
+        SimulationResult {
+            outcomes,
+            attempts,
             runs,
-            rules,
+            checker,
             fleet,
         },
-        all,
+        checked,
     )
 }
 
-/// What must hold beside the rules, whatever the members do.
-fn rules(played: &mut Played, requests: u64) {
-    assert_eq!(played.ends.len() as u64, requests);
-    let (counts, now) = (played.fleet.counts(), Duration::from_secs(60));
-    played
-        .rules
+/// Checks what must hold however the members behave, in addition to the invariants checked during the simulation.
+fn check_after_simulation(result: &mut SimulationResult, requests: u64) {
+    assert_eq!(result.outcomes.len() as u64, requests);
+    let (counts, now) = (result.fleet.counts(), Duration::from_secs(60));
+    result
+        .checker
         .check_retry_budget(
             now,
             counts.first_attempts,
@@ -248,124 +253,126 @@
         )
         .unwrap();
     assert!(
-        played.fleet.members(0, now).all(|member| member.open == 0),
-        "places that nobody gave back"
+        result.fleet.members(0, now).all(|member| member.open == 0),
+        "places at members were not released"
     );
     assert_eq!(
-        played.fleet.pool_occupancy(0).held,
+        result.fleet.pool_occupancy(0).held,
         0,
-        "room that nobody gave back"
+        "places of the pool were not released"
     );
 }
 
-fn honoured(played: &Played, from: u64, upto: u64) -> f64 {
-    let of: Vec<_> = played
-        .ends
+/// Fraction of the requests that arrived in a range of ms and were served.
+fn served_fraction(result: &SimulationResult, from: u64, until: u64) -> f64 {
+    let requests: Vec<_> = result
+        .outcomes
         .iter()
-        .filter(|(born, ..)| (from..upto).contains(born))
+        .filter(|(arrival, ..)| (from..until).contains(arrival))
         .collect();
-    of.iter()
+    requests
+        .iter()
         .filter(|(.., end)| *end == RequestOutcome::Served)
         .count() as f64
-        / of.len() as f64
+        / requests.len() as f64
 }
 
 #[test]
-fn service_recovers_after_all_members_fail_at_once() {
-    let mut played = play(fleet(5, "none"), 200, 20, |_, t, chance| match t {
+fn service_recovers_after_all_members_failed_together() {
+    let mut result = simulate(fleet(5, "none"), 200, 20, |_, ms, random| match ms {
         5_000..10_000 => (AttemptOutcome::Failed, 2, true),
-        _ => (AttemptOutcome::Served, chance.generate_range(10..30), true),
+        _ => (AttemptOutcome::Served, random.generate_range(10..30), true),
     });
-    rules(&mut played, 4_000);
-    assert!(honoured(&played, 0, 4_900) > 0.99);
-    let back = honoured(&played, 12_000, 20_000);
-    assert!(back > 0.95, "{back}");
-    // Answered at once while it lasts.
-    let slow = played
-        .ends
+    check_after_simulation(&mut result, 4_000);
+    assert!(served_fraction(&result, 0, 4_900) > 0.99);
+    let after_recovery = served_fraction(&result, 12_000, 20_000);
+    assert!(after_recovery > 0.95, "{after_recovery}");
+    // Requests complete quickly during the outage.
+    let slow = result
+        .outcomes
         .iter()
-        .filter(|(born, at, _)| (5_500..10_000).contains(born) && at - born > 500)
+        .filter(|(arrival, end, _)| (5_500..10_000).contains(arrival) && end - arrival > 500)
         .count();
     assert_eq!(slow, 0);
 }
 
 #[test]
 fn a_member_that_fails_fast_attracts_no_extra_load() {
-    let mut played = play(
+    let mut result = simulate(
         fleet(5, "none"),
         200,
         10,
-        |member, _, chance| match member {
+        |member, _, random| match member {
             0 => (AttemptOutcome::Failed, 1, true),
-            _ => (AttemptOutcome::Served, chance.generate_range(20..60), true),
+            _ => (AttemptOutcome::Served, random.generate_range(20..60), true),
         },
     );
-    rules(&mut played, 2_000);
-    let its = played
-        .tries
+    check_after_simulation(&mut result, 2_000);
+    let at_failing_member = result
+        .attempts
         .iter()
         .filter(|(_, member)| *member == 0)
         .count();
     assert!(
-        its * 5 <= played.tries.len(),
-        "{its} of {}",
-        played.tries.len()
+        at_failing_member * 5 <= result.attempts.len(),
+        "{at_failing_member} of {}",
+        result.attempts.len()
     );
     assert!(
-        honoured(&played, 1_000, 10_000) > 0.97,
+        served_fraction(&result, 1_000, 10_000) > 0.97,
         "{}",
-        honoured(&played, 1_000, 10_000)
+        served_fraction(&result, 1_000, 10_000)
     );
 }
 
 #[test]
-fn a_hanging_member_holds_only_its_open_requests() {
-    let mut played = play(fleet(5, "none"), 200, 12, |member, t, chance| {
-        match (member, t) {
+fn a_hanging_member_gets_only_occasional_attempts() {
+    let mut result = simulate(fleet(5, "none"), 200, 12, |member, ms, random| {
+        match (member, ms) {
             (0, 3_000..) => (AttemptOutcome::Served, 100_000, true),
-            _ => (AttemptOutcome::Served, chance.generate_range(10..30), true),
+            _ => (AttemptOutcome::Served, random.generate_range(10..30), true),
         }
     });
-    rules(&mut played, 2_400);
-    // Two seconds of silence, then it is left out but for a trickle now and then.
-    let later = played
-        .tries
+    check_after_simulation(&mut result, 2_400);
+    // It is ejected after two seconds without an answer; from then on it only gets an occasional probe.
+    let later = result
+        .attempts
         .iter()
-        .filter(|(t, member)| *member == 0 && *t > 6_000)
+        .filter(|(ms, member)| *member == 0 && *ms > 6_000)
         .count();
     assert!(later < 40, "{later}");
-    assert!(honoured(&played, 6_000, 12_000) > 0.97);
+    assert!(served_fraction(&result, 6_000, 12_000) > 0.97);
 }
 
 #[test]
 fn broken_connections_run_no_exclusive_request_twice() {
-    // A fifth of all tries lose their connection, half of those after they ran; members are restarted in turn.
-    let mut played = play(fleet(5, "none"), 200, 15, |member, t, chance| {
-        if (t / 1_000) as usize % 5 == member && t % 1_000 < 300 {
+    // A fifth of all attempts lose their connection, half of those after the request ran; members restart in turn.
+    let mut result = simulate(fleet(5, "none"), 200, 15, |member, ms, random| {
+        if (ms / 1_000) as usize % 5 == member && ms % 1_000 < 300 {
             return (AttemptOutcome::Unreachable, 1, false);
         }
-        match chance.generate_range(0..10u8) {
+        match random.generate_range(0..10u8) {
             0 => (AttemptOutcome::Broken, 15, true),
             1 => (AttemptOutcome::Broken, 5, false),
             _ => (AttemptOutcome::Served, 20, true),
         }
     });
-    rules(&mut played, 3_000);
-    // Exclusive requests whose connection broke are given up, never dismissed: they may have run.
-    let dismissed = played
-        .ends
+    check_after_simulation(&mut result, 3_000);
+    // Exclusive requests whose connection broke fail and are never rejected, since they may have run.
+    let rejected = result
+        .outcomes
         .iter()
         .filter(|(.., end)| matches!(end, RequestOutcome::Rejected { .. }))
         .count();
-    assert!(dismissed < 150, "{dismissed}");
+    assert!(rejected < 150, "{rejected}");
     assert!(
-        played.runs.values().any(|runs| *runs > 1),
-        "rerunnable ones do run again"
+        result.runs.values().any(|runs| *runs > 1),
+        "some rerunnable request must run again"
     );
 }
 
 #[test]
-fn a_caller_that_leaves_during_a_backoff_releases_nothing_twice() {
+fn a_disconnect_of_the_caller_during_a_backoff_releases_no_place_twice() {
     let mut fleet = fleet(1, "none");
     let now = Duration::from_millis;
     let request = Request {
@@ -379,25 +386,25 @@
             .sum::<u32>()
     };
     let NextAction::Dispatch(other, _) = fleet.on_arrival(now(0), &request) else {
-        panic!("it goes")
+        panic!("not dispatched")
     };
-    let NextAction::Dispatch(trip, _) = fleet.on_arrival(now(0), &request) else {
-        panic!("it goes")
+    let NextAction::Dispatch(state, _) = fleet.on_arrival(now(0), &request) else {
+        panic!("not dispatched")
     };
-    let NextAction::Backoff(trip, _) =
-        fleet.on_attempt_outcome(now(5), trip, AttemptOutcome::Failed)
+    let NextAction::Backoff(state, _) =
+        fleet.on_attempt_outcome(now(5), state, AttemptOutcome::Failed)
     else {
-        panic!("it waits")
+        panic!("not in backoff")
     };
     assert_eq!(open(&fleet), 1);
     assert!(matches!(
-        fleet.on_attempt_outcome(now(6), trip, AttemptOutcome::CallerLeft),
+        fleet.on_attempt_outcome(now(6), state, AttemptOutcome::CallerLeft),
         NextAction::Completed(Completed {
             outcome: RequestOutcome::CallerGone,
             ..
         })
     ));
-    assert_eq!(open(&fleet), 1, "the other one is still there");
+    assert_eq!(open(&fleet), 1, "the other request is still in flight");
     assert!(matches!(
         fleet.on_attempt_outcome(now(9), other, AttemptOutcome::Served),
         NextAction::Completed(Completed {
@@ -411,22 +418,22 @@
 #[test]
 fn an_ejection_is_reported_once() {
     let mut fleet = fleet(3, "not-run");
-    let mut told = Vec::new();
-    for t in 0..200u64 {
-        let now = Duration::from_millis(t * 10);
+    let mut changes = Vec::new();
+    for ms in 0..200u64 {
+        let now = Duration::from_millis(ms * 10);
         let request = Request {
             tenant: Some(0),
             ..Request::default()
         };
-        if let NextAction::Dispatch(trip, send) = fleet.on_arrival(now, &request) {
-            let back = if send.to.member == 1 {
+        if let NextAction::Dispatch(state, attempt) = fleet.on_arrival(now, &request) {
+            let outcome = if attempt.to.member == 1 {
                 AttemptOutcome::Failed
             } else {
                 AttemptOutcome::Served
             };
-            let _ = fleet.on_attempt_outcome(now + Duration::from_millis(4), trip, back);
+            let _ = fleet.on_attempt_outcome(now + Duration::from_millis(4), state, outcome);
         }
-        told.extend(fleet.tick(now).into_iter().map(|change| {
+        changes.extend(fleet.tick(now).into_iter().map(|change| {
             (
                 change.member.member,
                 matches!(
@@ -439,20 +446,21 @@
             )
         }));
     }
-    assert_eq!(told[0], (1, true));
+    assert_eq!(changes[0], (1, true));
     assert!(
-        told.iter()
-            .filter(|(member, out)| *member == 1 && *out)
+        changes
+            .iter()
+            .filter(|(member, ejected)| *member == 1 && *ejected)
             .count()
             <= 2,
-        "{told:?}"
+        "{changes:?}"
     );
 }
 
 #[test]
-fn a_pause_is_kept_and_passed_on() {
-    let mut played = play(fleet(2, "not-run"), 100, 4, |member, t, _| {
-        match (member, t) {
+fn a_retry_after_of_a_member_is_respected_and_sent_to_the_caller() {
+    let mut result = simulate(fleet(2, "not-run"), 100, 4, |member, ms, _| {
+        match (member, ms) {
             (0, 1_000..2_000) => (
                 AttemptOutcome::Rejected {
                     pause: Duration::from_millis(400),
@@ -472,26 +480,26 @@
             _ => (AttemptOutcome::Served, 10, true),
         }
     });
-    rules(&mut played, 400);
-    // Asked to stay away for 400 ms by the one, its tenant is not sent there: some tries, not hundreds.
-    let asked = played
-        .tries
+    check_after_simulation(&mut result, 400);
+    // During a retry-after of 400 ms, the member gets no requests of the tenant: some attempts, not hundreds.
+    let rejected = result
+        .attempts
         .iter()
-        .filter(|(t, member)| *member == 0 && (1_000..2_000).contains(t))
+        .filter(|(ms, member)| *member == 0 && (1_000..2_000).contains(ms))
         .count();
-    assert!(asked <= 20, "{asked}");
-    let told = played.ends.iter().any(|(.., end)| {
+    assert!(rejected <= 20, "{rejected}");
+    let is_passed_on = result.outcomes.iter().any(|(.., end)| {
         *end == RequestOutcome::Rejected {
             after: Duration::from_millis(250),
             nowhere_else: true,
         }
     });
-    assert!(told, "the other's word is passed on");
+    assert!(is_passed_on, "no outcome has the retry-after of member 1");
 }
 
-/// A fifth of connections break, half of those after the request ran; some take for ever.
-fn breaks(_: usize, _: u64, chance: &mut WyRand) -> (AttemptOutcome, u64, bool) {
-    match chance.generate_range(0..10u8) {
+/// A fifth of connections break, half of those after the request ran; some requests never end.
+fn flaky(_: usize, _: u64, random: &mut WyRand) -> (AttemptOutcome, u64, bool) {
+    match random.generate_range(0..10u8) {
         0 => (AttemptOutcome::Broken, 15, true),
         1 => (AttemptOutcome::Broken, 5, false),
         2 => (AttemptOutcome::Served, 100_000, true),
@@ -500,90 +508,92 @@
 }
 
 #[test]
-fn seeded_bugs_are_caught() {
-    let (_, found) = play_with(fleet(5, "none"), 100, 10, breaks, Bug::None);
+fn injected_bugs_violate_the_invariants() {
+    let (_, found) = simulate_bug(fleet(5, "none"), 100, 10, flaky, Bug::None);
     assert_eq!(found, Ok(()));
-    let (_, found) = play_with(fleet(5, "none"), 100, 10, breaks, Bug::BrokenIsUnreachable);
-    let broken = found.unwrap_err();
-    assert_eq!(broken.rule, 2, "{broken}");
+    let (_, found) = simulate_bug(fleet(5, "none"), 100, 10, flaky, Bug::BrokenIsUnreachable);
+    let violation = found.unwrap_err();
+    assert_eq!(violation.rule, 2, "{violation}");
     assert!(
-        broken.reason.contains("exclusive ticket ran 2 times")
-            || broken.reason.contains("dismissed"),
-        "{broken}"
+        violation.reason.contains("exclusive ticket ran 2 times")
+            || violation.reason.contains("dismissed"),
+        "{violation}"
     );
-    let (_, found) = play_with(fleet(5, "none"), 100, 10, breaks, Bug::LateIsDismissed);
-    let broken = found.unwrap_err();
+    let (_, found) = simulate_bug(fleet(5, "none"), 100, 10, flaky, Bug::LateIsRejected);
+    let violation = found.unwrap_err();
     assert!(
-        broken.rule == 2 && broken.reason.contains("dismissed"),
-        "{broken}"
+        violation.rule == 2 && violation.reason.contains("dismissed"),
+        "{violation}"
     );
-    // The steps that led to it are told, and the same seed finds the same.
-    assert!(broken.steps.len() >= 3, "{broken}");
-    let (_, again) = play_with(fleet(5, "none"), 100, 10, breaks, Bug::LateIsDismissed);
-    assert_eq!(again.unwrap_err(), broken);
+    // The violation lists the steps that led to it, and the same seed finds the same violation.
+    assert!(violation.steps.len() >= 3, "{violation}");
+    let (_, repeated) = simulate_bug(fleet(5, "none"), 100, 10, flaky, Bug::LateIsRejected);
+    assert_eq!(repeated.unwrap_err(), violation);
 }
 
-/// Tenants with a part of the pool, and a flood of made-up ones at ten times what the pool can do.
+/// A tenant with a share of the pool, and a flood of unknown tenants at ten times the capacity of the pool.
 #[test]
-fn a_flood_of_unknown_tenants_leaves_configured_ones_their_share() {
+fn a_flood_of_unknown_tenants_leaves_a_configured_tenant_its_share() {
     let mut fleet = fleet(4, "none");
-    // Each member does one request a millisecond, in order; 4,000 a second in all.
-    let mut busy = [0u64; 4];
-    let mut chance = WyRand::new_seed(5);
-    let mut back: BinaryHeap<Timed> = BinaryHeap::new();
-    let (mut known, mut good, mut made, mut strangers) = (0u32, 0u32, 0u64, 0u64);
-    for t in 0..10_000u64 {
-        let now = Duration::from_millis(t);
-        if t % 100 == 0 {
+    // Each member serves one request per millisecond, in order; 4,000 per second in all.
+    let mut busy_until_ms = [0u64; 4];
+    let mut random = WyRand::new_seed(5);
+    let mut events: BinaryHeap<Timed> = BinaryHeap::new();
+    let (mut acme, mut served, mut sequence, mut unknown) = (0u32, 0u32, 0u64, 0u64);
+    for ms in 0..10_000u64 {
+        let now = Duration::from_millis(ms);
+        if ms % 100 == 0 {
             fleet.tick(now);
         }
-        while back.peek().is_some_and(|Timed(at, ..)| *at <= t) {
-            let Some(Timed(_, n, Event::Back(trip, came, _))) = back.pop() else {
+        while events.peek().is_some_and(|Timed(end, ..)| *end <= ms) {
+            let Some(Timed(_, order, Event::Outcome(state, outcome, _))) = events.pop() else {
                 continue;
             };
-            let NextAction::Completed(over) = fleet.on_attempt_outcome(now, trip, came) else {
-                panic!("no further tries here")
+            let NextAction::Completed(completed) = fleet.on_attempt_outcome(now, state, outcome)
+            else {
+                panic!("an attempt was retried")
             };
-            good += u32::from(n.is_multiple_of(2) && over.outcome == RequestOutcome::Served);
+            served +=
+                u32::from(order.is_multiple_of(2) && completed.outcome == RequestOutcome::Served);
         }
-        // One request a millisecond by acme, whose share is half of the pool, and forty by nobody knows whom.
+        // Per millisecond, one request of acme, which has half of the pool, and forty of unknown tenants.
         for n in 0..41u64 {
-            made += 2;
-            let (tenant, stranger) = if n == 20 {
+            sequence += 2;
+            let (tenant, tenant_hash) = if n == 20 {
                 (Some(0), 0)
             } else {
-                (None, name_hash(&format!("{t} {n}")))
+                (None, name_hash(&format!("{ms} {n}")))
             };
-            known += u32::from(n == 20);
-            strangers += u64::from(n != 20);
+            acme += u32::from(n == 20);
+            unknown += u64::from(n != 20);
             let request = Request {
                 tenant,
-                tenant_hash: stranger,
+                tenant_hash,
                 ..Request::default()
             };
-            if let NextAction::Dispatch(trip, send) = fleet.on_arrival(now, &request) {
-                let member = &mut busy[usize::from(send.to.member)];
-                *member = (*member).max(t) + 1;
-                let order = made + u64::from(n != 20);
-                let took = *member + chance.generate_range(0..3u64);
-                back.push(Timed(
-                    took,
+            if let NextAction::Dispatch(state, attempt) = fleet.on_arrival(now, &request) {
+                let member = &mut busy_until_ms[usize::from(attempt.to.member)];
+                *member = (*member).max(ms) + 1;
+                let order = sequence + u64::from(n != 20);
+                let end_ms = *member + random.generate_range(0..3u64);
+                events.push(Timed(
+                    end_ms,
                     order,
-                    Event::Back(trip, AttemptOutcome::Served, 0),
+                    Event::Outcome(state, AttemptOutcome::Served, 0),
                 ));
             }
         }
     }
-    assert_eq!(strangers, 400_000);
-    let share = f64::from(good) / f64::from(known);
-    assert!(share > 0.95, "{good} of {known}: {:?}", fleet.counts());
-    // Who nobody knows still gets what is left.
-    let others = fleet.counts().served - u64::from(good);
+    assert_eq!(unknown, 400_000);
+    let share = f64::from(served) / f64::from(acme);
+    assert!(share > 0.95, "{served} of {acme}: {:?}", fleet.counts());
+    // Unknown tenants still get the rest of the capacity.
+    let others = fleet.counts().served - u64::from(served);
     assert!(others > 10_000, "{others}");
     assert!(fleet.pause_count() == 0 && fleet.counts().room > 100_000);
 }
 
-/// A version that numbers pools anew must not keep the places of requests that are out.
+/// A version that changes the indices of pools must not lose track of the places of requests in flight.
 #[test]
 fn places_are_released_when_pools_get_other_indices() {
     let text = |first: &str| {
@@ -596,14 +606,14 @@
 route r {{ to: p }}"
         )
     };
-    let made = |text: String| {
+    let configuration = |text: String| {
         load(&Memory::new([("a.rain", text)]), "a.rain")
             .configuration
-            .expect("good")
+            .expect("valid")
     };
-    let before = made(text(""));
-    // It stands before the other in order of names, and has a member with the same address.
-    let after = made(text("pool a { member n1 { address: \"10.0.0.1:1\" } }"));
+    let before = configuration(text(""));
+    // The new pool sorts before the other one by name, and has a member with the same address.
+    let after = configuration(text("pool a { member n1 { address: \"10.0.0.1:1\" } }"));
     let now = Duration::from_millis;
     let mut fleet = Fleet::new(&before, "", 7, now(0)).unwrap();
     let open = |fleet: &Fleet, pool| {
@@ -612,18 +622,18 @@
             .map(|member| member.open)
             .sum::<u32>()
     };
-    let trips: Vec<RequestState> = (0..8)
+    let requests: Vec<RequestState> = (0..8)
         .map(|_| match fleet.on_arrival(now(1), &Request::default()) {
-            NextAction::Dispatch(trip, _) => trip,
+            NextAction::Dispatch(state, _) => state,
             other => panic!("{other:?}"),
         })
         .collect();
     fleet.install(&after, now(2)).unwrap();
     let p = fleet.table().pool("p").unwrap();
     assert_eq!((p, open(&fleet, p), open(&fleet, 0)), (1, 8, 0));
-    for trip in trips {
+    for state in requests {
         assert!(matches!(
-            fleet.on_attempt_outcome(now(5), trip, AttemptOutcome::Served),
+            fleet.on_attempt_outcome(now(5), state, AttemptOutcome::Served),
             NextAction::Completed(Completed {
                 outcome: RequestOutcome::Served,
                 ..
--- a/crates/routing/tests/fleet_update.rs
+++ b/crates/routing/tests/fleet_update.rs
@@ -1,4 +1,4 @@
-//! Changes of named things while trips are under way: what a fleet keeps by place stays right.
+//! Configuration changes while requests are in flight: state that a fleet stores by index stays correct.
 
 #![allow(
     missing_docs,
@@ -16,9 +16,9 @@
 use rainstand_routing::table_update::{EntryKind, TableChange};
 use std::time::Duration;
 
-/// A fleet of some pools and tenants, and changes of all that a fleet keeps by place.
+/// Applies random changes of all entry kinds that a fleet refers to by index, while requests are in flight.
 #[test]
-fn updates_among_open_requests_leak_no_count() {
+fn updates_with_requests_in_flight_leak_no_counts() {
     let pool = |name: usize, members: &[usize], limits: &str| {
         let member = |n: &usize| schema::Member {
             name: format!("n{n}"),
@@ -65,7 +65,7 @@
         out_after,
         ..Default::default()
     };
-    let traffic = schema::TrafficType {
+    let request_class = schema::TrafficType {
         name: "t".into(),
         repeat: schema::RepeatKind::Rerunnable.into(),
         goal_ns: 3_000_000_000,
@@ -76,9 +76,9 @@
         at_once,
         ..Default::default()
     };
-    let whole = schema::Configuration {
+    let initial = schema::Configuration {
         version: 1,
-        types: vec![traffic],
+        types: vec![request_class],
         tenants: (0..6).map(|n| tenant(n, 100_000)).collect(),
         pools: (0..4)
             .map(|n| pool(n, &[0, 1, 2], if n == 1 { "l" } else { "" }))
@@ -90,18 +90,18 @@
         ..Default::default()
     };
     for seed in 0..40 {
-        let mut chance = WyRand::new_seed(seed);
-        let mut draw = |n: usize| chance.generate_range(0..n);
-        let mut fleet = Fleet::new(&whole, "", seed, Duration::ZERO).unwrap();
-        let (mut now, mut at, mut waits, mut ends, mut applied) =
+        let mut random = WyRand::new_seed(seed);
+        let mut draw = |n: usize| random.generate_range(0..n);
+        let mut fleet = Fleet::new(&initial, "", seed, Duration::ZERO).unwrap();
+        let (mut now, mut in_flight, mut backoffs, mut served, mut applied) =
             (Duration::ZERO, vec![], vec![], 0, 0);
-        let (mut asked, mut over) = (0, 0);
+        let (mut arrived, mut completed) = (0, 0);
         for step in 0..3_000 {
             now += Duration::from_millis(draw(4) as u64);
-            let next = match draw(20) {
+            let action = match draw(20) {
                 0 => {
                     let members: Vec<usize> = (0..4).filter(|_| draw(3) > 0).collect();
-                    let some = match draw(9) {
+                    let changes = match draw(9) {
                         0 => vec![TableChange::Tenant(tenant(
                             draw(9),
                             draw(3) as u64 * 50_000,
@@ -131,23 +131,23 @@
                         7 => vec![TableChange::Health(health(1 + draw(9) as u64))],
                         _ => vec![TableChange::Attempts(attempts.clone())],
                     };
-                    applied += u32::from(fleet.apply(&some, now).is_ok());
-                    let c = fleet.table().configuration();
-                    for (k, pool) in c.pools.iter().enumerate() {
-                        let most = c
+                    applied += u32::from(fleet.apply(&changes, now).is_ok());
+                    let current = fleet.table().configuration();
+                    for (index, pool) in current.pools.iter().enumerate() {
+                        let max_limit = current
                             .limits
                             .iter()
                             .find(|one| one.name == pool.limits)
                             .map(|one| one.at_once);
-                        let seen: Vec<_> = fleet.members(k as u16, now).collect();
-                        assert!(seen
+                        let members: Vec<_> = fleet.members(index as u16, now).collect();
+                        assert!(members
                             .iter()
-                            .map(|one| one.address)
+                            .map(|member| member.address)
                             .eq(pool.members.iter().map(|m| &*m.address)));
-                        // A bound that a change names is in force for members that were there before.
-                        assert!(seen
+                        // A changed limit also applies to members that existed before.
+                        assert!(members
                             .iter()
-                            .all(|one| most.is_none_or(|most| u64::from(one.limit) <= most)));
+                            .all(|one| max_limit.is_none_or(|max| u64::from(one.limit) <= max)));
                     }
                     continue;
                 }
@@ -155,30 +155,30 @@
                     fleet.tick(now);
                     continue;
                 }
-                2..=8 if !at.is_empty() => {
-                    let trip = at.swap_remove(draw(at.len()));
-                    let back = [
+                2..=8 if !in_flight.is_empty() => {
+                    let state = in_flight.swap_remove(draw(in_flight.len()));
+                    let outcome = [
                         AttemptOutcome::Served,
                         AttemptOutcome::Served,
                         AttemptOutcome::Failed,
                         AttemptOutcome::Broken,
                         AttemptOutcome::CallerLeft,
                     ][draw(5)];
-                    fleet.on_attempt_outcome(now, trip, back)
+                    fleet.on_attempt_outcome(now, state, outcome)
                 }
-                9..=12 if !waits.is_empty() => {
-                    fleet.on_retry_due(now, waits.swap_remove(draw(waits.len())))
+                9..=12 if !backoffs.is_empty() => {
+                    fleet.on_retry_due(now, backoffs.swap_remove(draw(backoffs.len())))
                 }
                 _ if step < 2_500 => {
-                    asked += 1;
+                    arrived += 1;
                     let tenant = fleet.table().tenant(&format!("t{}", draw(9)));
                     let entity = format!("{}", draw(6));
-                    let stranger = draw(5) as u64;
+                    let tenant_hash = draw(5) as u64;
                     fleet.on_arrival(
                         now,
                         &Request {
                             tenant,
-                            tenant_hash: stranger,
+                            tenant_hash,
                             entity: &entity,
                             ..Request::default()
                         },
@@ -186,32 +186,32 @@
                 }
                 _ => continue,
             };
-            match next {
-                NextAction::Dispatch(trip, _) => at.push(trip),
-                NextAction::Backoff(trip, _) => waits.push(trip),
+            match action {
+                NextAction::Dispatch(state, _) => in_flight.push(state),
+                NextAction::Backoff(state, _) => backoffs.push(state),
                 NextAction::Completed(end) => {
-                    over += 1;
-                    ends += u32::from(end.outcome == RequestOutcome::Served);
+                    completed += 1;
+                    served += u32::from(end.outcome == RequestOutcome::Served);
                 }
             }
         }
-        for trip in at {
-            match fleet.on_attempt_outcome(now, trip, AttemptOutcome::CallerLeft) {
-                NextAction::Completed(_) => over += 1,
+        for state in in_flight {
+            match fleet.on_attempt_outcome(now, state, AttemptOutcome::CallerLeft) {
+                NextAction::Completed(_) => completed += 1,
                 other => panic!("{other:?}"),
             }
         }
-        for trip in waits {
-            match fleet.on_attempt_outcome(now, trip, AttemptOutcome::CallerLeft) {
-                NextAction::Completed(_) => over += 1,
+        for state in backoffs {
+            match fleet.on_attempt_outcome(now, state, AttemptOutcome::CallerLeft) {
+                NextAction::Completed(_) => completed += 1,
                 other => panic!("{other:?}"),
             }
         }
         assert!(
-            applied > 40 && ends > 200,
-            "seed {seed}: {applied} changes, {ends} honoured"
+            applied > 40 && served > 200,
+            "seed {seed}: {applied} changes, {served} served"
         );
-        assert_eq!(asked, over, "seed {seed}");
+        assert_eq!(arrived, completed, "seed {seed}");
         for pool in 0..fleet.table().configuration().pools.len() as u16 {
             assert!(
                 fleet.members(pool, now).all(|member| member.open == 0),
@@ -231,10 +231,10 @@
     }
 }
 
-/// Both ways of taking a version, with the same members: what the configuration says of health is in force.
+/// Checks a new version and a change of one entry, both with the same members: the new health rules apply.
 #[test]
-fn health_is_evaluated_by_the_rules_of_the_current_version() {
-    let whole = |out_after| {
+fn health_is_evaluated_by_the_rules_of_the_current_version_with_unchanged_members() {
+    let configuration = |out_after| {
         let member = |n| schema::Member {
             address: format!("10.0.0.{n}:1"),
             weight: ONE,
@@ -275,12 +275,12 @@
         }
     };
     let now = Duration::from_millis(1);
-    let fails = |fleet: &mut Fleet| {
-        let NextAction::Dispatch(trip, _) = fleet.on_arrival(now, &Request::default()) else {
-            panic!("nowhere to go")
+    let ejected_after_failure = |fleet: &mut Fleet| {
+        let NextAction::Dispatch(state, _) = fleet.on_arrival(now, &Request::default()) else {
+            panic!("not dispatched")
         };
         assert!(matches!(
-            fleet.on_attempt_outcome(now, trip, AttemptOutcome::Failed),
+            fleet.on_attempt_outcome(now, state, AttemptOutcome::Failed),
             NextAction::Completed(_)
         ));
         fleet
@@ -289,14 +289,21 @@
             .count()
     };
     for by_change in [true, false] {
-        let mut fleet = Fleet::new(&whole(100), "", 1, Duration::ZERO).unwrap();
-        assert_eq!(fails(&mut fleet), 0);
+        let mut fleet = Fleet::new(&configuration(100), "", 1, Duration::ZERO).unwrap();
+        assert_eq!(ejected_after_failure(&mut fleet), 0);
         match by_change {
             true => fleet
-                .apply(&[TableChange::Health(whole(1).health.remove(0))], now)
+                .apply(
+                    &[TableChange::Health(configuration(1).health.remove(0))],
+                    now,
+                )
                 .unwrap(),
-            false => fleet.install(&whole(1), now).unwrap(),
+            false => fleet.install(&configuration(1), now).unwrap(),
         };
-        assert_eq!(fails(&mut fleet), 1, "by change: {by_change}");
+        assert_eq!(
+            ejected_after_failure(&mut fleet),
+            1,
+            "by change: {by_change}"
+        );
     }
 }
--- a/crates/routing/tests/no_allocation.rs
+++ b/crates/routing/tests/no_allocation.rs
@@ -1,4 +1,4 @@
-//! Nothing on a request's way allocates: counted by an allocator of this test's own.
+//! Routing a request does not allocate; a counting global allocator checks it.
 
 #![allow(
     missing_docs,
@@ -14,26 +14,26 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-struct Counting;
+struct CountingAllocator;
 
 thread_local! {
-    static MADE: Cell<usize> = const { Cell::new(0) };
+    static ALLOCATIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-// SAFETY: all work is the system allocator's; the count is a plain cell of this thread.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: all calls are forwarded to the system allocator; the counter is a thread-local cell.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        MADE.with(|made| made.set(made.get() + 1));
+        ALLOCATIONS.with(|count| count.set(count.get() + 1));
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALL: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
 fn admission_rejection_and_completion_do_not_allocate() {
@@ -46,12 +46,12 @@
 pool q { member a { address: \"10.0.0.2:1\" } }
 route some { match { tenant: acme; entity: \"NO-*\" }; to: p 60 %, q 40 %; fall-back: q; budget: b }
 route rest { to: p 50 %, q 50 %; split-by: chance }";
-    let made = load(&Memory::new([("a.rain", text)]), "a.rain")
+    let configuration = load(&Memory::new([("a.rain", text)]), "a.rain")
         .configuration
         .unwrap();
-    let mut router = Router::new(&made, 1).unwrap();
-    let before = MADE.with(Cell::get);
-    let (mut went, mut turned) = (0, 0);
+    let mut router = Router::new(&configuration, 1).unwrap();
+    let before = ALLOCATIONS.with(Cell::get);
+    let (mut admitted, mut rejected) = (0, 0);
     for n in 0..10_000u64 {
         let request = Request {
             tenant: [None, Some(0)][n as usize % 2],
@@ -61,15 +61,18 @@
         match router.on_arrival(Duration::from_millis(n), &request, |pool| {
             n % 5 > 0 || pool == 1
         }) {
-            Admission::Admitted(way) => {
-                went += 1;
-                router.on_completed(way);
+            Admission::Admitted(decision) => {
+                admitted += 1;
+                router.on_completed(decision);
             }
-            Admission::Rejected(_) => turned += 1,
+            Admission::Rejected(_) => rejected += 1,
         }
     }
-    assert_eq!(MADE.with(Cell::get), before);
-    assert!(went > 1_000 && turned > 1_000, "{went} {turned}");
+    assert_eq!(ALLOCATIONS.with(Cell::get), before);
+    assert!(
+        admitted > 1_000 && rejected > 1_000,
+        "{admitted} {rejected}"
+    );
 }
 
 #[test]
@@ -84,31 +87,34 @@
 ",
     );
     (0..TENANTS).for_each(|n| text.push_str(&format!("tenant t{n} {{ share: 0.02 % }}\n")));
-    let made = load(&Memory::new([("a.rain", text)]), "a.rain")
+    let configuration = load(&Memory::new([("a.rain", text)]), "a.rain")
         .configuration
         .unwrap();
-    let mut router = Router::new(&made, 1).unwrap();
-    let mut all = |now: Duration| {
-        let before = MADE.with(Cell::get);
+    let mut router = Router::new(&configuration, 1).unwrap();
+    let mut request_by_all_tenants = |now: Duration| {
+        let before = ALLOCATIONS.with(Cell::get);
         for tenant in 0..TENANTS {
             let request = Request {
                 tenant: Some(tenant),
                 ..Request::default()
             };
             match router.on_arrival(now, &request, |_| true) {
-                Admission::Admitted(way) => router.on_completed(way),
-                Admission::Rejected(turned) => panic!("{turned:?}"),
+                Admission::Admitted(decision) => router.on_completed(decision),
+                Admission::Rejected(rejected) => panic!("{rejected:?}"),
             }
         }
-        (MADE.with(Cell::get) - before, router.bucket_usage().in_use)
+        (
+            ALLOCATIONS.with(Cell::get) - before,
+            router.bucket_usage().in_use,
+        )
     };
-    // Room grows by doubling, not with each bucket: three lists from 512 on.
-    let (made, in_use) = all(Duration::from_secs(1));
+    // Capacity doubles instead of growing with each bucket: three lists, starting at 512 entries.
+    let (allocations, in_use) = request_by_all_tenants(Duration::from_secs(1));
     assert!(
-        made <= 9 && in_use == usize::from(TENANTS),
-        "{made} for {in_use}"
+        allocations <= 9 && in_use == usize::from(TENANTS),
+        "{allocations} allocations for {in_use} buckets"
     );
-    assert_eq!(all(Duration::from_secs(2)).0, 0);
-    // Others take the places of those that are idle again.
-    assert_eq!(all(Duration::from_secs(1_000)).0, 0);
+    assert_eq!(request_by_all_tenants(Duration::from_secs(2)).0, 0);
+    // New buckets reuse the entries of those that became idle.
+    assert_eq!(request_by_all_tenants(Duration::from_secs(1_000)).0, 0);
 }
--- a/crates/routing/tests/own_stall.rs
+++ b/crates/routing/tests/own_stall.rs
@@ -1,4 +1,4 @@
-//! A forwarder that stood still itself ejects no member for what it did not read meanwhile.
+//! A forwarder that stalled ejects no member for answers that it did not read meanwhile.
 
 #![allow(
     missing_docs,
@@ -15,24 +15,24 @@
 
 const MEMBERS: usize = 3;
 const TURN_INTERVAL: Duration = Duration::from_millis(5);
-/// Answers come within this where nobody stands still.
-const USUAL: Duration = Duration::from_millis(1);
-/// Longer than the silence that ejects a member.
+/// Response time without a stall.
+const RESPONSE_TIME: Duration = Duration::from_millis(1);
+/// Longer than the time without an answer after which a member is ejected.
 const STALL: Duration = Duration::from_secs(5);
 
-/// Whether the caller reports turns, so that a stall can be seen.
+/// Whether turns of the event loop are reported, so that a stall is detected.
 #[derive(Clone, Copy)]
 enum Turns {
     Reported,
     NotReported,
 }
 
-struct Play {
+struct Scenario {
     fleet: Fleet,
     now: Duration,
 }
 
-impl Play {
+impl Scenario {
     fn new(turns: Turns) -> Self {
         let members: String = (0..MEMBERS)
             .map(|k| format!("member n{k} {{ address: \"10.0.0.{}:1\" }}\n", k + 1))
@@ -57,11 +57,11 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
-    /// A request that is in flight, and the index of its member.
+    /// Sends a request. Returns it and the index of its member.
     fn send(&mut self) -> (RequestState, u16) {
         let request = Request {
             request_class: self.fleet.table().request_class("check").unwrap(),
@@ -73,32 +73,32 @@
         }
     }
 
-    fn end(&mut self, request: RequestState, outcome: AttemptOutcome) {
+    fn complete(&mut self, request: RequestState, outcome: AttemptOutcome) {
         let next = self.fleet.on_attempt_outcome(self.now, request, outcome);
         assert!(matches!(next, NextAction::Completed(_)), "{next:?}");
     }
 
-    /// Requests one after the other that are answered as usual.
+    /// Sends requests one after the other; each is served after the usual response time.
     fn serve(&mut self, requests: usize) {
         for _ in 0..requests {
             let (request, _) = self.send();
-            self.pass(USUAL);
-            self.end(request, AttemptOutcome::Served);
+            self.advance(RESPONSE_TIME);
+            self.complete(request, AttemptOutcome::Served);
         }
     }
 
-    /// One request to each member; that of the first stays in flight.
-    fn serve_others(&mut self) -> RequestState {
+    /// Sends one request to each member. All but that to the first member are served; returns the pending one.
+    fn serve_all_but_first(&mut self) -> RequestState {
         let requests: Vec<_> = (0..MEMBERS).map(|_| self.send()).collect();
-        self.pass(USUAL);
-        let mut of_first = None;
+        self.advance(RESPONSE_TIME);
+        let mut pending = None;
         for (request, member) in requests {
             match member {
-                0 => of_first = Some(request),
-                _ => self.end(request, AttemptOutcome::Served),
+                0 => pending = Some(request),
+                _ => self.complete(request, AttemptOutcome::Served),
             }
         }
-        of_first.expect("a request to each member")
+        pending.expect("a request to each member")
     }
 
     fn ejected(&mut self) -> usize {
@@ -110,16 +110,16 @@
     }
 }
 
-/// Members that are ejected after stalls in which answers lay unread.
+/// Number of members that are ejected after stalls in which answers were not read.
 fn ejected_after_stalls(turns: Turns, stall: Duration) -> usize {
-    let mut play = Play::new(turns);
-    play.serve(60);
+    let mut scenario = Scenario::new(turns);
+    scenario.serve(60);
     for _ in 0..20 {
-        let request = play.serve_others();
-        play.pass(stall);
-        play.end(request, AttemptOutcome::Served);
-        play.serve(9);
-        let ejected = play.ejected();
+        let request = scenario.serve_all_but_first();
+        scenario.advance(stall);
+        scenario.complete(request, AttemptOutcome::Served);
+        scenario.serve(9);
+        let ejected = scenario.ejected();
         if ejected > 0 {
             return ejected;
         }
@@ -127,34 +127,34 @@
     0
 }
 
-/// Members that are ejected for silence at the first look after a stall, before their answers are read.
+/// Number of members that are ejected as silent at the first tick after a stall, before their answers are read.
 fn ejected_for_silence(turns: Turns) -> usize {
-    let mut play = Play::new(turns);
-    play.serve(60);
-    let requests: Vec<_> = (0..MEMBERS).map(|_| play.send()).collect();
-    play.pass(STALL);
-    let ejected = play.ejected();
+    let mut scenario = Scenario::new(turns);
+    scenario.serve(60);
+    let requests: Vec<_> = (0..MEMBERS).map(|_| scenario.send()).collect();
+    scenario.advance(STALL);
+    let ejected = scenario.ejected();
     for (request, _) in requests {
-        play.end(request, AttemptOutcome::Served);
+        scenario.complete(request, AttemptOutcome::Served);
     }
     ejected
 }
 
-/// Members that are ejected for attempts that timed out while their answers lay unread.
+/// Number of members that are ejected for attempts that timed out while their answers were not read.
 fn ejected_for_timeouts(turns: Turns) -> usize {
-    let mut play = Play::new(turns);
-    play.serve(60);
-    let requests: Vec<_> = (0..10 * MEMBERS).map(|_| play.send()).collect();
-    play.pass(STALL);
+    let mut scenario = Scenario::new(turns);
+    scenario.serve(60);
+    let requests: Vec<_> = (0..10 * MEMBERS).map(|_| scenario.send()).collect();
+    scenario.advance(STALL);
     for (request, _) in requests {
-        play.end(request, AttemptOutcome::TimedOut);
+        scenario.complete(request, AttemptOutcome::TimedOut);
     }
-    play.ejected()
+    scenario.ejected()
 }
 
-// Guards against an ejection as slow for answers that lay unread while the process had no processor.
+// Guards against an ejection as slow for answers that were not read while the process got no CPU time.
 #[test]
-fn answers_that_lay_unread_eject_nobody() {
+fn answers_read_late_after_a_stall_eject_no_member() {
     for stall in [30, 100, 900].map(Duration::from_millis) {
         assert_eq!(ejected_after_stalls(Turns::Reported, stall), 0);
         assert!(ejected_after_stalls(Turns::NotReported, stall) > 0);
@@ -163,32 +163,32 @@
 
 // Guards against an ejection as silent right after a stall of this process.
 #[test]
-fn members_that_were_not_heard_in_a_stall_are_not_silent() {
+fn members_without_answers_during_a_stall_are_not_ejected_as_silent() {
     assert_eq!(ejected_for_silence(Turns::Reported), 0);
     assert!(ejected_for_silence(Turns::NotReported) > 0);
 }
 
 // Guards against an ejection for timeouts that a stall of this process caused.
 #[test]
-fn timeouts_in_a_stall_are_no_failures_of_members() {
+fn timeouts_during_a_stall_do_not_count_as_failures_of_members() {
     assert_eq!(ejected_for_timeouts(Turns::Reported), 0);
     assert!(ejected_for_timeouts(Turns::NotReported) > 0);
 }
 
 // Guards against the opposite: a member that is slow while this process runs is ejected.
 #[test]
-fn a_slow_member_is_ejected_where_turns_are_reported() {
-    let mut play = Play::new(Turns::Reported);
+fn a_slow_member_is_ejected_if_turns_are_reported() {
+    let mut scenario = Scenario::new(Turns::Reported);
     for _ in 0..40 {
-        let slow = play.serve_others();
+        let slow = scenario.serve_all_but_first();
         for _ in 0..20 {
-            play.pass(TURN_INTERVAL);
-            play.fleet.on_turn(play.now);
+            scenario.advance(TURN_INTERVAL);
+            scenario.fleet.on_turn(scenario.now);
         }
-        play.end(slow, AttemptOutcome::Served);
-        if play.ejected() == 1 {
+        scenario.complete(slow, AttemptOutcome::Served);
+        if scenario.ejected() == 1 {
             return;
         }
     }
-    panic!("a slow member stays in service");
+    panic!("the slow member was not ejected");
 }
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which attempts may be repeated, how long one may take, and the retry budget.
+//! Which attempts are retried, the timeout of an attempt, and the retry budget.
 
 #![allow(
     missing_docs,
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn what_may_have_run_is_retried_only_if_its_class_allows_it() {
+fn a_request_that_may_have_run_is_retried_only_if_its_class_and_policy_allow_it() {
     use {Proof::*, RepeatKind::*};
-    let gone = AttemptResult::Rejected {
+    let rejected = AttemptResult::Rejected {
         pause: ms(100),
         nowhere_else: false,
     };
@@ -48,7 +48,7 @@
         (Exclusive, Mark, AttemptResult::MayHaveRun, false),
         (Exclusive, None, AttemptResult::MayHaveRun, false),
         (Exclusive, None, AttemptResult::NotRun, true),
-        (Exclusive, NotRun, gone, true),
+        (Exclusive, NotRun, rejected, true),
         (Ticketed, NotRun, AttemptResult::MayHaveRun, false),
         (Ticketed, Mark, AttemptResult::MayHaveRun, true),
         (Ticketed, None, AttemptResult::MayHaveRun, false),
@@ -61,27 +61,27 @@
             false,
         ),
     ];
-    for (repeat, proof, came, again) in table {
-        let (mut budget, mut chance) = (RetryBudget::default(), WyRand::new_seed(1));
-        let found = next(
+    for (repeat, proof, result, is_retried) in table {
+        let (mut budget, mut random) = (RetryBudget::default(), WyRand::new_seed(1));
+        let decision = next(
             &request(repeat),
-            came,
+            result,
             &RetryPolicy { proof, ..POLICY },
             &mut budget,
-            &mut chance,
+            &mut random,
         );
         assert_eq!(
-            matches!(found, RetryDecision::Retry { .. }),
-            again,
-            "{repeat:?} {proof:?} {came:?}: {found:?}"
+            matches!(decision, RetryDecision::Retry { .. }),
+            is_retried,
+            "{repeat:?} {proof:?} {result:?}: {decision:?}"
         );
     }
 }
 
 #[test]
-fn each_bound_prevents_a_retry() {
-    let whole = request(RepeatKind::Rerunnable);
-    let nowhere = AttemptResult::Rejected {
+fn each_limit_prevents_a_retry_and_spends_no_budget() {
+    let retryable = request(RepeatKind::Rerunnable);
+    let rejected_everywhere = AttemptResult::Rejected {
         pause: ms(1),
         nowhere_else: true,
     };
@@ -89,55 +89,55 @@
         (
             RetryContext {
                 is_retry: true,
-                ..whole
+                ..retryable
             },
             AttemptResult::NotRun,
-            NoRetryReason::FurtherTry,
+            NoRetryReason::IsRetry,
         ),
         (
             RetryContext {
                 attempts: 3,
-                ..whole
+                ..retryable
             },
             AttemptResult::NotRun,
-            NoRetryReason::Tries,
+            NoRetryReason::AttemptsExhausted,
         ),
         (
             RetryContext {
                 remaining: ms(110),
-                ..whole
+                ..retryable
             },
             AttemptResult::NotRun,
-            NoRetryReason::Time,
+            NoRetryReason::NoTimeLeft,
         ),
-        (whole, nowhere, NoRetryReason::NowhereElse),
+        (retryable, rejected_everywhere, NoRetryReason::NowhereElse),
     ];
-    for (request, came, stop) in table {
-        let (mut budget, mut chance) = (RetryBudget::default(), WyRand::new_seed(1));
+    for (request, result, reason) in table {
+        let (mut budget, mut random) = (RetryBudget::default(), WyRand::new_seed(1));
         let before = budget.remaining();
         assert_eq!(
-            next(&request, came, &POLICY, &mut budget, &mut chance),
-            RetryDecision::Stop(stop)
+            next(&request, result, &POLICY, &mut budget, &mut random),
+            RetryDecision::Stop(reason)
         );
         assert_eq!(
             budget.remaining(),
             before,
-            "a try that is not made costs nothing"
+            "an attempt that is not made spends no budget"
         );
     }
 }
 
 #[test]
-fn a_last_attempt_gets_all_remaining_time() {
+fn an_attempt_that_cannot_be_retried_gets_all_remaining_time() {
     let (full, empty) = (RetryBudget::default(), RetryBudget::empty());
-    let once = RetryPolicy {
+    let single_attempt = RetryPolicy {
         attempts: 1,
         ..POLICY
     };
     let table = [
         (RepeatKind::Rerunnable, POLICY, full, true),
         (RepeatKind::Rerunnable, POLICY, empty, false),
-        (RepeatKind::Rerunnable, once, full, false),
+        (RepeatKind::Rerunnable, single_attempt, full, false),
         (
             RepeatKind::Rerunnable,
             RetryPolicy {
@@ -158,10 +158,10 @@
             true,
         ),
     ];
-    for (repeat, policy, budget, wanted) in table {
+    for (repeat, policy, budget, expected) in table {
         assert_eq!(
             may_retry(&request(repeat), &policy, &budget),
-            wanted,
+            expected,
             "{repeat:?} {policy:?}"
         );
     }
@@ -174,37 +174,38 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(18), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However requests fail, tries stay within first ones * (1 + share) and what the start allows; waits
-    /// and cuts stay within what is left.
+    /// However requests fail, the number of retries is at most `share` of the first attempts plus the initial budget,
+    /// and backoffs and timeouts stay within the remaining time.
     #[test]
     fn retries_stay_within_the_budget(
         share in 0u64..=ONE,
-        fails in proptest::collection::vec(any::<bool>(), 1..600),
+        failures in proptest::collection::vec(any::<bool>(), 1..600),
         seed in any::<u64>(),
     ) {
-        let (mut budget, mut chance) = (RetryBudget::default(), WyRand::new_seed(seed));
-        let (mut first, mut further) = (0u64, 0u64);
-        for fails in fails {
+        let (mut budget, mut random) = (RetryBudget::default(), WyRand::new_seed(seed));
+        let (mut first_attempts, mut retries) = (0u64, 0u64);
+        for fails in failures {
             budget.on_first_attempt(share);
-            first += 1;
-            let mut one = request(RepeatKind::Rerunnable);
+            first_attempts += 1;
+            let mut context = request(RepeatKind::Rerunnable);
             if !fails {
                 continue;
             }
             while let RetryDecision::Retry { wait } =
-                next(&one, AttemptResult::MayHaveRun, &POLICY, &mut budget, &mut chance)
+                next(&context, AttemptResult::MayHaveRun, &POLICY, &mut budget, &mut random)
             {
                 prop_assert!(wait >= POLICY.min_backoff && wait <= POLICY.max_backoff);
-                let left = one.remaining - wait;
-                let follows = may_retry(&one, &POLICY, &budget);
-                let cut = attempt_timeout(left, POLICY.attempts - one.attempts, one.typical_duration, follows);
-                prop_assert!(cut <= left && cut >= one.typical_duration.min(left));
-                prop_assert!(follows || cut == left, "what nothing follows has all the time");
-                further += 1;
-                one.attempts += 1;
-                one.remaining -= wait + cut;
+                let remaining = context.remaining - wait;
+                let may_follow = may_retry(&context, &POLICY, &budget);
+                let timeout =
+                    attempt_timeout(remaining, POLICY.attempts - context.attempts, context.typical_duration, may_follow);
+                prop_assert!(timeout <= remaining && timeout >= context.typical_duration.min(remaining));
+                prop_assert!(may_follow || timeout == remaining, "an attempt without a retry gets all remaining time");
+                retries += 1;
+                context.attempts += 1;
+                context.remaining -= wait + timeout;
             }
-            prop_assert!(further <= INITIAL_RETRIES + first * share / ONE);
+            prop_assert!(retries <= INITIAL_RETRIES + first_attempts * share / ONE);
         }
     }
 }
--- a/crates/routing/tests/time_budget.rs
+++ b/crates/routing/tests/time_budget.rs
@@ -24,10 +24,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// If each stage keeps to what it is told, every stage gets at least what it was promised, and the
-    /// request is over by its goal time.
+    /// If no stage exceeds the time left for it, each stage gets at least the time promised to it, and the request ends
+    /// within its latency objective.
     #[test]
-    fn each_stage_gets_its_promise_while_all_keep_theirs(
+    fn each_stage_gets_its_promised_time_if_none_overruns(
         stages in proptest::array::uniform5(any_stage()),
         used in proptest::array::uniform5(0u64..=100),
     ) {
@@ -36,12 +36,12 @@
         let goal = Duration::from_secs(3);
         let times = Times::new(goal, Some(&budget));
         let mut spent = Duration::ZERO;
-        for (k, stage) in [Stage::Forward, Stage::Queue, Stage::Run, Stage::Call, Stage::Answer].into_iter().enumerate() {
+        for (index, stage) in [Stage::Forward, Stage::Queue, Stage::Run, Stage::Call, Stage::Answer].into_iter().enumerate() {
             let left = times.left(stage, spent);
-            let promised = stages[k].map_or(Duration::ZERO, |s| if s.fixed_ns > 0 { Duration::from_nanos(s.fixed_ns) } else { part(goal, s.share) });
-            // Stages together under the goal time here: at most 5 * 20 % or 1.5 s of 3 s.
+            let promised = stages[index].map_or(Duration::ZERO, |s| if s.fixed_ns > 0 { Duration::from_nanos(s.fixed_ns) } else { part(goal, s.share) });
+            // Together the promises stay within the objective here: at most 5 * 20 % or 1.5 s of 3 s.
             prop_assert!(left >= promised || stages.iter().flatten().map(|s| s.fixed_ns + s.share * 3_000).sum::<u64>() > 3_000_000_000);
-            spent += left * used[k] as u32 / 100;
+            spent += left * used[index] as u32 / 100;
         }
         prop_assert!(spent <= goal);
     }
