--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -1,5 +1,5 @@
-//! The task that keeps the link to the execution agent: one JSON object a line, notices numbered and replayed after
-//! a reconnect.
+//! The task that maintains the link to the execution agent: one JSON object per line; notices are numbered and replayed
+//! after a reconnect.
 
 use crate::agent_link::AgentLink;
 use crate::context::NodeContext;
@@ -17,26 +17,27 @@
 /// The longest line accepted, in bytes: a result of 4 KiB in base64, ten times over.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Commands that the agent has not read yet, in bytes: past some hundred launches the link is of no use.
+/// Maximum size of the commands that the agent has not read yet, in bytes: beyond it, some hundred launches are unread
+/// and the link is closed.
 const MAX_OUTGOING_BYTES: usize = 1024 * 1024;
 
-/// Pause before the first reconnect; doubles with each that fails.
+/// Delay before the first reconnect; doubles with each failed reconnect.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The longest pause between two reconnects; a link that held for longer starts again with the shortest.
+/// Longest delay between two reconnects; after a link that lasted longer than this, the delay starts at the minimum.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
-/// For a connection to open, for a sample on a link that was greeted, and for the greeting of an agent that was up
-/// before: past it the link is dead, however open it looks.
+/// Timeout for opening a connection, for a sample on a link after its greeting, and for the greeting of an agent that
+/// was up before: after it the link counts as dead, even if the connection is open.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// For the greeting of an agent that was never up: it may take as long to start. A link that broke without a notice
-/// looks the same, but a new link takes its place, so a reconnect costs nothing.
+/// Timeout for the greeting of an agent that was never up, which may take this long to start. A connection that broke
+/// undetected looks the same, but is replaced by a new one, so a reconnect costs nothing.
 const FIRST_GREETING_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reason codes of a link's end, as they stand in log lines.
+/// Reason codes of a link's end, as written to the log.
 mod end_reason {
-    /// There was nothing to connect to.
+    /// The connection could not be opened.
     pub(super) const UNREACHABLE: &str = "agent_unreachable";
     /// A new configuration names another address.
     pub(super) const MOVED: &str = "agent_moved";
@@ -46,33 +47,33 @@
     pub(super) const CLOSED: &str = "agent_closed";
     /// The agent does not read its commands.
     pub(super) const UNREAD: &str = "agent_unread";
-    /// What was awaited did not come in time.
+    /// An awaited greeting or sample did not arrive in time.
     pub(super) const SILENT: &str = "agent_silent";
     /// A line could not be read.
     pub(super) const UNREADABLE: &str = "agent_nonsense";
 }
 
-/// Connects to the agent, and reconnects whenever the link ends; each end leaves a log line with its reason.
+/// Connects to the agent, and reconnects whenever the link ends; each end is logged with its reason.
 pub async fn run_link(context: Rc<NodeContext>) {
     let link = context.link.clone();
     let mut backoff = MIN_RETRY_BACKOFF;
     let mut previous_code = "";
     loop {
-        let opened = Instant::now();
+        let started_at = Instant::now();
         let code = connect_and_serve(&context, &link).await;
         link.on_disconnected();
-        // One line says that nobody listens, not one for each try.
+        // Consecutive failed connection attempts are logged once, not once per attempt.
         if code != end_reason::UNREACHABLE || previous_code != end_reason::UNREACHABLE {
             log_event!(
                 "link_end",
                 "end",
                 link = "agent",
                 code = code,
-                after_ms = opened.elapsed().as_millis()
+                after_ms = started_at.elapsed().as_millis()
             );
         }
         previous_code = code;
-        if opened.elapsed() > MAX_RETRY_BACKOFF {
+        if started_at.elapsed() > MAX_RETRY_BACKOFF {
             backoff = MIN_RETRY_BACKOFF;
         }
         if code != end_reason::MOVED {
@@ -86,7 +87,7 @@
     }
 }
 
-/// One link, from its connect to its end; the reason code of the end.
+/// Opens a link and serves it until it ends; returns the reason code of the end.
 async fn connect_and_serve(context: &Rc<NodeContext>, link: &AgentLink) -> &'static str {
     let address = context.peer_addresses.get().agent;
     let connect = descriptors::with_retry(context, "agent", || TcpStream::connect(address));
@@ -110,7 +111,7 @@
     serve(context, link, &stream).await
 }
 
-/// Moves commands and notices over an open connection to its end; the reason code of the end.
+/// Writes commands and reads notices until the connection ends; returns the reason code of the end.
 async fn serve(context: &Rc<NodeContext>, link: &AgentLink, stream: &TcpStream) -> &'static str {
     let mut incoming = Ring::default();
     loop {
@@ -123,7 +124,7 @@
         }
         let is_blocked = !link.outgoing.borrow().is_empty();
         let deadline = link.reply_deadline();
-        // Bytes come before the deadline: a process that was suspended finds both.
+        // Readable bytes take precedence over the deadline: after a suspension of the process, both are ready.
         tokio::select! {
             biased;
             ready = stream.readable() => {
@@ -152,14 +153,14 @@
     link: &AgentLink,
     incoming: &mut Ring,
 ) -> Result<(), &'static str> {
-    let mut used = 0;
+    let mut consumed = 0;
     let bytes = incoming.bytes();
-    while let Some(len) = bytes[used..].iter().position(|&byte| byte == b'\n') {
-        let line = &bytes[used..used + len];
+    while let Some(len) = bytes[consumed..].iter().position(|&byte| byte == b'\n') {
+        let line = &bytes[consumed..consumed + len];
         if let Some(recording) = &*link.recording.borrow() {
-            recording.record(Side::Server, &bytes[used..=used + len]);
+            recording.record(Side::Server, &bytes[consumed..=consumed + len]);
         }
-        used += len + 1;
+        consumed += len + 1;
         if line.trim_ascii().is_empty() {
             continue;
         }
@@ -168,16 +169,16 @@
             skip_if_repeated(context, link, code)?;
         }
     }
-    let rest = bytes.len() - used;
-    incoming.drop_front(used);
+    let rest = bytes.len() - consumed;
+    incoming.drop_front(consumed);
     if rest > MAX_LINE_BYTES {
         return Err(end_reason::UNREADABLE);
     }
     Ok(())
 }
 
-/// A line could not be handled. The first time the link ends, so that the notice is replayed; one that comes as
-/// unreadable again is skipped, as it would break each link there is.
+/// Called for a line that could not be handled. The first time, the link ends, so that the notice is replayed; a line
+/// that is still unreadable after the replay is skipped, as it would end every further link.
 fn skip_if_repeated(
     context: &NodeContext,
     link: &AgentLink,
@@ -196,7 +197,7 @@
     Ok(())
 }
 
-/// Handles one message; kinds that are not known are skipped.
+/// Handles one message; unknown kinds are skipped.
 fn handle_message(
     context: &Rc<NodeContext>,
     link: &AgentLink,
@@ -212,13 +213,13 @@
         "outcome" | "request" | "aside" => on_notice(context, link, kind, message),
         "refusal" => {
             count(&context.counts.refusals);
-            completion::notice(context, kind, 0, message, true)
+            completion::handle_notice(context, kind, 0, message, true)
         }
         _ => Ok(()),
     }
 }
 
-/// The agent is up; the policy starts with the first greeting.
+/// The agent is up; the first greeting starts the policy.
 fn on_greeting(
     context: &Rc<NodeContext>,
     link: &AgentLink,
@@ -233,7 +234,7 @@
     Ok(())
 }
 
-/// The gauges came; with the first sample of a link its replay has been read.
+/// Stores the gauges; the first sample on a link means that its replay was read completely.
 fn on_sampled(
     context: &Rc<NodeContext>,
     link: &AgentLink,
@@ -257,7 +258,7 @@
     Ok(())
 }
 
-/// A numbered notice; what was read on an earlier link is not handled twice.
+/// Handles a numbered notice, unless it was already handled on an earlier link.
 fn on_notice(
     context: &NodeContext,
     link: &AgentLink,
@@ -271,7 +272,7 @@
     count(&context.counts.notices);
     if offset > link.last_offset.get() {
         let is_replayed = link.unreadable_after.get() == Some(link.last_offset.get());
-        completion::notice(context, kind, offset, message, is_replayed)?;
+        completion::handle_notice(context, kind, offset, message, is_replayed)?;
         link.last_offset.set(offset);
     }
     Ok(())
--- a/crates/node/src/agent_link.rs
+++ b/crates/node/src/agent_link.rs
@@ -1,5 +1,5 @@
-//! The state of the link to the execution agent, as the rest of the node sees it. No I/O happens here:
-//! [`crate::agent`] moves the bytes.
+//! The state of the link to the execution agent, as used by the rest of the node. No I/O happens here:
+//! [`crate::agent`] reads and writes the socket.
 
 use crate::counters::Counts;
 use crate::socket_buffer::Ring;
@@ -13,38 +13,38 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Enough for most commands, in bytes: a launch with a short body.
+/// Initial buffer size for a command, in bytes: enough for a launch with a short body.
 const COMMAND_CAPACITY: usize = 128;
 
 /// The link to the agent.
 #[derive(Default)]
 pub struct AgentLink {
-    /// Commands that are not written yet.
+    /// Commands that are not written to the socket yet.
     pub(crate) outgoing: RefCell<Ring>,
-    /// Where this link is recorded, if it is.
+    /// The recording of this link, if it is recorded.
     pub(crate) recording: RefCell<Option<ConnectionRecorder>>,
     /// Wakes the task that serves the link.
     pub(crate) wakeup: Notify,
-    /// The replay was read: commands go out as they come. Before, they are only noted in the table.
+    /// Whether the replay was read, so that commands are sent immediately. Before that, only the table records them.
     pub(crate) is_ready: Cell<bool>,
     /// The number of the last notice that was read.
     pub(crate) last_offset: Cell<u64>,
-    /// The number of the notice behind which a line could not be read.
+    /// The number of the last notice before the line that could not be read.
     pub(crate) unreadable_after: Cell<Option<u64>>,
-    /// Samples requested so far; the first of a link marks the replay's end.
+    /// Samples requested so far; the first sample on a link marks the end of its replay.
     pub(crate) samples_requested: Cell<u64>,
-    /// Since when a greeting or a sample is awaited.
+    /// When the wait for a greeting or a sample began.
     pub(crate) awaiting_since: Cell<Option<Instant>>,
-    /// For how long it is awaited before the link counts as dead.
+    /// How long a greeting or a sample is awaited before the link counts as dead.
     pub(crate) reply_timeout: Cell<Duration>,
-    /// Notifies those that wait for gauges.
+    /// Notifies tasks that wait for gauges.
     pub sampled: Notify,
-    /// The agent has another address: the link is to be opened there.
+    /// Notified when the agent's address changes: the link must be reopened there.
     pub moved: Notify,
 }
 
 impl AgentLink {
-    /// Sends a command; before the replay was read it is dropped, as the table knows to send it then.
+    /// Sends a command. Until the replay was read it is dropped, as [`crate::dispatch::resend`] sends it then.
     pub fn command(&self, line: fmt::Arguments) {
         if self.is_ready.get() {
             self.write(line);
@@ -80,7 +80,7 @@
         ));
     }
 
-    /// A connection to the agent is open: subscribes to the notices that were not read yet.
+    /// A connection to the agent was opened: subscribes to the notices that were not read yet.
     pub(crate) fn on_connected(
         &self,
         recording: Option<ConnectionRecorder>,
@@ -103,13 +103,13 @@
         self.awaiting_since.set(None);
     }
 
-    /// When the link counts as dead, if something is awaited on it.
+    /// When the link counts as dead, if a greeting or a sample is awaited.
     pub(crate) fn reply_deadline(&self) -> Option<Instant> {
         let since = self.awaiting_since.get()?;
         Some(since + self.reply_timeout.get())
     }
 
-    /// The link's part of the counters' line.
+    /// The link's part of the counters log line.
     pub fn state(&self, counts: &Counts) -> String {
         format!(
             "ready={} last={} links={}",
@@ -120,7 +120,7 @@
     }
 }
 
-/// The gauges in a sample: `load` holds the values in the order of the settings' gauges, which `names` lists.
+/// The gauges in a sample: `load` holds the values in the order of the gauge names in the settings, `names`.
 pub fn gauges(names: &[String], load: &[Value]) -> Gauges {
     let value = |name: &str| {
         let position = names.iter().position(|known| known == name)?;
--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -1,4 +1,5 @@
-//! Outcomes: of runs, from the agent's notices to the one answer; of calls, back to the run that waits.
+//! Outcomes: turns the end of a run, as reported by the agent, into the request's answer, and passes the outcome of a
+//! downstream call to the run that waits for it.
 
 use crate::context::NodeContext;
 use crate::counters::count;
@@ -11,15 +12,16 @@
 use serde_json::Value;
 use std::time::Instant;
 
-/// Why a notice cannot be handled: the reason code of the link's end.
+/// The reason code with which the link is closed when a notice cannot be read.
 const UNREADABLE: &str = "agent_nonsense";
 
-/// Handles a notice that names a request. One that is no longer in the table is skipped; `is_replayed`: the notice
-/// could not be read before, and is not asked for once more.
+/// Handles a notice about a request. If the request is not in the table, an earlier process may have launched it, and
+/// the outcome of its run is reported to the group. `is_replayed` means that the notice was unreadable before and is
+/// not requested once more.
 ///
 /// # Errors
-/// The reason code for which the link is to end, where the notice cannot be read.
-pub fn notice(
+/// The reason code with which the link must be closed, if the notice cannot be read.
+pub fn handle_notice(
     context: &NodeContext,
     kind: &str,
     offset: u64,
@@ -27,7 +29,7 @@
     is_replayed: bool,
 ) -> Result<(), &'static str> {
     let text = |key: &str| notice.get(key).and_then(Value::as_str).unwrap_or_default();
-    let Some(index) = index_of(context, text("req")) else {
+    let Some(index) = request_index(context, text("req")) else {
         report_prior_run(context, kind, text("result"), text("req"), text("payload"));
         return Ok(());
     };
@@ -37,9 +39,9 @@
         .and_then(|payload| BASE64_STANDARD.decode(payload).ok());
     match (kind, text("result"), payload) {
         ("request", _, Some(body)) => on_call_requested(context, index, offset, body),
-        // Not read as an empty body, which would make another call than the run asked for: the notice is replayed, and
-        // the request fails if it is no better then.
-        // The guard holds for both patterns.
+        // Not treated as an empty body, which would be a different call than the run requested: the notice is replayed,
+        // and the request fails if it is still unreadable.
+        // The guard applies to both patterns.
         ("request", ..) | ("outcome", "fine", None) if !is_replayed => return Err(UNREADABLE),
         ("request", ..) => context.drive_policy(|policy, now, table| {
             table.fail(index);
@@ -57,13 +59,13 @@
     Ok(())
 }
 
-/// The index of the request that a notice names.
-fn index_of(context: &NodeContext, trace: &str) -> Option<usize> {
+/// The index of the request with this trace, if it is in the table.
+fn request_index(context: &NodeContext, trace: &str) -> Option<usize> {
     let trace: [u8; 16] = trace.as_bytes().try_into().ok()?;
     context.core.borrow().table.by_trace.get(&trace).copied()
 }
 
-/// The agent refused a command. Where it was the launch nothing ran: no run failed, and no tenant is charged.
+/// The agent refused a command. If that was the launch, nothing ran: the run did not fail, and no tenant is charged.
 fn on_refusal(context: &NodeContext, index: usize, command: &str, trace: &str) {
     log_frequent!(
         "agent_refused",
@@ -76,7 +78,7 @@
     }
 }
 
-/// The outcome of a run that this process did not launch.
+/// Remembers the outcome of a run that this process did not launch, to report it to the group.
 fn report_prior_run(context: &NodeContext, kind: &str, result: &str, trace: &str, payload: &str) {
     let Ok(trace) = trace.as_bytes().try_into() else {
         return;
@@ -96,7 +98,7 @@
     }
 }
 
-/// Ends runs in the table whose end nothing will report.
+/// Ends the runs in the table whose end will not be reported any more.
 pub fn end_orphans(context: &NodeContext, now: Instant) {
     let orphans = context.core.borrow_mut().table.orphans(now);
     for index in orphans {
@@ -113,38 +115,41 @@
             ticket = index,
             trace = trace.unwrap_or_default()
         );
-        // Whether it ran is not known, and its key records just that.
+        // Whether it ran is unknown, and its key records that.
         context.drive_policy(|_, _, table| {
             idempotency::on_run_finished(table, index, RunEnd::Failed);
-            table.close_key(index, Outcome::Cancelled, &[]);
+            table.complete_key(index, Outcome::Cancelled, &[]);
         });
-        // To the policy it never ran: a minute of waiting is no run time, and is charged to nobody.
+        // Reported to the policy as never started: a minute of waiting is no run time, and is charged to no tenant.
         on_run_ended(context, index, Outcome::NeverStarted, &[]);
     }
 }
 
-/// A run ended: its request is answered, and the policy hears of it.
+/// A run ended: answers its request, and notifies the policy.
 fn on_run_ended(context: &NodeContext, index: usize, outcome: Outcome, result: &[u8]) {
     context.drive_policy(|policy, now, table| {
-        let Some(request) = table.request_mut(index).filter(|request| request.is_run()) else {
+        let Some(request) = table
+            .request_mut(index)
+            .filter(|request| request.is_launched())
+        else {
             return;
         };
         if let Some(call) = request.call.take() {
             call.abort();
         }
         let has_claim = request.claim.is_some();
-        table.close_key(index, outcome, result);
+        table.complete_key(index, outcome, result);
         if has_claim {
             idempotency::on_run_finished(table, index, run_end(outcome, result));
         } else if outcome != Outcome::Cancelled {
-            // One that was cancelled is answered by the policy, which knows whether it ordered that.
+            // A cancelled run is answered by the policy, which knows whether it ordered the cancellation.
             table.finish(index, outcome, result);
         }
         policy.on_run_finished(now, table, index, outcome);
     });
 }
 
-/// A run's end as the group records it.
+/// The end of a run, as recorded by the group.
 fn run_end(outcome: Outcome, result: &[u8]) -> RunEnd {
     match outcome {
         Outcome::Succeeded => RunEnd::Result(Bytes::copy_from_slice(result)),
@@ -153,10 +158,13 @@
     }
 }
 
-/// A run asks for a call to the tier below; the policy decides whether it is made.
+/// A run requests a downstream call; the policy decides whether it is made.
 fn on_call_requested(context: &NodeContext, index: usize, offset: u64, body: Vec<u8>) {
     context.drive_policy(|policy, now, table| {
-        let Some(request) = table.request_mut(index).filter(|request| request.is_run()) else {
+        let Some(request) = table
+            .request_mut(index)
+            .filter(|request| request.is_launched())
+        else {
             return;
         };
         let call = DownstreamCall {
@@ -164,14 +172,14 @@
             body: body.into(),
             state: CallState::Pending,
         };
-        if let Some(before) = request.call.replace(call) {
-            before.abort();
+        if let Some(previous) = request.call.replace(call) {
+            previous.abort();
         }
         policy.on_downstream_call(now, table, index);
     });
 }
 
-/// A call to the tier below ended. `serial` tells whether the request is still the one that the call was made for.
+/// A downstream call ended. It is ignored unless the request at `index` still has the serial number `serial`.
 pub fn call_ended(
     context: &NodeContext,
     index: usize,
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! What the table sends: commands to the agent, and calls to the tier below.
+//! Commands that the table sends to the agent, and downstream calls that it starts.
 
 use crate::agent_link::AgentLink;
 use crate::counters::count;
@@ -8,7 +8,7 @@
 use rainstand::Outcome;
 use std::time::Duration;
 
-/// Launches a request's run. `class_names`: the classes' names as JSON strings, by their indices.
+/// Launches a request's run. `class_names` holds the class names as JSON strings, by class index.
 pub fn launch(agent: &AgentLink, request: &Request, class_names: &[String]) {
     let trace = String::from_utf8_lossy(&request.trace);
     let method = &class_names[request.class];
@@ -18,13 +18,13 @@
     ));
 }
 
-/// A command that needs no more than the request's name.
+/// Sends a command whose only argument is the request's trace.
 pub fn command(agent: &AgentLink, name: &str, request: &Request) {
     let trace = String::from_utf8_lossy(&request.trace);
     agent.command(format_args!("{{\"cmd\":\"{name}\",\"req\":\"{trace}\"}}\n"));
 }
 
-/// Sends what became of the call to the run that waits for it, if that is settled.
+/// Sends the outcome of a call to the run that waits for it, if the call was answered or skipped.
 pub fn call_result(agent: &AgentLink, request: &Request) {
     let trace = String::from_utf8_lossy(&request.trace);
     let Some(call) = &request.call else { return };
@@ -45,16 +45,16 @@
     }
 }
 
-/// After a reconnect whose replay was read: sends all commands again of which no notice says that they came through.
-/// A run that the replay reported to be over is no longer in the table.
+/// After a reconnect and its replay: resends all commands that no notice has confirmed. Runs that the replay reported as
+/// ended are no longer in the table.
 pub fn resend(table: &mut RequestTable) {
     let (agent, counts) = (&table.agent, &table.counts);
     let requests = table.requests.iter().flatten();
-    let mut running: Vec<&Request> = requests.filter(|request| request.is_run()).collect();
+    let mut running: Vec<&Request> = requests.filter(|request| request.is_launched()).collect();
     running.sort_by_key(|request| request.serial);
     for request in running {
         count(&counts.resent);
-        // Also for a run that was cancelled: where nothing ran, the launch brings the notice that it came too late.
+        // Also for a cancelled run: if nothing ran, the agent answers the launch with the notice that it is too late.
         if request.call.is_none() {
             launch(agent, request, &table.class_names);
         }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Makes the call that a run waits for; the policy hears of its outcome.
+/// Makes the call that a run waits for; the policy is notified of its outcome.
 pub fn call(table: &mut RequestTable, index: usize, time_left: Duration) {
     let tasks = table.tasks.clone();
     let slot = table.requests.get_mut(index).and_then(Option::as_mut);
@@ -90,8 +90,8 @@
             tasks.make_call(order).await;
         }
     });
-    let before = std::mem::replace(&mut call.state, CallState::InProgress(task.abort_handle()));
-    if let CallState::InProgress(before) = before {
-        before.abort();
+    let previous = std::mem::replace(&mut call.state, CallState::InProgress(task.abort_handle()));
+    if let CallState::InProgress(previous) = previous {
+        previous.abort();
     }
 }
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -1,7 +1,7 @@
-//! Calls to the tier below over HTTP/1.1, each on a connection of its own.
+//! Downstream calls over HTTP/1.1, each on its own connection.
 //!
-//! On a connection that served before, a reset does not tell whether the call ran, and surplus bytes behind the last
-//! reply would answer this call. Under normal load the cost of opening a connection for each call does not show.
+//! On a reused connection, a reset would not tell whether the call ran, and surplus bytes after the previous reply
+//! would be read as the reply to this call. Under normal load, the cost of one connection per call is not noticeable.
 
 use crate::context::NodeContext;
 use crate::request_table::CallOrder;
@@ -16,12 +16,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How much longer than stated an answer is waited for: the way back of one that was just in time.
+/// How long a reply is awaited after the stated timeout: the network delay of a reply that was sent just in time.
 const REPLY_GRACE: Duration = Duration::from_millis(15);
 
-/// What a call brought.
+/// The reply to a call.
 pub struct CallReply {
-    /// How it ended, with what that proves.
+    /// How the call ended, and what that proves about its execution.
     pub outcome: Outcome,
     /// The body of the reply, if there was one.
     pub body: Vec<u8>,
@@ -34,14 +34,14 @@
     }
 }
 
-/// Makes one call. Dropping the future closes the connection, which gives the call up.
+/// Makes one call. Dropping the future closes the connection, which cancels the call.
 pub async fn call(context: &NodeContext, order: &CallOrder) -> CallReply {
     let pool = context.core.borrow().table.downstream.clone();
     let Some(slot) = pool.acquire() else {
         return CallReply::without_body(Outcome::Unreachable);
     };
     let deadline = Instant::now() + order.time_left;
-    // Nothing is written until the connection is open, so whatever goes wrong before, nothing ran.
+    // Nothing is written until the connection is open, so after any earlier failure nothing ran.
     connections::reserve_for_call(context).await;
     let address = slot.address;
     let connect = descriptors::with_retry(context, "call", || TcpStream::connect(address));
@@ -87,7 +87,7 @@
 /// Writes a request and reads one complete reply with its body.
 ///
 /// # Errors
-/// Where the socket fails or ends before the reply does, or the reply is no HTTP.
+/// If the socket fails or is closed before the reply is complete, or the reply is not HTTP.
 pub async fn exchange(
     stream: &TcpStream,
     request: &[u8],
@@ -114,14 +114,14 @@
         if let Some(mut head) = http::reply(bytes).map_err(io::Error::other)? {
             record(Side::Server, bytes);
             let body = bytes[head.body.clone()].to_vec();
-            // Surplus bytes would answer the next request.
+            // Surplus bytes would be read as the reply to the next request.
             head.closes |= bytes.len() > head.body.end;
             return Ok(HttpReply { head, body });
         }
     }
 }
 
-/// What a reply proves of the call. Only a status that agrees with the header proves that nothing ran.
+/// The outcome of a call that a reply proves. Only a status that agrees with the header proves that nothing ran.
 pub fn outcome(reply: &http::Reply) -> Outcome {
     match (reply.status, reply.never_started) {
         (200, _) => Outcome::Succeeded,
--- a/crates/node/src/downstream_pool.rs
+++ b/crates/node/src/downstream_pool.rs
@@ -1,4 +1,4 @@
-//! The state of the calls to the tier below: where they go, and how many are out. No I/O happens here:
+//! The state of downstream calls: their address, and how many are in flight. No I/O happens here:
 //! [`crate::downstream`] makes the calls.
 
 use crate::traffic_recording::TrafficRecording;
@@ -6,21 +6,21 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Calls that may be out at once, by the descriptors that are reserved for them.
+/// Maximum number of concurrent calls, by the descriptors that are reserved for them.
 pub const MAX_CALLS: usize = 192;
 
-/// The calls to the tier below.
+/// The state of the calls to the downstream server.
 pub struct DownstreamPool {
     address: Cell<Option<SocketAddr>>,
-    /// Calls that are out, each with its descriptor.
+    /// Number of calls in flight; each uses a descriptor.
     pub out: Cell<usize>,
-    /// Where calls are recorded, if they are.
+    /// The recording of calls, if they are recorded.
     pub record: OnceCell<Rc<TrafficRecording>>,
 }
 
-/// One call that is out; given back when it is dropped, however the call ends.
+/// A slot for one call in flight; released when it is dropped, however the call ends.
 pub struct CallSlot<'a> {
-    /// Where the call goes.
+    /// The address that is called.
     pub address: SocketAddr,
     out: &'a Cell<usize>,
 }
@@ -32,7 +32,7 @@
 }
 
 impl DownstreamPool {
-    /// No calls yet; the last tier has no address to call.
+    /// A pool without calls; a node of the last tier has no address to call.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self {
             address: Cell::new(address),
@@ -41,12 +41,12 @@
         }
     }
 
-    /// From now on calls go there; those that are out end where they are.
+    /// Sets the address of future calls; calls in flight keep their connections.
     pub fn move_to(&self, address: Option<SocketAddr>) {
         self.address.set(address);
     }
 
-    /// A slot for one call; None without an address, or with [`MAX_CALLS`] out.
+    /// A slot for one call; `None` without an address, or with [`MAX_CALLS`] in flight.
     pub fn acquire(&self) -> Option<CallSlot<'_>> {
         let address = self.address.get().filter(|_| self.out.get() < MAX_CALLS)?;
         self.out.set(self.out.get() + 1);
--- a/crates/node/src/group_claim.rs
+++ b/crates/node/src/group_claim.rs
@@ -1,4 +1,4 @@
-//! What makes a request one whose start and result a group agrees on.
+//! A request's claim to its idempotency key, on whose start and result the group must agree.
 
 use bytes::Bytes;
 use rainstand_replicated_state::idempotent_request::RequestStage;
@@ -6,9 +6,9 @@
 
 /// A request's claim to its key in the group.
 pub struct GroupClaim {
-    /// Its class and its name, which all tries of it carry alike.
+    /// Its class and name, the same in all its attempts.
     pub key: Bytes,
-    /// Over class, tenant and body: a key is never answered with the result of another request.
+    /// Hash of class, tenant and body, so that a key is never answered with the result of a different request.
     pub(crate) fingerprint: u64,
     /// How long a retry is recognized.
     pub(crate) window: Duration,
@@ -25,7 +25,7 @@
     pub class: &'a str,
     /// The name of its tenant; empty where there is none.
     pub tenant: &'a str,
-    /// What all tries of it carry alike: its nonce, or the entity that it is about.
+    /// Its nonce, or the entity that it concerns; the same in all its attempts.
     pub name: &'a str,
     /// Its body.
     pub body: &'a [u8],
@@ -39,7 +39,7 @@
             .into()
     }
 
-    /// Over class, tenant and body, each behind its length.
+    /// Hash of class, tenant and body, each prefixed with its length.
     fn fingerprint(&self) -> u64 {
         let mut bytes = Vec::new();
         for part in [self.class.as_bytes(), self.tenant.as_bytes(), self.body] {
@@ -51,7 +51,7 @@
 }
 
 impl GroupClaim {
-    /// A claim that was not sent to the group yet. `window`: how long a retry is recognized; `deadline`: when the
+    /// A claim that was not sent to the group yet. `window` is how long a retry is recognized, `deadline` when the
     /// caller stops waiting.
     pub fn new(request: &ClaimedRequest, window: Duration, deadline: Instant) -> Self {
         Self {
--- a/crates/node/src/group_handle.rs
+++ b/crates/node/src/group_handle.rs
@@ -1,4 +1,4 @@
-//! The node's member of its group, with the runs of an earlier process whose keys are still looked for.
+//! The node's member of its group, and the runs of an earlier process whose keys were not found yet.
 
 use crate::request::Trace;
 use bytes::Bytes;
@@ -11,33 +11,34 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// For a command that nobody waits for.
-pub(crate) const UNWATCHED_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a command whose outcome is ignored.
+pub(crate) const DETACHED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs of an earlier process that are remembered until their keys were read from the disk; the oldest goes first.
+/// Maximum number of runs of an earlier process that are remembered until their keys were read from disk; the oldest is
+/// dropped first.
 const MAX_PRIOR_RUNS: usize = 4_000;
 
-/// For how long each of them is remembered.
+/// How long each of these runs is remembered.
 const PRIOR_RUN_MAX_AGE: Duration = Duration::from_secs(30);
 
-/// Between two tries to find their keys.
+/// Interval between two attempts to find their keys.
 const PRIOR_RUN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A run that the agent reports and this process did not launch.
+/// A run that the agent reported and this process did not launch.
 struct PriorRun {
     trace: Trace,
     end: RunEnd,
     reported_at: Instant,
 }
 
-/// What the node's request table needs of the group.
+/// The request table's access to the group.
 pub struct GroupHandle {
     member: Rc<ClusterMember>,
     prior_runs: RefCell<VecDeque<PriorRun>>,
 }
 
 impl GroupHandle {
-    /// For a member that has started.
+    /// A handle to a member that has started.
     pub fn new(member: Rc<ClusterMember>) -> Self {
         Self {
             member,
@@ -50,7 +51,7 @@
         &self.member
     }
 
-    /// A command about a key, in the name of the request with this trace.
+    /// A command about a key, on behalf of the request with this trace.
     pub(crate) fn command(&self, trace: &Trace, key: &Bytes, operation: Operation) -> Command {
         let claim = self.member.inspect(|member| member.claim(trace));
         Command {
@@ -60,16 +61,16 @@
         }
     }
 
-    /// A command that nobody waits for. Where the member has no capacity for it the key stays claimed until its window
-    /// is over: retries are answered that it may have run.
-    pub(crate) fn send_unwatched(&self, trace: &Trace, key: &Bytes, operation: Operation) {
+    /// Sends a command whose outcome is ignored. If the member has no capacity for it, the key stays claimed until its
+    /// window ends, and retries get the answer that the request may have run.
+    pub(crate) fn send_detached(&self, trace: &Trace, key: &Bytes, operation: Operation) {
         let command = self.command(trace, key, operation);
         let _ = self
             .member
-            .request(command, UNWATCHED_TIMEOUT, Rc::new(|_| {}));
+            .request(command, DETACHED_TIMEOUT, Rc::new(|_| {}));
     }
 
-    /// Remembers a run that this process did not launch: an earlier one may have.
+    /// Remembers a run that this process did not launch, as an earlier process may have launched it.
     pub(crate) fn remember_prior_run(&self, trace: Trace, end: RunEnd) {
         let mut prior_runs = self.prior_runs.borrow_mut();
         if prior_runs.len() >= MAX_PRIOR_RUNS {
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Reports to the group how remembered runs ended, each once its key was read from the replicated state here.
+    /// Reports to the group how remembered runs ended, each once its key is found in the local replicated state.
     pub(crate) async fn report_prior_runs(self: Rc<Self>) {
         loop {
             sleep(PRIOR_RUN_POLL_INTERVAL).await;
@@ -103,7 +104,7 @@
                 RunEnd::Failed => Operation::Failed(true),
                 RunEnd::NeverRan => Operation::Withdraw(true),
             };
-            self.send_unwatched(&run.trace, &key, operation);
+            self.send_detached(&run.trace, &key, operation);
         } else if run.reported_at.elapsed() < PRIOR_RUN_MAX_AGE {
             self.prior_runs.borrow_mut().push_back(run);
         }
--- a/crates/node/src/group_membership.rs
+++ b/crates/node/src/group_membership.rs
@@ -1,4 +1,4 @@
-//! Joining the group that a configuration names, following its members, and its events in the log.
+//! Joins the configured group, applies changes of its members, and logs its events.
 
 use crate::context::NodeContext;
 use crate::group_handle::GroupHandle;
@@ -13,10 +13,10 @@
 /// The environment variable with the path of the compiled configuration.
 const SETTINGS_VARIABLE: &str = "RAINSTAND_SETTINGS";
 
-/// Descriptors that a member's store takes: its folder, the log's two files, a snapshot, and as many to spare.
+/// Descriptors reserved for a member's store: its folder, the log's two files, a snapshot, and as many in reserve.
 const STORE_DESCRIPTORS: usize = 8;
 
-/// Descriptors that a member takes: a link to each other member and one from it, and its store.
+/// Descriptors that a member uses: one connection to and one from each other member, and its store.
 fn member_descriptors(members: usize) -> usize {
     2 * members.saturating_sub(1) + STORE_DESCRIPTORS
 }
@@ -28,13 +28,13 @@
     Io(#[from] io::Error),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("no group")]
+    #[error("the configuration has no group")]
     NoGroup,
     #[error(transparent)]
-    Refused(#[from] ClusterError),
+    Cluster(#[from] ClusterError),
 }
 
-/// Joins the group that a configuration names.
+/// Joins the group of a configuration.
 ///
 /// # Errors
 /// If the member cannot start.
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// Reads the configuration again, at SIGHUP: its members hold from here on, or the old ones where it is refused.
+/// Reloads the configuration on SIGHUP and applies its members; if it is rejected, the old members stay.
 pub async fn reload(context: &NodeContext) {
     let handle = context.core.borrow().table.group.clone();
     let path = std::env::var_os(SETTINGS_VARIABLE);
@@ -70,21 +70,21 @@
             context.reserved_descriptors.set(member_descriptors(count));
             log_event!(
                 "group_members_applied",
-                "members of the group",
+                "group members applied",
                 count = count
             );
         }
         Err(error) => {
             log_event!(
                 "group_members_rejected",
-                "group rejected, the old members stay",
+                "group members rejected, the old members stay",
                 why = error.to_string().escape_debug()
             );
         }
     }
 }
 
-/// Applies the members in the text of a configuration; how many they are.
+/// Applies the members in the text of a configuration, and returns their number.
 fn set_members(handle: &GroupHandle, text: &str) -> Result<usize, MembersError> {
     let settings = Settings::read(text)?;
     let group = settings.group.ok_or(MembersError::NoGroup)?;
@@ -125,7 +125,7 @@
         }
         GroupEvent::StaleDisk { reason } => log_event!(
             "replica_quarantined",
-            "the files are quarantined, and this is a new member",
+            "stale files quarantined, the node starts as a new member",
             why = reason
         ),
         GroupEvent::StalePeer { name, disk, reason } => log_event!(
@@ -143,17 +143,17 @@
         ),
         GroupEvent::DiskStalled => log_event!(
             "disk_stalled",
-            "the disk stalled: nothing is confirmed here"
+            "the disk stalled: this member confirms nothing"
         ),
         GroupEvent::DiskFailed { reason } => log_event!(
             "disk_failed",
-            "the disk failed: nothing is confirmed here until a restart",
+            "the disk failed: this member confirms nothing until a restart",
             why = reason
         ),
     }
 }
 
-/// Logs that this replica's entries up to `index` have another checksum than the majority's.
+/// Logs that the checksum of this replica's entries up to `index` differs from the majority's.
 fn log_divergence(shard: u16, index: u64, own_checksum: u64, majority_checksum: u64) {
     log_event!(
         "replica_diverged",
--- a/crates/node/src/idempotency.rs
+++ b/crates/node/src/idempotency.rs
@@ -1,16 +1,16 @@
-//! Requests of a node in a group that have an idempotency key: the group agrees on the start before the launch, and on
-//! the result before the answer.
+//! Requests with an idempotency key on a node that is a member of a group: the group agrees on the start before the
+//! launch, and on the result before the answer.
 //!
-//! The steps are those of `rainstand_replicated_state::idempotent_request`; here they are carried out. The policy still
-//! decides what is admitted and when it runs: at its order to run, the key is claimed. To the policy, a request that
-//! the group turns away is one that never ran.
+//! `rainstand_replicated_state::idempotent_request` defines the steps; this module carries them out. The policy still
+//! decides which requests are admitted and when they run: its order to run claims the key. A request that the group
+//! rejects is reported to the policy as never started.
 //!
-//! A request whose run is over leaves the table; its reply waits in `RequestTable::awaiting_commit` until the group has
-//! agreed on the result.
+//! A request whose run ended is removed from the table; its reply waits in `RequestTable::awaiting_commit` until the
+//! group has agreed on the result.
 
 use crate::counters::count;
 use crate::dispatch;
-use crate::group_handle::{GroupHandle, UNWATCHED_TIMEOUT};
+use crate::group_handle::{GroupHandle, DETACHED_TIMEOUT};
 use crate::request::{RunState, Trace};
 use crate::request_table::{FinishedRun, RequestTable};
 use bytes::Bytes;
@@ -22,10 +22,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between the answer that the group agrees on and the caller's deadline: a few of the policy's ticks.
+/// Time reserved between the group's agreement on a result and the caller's deadline: a few of the policy's ticks.
 const REPLY_MARGIN: Duration = Duration::from_millis(80);
 
-/// The policy's order to run a request with a claim: the group is asked first.
+/// Carries out the policy's order to run a request with a claim: claims its key in the group first.
 pub fn claim(table: &mut RequestTable, index: usize) {
     let (Some(group), tasks) = (table.group.clone(), table.tasks.clone()) else {
         return;
@@ -59,7 +59,8 @@
     }
 }
 
-/// The group answered a claim, or did not in time; `serial` tells whether its request is still the one at `index`.
+/// The group answered a claim, or did not in time. It is ignored unless the request at `index` still has the serial
+/// number `serial`.
 pub fn on_claim_outcome(
     table: &mut RequestTable,
     index: usize,
@@ -76,26 +77,26 @@
     outcome.map_or(RequestEvent::TimedOut, RequestEvent::Outcome)
 }
 
-/// Nobody waits for the request any more. A run goes on: its result serves retries.
+/// The caller cancelled the request. A run continues, as its result answers retries.
 pub fn on_caller_left(table: &mut RequestTable, index: usize) {
     apply_event(table, index, RequestEvent::CallerLeft);
 }
 
-/// The run of a request with a claim is over; the policy hears of it as of any other.
+/// The run of a request with a claim ended; the policy is notified as for any other run.
 pub fn on_run_finished(table: &mut RequestTable, index: usize, end: RunEnd) {
     apply_event(table, index, RequestEvent::RunFinished(end));
 }
 
-/// What an action means to the policy.
+/// How an action appears to the policy.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PolicyView {
-    /// It hears of the run's end, if there is one, as of any other.
+    /// It is notified of the run's end, if there is one, as for any other run.
     Unchanged,
-    /// Turned away before anything was launched.
+    /// The request ended before anything was launched.
     NeverRan,
 }
 
-/// Moves a request's stage and carries out the action that follows.
+/// Advances a request's stage by an event and carries out the action that follows.
 fn apply_event(table: &mut RequestTable, index: usize, event: RequestEvent) {
     let Some(group) = table.group.clone() else {
         return;
@@ -192,7 +193,7 @@
     }
 }
 
-/// The group's answer to a pending claim no longer matters.
+/// Stops waiting for the group's answer to a pending claim.
 fn forget_claim(table: &mut RequestTable, group: &GroupHandle, index: usize) {
     let claim = table
         .request_mut(index)
@@ -202,17 +203,17 @@
     }
 }
 
-/// Tells the group how a run without a result ended.
+/// Reports to the group how a run without a result ended.
 fn send_end(table: &mut RequestTable, group: &GroupHandle, index: usize, operation: Operation) {
     let Some(request) = table.request_mut(index) else {
         return;
     };
     if let Some(claim) = &request.claim {
-        group.send_unwatched(&request.trace, &claim.key, operation);
+        group.send_detached(&request.trace, &claim.key, operation);
     }
 }
 
-/// Has the group agree on a result; the caller is answered then, or failed in time.
+/// Replicates a result in the group; the caller is answered once it is committed, or gets an error before its deadline.
 fn replicate_result(table: &mut RequestTable, group: &GroupHandle, index: usize, result: Bytes) {
     let Some(request) = table.request_mut(index) else {
         return;
@@ -225,14 +226,14 @@
     let timeout = if reply.is_some() {
         time_left.saturating_sub(REPLY_MARGIN)
     } else {
-        UNWATCHED_TIMEOUT
+        DETACHED_TIMEOUT
     };
     let tasks = table.tasks.clone();
     let number = table.retain_reply(reply);
-    let agreed = result.clone();
+    let replicated = result.clone();
     let on_outcome = move |outcome: Option<ClaimOutcome>| {
         if let Some(tasks) = tasks.upgrade() {
-            tasks.on_result_outcome(number, &agreed, outcome);
+            tasks.on_result_outcome(number, &replicated, outcome);
         }
     };
     let command = group.command(&trace, &key, Operation::Done(result));
@@ -246,7 +247,7 @@
     }
 }
 
-/// The group agreed on a result, or did not in time: the reply with this number is given.
+/// The group agreed on a result, or did not in time: sends the reply with this number.
 pub fn on_result_outcome(
     table: &mut RequestTable,
     number: u64,
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -1,7 +1,7 @@
-//! Frames of the dispatchers: requests, cancellations and probes, from bytes to the policy's arrival.
+//! Frames received from callers: decodes requests, cancellations and probes, and hands requests to the policy.
 //!
-//! A request is parsed, looked up in the table, and either rejected or inserted; the policy hears of it only once it
-//! is in the table. Texts of exceptions go to the caller as they are.
+//! A request is parsed, looked up in the table, and either rejected or inserted; the policy is notified only after the
+//! insertion. Exception texts are sent to the caller verbatim.
 
 use crate::connection::Connection;
 use crate::context::NodeContext;
@@ -16,36 +16,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Requests open on one connection, by the protocol.
+/// Open requests allowed per connection, by the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
 
 /// The longest body, in bytes, by the protocol.
 const MAX_BODY_BYTES: usize = 2 * 1024;
 
-/// The longest nonce or entity, in bytes: longer than any identifier, and cheap to cache.
+/// Longest nonce or entity, in bytes: longer than any identifier in use, and cheap to cache.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Exceptions on a connection on which nothing was served yet, past which it ends: two full sets of open requests.
+/// Number of exceptions that closes a connection on which no request was served or rejected and no probe answered:
+/// two full sets of open requests.
 const MAX_EXCEPTIONS: u64 = 64;
 
-/// Bodies of requests in flight may take this part of the memory: an eighth.
+/// Divisor of the memory limit for the bodies of requests in flight: one eighth.
 const BODY_MEMORY_FRACTION: usize = 8;
 
-/// Memory booked for a held request, in KB, by the protocol; exclusive.
+/// Upper bound, exclusive, of the memory reserved for a queued request, in KB, by the protocol.
 const MAX_HELD_KB: f64 = 2_000.0;
 
-/// How far from now a request may be born, either way, and how long its caller may wait: longer than any suspension
-/// and any deadline, and more than the clocks of two machines differ, so that one wrong clock does not get every
-/// request refused.
-const MAX_CLOCK_DISTANCE: Duration = Duration::from_mins(10);
+/// Largest difference, in either direction, between now and a request's creation time, and the longest caller timeout:
+/// longer than any process suspension, any deadline and the clock skew between two machines, so that one wrong clock
+/// does not get every request refused.
+const MAX_CLOCK_SKEW: Duration = Duration::from_mins(10);
 
-/// Why a request is refused: the text of the exception that its caller gets.
+/// Why a request is refused: the text of the exception that is sent to its caller.
 type Refusal = &'static str;
 
 /// Handles one frame.
 ///
 /// # Errors
-/// The reason code for which the connection is to end.
+/// The reason code with which the connection must be closed.
 pub fn handle_frame(
     context: &NodeContext,
     conn: &Rc<Connection>,
@@ -60,9 +61,9 @@
             conn.send(&thrift::exception(name, seq, code, text));
         }
     };
-    let unreadable = |flaw| {
+    let unreadable = |reason_code| {
         send_exception(thrift::PROTOCOL_ERROR, "arguments cannot be read");
-        flaw
+        reason_code
     };
     match name {
         b"process" if message.oneway => count(&context.counts.exceptions),
@@ -87,7 +88,7 @@
         }
         _ => send_exception(thrift::UNKNOWN_METHOD, "no such method"),
     }
-    // A caller that repeats the same bad message at once would keep the node busy.
+    // A caller that keeps repeating the same invalid message would occupy the node.
     if !conn.is_known.get() && conn.exceptions.get() >= MAX_EXCEPTIONS {
         return Err("bad_input");
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// The caller no longer waits for the answer with this sequence number.
+/// Cancels the request with this sequence number: its caller no longer waits for the answer.
 pub fn cancel(context: &NodeContext, conn: &Connection, seq: i32) {
     let Some(index) = conn.open_requests.borrow_mut().remove(&seq) else {
         return;
@@ -118,7 +119,7 @@
     });
 }
 
-/// Fails all that is open on a connection that is to end: its caller sent what cannot be read.
+/// Fails all open requests of a connection that is closed because its caller sent unreadable data.
 pub fn fail_open_requests(context: &NodeContext, conn: &Connection) {
     let pop_first = || conn.open_requests.borrow_mut().pop_first();
     while let Some((_, index)) = pop_first() {
@@ -129,7 +130,7 @@
     }
 }
 
-/// The fields of a request's message, as bytes.
+/// The fields of a request message, as bytes.
 struct Fields<'a>(Vec<(&'a [u8], &'a [u8])>);
 
 impl<'a> Fields<'a> {
@@ -146,7 +147,7 @@
         self.text(name)?.parse().ok()
     }
 
-    /// None where the field is absent.
+    /// `None` if the field is absent; the refusal if it is empty, too long or not UTF-8.
     fn name(&self, field: &str, refusal: Refusal) -> Result<Option<&'a str>, Refusal> {
         if self.bytes(field).is_none() {
             return Ok(None);
@@ -158,20 +159,20 @@
     }
 }
 
-/// A request's message, parsed and within its bounds.
+/// A request message, parsed and validated against its limits.
 struct ParsedRequest<'a> {
     trace: Trace,
-    /// Since it was born at its caller.
+    /// Time since the caller created the request.
     waited: Duration,
-    /// How much longer its caller waits, from now; `None` where it does not say.
+    /// How much longer the caller waits, from now; `None` if the request does not state it.
     caller_timeout: Option<Duration>,
     held_kb: f64,
     route: &'a str,
-    /// As it came: it may be no text, and is unknown then.
+    /// As received; if it is not valid UTF-8, the tenant is unknown.
     customer: Option<&'a [u8]>,
     nonce: Option<&'a str>,
     entity: Option<&'a str>,
-    /// Its sender marked it as a retry; whether an earlier attempt ran is not said.
+    /// The sender marked it as a retry, which does not state whether an earlier attempt ran.
     is_retry: bool,
     body: &'a [u8],
 }
@@ -184,9 +185,9 @@
             .filter(|body| body.len() <= MAX_BODY_BYTES)
             .ok_or("body: missing or too long")?;
         let trace = parse_trace(&fields).ok_or("trace: no 16 hex digits")?;
-        let born: u64 = fields.number("born").ok_or("born: no milliseconds")?;
-        let waited = elapsed_since(born).ok_or("born: not within minutes of now")?;
-        let patience = parse_patience(&fields, waited)?;
+        let created_ms: u64 = fields.number("born").ok_or("born: no milliseconds")?;
+        let waited = elapsed_since(created_ms).ok_or("born: not within minutes of now")?;
+        let caller_timeout = parse_caller_timeout(&fields, waited)?;
         let held_kb = fields
             .number("size")
             .filter(|kb| *kb > 0.0 && *kb < MAX_HELD_KB)
@@ -207,7 +208,7 @@
         Ok(Self {
             trace,
             waited,
-            caller_timeout: patience,
+            caller_timeout,
             held_kb,
             route,
             customer: fields.bytes("customer"),
@@ -218,7 +219,7 @@
         })
     }
 
-    /// The customer's name, where it is a text.
+    /// The customer's name, if it is valid UTF-8.
     fn customer_name(&self) -> Option<&'a str> {
         std::str::from_utf8(self.customer?).ok()
     }
@@ -230,31 +231,31 @@
     text.as_bytes().try_into().ok().filter(|_| is_hex)
 }
 
-/// How much longer the caller waits. Counted from its birth: however long a request lay unread, its caller waits no
-/// longer for it.
-fn parse_patience(fields: &Fields, waited: Duration) -> Result<Option<Duration>, Refusal> {
+/// How much longer the caller waits. The timeout counts from the request's creation, as the caller does not extend it
+/// by the time that the request lay unread.
+fn parse_caller_timeout(fields: &Fields, waited: Duration) -> Result<Option<Duration>, Refusal> {
     if fields.bytes("patience").is_none() {
         return Ok(None);
     }
     let text = fields.text("patience").ok_or("patience: no text")?;
     match text.parse().map(Duration::from_millis) {
-        // As in the settings: 0 stands for a caller that does not say.
+        // As in the settings, 0 means that the caller states no timeout.
         Ok(Duration::ZERO) => Ok(None),
-        Ok(patience) if patience <= MAX_CLOCK_DISTANCE => Ok(Some(patience.saturating_sub(waited))),
+        Ok(stated) if stated <= MAX_CLOCK_SKEW => Ok(Some(stated.saturating_sub(waited))),
         _ => Err("patience: no milliseconds within minutes"),
     }
 }
 
-/// What a request is to this node: its class, and which earlier request it repeats.
+/// How this node identifies a request: its class, its key, and which earlier request it repeats.
 struct Identity {
     class: usize,
     tenant: Option<usize>,
     deadline: Instant,
-    /// Its class distinguishes retries, by their key.
+    /// Whether its class recognizes retries by their key.
     has_retry_window: bool,
-    /// Where the group agrees on its start.
+    /// Set if the group must agree on its start.
     claim: Option<GroupClaim>,
-    /// Where this node alone remembers its result.
+    /// Set if this node alone caches its result.
     key: Option<IdempotencyKey>,
     retry: RetryOf,
     /// The open request with the same key.
@@ -282,11 +283,12 @@
             .caller_timeout
             .unwrap_or(limits.deadline.saturating_sub(request.waited));
         let deadline = now + time_left;
-        // All attempts of a request carry the same nonce. Without one, the entity identifies it where retries are recognized.
+        // All attempts of a request carry the same nonce. Without one, the entity identifies it if its class recognizes
+        // retries.
         let name = request
             .nonce
             .or(request.entity.filter(|_| limits.key_window.is_some()));
-        // In a group it is the group that knows what a request repeats.
+        // For a member of a group, retries are recognized by the group.
         let window = limits.key_window.filter(|_| table.group.is_some());
         let claim = window.zip(name).map(|(window, name)| {
             let claimed = ClaimedRequest {
@@ -298,7 +300,7 @@
             GroupClaim::new(&claimed, window, deadline)
         });
         let key = name.filter(|_| claim.is_none()).map(|name| IdempotencyKey {
-            traffic: class,
+            class,
             tenant,
             name: name.as_bytes().into(),
         });
@@ -316,7 +318,7 @@
         Ok(identity)
     }
 
-    /// Finds what the request repeats.
+    /// Finds the request that this one repeats.
     fn look_up_retry(
         &mut self,
         table: &RequestTable,
@@ -325,7 +327,7 @@
     ) -> Result<(), Refusal> {
         let Some(key) = &self.key else { return Ok(()) };
         let cached = table.result_cache.get(now, key);
-        // Another body under the same key is another request: it must neither get this one's result nor run.
+        // A different body under the same key is a different request: it must neither get the cached result nor run.
         if cached
             .as_ref()
             .is_some_and(|cached| cached.body_checksum != body_checksum(body))
@@ -342,7 +344,7 @@
         Ok(())
     }
 
-    /// Whether the memory has room for the request, and for its key where its result is to be cached.
+    /// Whether there is memory for the request, and for its key if its result is to be cached.
     fn fits(&self, table: &mut RequestTable, body: &[u8], memory: usize, now: Instant) -> bool {
         if table.body_bytes + body.len() > memory / BODY_MEMORY_FRACTION {
             return false;
@@ -356,7 +358,7 @@
     }
 }
 
-/// Takes a request into the table and hands it to the policy, or rejects it where the node cannot run it.
+/// Inserts a request into the table and hands it to the policy, or rejects it if the node cannot run it.
 fn handle_request(
     context: &NodeContext,
     conn: &Rc<Connection>,
@@ -380,7 +382,7 @@
         conn: conn.clone(),
         seq,
     };
-    // Nothing of it was run: the caller may try elsewhere.
+    // Nothing of it ran, so the caller may retry elsewhere.
     if !is_started || !identity.fits(table, parsed.body, context.config.memory, now) {
         let rejection = Rejection {
             retry_after: context.max_retry_after.get(),
@@ -425,11 +427,12 @@
     }
 }
 
-/// How long ago a Unix time was, by the system's clock; None if further than [`MAX_CLOCK_DISTANCE`].
-fn elapsed_since(born_ms: u64) -> Option<Duration> {
+/// Time since a Unix time by the system clock, zero if it is ahead; `None` if they differ by more than
+/// [`MAX_CLOCK_SKEW`].
+fn elapsed_since(created_ms: u64) -> Option<Duration> {
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let born = Duration::from_millis(born_ms);
-    (unix.abs_diff(born) <= MAX_CLOCK_DISTANCE).then(|| unix.saturating_sub(born))
+    let created = Duration::from_millis(created_ms);
+    (unix.abs_diff(created) <= MAX_CLOCK_SKEW).then(|| unix.saturating_sub(created))
 }
--- a/crates/node/src/pending_reply.rs
+++ b/crates/node/src/pending_reply.rs
@@ -1,4 +1,4 @@
-//! The one answer that a request is owed.
+//! The pending answer of a request, which is sent exactly once.
 
 use crate::connection::Connection;
 use crate::counters::{count, Counts};
@@ -6,9 +6,9 @@
 use rainstand::{Rejection, RetryElsewhere};
 use std::rc::Rc;
 
-/// The one answer that a request is owed; giving it consumes this, so there is never a second.
+/// The pending answer of a request. Sending it consumes this value, so that there is never a second answer.
 pub struct PendingReply {
-    /// Where the answer goes.
+    /// The connection on which the answer is sent.
     pub conn: Rc<Connection>,
     /// The sequence number of its call.
     pub seq: i32,
@@ -23,7 +23,7 @@
         self.send_final(&frame);
     }
 
-    /// Answers that nothing was run, and what the caller may do next.
+    /// Answers that nothing ran, when to retry, and whether retrying elsewhere is discouraged.
     pub fn reject(self, counts: &Counts, rejection: Rejection) {
         count(&counts.dismissed);
         self.conn.is_known.set(true);
@@ -35,7 +35,7 @@
         self.send_final(&frame);
     }
 
-    /// Answers that there is no result: it may have run.
+    /// Answers that there is no result; the request may have run.
     pub fn fail(self, counts: &Counts) {
         count(&counts.given_up);
         let frame = thrift::lost(self.seq);
--- a/crates/node/src/policy_host.rs
+++ b/crates/node/src/policy_host.rs
@@ -1,4 +1,4 @@
-//! Orders of the policy, carried out: commands to the agent, calls to the tier below, answers.
+//! Carries out the policy's orders: commands to the agent, downstream calls, answers.
 
 use crate::counters::count;
 use crate::request::{CallState, RunState, Waiter};
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The agent's `freeze` takes the run off the cores; the policy orders no run twice, so it stays frozen. A run under a
-    /// group's claim goes on: its result is recorded for retries.
+    /// The agent's `freeze` takes the run off the cores; the policy orders no run twice, so it stays frozen. A run with a
+    /// claim in the group continues: its result is recorded for retries.
     fn cancel_run(&mut self, index: usize) {
         let slot = self.requests.get_mut(index).and_then(Option::as_mut);
         let Some(request) = slot else { return };
@@ -42,12 +42,12 @@
         }
     }
 
-    /// From the cache at once, or from the open request once its run is over.
+    /// Answers from the cache immediately, or from the open request with the same key once its run ends.
     fn reply_from_cache(&mut self, index: usize) {
         let Some(request) = self.request_mut(index) else {
             return;
         };
-        let (key, prior) = (request.key.clone(), request.retry_of);
+        let (key, prior_index) = (request.key.clone(), request.retry_of);
         let waiter = Waiter {
             index,
             serial: request.serial,
@@ -58,7 +58,9 @@
         let outcome = if let Some(CachedResult::Result(result)) = cached {
             self.finish(index, Outcome::Succeeded, &result);
             Outcome::Succeeded
-        } else if let Some(prior) = prior.and_then(|prior| self.request_mut(prior)) {
+        } else if let Some(prior) =
+            prior_index.and_then(|prior_index| self.request_mut(prior_index))
+        {
             prior.waiters.push(waiter);
             return;
         } else {
@@ -68,19 +70,20 @@
         self.run_ends.push_back(FinishedRun { index, outcome });
     }
 
-    /// The cache has capacity for it: that was checked before the policy heard of the request.
-    fn cache_result(&mut self, index: usize, span: Duration) {
+    /// The cache has capacity for the key: that was checked before the request was handed to the policy.
+    fn cache_result(&mut self, index: usize, window: Duration) {
         let now = Instant::now();
         if let Some(request) = self.requests.get_mut(index).and_then(Option::as_mut) {
             request.caches_result = request.key.as_ref().is_some_and(|key| {
                 let checksum = body_checksum(&request.body);
-                self.result_cache.open(now, key, now + span, checksum)
+                self.result_cache
+                    .insert_in_progress(now, key, now + window, checksum)
             });
         }
     }
 
     fn discard_result(&mut self, index: usize) {
-        self.close_key(index, Outcome::NeverStarted, &[]);
+        self.complete_key(index, Outcome::NeverStarted, &[]);
     }
 
     fn reject(&mut self, index: usize, rejection: Rejection) {
@@ -104,8 +107,8 @@
         }
     }
 
-    fn call_downstream(&mut self, index: usize, until: Duration) {
-        let time_left = until.saturating_sub(self.now());
+    fn call_downstream(&mut self, index: usize, deadline: Duration) {
+        let time_left = deadline.saturating_sub(self.now());
         dispatch::call(self, index, time_left);
     }
 
@@ -114,41 +117,44 @@
         let Some(request) = slot else { return };
         if let Some(call) = &mut request.call {
             count(&self.counts.forgone);
-            let before = std::mem::replace(&mut call.state, CallState::Skipped);
-            if let CallState::InProgress(task) = before {
+            let previous = std::mem::replace(&mut call.state, CallState::Skipped);
+            if let CallState::InProgress(task) = previous {
                 task.abort();
             }
             dispatch::call_result(&self.agent, request);
         }
     }
 
-    /// No field of the protocol carries the value yet.
+    /// Does nothing: the protocol has no field for the value yet.
     fn advertise_load(&mut self, _: f64) {}
 
-    fn set_health(&mut self, good: bool) {
-        self.healthy = good;
-        log_event!("checks", "checks", good = good);
+    fn set_health(&mut self, healthy: bool) {
+        self.healthy = healthy;
+        log_event!("checks", "health check answer set", good = healthy);
     }
 
-    fn close_idle_after(&mut self, span: Duration) {
-        self.idle_limit = span;
+    fn close_idle_after(&mut self, timeout: Duration) {
+        self.idle_limit = timeout;
     }
 
-    fn wake(&mut self, span: Duration) {
-        let at = Instant::now() + span;
-        self.wake_at = Some(self.wake_at.map_or(at, |before| before.min(at)));
+    fn wake(&mut self, delay: Duration) {
+        let requested = Instant::now() + delay;
+        self.wake_at = Some(
+            self.wake_at
+                .map_or(requested, |earlier| earlier.min(requested)),
+        );
     }
 
     fn release(&mut self, index: usize) {
-        // One that leaves with its key still open never ran.
-        self.close_key(index, Outcome::NeverStarted, &[]);
+        // A request that is released while its key is still in progress never ran.
+        self.complete_key(index, Outcome::NeverStarted, &[]);
         let Some(mut request) = self.remove(index) else {
             return;
         };
         if let Some(call) = request.call.take() {
             call.abort();
         }
-        // A request must not leave the table unanswered: an error is better than silence.
+        // A request must not leave the table unanswered: its caller is better served by an error than by a timeout.
         if let Some(reply) = request.reply.take() {
             count(&self.counts.unsettled);
             reply.fail(&self.counts);
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! One request in flight: its run, its call to the tier below, and who waits for its result.
+//! One request in flight: its run, its downstream call, and the requests that wait for its result.
 
 use crate::group_claim::GroupClaim;
 use crate::pending_reply::PendingReply;
@@ -7,46 +7,46 @@
 use std::time::Instant;
 use tokio::task::AbortHandle;
 
-/// The 16 hex digits that name one try.
+/// The 16 hex digits that identify one attempt.
 pub type Trace = [u8; 16];
 
-/// How far a run has come, as far as the agent was sent commands.
+/// The state of a run, by the commands sent to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
     /// Not launched.
     Queued,
-    /// The group is asked whether it may start; the agent has not heard of it.
+    /// Its key is being claimed in the group; no command was sent to the agent.
     Claiming,
     /// Launched, and not paused since.
     Launched,
-    /// Taken off the cores; it goes on when it is thawed.
+    /// Taken off the cores until it is thawed.
     Paused,
 }
 
-/// What became of the call that a run waits for.
+/// The state of the call that a run waits for.
 pub enum CallState {
-    /// Not made, or made in vain.
+    /// Not made yet, or made without success.
     Pending,
-    /// Its task, which is aborted where the call is no longer wanted.
+    /// In flight; the handle aborts its task when the reply is no longer needed.
     InProgress(AbortHandle),
-    /// Its reply's body, which the agent was or will be sent.
+    /// Succeeded; holds the reply body, which was or will be sent to the agent.
     Delivered(Vec<u8>),
-    /// The run goes on without it.
+    /// The run continues without the call's reply.
     Skipped,
 }
 
-/// The call to the tier below that a run waits for.
+/// The downstream call that a run waits for.
 pub struct DownstreamCall {
-    /// The number of the notice that asked for it.
+    /// The number of the notice that requested it.
     pub offset: u64,
     /// The body to send.
     pub body: Rc<[u8]>,
-    /// What became of it.
+    /// Its state.
     pub state: CallState,
 }
 
 impl DownstreamCall {
-    /// Stops the call's task, if one is out.
+    /// Aborts the call's task, if the call is in flight.
     pub fn abort(self) {
         if let CallState::InProgress(task) = self.state {
             task.abort();
@@ -59,50 +59,50 @@
 pub struct Waiter {
     /// Its index in the table.
     pub index: usize,
-    /// Its serial number: the index may be another request's by now.
+    /// Its serial number, as the index may have been reused since.
     pub serial: u64,
 }
 
 /// A request in flight.
 pub struct Request {
-    /// Unique among all requests of the process; given by the table.
+    /// Unique among all requests of the process; assigned by the table.
     pub serial: u64,
-    /// Names this try.
+    /// Identifies this attempt.
     pub trace: Trace,
-    /// None once it is answered, or its caller left.
+    /// `None` once it is answered, or its caller cancelled it.
     pub reply: Option<PendingReply>,
     /// When its caller stops waiting.
     pub deadline: Instant,
     /// The index of its class.
     pub class: usize,
-    /// As it came; at most 2 KiB.
+    /// As received; at most 2 KiB.
     pub body: Box<[u8]>,
-    /// How far its run has come.
+    /// The state of its run.
     pub run: RunState,
-    /// The call that its run waits for, or waited for last.
+    /// The call that its run waits for, or the last one that it waited for.
     pub call: Option<DownstreamCall>,
-    /// Its key, where this node alone remembers results.
+    /// Its key, if this node alone caches its result.
     pub key: Option<IdempotencyKey>,
-    /// The key is cached for this one: how its run ends is what retries get.
+    /// Whether the key was cached for this request, so that retries get the outcome of its run.
     pub caches_result: bool,
-    /// Set where the group agrees on its start and result.
+    /// Set if the group must agree on its start and result.
     pub claim: Option<GroupClaim>,
     /// The open request that it repeats.
     pub retry_of: Option<usize>,
     /// Requests that wait for this one's result.
     pub waiters: Vec<Waiter>,
-    /// When it was first found answered, with a run of which no end was reported.
+    /// When it was first found answered while the end of its run was not reported.
     pub orphan_since: Option<Instant>,
 }
 
 impl Request {
-    /// Whether the agent was sent its launch.
-    pub fn is_run(&self) -> bool {
+    /// Whether its launch was sent to the agent.
+    pub fn is_launched(&self) -> bool {
         matches!(self.run, RunState::Launched | RunState::Paused)
     }
 
-    /// Whether its run waits for a call, made or not.
-    pub fn is_at_call(&self) -> bool {
+    /// Whether its run waits for a call, whether or not the call was made yet.
+    pub fn is_awaiting_call(&self) -> bool {
         self.call
             .as_ref()
             .is_some_and(|call| matches!(call.state, CallState::Pending | CallState::InProgress(_)))
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -1,8 +1,8 @@
-//! All requests in flight, with what the policy's orders work on.
+//! All requests in flight, and the other state that the policy's orders change.
 //!
-//! The table knows neither sockets nor the node's tasks: what it starts beyond itself goes through [`NodeTasks`], and
-//! comes back as a call into the policy. Invariants: a request's trace and key lead to its index for as long as it is
-//! in the table, and `body_bytes` is the sum of the bodies.
+//! The table knows neither sockets nor the node's tasks: it starts those through [`NodeTasks`], and their outcomes come
+//! back as calls into the policy. Invariants: a request's trace and key map to its index while it is in the table, and
+//! `body_bytes` is the sum of the body lengths.
 
 use crate::agent_link::AgentLink;
 use crate::counters::{count, Counts};
@@ -22,38 +22,38 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// By then the run of an answered request that was cancelled has ended, if its end is ever reported: several times the
+/// After this time, the end of an answered request's run is no longer expected to be reported: several times the
 /// longest deadline.
 const ORPHAN_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A call to the tier below that is to be made.
+/// An order to make a downstream call.
 pub struct CallOrder {
     /// The index of the request whose run waits for it.
     pub index: usize,
     /// The serial number of that request.
     pub serial: u64,
-    /// Names the try to the tier below.
+    /// Identifies the attempt to the downstream server.
     pub trace: Trace,
-    /// How long its answer is of use.
+    /// How long the reply is useful.
     pub time_left: Duration,
     /// The body to send.
     pub body: Rc<[u8]>,
 }
 
-/// What the table starts beyond itself. Each outcome is a call into the policy, once it is there.
+/// Asynchronous work that the table starts. Each outcome is reported by a call into the policy.
 pub trait NodeTasks {
-    /// Makes a call to the tier below. Dropping the future closes its connection.
+    /// Makes a downstream call. Dropping the future closes its connection.
     fn make_call(self: Rc<Self>, order: CallOrder) -> Pin<Box<dyn Future<Output = ()>>>;
 
-    /// The group answered a claim, or did not in time (None). `serial`: of the request that was at `index`.
+    /// The group answered a claim, or did not in time (`None`). `serial` is that of the request that was at `index`.
     fn on_claim_outcome(&self, index: usize, serial: u64, outcome: Option<ClaimOutcome>);
 
-    /// The group agreed on a result, or did not in time (None). `number`: of the reply in
+    /// The group agreed on a result, or did not in time (`None`). `number` is the reply's key in
     /// [`RequestTable::awaiting_commit`].
     fn on_result_outcome(&self, number: u64, result: &Bytes, outcome: Option<ClaimOutcome>);
 }
 
-/// The end of a run that the node itself brought about.
+/// A run that the node itself ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedRun {
     /// The index of its request.
@@ -62,37 +62,37 @@
     pub outcome: Outcome,
 }
 
-/// All that the node's own side remembers; the policy's orders work on it.
+/// The node's state of all requests, on which the policy's orders act.
 pub struct RequestTable {
     /// The origin of the policy's clock.
     pub started: Instant,
-    /// Starts what goes on beyond the table.
+    /// Starts asynchronous work.
     pub tasks: Weak<dyn NodeTasks>,
     /// Requests by their indices.
     pub requests: Vec<Option<Request>>,
     free: Vec<usize>,
     serial: u64,
-    /// Indices of requests by the names of their tries.
+    /// Indices of requests by their traces.
     pub by_trace: HashMap<Trace, usize>,
     /// Indices of requests by their keys.
     pub by_key: HashMap<IdempotencyKey, usize>,
     /// Results for retries.
     pub result_cache: ResultCache,
-    /// The group, if the node is in one.
+    /// The group, if the node is a member of one.
     pub group: Option<Rc<GroupHandle>>,
-    /// Replies that wait until the group has agreed on a result, by their numbers.
+    /// Replies that wait for the group to agree on a result, by their numbers.
     pub awaiting_commit: HashMap<u64, PendingReply>,
     /// The limits of each class, by its index.
     pub class_limits: Vec<ClassLimits>,
-    /// What the bodies of all requests in flight take.
+    /// Total length of the bodies of all requests in flight.
     pub body_bytes: usize,
-    /// Ends that the node itself brought about, which the policy has not heard of yet.
+    /// Runs that the node itself ended and has not reported to the policy yet.
     pub run_ends: VecDeque<FinishedRun>,
     /// The node's counters.
     pub counts: Rc<Counts>,
-    /// Takes commands to the agent.
+    /// Sends commands to the agent.
     pub agent: Rc<AgentLink>,
-    /// Calls to the tier below.
+    /// The state of downstream calls.
     pub downstream: Rc<DownstreamPool>,
     /// Indices of the classes by their names.
     pub classes: BTreeMap<String, usize>,
@@ -100,19 +100,19 @@
     pub class_names: Vec<String>,
     /// Indices of the tenants by their names.
     pub tenants: BTreeMap<String, usize>,
-    /// How long the answer to a read may serve others.
+    /// How long the result of a read may answer other requests.
     pub max_result_age: Duration,
     /// Whether a run can be taken off the cores.
     pub can_pause: bool,
-    /// What health checks are answered.
+    /// The answer to health checks.
     pub healthy: bool,
-    /// How long an unused connection may stay.
+    /// How long an unused connection may stay open.
     pub idle_limit: Duration,
-    /// When the policy asked to be woken.
+    /// When the policy requested to be woken.
     pub wake_at: Option<Instant>,
     /// The last gauges that the agent sent.
     pub gauges: Gauges,
-    /// When they came.
+    /// When they were received.
     pub gauges_at: Option<Instant>,
 }
 
@@ -159,7 +159,7 @@
         self.started.elapsed()
     }
 
-    /// Inserts a request and gives it its serial number; its index.
+    /// Inserts a request, assigns its serial number, and returns its index.
     pub fn insert(&mut self, mut request: Request) -> usize {
         self.serial += 1;
         request.serial = self.serial;
@@ -176,11 +176,11 @@
         index
     }
 
-    /// Retains a reply beyond its request's time in the table; its number in `awaiting_commit`.
+    /// Retains a reply after its request leaves the table; returns its number in `awaiting_commit`.
     pub fn retain_reply(&mut self, reply: Option<PendingReply>) -> u64 {
         self.serial += 1;
         if let Some(reply) = reply {
-            // Still open on its connection, under no request's index.
+            // The request is still open on its connection, but has no index any more.
             reply
                 .conn
                 .open_requests
@@ -196,12 +196,12 @@
         self.requests.get_mut(index).and_then(Option::as_mut)
     }
 
-    /// Takes the pending reply of a request, to give it.
+    /// Takes the pending reply of a request, in order to send it.
     pub fn take_reply(&mut self, index: usize) -> Option<PendingReply> {
         self.request_mut(index)?.reply.take()
     }
 
-    /// Removes a request for good; its index may serve again.
+    /// Removes a request; its index may be reused.
     pub fn remove(&mut self, index: usize) -> Option<Request> {
         let request = self.requests.get_mut(index)?.take()?;
         self.body_bytes -= request.body.len();
@@ -217,7 +217,7 @@
         Some(request)
     }
 
-    /// Gives a request, and those that wait for it, what its run or the cache brought.
+    /// Answers a request, and those that wait for it, with the outcome of its run or of the cache.
     pub fn finish(&mut self, index: usize, outcome: Outcome, result: &[u8]) {
         let Some(request) = self.request_mut(index) else {
             return;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// The same for a request that waits for another one, unless it left.
+    /// Answers a request that waits for another one, unless it was removed meanwhile.
     pub fn finish_waiter(&mut self, waiter: Waiter, outcome: Outcome, result: &[u8]) {
         let index = waiter.index;
         if self
@@ -254,8 +254,8 @@
         }
     }
 
-    /// A request's run is over, or never was: its key is closed in the cache, if it was opened for this one.
-    pub fn close_key(&mut self, index: usize, outcome: Outcome, result: &[u8]) {
+    /// Completes the cache entry of a request whose run ended or never started, if the entry was inserted for it.
+    pub fn complete_key(&mut self, index: usize, outcome: Outcome, result: &[u8]) {
         let Some(request) = self
             .requests
             .get_mut(index)
@@ -266,15 +266,15 @@
         };
         request.caches_result = false;
         match (&request.key, outcome) {
-            (Some(key), Outcome::Succeeded) => self.result_cache.close(key, Some(result)),
+            (Some(key), Outcome::Succeeded) => self.result_cache.complete(key, Some(result)),
             (Some(key), Outcome::NeverStarted) => self.result_cache.remove(key),
-            // What failed or was stopped may have had its effect: it must not run a second time.
-            (Some(key), _) => self.result_cache.close(key, None),
+            // A failed or cancelled run may have had its effect, so the request must not run a second time.
+            (Some(key), _) => self.result_cache.complete(key, None),
             (None, _) => {}
         }
     }
 
-    /// Indices of the requests that are past their deadline and not answered.
+    /// Indices of the unanswered requests that are past their deadline.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let is_overdue = |request: &Request| request.reply.is_some() && request.deadline <= now;
         self.requests
@@ -285,7 +285,7 @@
             .collect()
     }
 
-    /// The last resort: an error to all that wait for an answer; how many there were.
+    /// The last resort: fails all pending replies, and returns how many there were.
     pub fn fail_all(&mut self) -> usize {
         let open = self
             .requests
@@ -303,10 +303,10 @@
         unanswered
     }
 
-    /// Indices of answered requests whose run's end no notice will report any more, as the last notice was skipped as
-    /// unreadable. Without this they would stay in the table for good.
+    /// Indices of answered requests whose run's end will not be reported any more, because that notice was unreadable
+    /// and skipped. Without this check they would stay in the table forever.
     pub fn orphans(&mut self, now: Instant) -> Vec<usize> {
-        let is_answered_run = |request: &Request| request.reply.is_none() && request.is_run();
+        let is_answered_run = |request: &Request| request.reply.is_none() && request.is_launched();
         let mut found = Vec::new();
         for (index, request) in self.requests.iter_mut().enumerate() {
             let Some(request) = request.as_mut().filter(|request| is_answered_run(request)) else {
@@ -320,13 +320,13 @@
         found
     }
 
-    /// The table's part of the counters' line.
+    /// The table's part of the counters log line.
     pub fn state(&self) -> String {
-        let count = |which: fn(&Request) -> bool| {
+        let count = |predicate: fn(&Request) -> bool| {
             self.requests
                 .iter()
                 .flatten()
-                .filter(|request| which(request))
+                .filter(|request| predicate(request))
                 .count()
         };
         format!(
@@ -335,13 +335,13 @@
             count(|request| request.run == RunState::Queued),
             count(|request| request.run == RunState::Claiming),
             self.awaiting_commit.len(),
-            count(|request| request.run == RunState::Launched && !request.is_at_call()),
+            count(|request| request.run == RunState::Launched && !request.is_awaiting_call()),
             count(|request| request.run == RunState::Paused),
-            count(Request::is_at_call),
+            count(Request::is_awaiting_call),
             self.downstream.out.get(),
             self.body_bytes,
             self.result_cache.len(),
-            self.gauges_at.map_or(-1, |at| at.elapsed().as_millis() as i64),
+            self.gauges_at.map_or(-1, |received_at| received_at.elapsed().as_millis() as i64),
             self.gauges.runnable.unwrap_or(-1.0),
         )
     }
