--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// After a reconnect and its replay: resends all commands that no notice has confirmed. Runs that the replay reported as
-/// ended are no longer in the table.
+/// After a reconnect and its replay: resends all commands that no notice has confirmed. Runs that the replay reported
+/// as ended are no longer in the table.
 pub fn resend(table: &mut RequestTable) {
     let (agent, counts) = (&table.agent, &table.counts);
     let requests = table.requests.iter().flatten();
--- a/crates/node/src/policy_host.rs
+++ b/crates/node/src/policy_host.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The agent's `freeze` takes the run off the cores; the policy orders no run twice, so it stays frozen. A run with a
-    /// claim in the group continues: its result is recorded for retries.
+    /// The agent's `freeze` takes the run off the cores; the policy orders no run twice, so it stays frozen. A run
+    /// with a claim in the group continues: its result is recorded for retries.
     fn cancel_run(&mut self, index: usize) {
         let slot = self.requests.get_mut(index).and_then(Option::as_mut);
         let Some(request) = slot else { return };
--- a/crates/node/tests/downstream.rs
+++ b/crates/node/tests/downstream.rs
@@ -1,4 +1,4 @@
-//! What replies of the tier below prove.
+//! Tests of the outcome that a downstream reply proves.
 
 #![allow(
     missing_docs,
@@ -21,7 +21,7 @@
         (500, false, Outcome::Failed),
         (504, false, Outcome::TimedOut),
         (302, false, Outcome::Failed),
-        // Where the status contradicts the header, nothing is proved.
+        // If the status contradicts the header, nothing is proved.
         (500, true, Outcome::Failed),
         (504, true, Outcome::TimedOut),
     ];
