--- a/crates/node/src/group_membership.rs
+++ b/crates/node/src/group_membership.rs
@@ -125,7 +125,7 @@
         }
         GroupEvent::StaleDisk { reason } => log_event!(
             "replica_quarantined",
-            "stale files quarantined, the node starts as a new member",
+            "the files are quarantined, this node is a new member",
             why = reason
         ),
         GroupEvent::StalePeer { name, disk, reason } => log_event!(
