--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains the routing of a request: each route in order, and the part of its match that excluded the request.
+//! Explains the routing of a request: each route in order, and the condition of its match that excluded the request.
 
 use crate::table::{PlacementReason, Request, RoutingError, Table};
 use nanorand::WyRand;
@@ -9,27 +9,27 @@
 pub struct RouteStep {
     /// Its name.
     pub route: String,
-    /// What excludes the request; `None`: the route takes it.
+    /// The condition that excludes the request; `None` if the route matches.
     pub miss: Option<Mismatch>,
-    /// What the route requires there, in the words of the configuration.
+    /// The values that this condition requires, as written in the configuration.
     pub wanted: String,
 }
 
 /// Where a request is routed to, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// The routes up to the one that takes the request.
+    /// The routes up to the first that matches the request.
     pub steps: Vec<RouteStep>,
     /// The name of the pool and why it was chosen, or why there is none.
     pub placement: Result<(String, PlacementReason), RoutingError>,
-    /// The member that the entity belongs to; none without an entity, or if none can be used.
+    /// The member that the entity is assigned to; `None` without an entity or a usable member.
     pub member: Option<String>,
-    /// Limits that count the request: where, and their name.
+    /// Limits that count the request: the scope with its name, and the name of the limits.
     pub limits: Vec<(String, String)>,
 }
 
-/// Explains the routing of a request. `pool_out` and `member_out`: what cannot be used, by name; a member counts in
-/// every pool that has it.
+/// Explains the routing of a request. `pool_out` and `member_out` return whether a pool or member, given by name, is
+/// unusable; a member is unusable in every pool that contains it.
 pub fn explain(
     table: &Table,
     request: &Request<'_>,
@@ -48,23 +48,23 @@
         Err(RoutingError::NoPool(route)) => Some(route),
         Err(RoutingError::NoRoute) => None,
     };
-    let asked = last.map_or(table.routes.len(), |last| usize::from(last) + 1);
-    let steps = (0..asked as u16).map(|at| {
-        let miss = table.mismatch(at, request);
+    let considered = last.map_or(table.routes.len(), |last| usize::from(last) + 1);
+    let steps = (0..considered as u16).map(|route| {
+        let miss = table.mismatch(route, request);
         RouteStep {
-            route: table.route_name(at).to_owned(),
+            route: table.route_name(route).to_owned(),
             miss,
-            wanted: wants(table, at, miss),
+            wanted: required_values(table, route, miss),
         }
     });
     let mut limits = Vec::new();
-    let mut add = |at: String, of: Option<u16>| {
-        limits.extend(of.map(|of| (at, configuration.limits[usize::from(of)].name.clone())));
+    let mut add = |scope: String, index: Option<u16>| {
+        limits.extend(index.map(|k| (scope, configuration.limits[usize::from(k)].name.clone())));
     };
-    let traffic = usize::from(request.request_class);
+    let class = usize::from(request.request_class);
     add(
-        format!("type {}", configuration.types[traffic].name),
-        table.type_limits[traffic],
+        format!("type {}", configuration.types[class].name),
+        table.type_limits[class],
     );
     if let Some(tenant) = request.tenant.map(usize::from) {
         add(
@@ -99,7 +99,8 @@
     }
 }
 
-fn wants(table: &Table, route: u16, miss: Option<Mismatch>) -> String {
+/// The values that the condition `miss` of a route's match requires, as written in the configuration.
+fn required_values(table: &Table, route: u16, miss: Option<Mismatch>) -> String {
     let Some(matched) = &table.configuration().routes[usize::from(route)].r#match else {
         return String::new();
     };
@@ -113,7 +114,7 @@
             _ => "no".into(),
         },
         Some(Mismatch::Size) => {
-            let shown = |bytes: u64| {
+            let format_size = |bytes: u64| {
                 if bytes == 0 {
                     String::new()
                 } else {
@@ -122,8 +123,8 @@
             };
             format!(
                 "{} .. {}",
-                shown(matched.size_least),
-                shown(matched.size_most)
+                format_size(matched.size_least),
+                format_size(matched.size_most)
             )
             .trim()
             .to_owned()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,29 +2,29 @@
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`table`] | which route takes a request, to which pool, and where it falls back |
-//! | [`weighted_split`] | how requests are split by share, with the least movement when a target leaves |
-//! | [`rate_limit`] | whether a rate and a concurrency limit admit a request, else when to come back |
-//! | [`token_buckets`] | which buckets of limits exist: created on first use, freed when idle, bounded |
+//! | [`table`] | which route matches a request, to which pool it goes, and which fallback applies |
+//! | [`weighted_split`] | how requests are split by share; the removal of a target reassigns as few as possible |
+//! | [`rate_limit`] | whether a rate and a concurrency limit admit a request, or else its retry-after |
+//! | [`token_buckets`] | which buckets of limits exist: created on first use, freed when idle, bounded in number |
 //! | [`time_budget`] | how much time each stage of a request may take |
-//! | [`router`] | routes and limits together, while configurations change under running requests |
+//! | [`router`] | routes and limits together, while the configuration changes with requests in flight |
 //! | [`table_update`] | atomic updates of single entries of the current table |
-//! | [`member_selection`] | which member of a pool: by load, zone, weight, warm-up and entity |
-//! | [`warm_up`] | what one forwarder may send to a member that warms up, as its share of what all may |
+//! | [`member_selection`] | which member of a pool takes a request: by load, zone, weight, warm-up and entity |
+//! | [`warm_up`] | how much one forwarder may send to a warming member: its share of the limit for all forwarders |
 //! | [`subset`] | which members of a large pool a forwarder uses |
-//! | [`health`] | which members are ejected, judged from answers alone, and how they come back |
-//! | [`stall_clock`] | how long this process itself stood still, which no member is blamed for |
-//! | [`adaptive_concurrency`] | how many requests may be open at a member, learned from its response times |
-//! | [`retry`] | whether a request is retried, under a budget of the whole process |
-//! | [`retry_after`] | when a rejected caller is asked to come back |
-//! | [`outcome_reason`] | why a request ended as it did |
-//! | [`fleet`] | all of it for one request: from its arrival over each attempt to its one answer |
-//! | [`tenant_fairness`] | how a pool's places are divided among tenants while they are scarce |
+//! | [`health`] | which members are ejected, judged by their answers alone, and how they are readmitted |
+//! | [`stall_clock`] | how long this process itself was stalled, time that is not counted against any member |
+//! | [`adaptive_concurrency`] | how many requests may be in flight at a member, learned from its response times |
+//! | [`retry`] | whether a request is retried, under a retry budget of the whole process |
+//! | [`retry_after`] | after what delay a rejected caller may retry |
+//! | [`outcome_reason`] | the reason of a request's outcome |
+//! | [`fleet`] | all of these for one request: from its arrival through each attempt to its one answer |
+//! | [`tenant_fairness`] | how a pool's concurrency slots are divided among tenants while they are scarce |
 //! | [`decision_log`] | the last decisions, for display |
-//! | [`explain`] | why a request takes a route, and not the ones before it |
+//! | [`explain`] | why a request matches a route and none of the routes before it |
 //!
-//! Times are `Duration`s since any fixed start, randomness comes from a seed, names are resolved to small indices once
-//! ([`table::Table::request_class`]), and nothing on the path of a request allocates.
+//! Times are `Duration`s since an arbitrary fixed start, randomness is derived from a seed, names are resolved to small
+//! indices once ([`table::Table::request_class`]), and processing a request allocates no memory.
 //!
 //! ```
 //! use rainstand_config::{load, source::Memory};
@@ -44,12 +44,12 @@
 //! for _ in 0..2 {
 //!     match router.on_arrival(now, &request, |_| true) {
 //!         Admission::Admitted(decision) => decisions.push(decision),
-//!         Admission::Rejected(_) => unreachable!("the burst is two"),
+//!         Admission::Rejected(_) => unreachable!("the burst is 2 requests"),
 //!     }
 //! }
 //! match router.on_arrival(now, &request, |_| true) {
 //!     Admission::Rejected(rejected) => assert_eq!(rejected.after, Duration::from_secs(1)),
-//!     Admission::Admitted(_) => unreachable!("the third comes back a second later"),
+//!     Admission::Admitted(_) => unreachable!("the third request exceeds the burst"),
 //! }
 //! decisions.into_iter().for_each(|decision| router.on_completed(decision));
 //! ```
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,13 +1,13 @@
 //! Routing and limits together, while configurations change under running requests.
 //!
-//! A request that was admitted under a version finishes under it. It carries its route, its times and the buckets that
-//! count it, so that of an earlier version only its number of requests in flight is retained. Buckets of limits belong
-//! to no version: they are known by name ([`crate::token_buckets`]) and created on first use, and a version that limits
-//! the same scope by the same key continues with the bucket that exists, under its own rule. An earlier version without
-//! requests in flight is dropped.
+//! A request completes under the version that admitted it. Its [`RouteDecision`] holds its route, its time budget and
+//! the buckets that count it, so only the number of requests in flight is retained of an earlier version. The buckets
+//! of limits belong to no version: they are identified by name ([`crate::token_buckets`]) and created on first use. A
+//! new version that limits the same scope by the same key continues to use the existing bucket, under the new rule. An
+//! earlier version without requests in flight is dropped.
 //!
-//! Invariants: versions are in order of number, and the last is the current one; `open_requests` of a version is the
-//! number of its [`RouteDecision`]s that were not handed back; a bucket of a limit of the current version has that
+//! Invariants: versions are sorted by number, and the last is the current one; `open_requests` of a version is the
+//! number of its [`RouteDecision`]s that have not been handed back; a bucket of a limit of the current version has that
 //! limit's rule.
 
 mod limits;
@@ -27,21 +27,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Versions with requests in flight: a hundred changes within one deadline, and some more. Past it a new version is
-/// rejected until an old one ends.
+/// Maximum number of versions that are current or have requests in flight: room for a hundred changes within one
+/// deadline, and a margin. At the maximum, a new version is rejected until an earlier one is dropped.
 pub const MAX_VERSIONS: usize = 128;
-/// Scopes at which limits may count a request: its class, tenant, route and pool.
+/// Number of scopes at which a limit can count a request: its class, tenant, route and pool.
 const LIMIT_SCOPES: usize = 4;
 /// Sentinel for a scope without a limit.
 const NO_BUCKET: u32 = u32::MAX;
 
-/// An admitted request's route. It must be handed back with [`Router::on_completed`] exactly once.
-#[must_use = "a decision that is not handed back holds its version and its places for ever"]
+/// The route of an admitted request. It must be handed back with [`Router::on_completed`] exactly once.
+#[must_use = "a decision that is not handed back keeps its version and its concurrency slots forever"]
 #[derive(Debug)]
 pub struct RouteDecision {
-    /// The version under which it was admitted.
+    /// The version that admitted the request.
     pub version: u64,
-    /// Its route and pool, by indices of that version.
+    /// The route and pool, as indices of that version.
     pub placement: Placement,
     /// The name of the route.
     pub route: Rc<str>,
@@ -55,13 +55,13 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
-    /// No route takes it.
+    /// No route matches it.
     NoRoute,
-    /// None of the route's pools can be used.
+    /// No pool of the route is usable.
     NoPool,
-    /// A limit of its type, tenant, route or pool is full.
+    /// A limit of its class, tenant, route or pool is exceeded.
     Limit(LimitScope),
-    /// A limit would count it for the first time, and as many buckets as there may be are in use.
+    /// A limit needs a new bucket for it, and the maximum number of buckets is in use.
     NoBucket,
 }
 
@@ -70,22 +70,22 @@
 pub struct Rejected {
     /// Why it was rejected.
     pub reason: RejectReason,
-    /// When to come back, from now on.
+    /// Retry-after: the delay from now.
     pub after: Duration,
-    /// The route that would have taken it.
+    /// The route that matched it.
     pub route: Option<u16>,
 }
 
-/// The decision about a request.
+/// Whether a request is admitted.
 #[derive(Debug)]
 pub enum Admission {
-    /// It may be sent.
+    /// It may be sent to its pool.
     Admitted(RouteDecision),
-    /// It may not.
+    /// It is rejected.
     Rejected(Rejected),
 }
 
-/// What happened since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounts {
     /// Requests admitted.
@@ -102,13 +102,13 @@
     pub no_bucket: u64,
     /// Versions installed, the first one included.
     pub versions_installed: u64,
-    /// Versions that could not be installed.
+    /// Versions that failed to install.
     pub versions_rejected: u64,
-    /// Versions dropped after their last request.
+    /// Versions dropped after their last request completed.
     pub versions_dropped: u64,
 }
 
-/// A version that is current, or has requests in flight.
+/// A version that is current or has requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenVersion {
     /// Its number.
@@ -117,27 +117,27 @@
     pub open_requests: u64,
 }
 
-/// How many buckets of limits there are.
+/// The number of buckets of limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketUsage {
-    /// In use.
+    /// Buckets in use.
     pub in_use: usize,
-    /// For which memory is allocated.
+    /// Buckets for which memory is allocated.
     pub allocated: usize,
 }
 
 /// Routing and limits of the current version. See the module's documentation.
 #[derive(Debug)]
 pub struct Router {
-    /// Of the current version.
+    /// The table of the current version.
     table: Table,
     versions: VecDeque<OpenVersion>,
     buckets: Buckets,
-    chance: WyRand,
+    rng: WyRand,
     counts: RouterCounts,
 }
 
-/// The limits that count a request, by scope.
+/// The limits that count a request, one per scope.
 type AppliedLimits = [Option<AppliedLimit>; LIMIT_SCOPES];
 
 const ALL_SCOPES: [LimitScope; LIMIT_SCOPES] = [
@@ -148,7 +148,7 @@
 ];
 
 impl Router {
-    /// `seed`: for random splits.
+    /// `seed` determines the random splits.
     ///
     /// # Errors
     /// As [`Table::new`].
@@ -168,7 +168,7 @@
                 open_requests: 0,
             }]),
             buckets: Buckets::default(),
-            chance: WyRand::new_seed(seed),
+            rng: WyRand::new_seed(seed),
             counts: RouterCounts {
                 versions_installed: 1,
                 ..RouterCounts::default()
@@ -176,10 +176,10 @@
         })
     }
 
-    /// Installs a new version for requests from now on; returns its number.
+    /// Installs a new version, which applies to later requests. Returns its number.
     ///
     /// # Errors
-    /// The reason; the current version stays and nothing has changed.
+    /// If the version is rejected; the current version stays in use, unchanged.
     pub fn install(
         &mut self,
         configuration: &Configuration,
@@ -202,9 +202,9 @@
             .and_then(|()| Table::of(configuration))
         {
             Ok(table) => table,
-            Err(refused) => {
+            Err(error) => {
                 self.counts.versions_rejected += 1;
-                return Err(refused);
+                return Err(error);
             }
         };
         self.table = table;
@@ -212,13 +212,14 @@
             self.buckets
                 .set_rules(&ScopeRules::all(&self.table, |_| true).0, now);
         }
-        Ok(self.next())
+        Ok(self.push_version())
     }
 
-    /// Installs an update of the current version as a new one, at the cost of what it changes ([`crate::table_update`]).
+    /// Installs an update of the current version as a new version, without rebuilding the table
+    /// ([`crate::table_update`]).
     ///
     /// # Errors
-    /// The reason; the current version stays and nothing has changed.
+    /// If the update is rejected; the current version stays in use, unchanged.
     pub fn apply(
         &mut self,
         changes: &[TableChange],
@@ -227,17 +228,17 @@
         let applied = self
             .check_version_capacity()
             .and_then(|()| self.table.apply(changes));
-        if let Err(refused) = applied {
+        if let Err(error) = applied {
             self.counts.versions_rejected += 1;
-            return Err(refused);
+            return Err(error);
         }
         if self.buckets.in_use() > 0 {
-            let rules = ScopeRules::of(&self.table, changes).0;
+            let rules = ScopeRules::affected_by(&self.table, changes).0;
             if !rules.is_empty() {
                 self.buckets.set_rules(&rules, now);
             }
         }
-        Ok(self.next())
+        Ok(self.push_version())
     }
 
     fn check_version_capacity(&self) -> Result<(), ConfigurationError> {
@@ -247,60 +248,60 @@
         Ok(())
     }
 
-    /// Numbers the table as a new version.
-    fn next(&mut self) -> u64 {
+    /// Adds a version for the installed table and returns its number.
+    fn push_version(&mut self) -> u64 {
         let number = self.versions.back().map_or(1, |last| last.number + 1);
         self.versions.push_back(OpenVersion {
             number,
             open_requests: 0,
         });
         self.counts.versions_installed += 1;
-        let before = self.versions.len() - 2;
-        if self.versions[before].open_requests == 0 {
-            self.drop_version(before);
+        let previous = self.versions.len() - 2;
+        if self.versions[previous].open_requests == 0 {
+            self.drop_version(previous);
         }
         number
     }
 
-    fn drop_version(&mut self, at: usize) {
-        if self.versions.remove(at).is_some() {
+    fn drop_version(&mut self, index: usize) {
+        if self.versions.remove(index).is_some() {
             self.counts.versions_dropped += 1;
         }
     }
 
-    /// Frees some of the idle buckets. To be called several times a second.
+    /// Frees some of the idle buckets. Must be called several times a second.
     pub fn tick(&mut self, now: Duration) {
         self.buckets.sweep(now);
     }
 
-    /// Sets a lower bound of buckets than [`crate::token_buckets::MAX_BUCKETS`]; those that are in use stay.
+    /// Lowers the maximum number of buckets below [`crate::token_buckets::MAX_BUCKETS`]. Buckets in use are kept.
     pub fn bound_buckets(&mut self, max: usize) {
         self.buckets.set_max(max);
     }
 
-    /// The current version's table, whose indices requests have.
+    /// The table of the current version. The indices in requests refer to it.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    fn find(&self, number: u64) -> Option<usize> {
-        let at = self
+    fn version_index(&self, number: u64) -> Option<usize> {
+        let index = self
             .versions
             .partition_point(|version| version.number < number);
-        (self.versions.get(at)?.number == number).then_some(at)
+        (self.versions.get(index)?.number == number).then_some(index)
     }
 
-    /// The versions that are current or have requests in flight, oldest first; the last one is current.
+    /// The versions that are current or have requests in flight, oldest first; the last one is the current one.
     pub fn versions(&self) -> impl Iterator<Item = OpenVersion> + '_ {
         self.versions.iter().copied()
     }
 
-    /// What happened since the start.
+    /// Counts since the start.
     pub fn counts(&self) -> RouterCounts {
         self.counts
     }
 
-    /// How many buckets of limits there are.
+    /// The number of buckets of limits.
     pub fn bucket_usage(&self) -> BucketUsage {
         BucketUsage {
             in_use: self.buckets.in_use(),
@@ -308,10 +309,10 @@
         }
     }
 
-    /// Decides about a request: its route, or when to come back. A pool whose own limits are exceeded is skipped as
-    /// if it were unusable. A rejected request takes nothing from any limit.
+    /// Routes a request, or rejects it with a retry-after. A pool whose own limits are exceeded is skipped as if it
+    /// were unusable. A rejected request is not counted by any limit.
     ///
-    /// `usable`: whether a pool, by its index in the current table, can take requests.
+    /// `usable` returns whether a pool, given by its index in the current table, accepts requests.
     pub fn on_arrival(
         &mut self,
         now: Duration,
@@ -349,7 +350,7 @@
         })
     }
 
-    /// The route and pool of a request, over pools that are usable and within their own limits.
+    /// Selects the route and pool of a request among pools that are usable and within their own limits.
     fn place(
         &mut self,
         now: Duration,
@@ -359,13 +360,13 @@
         let Self {
             table,
             buckets,
-            chance,
+            rng,
             counts,
             ..
         } = self;
-        // The earliest time at which a pool that was skipped for its limits has capacity.
-        let skipped_until: Cell<Option<Duration>> = Cell::new(None);
-        let has_capacity = |pool: u16| {
+        // The shortest retry-after of the pools that are skipped because their limits are exceeded.
+        let skipped_after: Cell<Option<Duration>> = Cell::new(None);
+        let within_limits = |pool: u16| {
             if !usable(pool) {
                 return false;
             }
@@ -373,17 +374,17 @@
             let checked = check_limit(table, buckets, scope, usize::from(pool), request, pool, now);
             let Err(exceeded) = checked else { return true };
             let after = retry_after_exceeded(exceeded, now);
-            let earliest = skipped_until
+            let shortest_after = skipped_after
                 .get()
-                .map_or(after, |before| before.min(after));
-            skipped_until.set(Some(earliest));
+                .map_or(after, |shortest| shortest.min(after));
+            skipped_after.set(Some(shortest_after));
             false
         };
-        let error = match table.place(request, chance, has_capacity) {
+        let error = match table.place(request, rng, within_limits) {
             Ok(placement) => return Ok(placement),
             Err(error) => error,
         };
-        let (reason, after, route) = match (error, skipped_until.get()) {
+        let (reason, after, route) = match (error, skipped_after.get()) {
             (RoutingError::NoRoute, _) => {
                 counts.no_route += 1;
                 (RejectReason::NoRoute, retry_after::NO_ROUTE, None)
@@ -406,7 +407,7 @@
         })
     }
 
-    /// The limits that count a request at each scope; all must admit it.
+    /// Checks a request against the limits of all scopes; each of them must admit it.
     fn check_limits(
         &mut self,
         now: Duration,
@@ -425,10 +426,10 @@
             let (table, buckets, pool) = (&self.table, &self.buckets, placement.pool);
             match check_limit(table, buckets, scope, indices[k], request, pool, now) {
                 Ok(limit) => limits[k] = limit,
-                // All must admit it, so the latest time counts.
-                Err(full) => {
-                    let after = retry_after_exceeded(full, now);
-                    if exceeded.is_none_or(|(_, before)| after > before) {
+                // All limits must admit the request, so the longest delay applies.
+                Err(limit_exceeded) => {
+                    let after = retry_after_exceeded(limit_exceeded, now);
+                    if exceeded.is_none_or(|(_, longest)| after > longest) {
                         exceeded = Some((scope, after));
                     }
                 }
@@ -441,7 +442,7 @@
         Err(self.rejected(placement, RejectReason::Limit(scope), after))
     }
 
-    /// Counts the request in the buckets of its limits. New buckets are created for all of them or for none.
+    /// Counts a request in the buckets of its limits. Missing buckets are created for all of the limits or for none.
     fn acquire_buckets(
         &mut self,
         now: Duration,
@@ -469,7 +470,7 @@
         }
     }
 
-    /// Records the end of an admitted request, whatever came of it.
+    /// Records that an admitted request has completed, whatever its outcome.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "a decision is handed back exactly once"
@@ -484,18 +485,18 @@
             self.buckets.release(slot);
         }
         self.counts.completed += 1;
-        let Some(at) = self.find(version) else {
-            debug_assert!(false, "a decision without its version");
+        let Some(index) = self.version_index(version) else {
+            debug_assert!(false, "the version of a decision is missing");
             return;
         };
-        self.versions[at].open_requests -= 1;
-        if self.versions[at].open_requests == 0 && at + 1 < self.versions.len() {
-            self.drop_version(at);
+        self.versions[index].open_requests -= 1;
+        if self.versions[index].open_requests == 0 && index + 1 < self.versions.len() {
+            self.drop_version(index);
         }
     }
 }
 
-/// When to come back after an exceeded limit, from now on.
+/// The retry-after for an exceeded limit, from now.
 fn retry_after_exceeded(exceeded: LimitExceeded, now: Duration) -> Duration {
     match exceeded {
         LimitExceeded::RateUntil(then) => then.saturating_sub(now),
--- a/crates/routing/src/router/limits.rs
+++ b/crates/routing/src/router/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that count a request, and the rules of their buckets when the configuration changes.
+//! Finds the limits that count a request, and the new rules of existing buckets when the configuration changes.
 
 use crate::rate_limit::{LimitExceeded, LimitRule, LimitScope};
 use crate::table::{Request, Table};
@@ -12,11 +12,12 @@
 #[derive(Clone, Copy)]
 pub(super) struct AppliedLimit {
     pub(super) rule: LimitRule,
-    /// What its bucket for the request is known by.
+    /// Identifies its bucket for the request.
     pub(super) key: Key,
 }
 
-/// The limit at a scope that counts a request, if there is one. `index`: of the entry of that scope.
+/// The limit that counts a request at a scope, if there is one. `index` is that of the scope's class, tenant, route or
+/// pool.
 fn applied_limit(
     table: &Table,
     scope: LimitScope,
@@ -24,28 +25,39 @@
     request: &Request<'_>,
     pool: u16,
 ) -> Option<AppliedLimit> {
-    let c = &table.configuration;
+    let configuration = &table.configuration;
     let (limits, name) = match scope {
-        LimitScope::Type => (*table.type_limits.get(index)?, &c.types[index].name),
-        LimitScope::Tenant => (*table.tenant_limits.get(index)?, &c.tenants[index].name),
-        LimitScope::Route => (table.routes[index].limits, &c.routes[index].name),
-        LimitScope::Pool => (table.pools[index].limits, &c.pools[index].name),
+        LimitScope::Type => (
+            *table.type_limits.get(index)?,
+            &configuration.types[index].name,
+        ),
+        LimitScope::Tenant => (
+            *table.tenant_limits.get(index)?,
+            &configuration.tenants[index].name,
+        ),
+        LimitScope::Route => (
+            table.routes[index].limits,
+            &configuration.routes[index].name,
+        ),
+        LimitScope::Pool => (table.pools[index].limits, &configuration.pools[index].name),
     };
     let (rule, per) = table.limits[usize::from(limits?)];
     let keyed_by = match per {
-        Per::Tenant => request.tenant.map(|at| &c.tenants[usize::from(at)].name),
-        Per::Type => Some(&c.types[usize::from(request.request_class)].name),
-        Per::Pool => Some(&c.pools[usize::from(pool)].name),
+        Per::Tenant => request
+            .tenant
+            .map(|tenant| &configuration.tenants[usize::from(tenant)].name),
+        Per::Type => Some(&configuration.types[usize::from(request.request_class)].name),
+        Per::Pool => Some(&configuration.pools[usize::from(pool)].name),
         Per::All | Per::Unspecified => None,
     };
     let key = Key::new(scope, name, per, keyed_by.map(String::as_str));
     Some(AppliedLimit { rule, key })
 }
 
-/// As [`applied_limit`], if that limit admits a request now. Nothing changes.
+/// As [`applied_limit`], if that limit admits the request now. Changes no bucket.
 ///
 /// # Errors
-/// Why it does not.
+/// If the limit is exceeded.
 pub(super) fn check_limit(
     table: &Table,
     buckets: &Buckets,
@@ -62,29 +74,36 @@
     Ok(Some(limit))
 }
 
-/// Rules by [`Key::limit`], which the buckets of a limit have in common.
+/// Rules by [`Key::limit`], which is the same for all buckets of a limit.
 #[derive(Default)]
 pub(super) struct ScopeRules(pub(super) HashMap<u64, LimitRule>);
 
 impl ScopeRules {
-    fn add(&mut self, table: &Table, at: LimitScope, name: &str, limits: Option<u16>) {
+    fn add(&mut self, table: &Table, scope: LimitScope, name: &str, limits: Option<u16>) {
         if let Some(limits) = limits {
             let (rule, per) = table.limits[usize::from(limits)];
-            self.0.insert(Key::new(at, name, per, None).limit, rule);
+            self.0.insert(Key::new(scope, name, per, None).limit, rule);
         }
     }
 
-    /// Of all scopes whose limits are selected by `among`.
-    pub(super) fn all(table: &Table, among: impl Fn(u16) -> bool) -> Self {
-        let (c, mut rules) = (&table.configuration, Self::default());
-        let mut add = |at: LimitScope, name: &str, limits: Option<u16>| {
-            rules.add(table, at, name, limits.filter(|limits| among(*limits)));
+    /// The rules of all scopes whose limits, given by index, are `selected`.
+    pub(super) fn all(table: &Table, selected: impl Fn(u16) -> bool) -> Self {
+        let (configuration, mut rules) = (&table.configuration, Self::default());
+        let mut add = |scope: LimitScope, name: &str, limits: Option<u16>| {
+            rules.add(
+                table,
+                scope,
+                name,
+                limits.filter(|limits| selected(*limits)),
+            );
         };
-        c.types
+        configuration
+            .types
             .iter()
             .zip(&table.type_limits)
             .for_each(|(x, limits)| add(LimitScope::Type, &x.name, *limits));
-        c.tenants
+        configuration
+            .tenants
             .iter()
             .zip(&table.tenant_limits)
             .for_each(|(x, limits)| add(LimitScope::Tenant, &x.name, *limits));
@@ -99,50 +118,51 @@
         rules
     }
 
-    /// Of all scopes that changes affect.
-    pub(super) fn of(table: &Table, changes: &[TableChange]) -> Self {
-        let c = &table.configuration;
-        let named = |change: &TableChange| match change {
-            TableChange::Limits(one) => table.index.limits.get(&c.limits, &one.name),
+    /// The rules of all scopes that are affected by an update.
+    pub(super) fn affected_by(table: &Table, changes: &[TableChange]) -> Self {
+        let configuration = &table.configuration;
+        let limits_index = |change: &TableChange| match change {
+            TableChange::Limits(new) => table.index.limits.get(&configuration.limits, &new.name),
             _ => None,
         };
-        let limits: Vec<u16> = changes.iter().filter_map(named).collect();
+        let limits: Vec<u16> = changes.iter().filter_map(limits_index).collect();
         let mut rules = if limits.is_empty() {
             Self::default()
         } else {
-            Self::all(table, |at| limits.contains(&at))
+            Self::all(table, |index| limits.contains(&index))
         };
         for change in changes {
             let EntryKey { kind, name } = change.key();
-            let of_route = || table.index.routes.get(&c.routes, name);
+            let route_index = || table.index.routes.get(&configuration.routes, name);
             match kind {
                 EntryKind::Type => {
-                    let at = table.request_class(name);
+                    let class = table.request_class(name);
                     rules.add(
                         table,
                         LimitScope::Type,
                         name,
-                        at.and_then(|at| table.type_limits[usize::from(at)]),
+                        class.and_then(|class| table.type_limits[usize::from(class)]),
                     );
                 }
                 EntryKind::Tenant => {
-                    let at = table.tenant(name);
+                    let tenant = table.tenant(name);
                     rules.add(
                         table,
                         LimitScope::Tenant,
                         name,
-                        at.and_then(|at| table.tenant_limits[usize::from(at)]),
+                        tenant.and_then(|tenant| table.tenant_limits[usize::from(tenant)]),
                     );
                 }
                 EntryKind::Route => {
-                    let of = of_route().and_then(|at| table.routes[usize::from(at)].limits);
-                    rules.add(table, LimitScope::Route, name, of);
+                    let route_limits =
+                        route_index().and_then(|index| table.routes[usize::from(index)].limits);
+                    rules.add(table, LimitScope::Route, name, route_limits);
                 }
                 EntryKind::Pool => {
-                    let of = table
+                    let pool_limits = table
                         .pool(name)
-                        .and_then(|at| table.pools[usize::from(at)].limits);
-                    rules.add(table, LimitScope::Pool, name, of);
+                        .and_then(|index| table.pools[usize::from(index)].limits);
+                    rules.add(table, LimitScope::Pool, name, pool_limits);
                 }
                 _ => {}
             }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,23 +1,23 @@
-//! A compiled configuration: names are indices, and matches are rows of bits.
+//! A compiled configuration: names are resolved to indices, and matches to rows of bits.
 //!
-//! For each request class, for all tenants, and for first attempts and retries there is a row with one bit for each
-//! route: the routes that such requests can match. Routes that name tenants are not in the row of all tenants but in a
-//! list of each tenant that they name. The candidates of a request are the bits set in all three, and only those are
-//! checked for its entity and size, in order.
+//! There is a row with one bit per route for each request class, one for all tenants, one for first attempts and one
+//! for retries; a set bit means that such requests can match the route. A route that names tenants is not in the row of
+//! all tenants but in a list for each tenant that it names. The candidate routes of a request are set in all three of
+//! its rows, and only those are checked, in order, for its entity and size.
 //!
-//! There is one table, that of the current version: a request that arrived under an earlier one carries what it still
-//! needs of it ([`crate::router::RouteDecision`]). An update of single entries therefore alters the table in place
-//! ([`crate::table_update`]), and two open versions take the memory of one.
+//! There is one table, that of the current version: a request that arrived under an earlier version carries all that it
+//! still needs of that version ([`crate::router::RouteDecision`]). An update of single entries therefore changes the
+//! table in place ([`crate::table_update`]), and two open versions take the memory of one.
 //!
-//! Invariants: every index in a [`Table`] is within its list; each share of a split is above 0; the chain of fallbacks
-//! of a pool ends; no bits and list entries are set past the last route.
+//! Invariants: every index in a [`Table`] is within its list; each share of a split is above 0; the fallback chain of a
+//! pool has no cycle; no bit or list entry is set for an index past the last route.
 
 mod bits;
 mod compile;
 mod name_index;
 
 pub(crate) use bits::Bits;
-pub(crate) use compile::rows_fit;
+pub(crate) use compile::check_row_size;
 pub(crate) use name_index::{NameIndex, Named};
 
 use crate::rate_limit::LimitRule;
@@ -30,21 +30,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Entries of one kind: an index has two bytes, and the highest values are free for sentinels.
+/// Maximum number of entries of one kind: an index has two bytes, and the highest values are reserved for sentinels.
 pub(crate) const MAX_ENTRIES: usize = 65_000;
 
-/// A request as far as routing depends on it. Indices are those of the table that it is given to.
+/// The properties of a request that routing depends on. Indices refer to the table that routes it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'t> {
     /// Index of its class.
     pub request_class: u16,
-    /// Index of its tenant; `None` if the configuration does not name it.
+    /// Index of its tenant; `None` if the configuration does not define the tenant.
     pub tenant: Option<u16>,
-    /// Hash of the name of a tenant that the configuration does not name ([`crate::weighted_split::name_hash`]).
+    /// Hash of the name of a tenant that the configuration does not define ([`crate::weighted_split::name_hash`]).
     pub tenant_hash: u64,
-    /// The entity for affinity; empty if it has none.
+    /// The entity for affinity; empty if the request has none.
     pub entity: &'t str,
-    /// It is marked as a retry.
+    /// Whether it is marked as a retry.
     pub is_retry: bool,
     /// Its size in bytes.
     pub size: u64,
@@ -53,49 +53,51 @@
 /// Where a request is routed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Index of the route that takes it.
+    /// Index of the route that matched.
     pub route: u16,
     /// Index of the pool.
     pub pool: u16,
-    /// Why this pool.
+    /// Why this pool was chosen.
     pub by: PlacementReason,
 }
 
 /// Why a request goes to a pool of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementReason {
-    /// Its share of the route's split, or the route's only pool.
+    /// Chosen by the route's split, or the route's only target.
     Share,
-    /// The pool of its share cannot be used; another of the split takes it.
+    /// Chosen by the route's split while at least one pool of the split is unusable.
     OtherShare,
-    /// One of the route's fallbacks, by its index in that list.
+    /// One of the route's fallbacks, by its index in their list.
     Fallback(u16),
-    /// A fallback of a pool of the route.
+    /// A fallback of one of the route's pools.
     PoolFallback,
 }
 
 /// Why a request cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingError {
-    /// No route takes it.
+    /// No route matches it.
     NoRoute,
-    /// The route with this index takes it, but none of its pools can be used.
+    /// The route with this index matches it, but none of its pools is usable.
     NoPool(u16),
 }
 
 #[derive(Debug)]
 pub(crate) struct Target {
     pub pool: u16,
-    mark: u64,
+    /// Hash of the pool's name.
+    hash: u64,
     share: u64,
 }
 
 #[derive(Debug)]
 pub(crate) struct Route {
     pub name: Rc<str>,
+    /// The least and the largest request size, in bytes.
     size: (u64, u64),
     pub to: Box<[Target]>,
-    by_chance: bool,
+    random_split: bool,
     pub fall_back: Box<[u16]>,
     pub limits: Option<u16>,
     pub retry_after: Option<u16>,
@@ -105,7 +107,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub name: Rc<str>,
-    /// Mark and weight of each member.
+    /// The hash of each member's address, and its weight.
     members: Box<[(u64, u64)]>,
     pub fall_back: Option<u16>,
     pub limits: Option<u16>,
@@ -130,19 +132,23 @@
     pub(crate) index: Index,
     pub(crate) pools: Vec<Pool>,
     pub(crate) routes: Vec<Route>,
-    /// Routes that name no type, and with those that name it the row of each.
+    /// The row of routes that name no class.
     pub(crate) any_type: Bits,
+    /// The row of each class: routes that name it, and routes that name no class.
     pub(crate) by_type: Vec<Bits>,
-    /// Routes that name no tenant, and in order those that name it for each that is named.
+    /// The row of routes that name no tenant.
     pub(crate) any_tenant: Bits,
+    /// For each tenant that a route names, the sorted indices of the routes that name it.
     pub(crate) by_tenant: HashMap<u16, Vec<u16>>,
-    pub(crate) by_try: [Bits; 2],
+    /// The rows of first attempts and of retries.
+    pub(crate) by_attempt_kind: [Bits; 2],
     pub(crate) limits: Vec<(LimitRule, Per)>,
     pub(crate) type_limits: Vec<Option<u16>>,
     pub(crate) tenant_limits: Vec<Option<u16>>,
-    /// Of each budget and type.
+    /// The times of the stages, by budget and class.
     pub(crate) times: Vec<Vec<Times>>,
-    pub(crate) goals: Vec<Duration>,
+    /// The latency objective of each class.
+    pub(crate) latency_objectives: Vec<Duration>,
 }
 
 impl Table {
@@ -161,7 +167,7 @@
         self.index.pools.get(&self.configuration.pools, name)
     }
 
-    /// How many routes there are, and where those of these names stand.
+    /// The number of routes, and the index of each of the named routes.
     pub(crate) fn route_places<'n>(
         &self,
         names: impl Iterator<Item = &'n str>,
@@ -178,7 +184,7 @@
     /// The name of a pool.
     ///
     /// # Panics
-    /// If there is no such index.
+    /// If the index is out of range.
     pub fn pool_name(&self, pool: u16) -> &str {
         &self.pools[usize::from(pool)].name
     }
@@ -186,7 +192,7 @@
     /// The name of a route.
     ///
     /// # Panics
-    /// If there is no such index.
+    /// If the index is out of range.
     pub fn route_name(&self, route: u16) -> &str {
         &self.routes[usize::from(route)].name
     }
@@ -206,129 +212,126 @@
             .map(|list| 40 + list.capacity() * 2)
             .sum();
         let fixed = (self.by_type.len() + 4) * row + entries;
-        let target = |r: &Route| r.to.len() * size_of::<Target>() + r.fall_back.len() * 2;
+        let targets_size =
+            |route: &Route| route.to.len() * size_of::<Target>() + route.fall_back.len() * 2;
         let routes: usize = self
             .routes
             .iter()
-            .map(|r| size_of::<Route>() + target(r))
+            .map(|route| size_of::<Route>() + targets_size(route))
             .sum();
         let pools: usize = self
             .pools
             .iter()
-            .map(|p| size_of::<Pool>() + p.members.len() * 16)
+            .map(|pool| size_of::<Pool>() + pool.members.len() * 16)
             .sum();
         let times = self
             .times
             .iter()
             .map(|row| row.len() * size_of::<Times>())
             .sum::<usize>();
-        // Names stand in the message, and for most there is a hash.
+        // The names are stored in the configuration, and most of them also have a hash in an index.
         fixed + routes + pools + times + 4 * to_binary(&self.configuration).len()
     }
 
-    /// The route that takes a request: the first that matches.
+    /// The first route that matches a request.
     pub fn route(&self, request: &Request<'_>) -> Option<u16> {
-        let of_type = &self
+        let class_row = &self
             .by_type
             .get(usize::from(request.request_class))?
             .words();
-        let mut named = self.named(request);
-        let of_try = self.by_try[usize::from(request.is_retry)].words();
-        for (word, ((a, b), c)) in of_type
+        let mut tenant_routes = self.routes_naming_tenant(request);
+        let attempt_row = self.by_attempt_kind[usize::from(request.is_retry)].words();
+        for (word, ((class_bits, any_tenant_bits), attempt_bits)) in class_row
             .iter()
             .zip(self.any_tenant.words())
-            .zip(of_try)
+            .zip(attempt_row)
             .enumerate()
         {
-            let mut of_tenant = *b;
-            while let Some((at, rest)) = named
+            let mut tenant_bits = *any_tenant_bits;
+            while let Some((index, rest)) = tenant_routes
                 .split_first()
-                .filter(|(at, _)| usize::from(**at) / 64 == word)
+                .filter(|(index, _)| usize::from(**index) / 64 == word)
             {
-                of_tenant |= 1 << (at % 64);
-                named = rest;
+                tenant_bits |= 1 << (index % 64);
+                tenant_routes = rest;
             }
-            let mut left = a & of_tenant & c;
-            while left != 0 {
-                let at = word * 64 + left.trailing_zeros() as usize;
-                left &= left - 1;
-                if self.takes(at, request) {
-                    return Some(at as u16);
+            let mut candidates = class_bits & tenant_bits & attempt_bits;
+            while candidates != 0 {
+                let index = word * 64 + candidates.trailing_zeros() as usize;
+                candidates &= candidates - 1;
+                if self.matches_size_and_entity(index, request) {
+                    return Some(index as u16);
                 }
             }
         }
         None
     }
 
-    /// The routes that name a request's tenant.
-    fn named(&self, request: &Request<'_>) -> &[u16] {
+    /// The routes that name a request's tenant, in order.
+    fn routes_naming_tenant(&self, request: &Request<'_>) -> &[u16] {
         request
             .tenant
             .and_then(|tenant| self.by_tenant.get(&tenant))
             .map_or(&[], |list| list)
     }
 
-    /// Whether a route takes a request, as far as size and entity go.
-    fn takes(&self, at: usize, request: &Request<'_>) -> bool {
-        let (least, most) = self.routes[at].size;
-        let entities = self.configuration.routes[at]
+    /// Whether a request's size and entity match a route.
+    fn matches_size_and_entity(&self, route: usize, request: &Request<'_>) -> bool {
+        let (min_bytes, max_bytes) = self.routes[route].size;
+        let entities = self.configuration.routes[route]
             .r#match
             .as_ref()
-            .map_or(&[][..], |m| &m.entities);
-        let takes = |pattern: &String| match pattern.strip_suffix('*') {
-            Some(beginning) => request.entity.starts_with(beginning),
+            .map_or(&[][..], |matched| &matched.entities);
+        let matches_entity = |pattern: &String| match pattern.strip_suffix('*') {
+            Some(prefix) => request.entity.starts_with(prefix),
             None => *pattern == request.entity,
         };
-        (least..=most).contains(&request.size)
-            && (entities.is_empty() || entities.iter().any(takes))
+        (min_bytes..=max_bytes).contains(&request.size)
+            && (entities.is_empty() || entities.iter().any(matches_entity))
     }
 
-    /// Where a request goes, given which pools can be used now.
+    /// Selects the route and pool of a request, given which pools are usable now.
     ///
     /// # Errors
-    /// No route takes it, or none of the route's pools can be used.
+    /// If no route matches, or none of the route's pools is usable.
     pub fn place(
         &self,
         request: &Request<'_>,
-        chance: &mut WyRand,
+        rng: &mut WyRand,
         usable: impl Fn(u16) -> bool,
     ) -> Result<Placement, RoutingError> {
-        let at = self.route(request).ok_or(RoutingError::NoRoute)?;
-        self.pool_of(at, request, chance, usable)
-            .map(|(pool, by)| Placement {
-                route: at,
-                pool,
-                by,
-            })
+        let route = self.route(request).ok_or(RoutingError::NoRoute)?;
+        self.select_pool(route, request, rng, usable)
+            .map(|(pool, by)| Placement { route, pool, by })
     }
 
-    fn pool_of(
+    fn select_pool(
         &self,
-        at: u16,
+        route_index: u16,
         request: &Request<'_>,
-        chance: &mut WyRand,
+        rng: &mut WyRand,
         usable: impl Fn(u16) -> bool,
     ) -> Result<(u16, PlacementReason), RoutingError> {
-        let route = &self.routes[usize::from(at)];
+        let route = &self.routes[usize::from(route_index)];
         let to = &route.to;
         if let [only] = &to[..] {
             if usable(only.pool) {
                 return Ok((only.pool, PlacementReason::Share));
             }
         } else {
-            // Requests without an entity have nothing to be told apart by.
-            let chosen = if route.by_chance || request.entity.is_empty() {
-                by_chance(to.iter().map(|t| t.share), chance, |k| usable(to[k].pool))
+            // Requests without an entity can only be split at random.
+            let chosen = if route.random_split || request.entity.is_empty() {
+                by_chance(to.iter().map(|t| t.share), rng, |k| usable(to[k].pool))
             } else {
-                by_entity(to.iter().map(|t| (t.mark, t.share)), request.entity, |k| {
+                by_entity(to.iter().map(|t| (t.hash, t.share)), request.entity, |k| {
                     usable(to[k].pool)
                 })
             };
             if let Some(k) = chosen {
-                let all = to.iter().all(|target| usable(target.pool));
+                let all_usable = to.iter().all(|target| usable(target.pool));
                 return Ok((
                     to[k].pool,
-                    if all {
+                    if all_usable {
                         PlacementReason::Share
                     } else {
                         PlacementReason::OtherShare
@@ -336,25 +339,25 @@
                 ));
             }
         }
-        let mut fall_backs = route.fall_back.iter().enumerate();
-        if let Some((k, pool)) = fall_backs.find(|(_, pool)| usable(**pool)) {
+        let mut fallbacks = route.fall_back.iter().enumerate();
+        if let Some((k, pool)) = fallbacks.find(|(_, pool)| usable(**pool)) {
             return Ok((*pool, PlacementReason::Fallback(k as u16)));
         }
-        let tried = to
+        let unusable = to
             .iter()
             .map(|target| target.pool)
             .chain(route.fall_back.iter().copied());
-        for pool in tried {
-            let chain =
-                std::iter::successors(Some(pool), |at| self.pools[usize::from(*at)].fall_back);
-            if let Some(other) = chain.skip(1).find(|pool| usable(*pool)) {
+        for pool in unusable {
+            let fallback_chain =
+                std::iter::successors(Some(pool), |pool| self.pools[usize::from(*pool)].fall_back);
+            if let Some(other) = fallback_chain.skip(1).find(|pool| usable(*pool)) {
                 return Ok((other, PlacementReason::PoolFallback));
             }
         }
-        Err(RoutingError::NoPool(at))
+        Err(RoutingError::NoPool(route_index))
     }
 
-    /// The member of a pool that an entity belongs to, of those that can be used.
+    /// The member of a pool that an entity is assigned to, among the usable ones.
     pub fn member(&self, pool: u16, entity: &str, usable: impl Fn(usize) -> bool) -> Option<usize> {
         by_entity(
             self.pools[usize::from(pool)].members.iter().copied(),
@@ -363,52 +366,54 @@
         )
     }
 
-    /// The times of a request's stages on a route.
-    pub fn times(&self, route: u16, traffic: u16) -> Times {
-        let goal = self
-            .goals
-            .get(usize::from(traffic))
+    /// The times of the stages of a request of a class on a route.
+    pub fn times(&self, route: u16, request_class: u16) -> Times {
+        let objective = self
+            .latency_objectives
+            .get(usize::from(request_class))
             .copied()
             .unwrap_or_default();
         let budget = self.routes[usize::from(route)].budget;
-        let row = budget.and_then(|at| self.times.get(usize::from(at)));
-        row.and_then(|row| row.get(usize::from(traffic)).copied())
-            .unwrap_or_else(|| Times::new(goal, None))
+        let row = budget.and_then(|budget| self.times.get(usize::from(budget)));
+        row.and_then(|row| row.get(usize::from(request_class)).copied())
+            .unwrap_or_else(|| Times::new(objective, None))
     }
 
-    /// Why a route does not take a request, if it does not.
+    /// Why a route does not match a request; `None` if it does.
     pub fn mismatch(&self, route: u16, request: &Request<'_>) -> Option<Mismatch> {
-        let at = usize::from(route);
-        let (least, most) = self.routes[at].size;
+        let index = usize::from(route);
+        let (min_bytes, max_bytes) = self.routes[index].size;
         if !self
             .by_type
             .get(usize::from(request.request_class))
-            .is_some_and(|row| row.has(at))
+            .is_some_and(|row| row.has(index))
         {
             Some(Mismatch::Type)
-        } else if !self.any_tenant.has(at) && !self.named(request).contains(&route) {
+        } else if !self.any_tenant.has(index)
+            && !self.routes_naming_tenant(request).contains(&route)
+        {
             Some(Mismatch::Tenant)
-        } else if !self.by_try[usize::from(request.is_retry)].has(at) {
+        } else if !self.by_attempt_kind[usize::from(request.is_retry)].has(index) {
             Some(Mismatch::Again)
-        } else if !(least..=most).contains(&request.size) {
+        } else if !(min_bytes..=max_bytes).contains(&request.size) {
             Some(Mismatch::Size)
-        } else if !self.takes(at, request) {
+        } else if !self.matches_size_and_entity(index, request) {
             Some(Mismatch::Entity)
         } else {
             None
         }
     }
 
-    /// The retry-after bounds that hold for a request: the route's, else the pool's.
+    /// The retry-after bounds of a request: the route's, or else the pool's.
     pub(crate) fn bounds(
         &self,
         route: Option<u16>,
         pool: Option<u16>,
     ) -> Option<&schema::RetryAfter> {
-        let of_route = route.and_then(|at| self.routes[usize::from(at)].retry_after);
-        let of_pool = pool.and_then(|at| self.pools[usize::from(at)].retry_after);
+        let of_route = route.and_then(|index| self.routes[usize::from(index)].retry_after);
+        let of_pool = pool.and_then(|index| self.pools[usize::from(index)].retry_after);
         of_route
             .or(of_pool)
-            .map(|at| &self.configuration.retry_after[usize::from(at)])
+            .map(|index| &self.configuration.retry_after[usize::from(index)])
     }
 }
--- a/crates/routing/src/table/compile.rs
+++ b/crates/routing/src/table/compile.rs
@@ -1,4 +1,4 @@
-//! Compiles a configuration, and single pools and routes of it.
+//! Compiles a whole configuration, or a single pool or route.
 
 use super::{Bits, Index, NameIndex, Pool, Route, Table, Target};
 use crate::rate_limit::LimitRule;
@@ -10,14 +10,14 @@
 use rainstand_config::units::ONE;
 use std::time::Duration;
 
-/// Size that the rows of bits of one table may have.
+/// Maximum size of the rows of bits of one table.
 const MAX_ROW_BYTES: usize = 256 << 20;
 
-/// Checks the size of the rows of bits for these numbers of request classes and routes.
+/// Checks the size of the rows of bits for a number of request classes and routes.
 ///
 /// # Errors
-/// If they would take more than [`MAX_ROW_BYTES`].
-pub(crate) fn rows_fit(types: usize, routes: usize) -> Result<(), ConfigurationError> {
+/// If the rows would take more than [`MAX_ROW_BYTES`].
+pub(crate) fn check_row_size(types: usize, routes: usize) -> Result<(), ConfigurationError> {
     if types.saturating_mul(routes.div_ceil(64) * 8) > MAX_ROW_BYTES {
         return Err(ConfigurationError::TableTooLarge {
             max_bytes: MAX_ROW_BYTES,
@@ -26,25 +26,25 @@
     Ok(())
 }
 
-/// What a match says that excludes first attempts, and what excludes retries.
+/// The condition of a match that excludes first attempts, and the one that excludes retries.
 const EXCLUDED_BY_ATTEMPT: [Again; 2] = [Again::FurtherTries, Again::FirstTries];
 
 impl Index {
-    fn new(c: &Configuration) -> Result<Self, ConfigurationError> {
+    fn new(configuration: &Configuration) -> Result<Self, ConfigurationError> {
         Ok(Self {
-            types: NameIndex::new(&c.types)?,
-            tenants: NameIndex::new(&c.tenants)?,
-            pools: NameIndex::new(&c.pools)?,
-            limits: NameIndex::new(&c.limits)?,
-            retry_after: NameIndex::new(&c.retry_after)?,
-            budgets: NameIndex::new(&c.budgets)?,
-            routes: NameIndex::new(&c.routes)?,
+            types: NameIndex::new(&configuration.types)?,
+            tenants: NameIndex::new(&configuration.tenants)?,
+            pools: NameIndex::new(&configuration.pools)?,
+            limits: NameIndex::new(&configuration.limits)?,
+            retry_after: NameIndex::new(&configuration.retry_after)?,
+            budgets: NameIndex::new(&configuration.budgets)?,
+            routes: NameIndex::new(&configuration.routes)?,
         })
     }
 }
 
 impl Table {
-    /// As [`Table::of`], of a copy.
+    /// As [`Table::of`], with a copy of the configuration.
     ///
     /// # Errors
     /// As [`Table::of`].
@@ -52,10 +52,11 @@
         Self::of(configuration.clone())
     }
 
-    /// Compiles a configuration. The checker reports all errors before, but a message may come from elsewhere.
+    /// Compiles a configuration. The configuration checker finds the same errors, but a configuration that arrives as a
+    /// message may not have passed it.
     ///
     /// # Errors
-    /// What in the configuration cannot be: a reference to a missing entry, a split without shares, too many rows.
+    /// If the configuration is invalid: a reference to a missing entry, a split without shares, too many rows.
     pub fn of(configuration: Configuration) -> Result<Self, ConfigurationError> {
         let mut table = Self::without_pools_and_routes(configuration)?;
         let configuration = &table.configuration;
@@ -64,72 +65,74 @@
             .iter()
             .map(|pool| table.compile_pool(pool))
             .collect::<Result<_, _>>()?;
-        (0..table.pools.len()).try_for_each(|at| table.chain_ends(at))?;
+        (0..table.pools.len()).try_for_each(|index| table.check_fallback_chain(index))?;
         let configuration = &table.configuration;
         table.routes = configuration
             .routes
             .iter()
             .map(|route| table.compile_route(route))
             .collect::<Result<_, _>>()?;
-        for at in 0..table.routes.len() {
-            table.mark_route(at, true);
+        for index in 0..table.routes.len() {
+            table.set_route_bits(index, true);
         }
         Ok(table)
     }
 
-    fn without_pools_and_routes(c: Configuration) -> Result<Self, ConfigurationError> {
-        let index = Index::new(&c)?;
-        let find_limits = |name: &str| index.limits.find_optional(&c.limits, name);
-        let type_limits = c
+    fn without_pools_and_routes(configuration: Configuration) -> Result<Self, ConfigurationError> {
+        let index = Index::new(&configuration)?;
+        let find_limits = |name: &str| index.limits.find_optional(&configuration.limits, name);
+        let type_limits = configuration
             .types
             .iter()
             .map(|class| find_limits(&class.limits))
             .collect::<Result<_, _>>()?;
-        let tenant_limits = c
+        let tenant_limits = configuration
             .tenants
             .iter()
             .map(|tenant| find_limits(&tenant.limits))
             .collect::<Result<_, _>>()?;
-        let goals: Vec<Duration> = c
+        let latency_objectives: Vec<Duration> = configuration
             .types
             .iter()
             .map(|class| Duration::from_nanos(class.goal_ns))
             .collect();
         let times = |budget| {
-            goals
+            latency_objectives
                 .iter()
-                .map(|goal| Times::new(*goal, Some(budget)))
+                .map(|objective| Times::new(*objective, Some(budget)))
                 .collect()
         };
-        let limits = c.limits.iter();
+        let limits = configuration.limits.iter();
         let mut row = Bits::default();
-        row.resize(c.routes.len().div_ceil(64));
-        rows_fit(c.types.len(), c.routes.len())?;
+        row.resize(configuration.routes.len().div_ceil(64));
+        check_row_size(configuration.types.len(), configuration.routes.len())?;
         Ok(Self {
             limits: limits
-                .map(|one| (LimitRule::from(one), one.per()))
+                .map(|limits| (LimitRule::from(limits), limits.per()))
                 .collect(),
-            times: c.budgets.iter().map(times).collect(),
+            times: configuration.budgets.iter().map(times).collect(),
             pools: Vec::new(),
             routes: Vec::new(),
-            by_type: vec![row.clone(); c.types.len()],
+            by_type: vec![row.clone(); configuration.types.len()],
             by_tenant: HashMap::new(),
-            by_try: [row.clone(), row.clone()],
+            by_attempt_kind: [row.clone(), row.clone()],
             any_type: row.clone(),
             any_tenant: row,
-            configuration: c,
+            configuration,
             index,
             type_limits,
             tenant_limits,
-            goals,
+            latency_objectives,
         })
     }
 
+    /// Checks that the fallback chain of a pool ends.
+    ///
     /// # Errors
-    /// If the fallbacks of a pool form a cycle.
-    pub(crate) fn chain_ends(&self, pool: usize) -> Result<(), ConfigurationError> {
+    /// If the chain forms a cycle.
+    pub(crate) fn check_fallback_chain(&self, pool: usize) -> Result<(), ConfigurationError> {
         let chain =
-            std::iter::successors(Some(pool), |at| self.pools[*at].fall_back.map(usize::from));
+            std::iter::successors(Some(pool), |p| self.pools[*p].fall_back.map(usize::from));
         if chain.take(self.pools.len() + 1).count() > self.pools.len() {
             return Err(ConfigurationError::FallbackCycle {
                 pool: self.pools[pool].name.to_string(),
@@ -139,40 +142,44 @@
     }
 
     pub(crate) fn compile_pool(&self, pool: &schema::Pool) -> Result<Pool, ConfigurationError> {
-        let (c, index) = (&self.configuration, &self.index);
+        let (configuration, index) = (&self.configuration, &self.index);
         Ok(Pool {
             name: pool.name.as_str().into(),
             members: pool
                 .members
                 .iter()
-                .map(|m| (name_hash(&m.address), m.weight))
+                .map(|member| (name_hash(&member.address), member.weight))
                 .collect(),
-            fall_back: index.pools.find_optional(&c.pools, &pool.fall_back)?,
-            limits: index.limits.find_optional(&c.limits, &pool.limits)?,
+            fall_back: index
+                .pools
+                .find_optional(&configuration.pools, &pool.fall_back)?,
+            limits: index
+                .limits
+                .find_optional(&configuration.limits, &pool.limits)?,
             retry_after: index
                 .retry_after
-                .find_optional(&c.retry_after, &pool.retry_after)?,
+                .find_optional(&configuration.retry_after, &pool.retry_after)?,
         })
     }
 
     pub(crate) fn compile_route(&self, route: &schema::Route) -> Result<Route, ConfigurationError> {
-        let (c, index) = (&self.configuration, &self.index);
-        let to = route.to.iter().map(|target| {
+        let (configuration, index) = (&self.configuration, &self.index);
+        let targets = route.to.iter().map(|target| {
             if target.share == 0 || target.share > ONE {
                 return Err(ConfigurationError::InvalidShare {
                     route: route.name.clone(),
                     share: target.share,
                 });
             }
-            let pool = index.pools.find(&c.pools, &target.pool)?;
+            let pool = index.pools.find(&configuration.pools, &target.pool)?;
             Ok(Target {
                 pool,
-                mark: name_hash(&target.pool),
+                hash: name_hash(&target.pool),
                 share: target.share,
             })
         });
-        let to: Box<[Target]> = to.collect::<Result<_, ConfigurationError>>()?;
-        if to.iter().map(|target| target.share).sum::<u64>() != ONE {
+        let targets: Box<[Target]> = targets.collect::<Result<_, ConfigurationError>>()?;
+        if targets.iter().map(|target| target.share).sum::<u64>() != ONE {
             return Err(ConfigurationError::IncompleteShares {
                 route: route.name.clone(),
             });
@@ -182,11 +189,11 @@
             matched
                 .types
                 .iter()
-                .try_for_each(|name| index.types.find(&c.types, name).map(drop))?;
+                .try_for_each(|name| index.types.find(&configuration.types, name).map(drop))?;
             matched
                 .tenants
                 .iter()
-                .try_for_each(|name| index.tenants.find(&c.tenants, name).map(drop))?;
+                .try_for_each(|name| index.tenants.find(&configuration.tenants, name).map(drop))?;
             size = (
                 matched.size_least,
                 if matched.size_most == 0 {
@@ -196,78 +203,85 @@
                 },
             );
         }
-        let fall_back = route
+        let fallback_indices = route
             .fall_back
             .iter()
-            .map(|name| index.pools.find(&c.pools, name));
+            .map(|name| index.pools.find(&configuration.pools, name));
         Ok(Route {
             name: route.name.as_str().into(),
             size,
-            to,
-            by_chance: route.split_by() == SplitBy::Chance,
-            fall_back: fall_back.collect::<Result<_, ConfigurationError>>()?,
-            limits: index.limits.find_optional(&c.limits, &route.limits)?,
+            to: targets,
+            random_split: route.split_by() == SplitBy::Chance,
+            fall_back: fallback_indices.collect::<Result<_, ConfigurationError>>()?,
+            limits: index
+                .limits
+                .find_optional(&configuration.limits, &route.limits)?,
             retry_after: index
                 .retry_after
-                .find_optional(&c.retry_after, &route.retry_after)?,
-            budget: index.budgets.find_optional(&c.budgets, &route.budget)?,
+                .find_optional(&configuration.retry_after, &route.retry_after)?,
+            budget: index
+                .budgets
+                .find_optional(&configuration.budgets, &route.budget)?,
         })
     }
 
-    /// Sets or clears a route's bits and list entries, by its match in the configuration.
-    pub(crate) fn mark_route(&mut self, at: usize, to: bool) {
+    /// Sets or clears the bits and list entries of a route, by its match in the configuration.
+    pub(crate) fn set_route_bits(&mut self, route: usize, value: bool) {
         let Self {
-            configuration: c,
+            configuration,
             index,
             any_type,
             by_type,
             any_tenant,
             by_tenant,
-            by_try,
+            by_attempt_kind,
             ..
         } = self;
-        let matched = c.routes[at].r#match.as_ref();
-        match matched.map(|m| &m.types).filter(|names| !names.is_empty()) {
+        let matched = configuration.routes[route].r#match.as_ref();
+        match matched
+            .map(|matched| &matched.types)
+            .filter(|names| !names.is_empty())
+        {
             None => {
-                any_type.set(at, to);
+                any_type.set(route, value);
                 for row in by_type.iter_mut() {
-                    row.set(at, to);
+                    row.set(route, value);
                 }
             }
             Some(names) => {
-                for of in names
+                for class in names
                     .iter()
-                    .filter_map(|name| index.types.get(&c.types, name))
+                    .filter_map(|name| index.types.get(&configuration.types, name))
                 {
-                    by_type[usize::from(of)].set(at, to);
+                    by_type[usize::from(class)].set(route, value);
                 }
             }
         }
         match matched
-            .map(|m| &m.tenants)
+            .map(|matched| &matched.tenants)
             .filter(|names| !names.is_empty())
         {
-            None => any_tenant.set(at, to),
+            None => any_tenant.set(route, value),
             Some(names) => {
-                for of in names
+                for tenant in names
                     .iter()
-                    .filter_map(|name| index.tenants.get(&c.tenants, name))
+                    .filter_map(|name| index.tenants.get(&configuration.tenants, name))
                 {
-                    let list = by_tenant.entry(of).or_default();
-                    match (list.binary_search(&(at as u16)), to) {
-                        (Err(place), true) => list.insert(place, at as u16),
-                        (Ok(place), false) => drop(list.remove(place)),
+                    let list = by_tenant.entry(tenant).or_default();
+                    match (list.binary_search(&(route as u16)), value) {
+                        (Err(position), true) => list.insert(position, route as u16),
+                        (Ok(position), false) => drop(list.remove(position)),
                         _ => {}
                     }
                     if list.is_empty() {
-                        by_tenant.remove(&of);
+                        by_tenant.remove(&tenant);
                     }
                 }
             }
         }
-        for (row, not) in by_try.iter_mut().zip(EXCLUDED_BY_ATTEMPT) {
-            if matched.is_none_or(|m| m.again() != not) {
-                row.set(at, to);
+        for (row, excluded) in by_attempt_kind.iter_mut().zip(EXCLUDED_BY_ATTEMPT) {
+            if matched.is_none_or(|matched| matched.again() != excluded) {
+                row.set(route, value);
             }
         }
     }
--- a/crates/routing/src/table/name_index.rs
+++ b/crates/routing/src/table/name_index.rs
@@ -1,4 +1,4 @@
-//! Indices of the entries of a configuration by name.
+//! Finds the entries of a configuration by name.
 
 use super::MAX_ENTRIES;
 use crate::weighted_split::name_hash;
@@ -8,64 +8,70 @@
 
 /// An entry of a configuration that has a name.
 pub(crate) trait Named {
-    /// The kind of entry, as in errors.
+    /// The kind of entry, as shown in errors.
     const KIND: &'static str;
-    /// Its name, unique among its kind.
+    /// Its name, unique within its kind.
     fn name(&self) -> &str;
 }
 
-macro_rules! named {
-    ($($thing:ident $what:literal),*) => {
-        $(impl Named for schema::$thing {
-            /// The kind of entry, as in errors.
-    const KIND: &'static str = $what;
+macro_rules! impl_named {
+    ($($entry:ident $kind:literal),*) => {
+        $(impl Named for schema::$entry {
+            const KIND: &'static str = $kind;
             fn name(&self) -> &str {
                 &self.name
             }
         })*
     };
 }
-named!(TrafficType "type", Tenant "tenant", Pool "pool", Limits "limits", RetryAfter "retry-after", Budget "budget",
-    Route "route", Attempts "attempts", Health "health");
+impl_named!(TrafficType "type", Tenant "tenant", Pool "pool", Limits "limits", RetryAfter "retry-after",
+    Budget "budget", Route "route", Attempts "attempts", Health "health");
 
-/// Indices in a list of the configuration by name. Only hashes of the names are held here; the names are in the list.
+/// Maps the names of a list of entries to their indices. Stores hashes only: the names are in the list itself, which
+/// each lookup is given.
 #[derive(Debug, Default)]
 pub(crate) struct NameIndex(HashMap<u64, u16>);
 
 impl NameIndex {
-    pub(super) fn new<T: Named>(all: &[T]) -> Result<Self, ConfigurationError> {
-        let mut names = Self(HashMap::with_capacity(all.len()));
-        for at in 0..all.len() {
-            names.put(all, at)?;
+    pub(super) fn new<T: Named>(entries: &[T]) -> Result<Self, ConfigurationError> {
+        let mut names = Self(HashMap::with_capacity(entries.len()));
+        for index in 0..entries.len() {
+            names.put(entries, index)?;
         }
         Ok(names)
     }
 
-    /// Adds the entry at this index. Nothing has changed if it is refused.
-    pub(crate) fn put<T: Named>(&mut self, all: &[T], at: usize) -> Result<(), ConfigurationError> {
-        let name = all[at].name();
-        if at >= MAX_ENTRIES {
+    /// Adds the entry at this index. On an error nothing has changed.
+    pub(crate) fn put<T: Named>(
+        &mut self,
+        entries: &[T],
+        index: usize,
+    ) -> Result<(), ConfigurationError> {
+        let name = entries[index].name();
+        if index >= MAX_ENTRIES {
             return Err(ConfigurationError::TooManyEntries {
                 max: MAX_ENTRIES,
                 kind: T::KIND,
             });
         }
-        self.check_free(all, name)?;
-        self.set(name, at as u16);
+        self.check_free(entries, name)?;
+        self.set(name, index as u16);
         Ok(())
     }
 
+    /// Checks that a name can be added.
+    ///
     /// # Errors
-    /// If another entry has this name or its hash.
+    /// If an entry has the same name, or a name with the same hash.
     pub(crate) fn check_free<T: Named>(
         &self,
-        all: &[T],
+        entries: &[T],
         name: &str,
     ) -> Result<(), ConfigurationError> {
-        let Some(there) = self.0.get(&name_hash(name)) else {
+        let Some(existing) = self.0.get(&name_hash(name)) else {
             return Ok(());
         };
-        let other = all.get(usize::from(*there)).map_or("", Named::name);
+        let other = entries.get(usize::from(*existing)).map_or("", Named::name);
         let (kind, name) = (T::KIND, name.to_owned());
         Err(if other == name {
             ConfigurationError::DuplicateName { kind, name }
@@ -81,8 +87,8 @@
     }
 
     /// Sets the index of a name.
-    pub(crate) fn set(&mut self, name: &str, to: u16) {
-        self.0.insert(name_hash(name), to);
+    pub(crate) fn set(&mut self, name: &str, index: u16) {
+        self.0.insert(name_hash(name), index);
     }
 
     /// Updates all indices.
@@ -91,32 +97,36 @@
     }
 
     /// The index of a name, if there is such an entry.
-    pub(crate) fn get<T: Named>(&self, all: &[T], name: &str) -> Option<u16> {
-        let at = *self.0.get(&name_hash(name))?;
-        (all.get(usize::from(at))?.name() == name).then_some(at)
+    pub(crate) fn get<T: Named>(&self, entries: &[T], name: &str) -> Option<u16> {
+        let index = *self.0.get(&name_hash(name))?;
+        (entries.get(usize::from(index))?.name() == name).then_some(index)
     }
 
-    /// As [`NameIndex::get`].
+    /// As [`NameIndex::get`], for a required entry.
     ///
     /// # Errors
     /// If there is no such entry.
-    pub(crate) fn find<T: Named>(&self, all: &[T], name: &str) -> Result<u16, ConfigurationError> {
-        self.get(all, name)
+    pub(crate) fn find<T: Named>(
+        &self,
+        entries: &[T],
+        name: &str,
+    ) -> Result<u16, ConfigurationError> {
+        self.get(entries, name)
             .ok_or_else(|| ConfigurationError::NotFound {
                 kind: T::KIND,
                 name: name.to_owned(),
             })
     }
 
-    /// As [`NameIndex::find`], where an empty name refers to nothing.
+    /// As [`NameIndex::find`], but an empty name gives `None`.
     pub(crate) fn find_optional<T: Named>(
         &self,
-        all: &[T],
+        entries: &[T],
         name: &str,
     ) -> Result<Option<u16>, ConfigurationError> {
         if name.is_empty() {
             return Ok(None);
         }
-        self.find(all, name).map(Some)
+        self.find(entries, name).map(Some)
     }
 }
--- a/crates/routing/src/table_update.rs
+++ b/crates/routing/src/table_update.rs
@@ -1,53 +1,57 @@
-//! Updates of single entries, applied to the table in place: the cost depends on what is changed.
+//! Updates of single entries, applied to the table in place: the cost depends on what changes.
 //!
-//! Nothing is rebuilt. An entry that is put replaces the one of its name, or is appended; a new route shifts the bits
-//! behind it; a removed entry leaves its index to the last of its kind, and references to that one are updated.
+//! The table is not rebuilt. An entry that is put replaces the one with its name, or is appended; a new route shifts the
+//! bits of the routes after it; the last entry of a kind takes the index of a removed one, and references to it are
+//! updated.
 //!
-//! Updates are atomic. Entries are put in the order in which they refer to each other, each is checked before anything
-//! is altered, and what was put is undone if a later one is refused. Removals come last, once all of them have been
-//! checked and nothing can fail any more.
+//! Updates are atomic. Referenced entries are put before those that refer to them, each is checked before it alters the
+//! table, and all previous changes are undone if a later one is rejected. Removals come last, after all of them have
+//! been checked, when nothing can fail any more.
 
 mod change;
 
 pub use change::{EntryKey, EntryKind, TableChange};
 
 use crate::rate_limit::LimitRule;
-use crate::table::{rows_fit, NameIndex, Named, Table};
+use crate::table::{check_row_size, NameIndex, Named, Table};
 use crate::time_budget::Times;
 use crate::ConfigurationError;
 use foldhash::{HashSet, HashSetExt};
 use rainstand_config::schema;
 use std::time::Duration;
 
-/// Replaces the entry of this name in a list, or appends it; its index, and the entry that it replaced.
+/// Replaces the entry with the same name in a list, or appends it. Returns its index and the replaced entry.
 fn put<T: Named>(
-    all: &mut Vec<T>,
+    entries: &mut Vec<T>,
     names: &mut NameIndex,
-    thing: T,
+    entry: T,
 ) -> Result<(usize, Option<T>), ConfigurationError> {
-    if let Some(at) = names.get(all, thing.name()).map(usize::from) {
-        return Ok((at, Some(std::mem::replace(&mut all[at], thing))));
+    if let Some(index) = names.get(entries, entry.name()).map(usize::from) {
+        return Ok((index, Some(std::mem::replace(&mut entries[index], entry))));
     }
-    all.push(thing);
-    let at = all.len() - 1;
-    if let Err(refused) = names.put(all, at) {
-        all.pop();
-        return Err(refused);
+    entries.push(entry);
+    let index = entries.len() - 1;
+    if let Err(error) = names.put(entries, index) {
+        entries.pop();
+        return Err(error);
     }
-    Ok((at, None))
+    Ok((index, None))
 }
 
-/// As [`put`], for kinds of entries that are referred to by name alone.
-fn put_by_name<T: Named>(all: &mut Vec<T>, thing: T) -> Option<T> {
-    if let Some(entry) = all.iter_mut().find(|one| one.name() == thing.name()) {
-        return Some(std::mem::replace(entry, thing));
+/// As [`put`], for kinds of entries that have no index. Returns the replaced entry.
+fn put_by_name<T: Named>(entries: &mut Vec<T>, entry: T) -> Option<T> {
+    if let Some(existing) = entries
+        .iter_mut()
+        .find(|existing| existing.name() == entry.name())
+    {
+        return Some(std::mem::replace(existing, entry));
     }
-    all.push(thing);
+    entries.push(entry);
     None
 }
 
-fn find_by_name<T: Named>(all: &[T], name: &str) -> Result<(), ConfigurationError> {
-    if all.iter().any(|one| one.name() == name) {
+fn find_by_name<T: Named>(entries: &[T], name: &str) -> Result<(), ConfigurationError> {
+    if entries.iter().any(|entry| entry.name() == name) {
         return Ok(());
     }
     Err(ConfigurationError::NotFound {
@@ -56,81 +60,81 @@
     })
 }
 
-fn remove_by_name<T: Named>(all: &mut Vec<T>, name: &str) {
-    all.retain(|one| one.name() != name);
+fn remove_by_name<T: Named>(entries: &mut Vec<T>, name: &str) {
+    entries.retain(|entry| entry.name() != name);
 }
 
-/// An entry that got another index.
+/// The change of an entry's index.
 #[derive(Clone, Copy)]
 struct Moved {
     to: u16,
     from: u16,
 }
 
-/// Removes an entry from its list; the last one takes its index, which may be the removed one itself.
+/// Removes an entry from its list; the last entry (possibly the same one) takes its index.
 fn swap_remove_named<T: Named>(
-    all: &mut Vec<T>,
+    entries: &mut Vec<T>,
     names: &mut NameIndex,
     name: &str,
 ) -> Option<Moved> {
-    let to = names.get(all, name)?;
-    let from = all.len() as u16 - 1;
+    let to = names.get(entries, name)?;
+    let from = entries.len() as u16 - 1;
     names.remove(name);
-    all.swap_remove(usize::from(to));
+    entries.swap_remove(usize::from(to));
     if to != from {
-        names.set(all[usize::from(to)].name(), to);
+        names.set(entries[usize::from(to)].name(), to);
     }
     Some(Moved { to, from })
 }
 
 /// Replaces the element at an index, or appends it.
-fn set<T>(all: &mut Vec<T>, at: usize, one: T) {
-    match all.get_mut(at) {
-        Some(there) => *there = one,
-        None => all.push(one),
+fn set_or_push<T>(elements: &mut Vec<T>, index: usize, element: T) {
+    match elements.get_mut(index) {
+        Some(existing) => *existing = element,
+        None => elements.push(element),
     }
 }
 
-/// Updates references to an entry that got another index.
+/// Updates references to an entry whose index changed.
 fn renumber<'a>(references: impl Iterator<Item = &'a mut u16>, moved: Moved) {
     references
-        .filter(|at| **at == moved.from)
-        .for_each(|at| *at = moved.to);
+        .filter(|index| **index == moved.from)
+        .for_each(|index| *index = moved.to);
 }
 
-/// The last phase in which entries are put ([`TableChange::phase`]).
+/// The last phase that puts entries ([`TableChange::phase`]).
 const LAST_PUT_PHASE: u8 = 4;
-/// The phase of removals of entries other than routes ([`TableChange::phase`]).
+/// The phase that removes entries other than routes ([`TableChange::phase`]).
 const REMOVAL_PHASE: u8 = 5;
 
-/// Changes that restore the table, to be applied last to first.
+/// Changes that restore the table, to be applied in reverse order.
 type Undo = Vec<TableChange>;
 
 impl Table {
     /// Applies all changes, or none of them.
     ///
     /// # Errors
-    /// As [`Table::of`]; also if an entry is named twice, or is removed while another refers to it.
+    /// As [`Table::of`]; also if two changes concern the same entry, or an entry is removed while another refers to it.
     pub fn apply(&mut self, changes: &[TableChange]) -> Result<(), ConfigurationError> {
-        let mut named = HashSet::with_capacity(changes.len());
-        if let Some(twice) = changes.iter().find(|change| !named.insert(change.key())) {
-            let EntryKey { kind, name } = twice.key();
+        let mut seen = HashSet::with_capacity(changes.len());
+        if let Some(duplicate) = changes.iter().find(|change| !seen.insert(change.key())) {
+            let EntryKey { kind, name } = duplicate.key();
             return Err(ConfigurationError::ChangedTwice {
                 kind: kind.as_str(),
                 name: name.to_owned(),
             });
         }
         let mut undo = Undo::new();
-        let done = self.put_all(changes, &mut undo);
-        if done.is_err() {
-            for back in undo.into_iter().rev() {
-                let done = self.step(back);
+        let result = self.put_all(changes, &mut undo);
+        if result.is_err() {
+            for undo_change in undo.into_iter().rev() {
+                let result = self.apply_one(undo_change);
                 debug_assert!(
-                    done.is_ok(),
-                    "what was there before is taken back: {done:?}"
+                    result.is_ok(),
+                    "restoring the previous state cannot fail: {result:?}"
                 );
             }
-            return done;
+            return result;
         }
         for change in changes {
             if let TableChange::Remove(kind, name) = change {
@@ -145,50 +149,50 @@
         changes: &[TableChange],
         undo: &mut Undo,
     ) -> Result<(), ConfigurationError> {
-        // Pools may fall back on each other: all are there before any says on which.
+        // Pools may fall back on each other, so all new pools are added before any fallback is set.
         for change in changes {
             match change {
                 TableChange::Pool(pool) if self.pool(&pool.name).is_none() => {
-                    let bare = schema::Pool {
+                    let empty_pool = schema::Pool {
                         name: pool.name.clone(),
                         ..schema::Pool::default()
                     };
-                    undo.push(self.step(TableChange::Pool(bare))?);
+                    undo.push(self.apply_one(TableChange::Pool(empty_pool))?);
                 }
                 _ => {}
             }
         }
         for phase in 0..=LAST_PUT_PHASE {
-            // From behind: a route may stand before another one of the same change.
-            let mut of_phase = changes
+            // In reverse: a route may be placed before another route of the same update.
+            let mut phase_changes = changes
                 .iter()
                 .rev()
                 .filter(|change| change.phase() == phase);
-            of_phase
-                .try_for_each(|change| self.step(change.clone()).map(|back| undo.push(back)))?;
+            phase_changes
+                .try_for_each(|change| self.apply_one(change.clone()).map(|old| undo.push(old)))?;
         }
-        for at in changes.iter().filter_map(|change| match change {
+        for pool in changes.iter().filter_map(|change| match change {
             TableChange::Pool(pool) => self.pool(&pool.name),
             _ => None,
         }) {
-            self.chain_ends(usize::from(at))?;
+            self.check_fallback_chain(usize::from(pool))?;
         }
-        // What goes refers to nothing any more, so that it may go in any order.
-        let gone = || {
+        // Entries to be removed first lose their references, so that they can be removed in any order.
+        let removals = || {
             changes
                 .iter()
                 .filter(|change| change.phase() == REMOVAL_PHASE)
                 .map(TableChange::key)
         };
-        for EntryKey { kind, name } in gone() {
-            if let Some(bare) = self.without_references(kind, name)? {
-                undo.push(self.step(bare)?);
+        for EntryKey { kind, name } in removals() {
+            if let Some(cleared) = self.without_references(kind, name)? {
+                undo.push(self.apply_one(cleared)?);
             }
         }
-        gone().try_for_each(|EntryKey { kind, name }| self.check_unreferenced(kind, name))
+        removals().try_for_each(|EntryKey { kind, name }| self.check_unreferenced(kind, name))
     }
 
-    /// The change that drops all references of an entry, if it has any.
+    /// The change that clears all references of an entry, if its kind has any.
     ///
     /// # Errors
     /// If there is no such entry.
@@ -197,34 +201,38 @@
         kind: EntryKind,
         name: &str,
     ) -> Result<Option<TableChange>, ConfigurationError> {
-        let (c, index) = (&self.configuration, &self.index);
+        let (config, index) = (&self.configuration, &self.index);
         Ok(match kind {
             EntryKind::Type => {
-                let there = &c.types[usize::from(index.types.find(&c.types, name)?)];
+                let existing = &config.types[usize::from(index.types.find(&config.types, name)?)];
                 Some(TableChange::Type(schema::TrafficType {
                     limits: String::new(),
-                    ..there.clone()
+                    ..existing.clone()
                 }))
             }
             EntryKind::Tenant => {
-                let there = &c.tenants[usize::from(index.tenants.find(&c.tenants, name)?)];
+                let existing =
+                    &config.tenants[usize::from(index.tenants.find(&config.tenants, name)?)];
                 Some(TableChange::Tenant(schema::Tenant {
                     limits: String::new(),
-                    ..there.clone()
+                    ..existing.clone()
                 }))
             }
             EntryKind::Pool => {
-                index.pools.find(&c.pools, name)?;
+                index.pools.find(&config.pools, name)?;
                 Some(TableChange::Pool(schema::Pool {
                     name: name.to_owned(),
                     ..schema::Pool::default()
                 }))
             }
-            EntryKind::Limits => index.limits.find(&c.limits, name).map(|_| None)?,
-            EntryKind::RetryAfter => index.retry_after.find(&c.retry_after, name).map(|_| None)?,
-            EntryKind::Budget => index.budgets.find(&c.budgets, name).map(|_| None)?,
-            EntryKind::Attempts => find_by_name(&c.attempts, name).map(|()| None)?,
-            EntryKind::Health => find_by_name(&c.health, name).map(|()| None)?,
+            EntryKind::Limits => index.limits.find(&config.limits, name).map(|_| None)?,
+            EntryKind::RetryAfter => index
+                .retry_after
+                .find(&config.retry_after, name)
+                .map(|_| None)?,
+            EntryKind::Budget => index.budgets.find(&config.budgets, name).map(|_| None)?,
+            EntryKind::Attempts => find_by_name(&config.attempts, name).map(|()| None)?,
+            EntryKind::Health => find_by_name(&config.health, name).map(|()| None)?,
             EntryKind::Route => None,
         })
     }
@@ -232,44 +240,44 @@
     /// Checks that no entry refers to this one.
     ///
     /// # Errors
-    /// If one does, or if there is no such entry.
+    /// If an entry refers to it, or there is no such entry.
     fn check_unreferenced(&self, kind: EntryKind, name: &str) -> Result<(), ConfigurationError> {
-        let (c, index) = (&self.configuration, &self.index);
-        let referred = match kind {
+        let (config, index) = (&self.configuration, &self.index);
+        let is_referenced = match kind {
             EntryKind::Type => {
-                let at = index.types.find(&c.types, name)?;
-                self.by_type[usize::from(at)] != self.any_type
+                let entry = index.types.find(&config.types, name)?;
+                self.by_type[usize::from(entry)] != self.any_type
             }
             EntryKind::Tenant => self
                 .by_tenant
-                .contains_key(&index.tenants.find(&c.tenants, name)?),
+                .contains_key(&index.tenants.find(&config.tenants, name)?),
             EntryKind::Pool => {
-                let at = index.pools.find(&c.pools, name)?;
-                let leads = |r: &crate::table::Route| {
-                    r.to.iter().any(|to| to.pool == at) || r.fall_back.contains(&at)
+                let entry = index.pools.find(&config.pools, name)?;
+                let refers = |route: &crate::table::Route| {
+                    route.to.iter().any(|to| to.pool == entry) || route.fall_back.contains(&entry)
                 };
-                self.routes.iter().any(leads)
-                    || self.pools.iter().any(|pool| pool.fall_back == Some(at))
+                self.routes.iter().any(refers)
+                    || self.pools.iter().any(|pool| pool.fall_back == Some(entry))
             }
             EntryKind::Limits => {
-                let at = Some(index.limits.find(&c.limits, name)?);
-                self.type_limits.contains(&at)
-                    || self.tenant_limits.contains(&at)
-                    || self.routes.iter().any(|route| route.limits == at)
-                    || self.pools.iter().any(|pool| pool.limits == at)
+                let entry = Some(index.limits.find(&config.limits, name)?);
+                self.type_limits.contains(&entry)
+                    || self.tenant_limits.contains(&entry)
+                    || self.routes.iter().any(|route| route.limits == entry)
+                    || self.pools.iter().any(|pool| pool.limits == entry)
             }
             EntryKind::RetryAfter => {
-                let at = Some(index.retry_after.find(&c.retry_after, name)?);
-                let of_pools = self.pools.iter().any(|pool| pool.retry_after == at);
-                of_pools || self.routes.iter().any(|route| route.retry_after == at)
+                let entry = Some(index.retry_after.find(&config.retry_after, name)?);
+                let by_pools = self.pools.iter().any(|pool| pool.retry_after == entry);
+                by_pools || self.routes.iter().any(|route| route.retry_after == entry)
             }
             EntryKind::Budget => {
-                let at = Some(index.budgets.find(&c.budgets, name)?);
-                self.routes.iter().any(|route| route.budget == at)
+                let entry = Some(index.budgets.find(&config.budgets, name)?);
+                self.routes.iter().any(|route| route.budget == entry)
             }
             EntryKind::Attempts | EntryKind::Health | EntryKind::Route => false,
         };
-        if referred {
+        if is_referenced {
             return Err(ConfigurationError::StillReferenced {
                 kind: kind.as_str(),
                 name: name.to_owned(),
@@ -278,8 +286,8 @@
         Ok(())
     }
 
-    /// Puts or removes one entry; returns the change that undoes it. Nothing has changed if it is refused.
-    fn step(&mut self, change: TableChange) -> Result<TableChange, ConfigurationError> {
+    /// Puts or removes one entry and returns the change that undoes this. On an error nothing has changed.
+    fn apply_one(&mut self, change: TableChange) -> Result<TableChange, ConfigurationError> {
         let EntryKey { kind, name } = change.key();
         let undo_new = TableChange::Remove(kind, name.to_owned());
         let configuration = &mut self.configuration;
@@ -289,8 +297,8 @@
                 .map_or(undo_new, TableChange::Limits),
             TableChange::RetryAfter(bounds) => {
                 let names = &mut self.index.retry_after;
-                let (_, before) = put(&mut configuration.retry_after, names, bounds)?;
-                before.map_or(undo_new, TableChange::RetryAfter)
+                let (_, replaced) = put(&mut configuration.retry_after, names, bounds)?;
+                replaced.map_or(undo_new, TableChange::RetryAfter)
             }
             TableChange::Budget(budget) => self
                 .put_budget(budget)?
@@ -310,11 +318,11 @@
             TableChange::Route(route, before) => self.put_route(route, before.as_deref())?,
             TableChange::Remove(EntryKind::Route, name) => {
                 let routes = &configuration.routes;
-                let at = usize::from(self.index.routes.find(routes, &name)?);
-                let next = routes.get(at + 1).map(|next| next.name.clone());
-                TableChange::Route(self.remove_route(at), next)
+                let route_index = usize::from(self.index.routes.find(routes, &name)?);
+                let next = routes.get(route_index + 1).map(|next| next.name.clone());
+                TableChange::Route(self.remove_route(route_index), next)
             }
-            // Only to undo an entry that was just put: it is the last of its kind, and nothing refers to it.
+            // Only undoes a new entry: it is the last of its kind, and nothing refers to it.
             TableChange::Remove(kind, name) => {
                 self.remove(kind, &name);
                 TableChange::Remove(kind, name)
@@ -328,9 +336,9 @@
     ) -> Result<Option<schema::Limits>, ConfigurationError> {
         let compiled = (LimitRule::from(&limits), limits.per());
         let names = &mut self.index.limits;
-        let (at, before) = put(&mut self.configuration.limits, names, limits)?;
-        set(&mut self.limits, at, compiled);
-        Ok(before)
+        let (index, replaced) = put(&mut self.configuration.limits, names, limits)?;
+        set_or_push(&mut self.limits, index, compiled);
+        Ok(replaced)
     }
 
     fn put_budget(
@@ -338,14 +346,14 @@
         budget: schema::Budget,
     ) -> Result<Option<schema::Budget>, ConfigurationError> {
         let times = self
-            .goals
+            .latency_objectives
             .iter()
-            .map(|goal| Times::new(*goal, Some(&budget)))
+            .map(|objective| Times::new(*objective, Some(&budget)))
             .collect();
         let names = &mut self.index.budgets;
-        let (at, before) = put(&mut self.configuration.budgets, names, budget)?;
-        set(&mut self.times, at, times);
-        Ok(before)
+        let (index, replaced) = put(&mut self.configuration.budgets, names, budget)?;
+        set_or_push(&mut self.times, index, times);
+        Ok(replaced)
     }
 
     fn put_request_class(
@@ -354,19 +362,19 @@
     ) -> Result<Option<schema::TrafficType>, ConfigurationError> {
         let limits = &self.configuration.limits;
         let limits = self.index.limits.find_optional(limits, &class.limits)?;
-        let goal = Duration::from_nanos(class.goal_ns);
-        rows_fit(self.configuration.types.len() + 1, self.routes.len())?;
+        let objective = Duration::from_nanos(class.goal_ns);
+        check_row_size(self.configuration.types.len() + 1, self.routes.len())?;
         let names = &mut self.index.types;
-        let (at, before) = put(&mut self.configuration.types, names, class)?;
-        set(&mut self.type_limits, at, limits);
-        set(&mut self.goals, at, goal);
+        let (index, replaced) = put(&mut self.configuration.types, names, class)?;
+        set_or_push(&mut self.type_limits, index, limits);
+        set_or_push(&mut self.latency_objectives, index, objective);
         for (row, budget) in self.times.iter_mut().zip(&self.configuration.budgets) {
-            set(row, at, Times::new(goal, Some(budget)));
+            set_or_push(row, index, Times::new(objective, Some(budget)));
         }
-        if before.is_none() {
+        if replaced.is_none() {
             self.by_type.push(self.any_type.clone());
         }
-        Ok(before)
+        Ok(replaced)
     }
 
     fn put_tenant(
@@ -376,20 +384,20 @@
         let limits = &self.configuration.limits;
         let limits = self.index.limits.find_optional(limits, &tenant.limits)?;
         let names = &mut self.index.tenants;
-        let (at, before) = put(&mut self.configuration.tenants, names, tenant)?;
-        set(&mut self.tenant_limits, at, limits);
-        Ok(before)
+        let (index, replaced) = put(&mut self.configuration.tenants, names, tenant)?;
+        set_or_push(&mut self.tenant_limits, index, limits);
+        Ok(replaced)
     }
 
     fn put_pool(&mut self, pool: schema::Pool) -> Result<Option<schema::Pool>, ConfigurationError> {
         let compiled = self.compile_pool(&pool)?;
         let names = &mut self.index.pools;
-        let (at, before) = put(&mut self.configuration.pools, names, pool)?;
-        set(&mut self.pools, at, compiled);
-        Ok(before)
+        let (index, replaced) = put(&mut self.configuration.pools, names, pool)?;
+        set_or_push(&mut self.pools, index, compiled);
+        Ok(replaced)
     }
 
-    /// Puts a route in front of another, or behind all; returns the change that undoes it.
+    /// Puts a route before another route, or last. Returns the change that undoes this.
     fn put_route(
         &mut self,
         route: schema::Route,
@@ -397,12 +405,12 @@
     ) -> Result<TableChange, ConfigurationError> {
         let compiled = self.compile_route(&route)?;
         let routes = &self.configuration.routes;
-        let place = match before {
+        let position = match before {
             Some(before) => usize::from(self.index.routes.find(routes, before)?),
             None => routes.len(),
         };
-        let Some(there) = self.index.routes.get(routes, &route.name).map(usize::from) else {
-            rows_fit(self.by_type.len(), self.routes.len() + 1)?;
+        let Some(current) = self.index.routes.get(routes, &route.name).map(usize::from) else {
+            check_row_size(self.by_type.len(), self.routes.len() + 1)?;
             if self.routes.len() >= crate::table::MAX_ENTRIES {
                 return Err(ConfigurationError::TooManyEntries {
                     max: crate::table::MAX_ENTRIES,
@@ -410,75 +418,80 @@
                 });
             }
             self.index.routes.check_free(routes, &route.name)?;
-            let back = TableChange::Remove(EntryKind::Route, route.name.clone());
-            self.insert_route(place, route, compiled);
-            return Ok(back);
+            let undo_change = TableChange::Remove(EntryKind::Route, route.name.clone());
+            self.insert_route(position, route, compiled);
+            return Ok(undo_change);
         };
-        if place == there {
+        if position == current {
             return Err(ConfigurationError::BeforeItself { route: route.name });
         }
-        let next = routes.get(there + 1).map(|next| next.name.clone());
-        let old = if place == there + 1 {
-            self.mark_route(there, false);
-            let old = std::mem::replace(&mut self.configuration.routes[there], route);
-            self.routes[there] = compiled;
-            self.mark_route(there, true);
+        let next = routes.get(current + 1).map(|next| next.name.clone());
+        let old = if position == current + 1 {
+            self.set_route_bits(current, false);
+            let old = std::mem::replace(&mut self.configuration.routes[current], route);
+            self.routes[current] = compiled;
+            self.set_route_bits(current, true);
             old
         } else {
-            let old = self.remove_route(there);
-            self.insert_route(place - usize::from(place > there), route, compiled);
+            let old = self.remove_route(current);
+            self.insert_route(position - usize::from(position > current), route, compiled);
             old
         };
         Ok(TableChange::Route(old, next))
     }
 
-    fn insert_route(&mut self, at: usize, route: schema::Route, compiled: crate::table::Route) {
+    fn insert_route(
+        &mut self,
+        position: usize,
+        route: schema::Route,
+        compiled: crate::table::Route,
+    ) {
         let words = (self.routes.len() + 1).div_ceil(64);
-        self.each_row(|row| {
+        self.for_each_row(|row| {
             row.resize(words);
-            row.insert_gap(at);
+            row.insert_gap(position);
         });
-        let moved = |place: &mut u16| *place += u16::from(usize::from(*place) >= at);
-        self.by_tenant.values_mut().flatten().for_each(moved);
-        self.index.routes.for_each(moved);
-        self.index.routes.set(&route.name, at as u16);
-        self.configuration.routes.insert(at, route);
-        self.routes.insert(at, compiled);
-        self.mark_route(at, true);
+        let shift = |index: &mut u16| *index += u16::from(usize::from(*index) >= position);
+        self.by_tenant.values_mut().flatten().for_each(shift);
+        self.index.routes.for_each(shift);
+        self.index.routes.set(&route.name, position as u16);
+        self.configuration.routes.insert(position, route);
+        self.routes.insert(position, compiled);
+        self.set_route_bits(position, true);
     }
 
-    fn remove_route(&mut self, at: usize) -> schema::Route {
-        self.mark_route(at, false);
-        self.routes.remove(at);
-        let route = self.configuration.routes.remove(at);
+    fn remove_route(&mut self, position: usize) -> schema::Route {
+        self.set_route_bits(position, false);
+        self.routes.remove(position);
+        let route = self.configuration.routes.remove(position);
         self.index.routes.remove(&route.name);
-        let moved = |place: &mut u16| *place -= u16::from(usize::from(*place) > at);
-        self.by_tenant.values_mut().flatten().for_each(moved);
-        self.index.routes.for_each(moved);
+        let shift = |index: &mut u16| *index -= u16::from(usize::from(*index) > position);
+        self.by_tenant.values_mut().flatten().for_each(shift);
+        self.index.routes.for_each(shift);
         let words = self.routes.len().div_ceil(64);
-        self.each_row(|row| {
-            row.remove_bit(at);
+        self.for_each_row(|row| {
+            row.remove_bit(position);
             row.resize(words);
         });
         route
     }
 
-    fn each_row(&mut self, mut what: impl FnMut(&mut crate::table::Bits)) {
+    fn for_each_row(&mut self, mut update: impl FnMut(&mut crate::table::Bits)) {
         let Self {
             any_type,
             by_type,
             any_tenant,
-            by_try,
+            by_attempt_kind,
             ..
         } = self;
         by_type
             .iter_mut()
-            .chain(by_try)
+            .chain(by_attempt_kind)
             .chain([any_type, any_tenant])
-            .for_each(&mut what);
+            .for_each(&mut update);
     }
 
-    /// Removes an entry that nothing refers to. Routes are removed before, by [`Table::remove_route`].
+    /// Removes an entry that nothing refers to. Routes were removed earlier, by [`Table::remove_route`].
     fn remove(&mut self, kind: EntryKind, name: &str) {
         let configuration = &mut self.configuration;
         match kind {
@@ -495,22 +508,22 @@
     }
 
     fn remove_request_class(&mut self, name: &str) {
-        let all = &mut self.configuration.types;
-        let Some(moved) = swap_remove_named(all, &mut self.index.types, name) else {
+        let entries = &mut self.configuration.types;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.types, name) else {
             return;
         };
-        let at = usize::from(moved.to);
-        self.type_limits.swap_remove(at);
-        self.goals.swap_remove(at);
-        self.by_type.swap_remove(at);
+        let index = usize::from(moved.to);
+        self.type_limits.swap_remove(index);
+        self.latency_objectives.swap_remove(index);
+        self.by_type.swap_remove(index);
         for row in &mut self.times {
-            row.swap_remove(at);
+            row.swap_remove(index);
         }
     }
 
     fn remove_tenant(&mut self, name: &str) {
-        let all = &mut self.configuration.tenants;
-        let Some(moved) = swap_remove_named(all, &mut self.index.tenants, name) else {
+        let entries = &mut self.configuration.tenants;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.tenants, name) else {
             return;
         };
         self.tenant_limits.swap_remove(usize::from(moved.to));
@@ -520,13 +533,15 @@
     }
 
     fn remove_pool(&mut self, name: &str) {
-        let all = &mut self.configuration.pools;
-        let Some(moved) = swap_remove_named(all, &mut self.index.pools, name) else {
+        let entries = &mut self.configuration.pools;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.pools, name) else {
             return;
         };
         self.pools.swap_remove(usize::from(moved.to));
         renumber(
-            self.pools.iter_mut().filter_map(|p| p.fall_back.as_mut()),
+            self.pools
+                .iter_mut()
+                .filter_map(|pool| pool.fall_back.as_mut()),
             moved,
         );
         for route in &mut self.routes {
@@ -536,42 +551,42 @@
     }
 
     fn remove_limits(&mut self, name: &str) {
-        let all = &mut self.configuration.limits;
-        let Some(moved) = swap_remove_named(all, &mut self.index.limits, name) else {
+        let entries = &mut self.configuration.limits;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.limits, name) else {
             return;
         };
         self.limits.swap_remove(usize::from(moved.to));
-        let of_types = self.type_limits.iter_mut().filter_map(Option::as_mut);
-        renumber(of_types, moved);
-        let of_tenants = self.tenant_limits.iter_mut().filter_map(Option::as_mut);
-        renumber(of_tenants, moved);
-        let of_routes = self.routes.iter_mut().filter_map(|r| r.limits.as_mut());
-        renumber(of_routes, moved);
-        let of_pools = self.pools.iter_mut().filter_map(|p| p.limits.as_mut());
-        renumber(of_pools, moved);
+        let type_refs = self.type_limits.iter_mut().filter_map(Option::as_mut);
+        renumber(type_refs, moved);
+        let tenant_refs = self.tenant_limits.iter_mut().filter_map(Option::as_mut);
+        renumber(tenant_refs, moved);
+        let route_refs = self.routes.iter_mut().filter_map(|r| r.limits.as_mut());
+        renumber(route_refs, moved);
+        let pool_refs = self.pools.iter_mut().filter_map(|p| p.limits.as_mut());
+        renumber(pool_refs, moved);
     }
 
     fn remove_retry_after(&mut self, name: &str) {
-        let all = &mut self.configuration.retry_after;
-        let Some(moved) = swap_remove_named(all, &mut self.index.retry_after, name) else {
+        let entries = &mut self.configuration.retry_after;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.retry_after, name) else {
             return;
         };
-        let of_routes = self
+        let route_refs = self
             .routes
             .iter_mut()
             .filter_map(|r| r.retry_after.as_mut());
-        renumber(of_routes, moved);
-        let of_pools = self.pools.iter_mut().filter_map(|p| p.retry_after.as_mut());
-        renumber(of_pools, moved);
+        renumber(route_refs, moved);
+        let pool_refs = self.pools.iter_mut().filter_map(|p| p.retry_after.as_mut());
+        renumber(pool_refs, moved);
     }
 
     fn remove_budget(&mut self, name: &str) {
-        let all = &mut self.configuration.budgets;
-        let Some(moved) = swap_remove_named(all, &mut self.index.budgets, name) else {
+        let entries = &mut self.configuration.budgets;
+        let Some(moved) = swap_remove_named(entries, &mut self.index.budgets, name) else {
             return;
         };
         self.times.swap_remove(usize::from(moved.to));
-        let of_routes = self.routes.iter_mut().filter_map(|r| r.budget.as_mut());
-        renumber(of_routes, moved);
+        let route_refs = self.routes.iter_mut().filter_map(|r| r.budget.as_mut());
+        renumber(route_refs, moved);
     }
 }
--- a/crates/routing/src/table_update/change.rs
+++ b/crates/routing/src/table_update/change.rs
@@ -1,8 +1,8 @@
-//! The changes that an update of a table consists of.
+//! The changes of which an update of a table consists.
 
 use rainstand_config::schema;
 
-/// The kinds of entries that decide about requests.
+/// The kinds of configuration entries that affect routing decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EntryKind {
     /// A request class.
@@ -13,7 +13,7 @@
     Pool,
     /// Limits.
     Limits,
-    /// Bounds of retry-after.
+    /// Retry-after bounds.
     RetryAfter,
     /// A time budget.
     Budget,
@@ -26,7 +26,7 @@
 }
 
 impl EntryKind {
-    /// The kind as in errors.
+    /// The kind, as shown in errors.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             EntryKind::Type => "type",
@@ -53,7 +53,7 @@
     Pool(schema::Pool),
     /// Limits.
     Limits(schema::Limits),
-    /// Bounds of retry-after.
+    /// Retry-after bounds.
     RetryAfter(schema::RetryAfter),
     /// A time budget.
     Budget(schema::Budget),
@@ -61,19 +61,19 @@
     Attempts(schema::Attempts),
     /// Health rules.
     Health(schema::Health),
-    /// A route, and the name of the one in front of which it is placed; `None`: behind all. Of the routes of one update,
-    /// those in front come first.
+    /// A route, and the name of the route before which it is placed; `None` places it last. The routes of one update
+    /// are listed in the order of their positions.
     Route(schema::Route, Option<String>),
     /// Removes the entry of this kind and name.
     Remove(EntryKind, String),
 }
 
-/// An entry of the table.
+/// Identifies an entry of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EntryKey<'c> {
     /// Its kind.
     pub kind: EntryKind,
-    /// Its name, of which there is one in a kind.
+    /// Its name, unique within its kind.
     pub name: &'c str,
 }
 
@@ -81,21 +81,21 @@
     /// The entry that it changes.
     pub fn key(&self) -> EntryKey<'_> {
         let (kind, name) = match self {
-            TableChange::Type(one) => (EntryKind::Type, &one.name),
-            TableChange::Tenant(one) => (EntryKind::Tenant, &one.name),
-            TableChange::Pool(one) => (EntryKind::Pool, &one.name),
-            TableChange::Limits(one) => (EntryKind::Limits, &one.name),
-            TableChange::RetryAfter(one) => (EntryKind::RetryAfter, &one.name),
-            TableChange::Budget(one) => (EntryKind::Budget, &one.name),
-            TableChange::Attempts(one) => (EntryKind::Attempts, &one.name),
-            TableChange::Health(one) => (EntryKind::Health, &one.name),
-            TableChange::Route(one, _) => (EntryKind::Route, &one.name),
+            TableChange::Type(entry) => (EntryKind::Type, &entry.name),
+            TableChange::Tenant(entry) => (EntryKind::Tenant, &entry.name),
+            TableChange::Pool(entry) => (EntryKind::Pool, &entry.name),
+            TableChange::Limits(entry) => (EntryKind::Limits, &entry.name),
+            TableChange::RetryAfter(entry) => (EntryKind::RetryAfter, &entry.name),
+            TableChange::Budget(entry) => (EntryKind::Budget, &entry.name),
+            TableChange::Attempts(entry) => (EntryKind::Attempts, &entry.name),
+            TableChange::Health(entry) => (EntryKind::Health, &entry.name),
+            TableChange::Route(entry, _) => (EntryKind::Route, &entry.name),
             TableChange::Remove(kind, name) => (*kind, name),
         };
         EntryKey { kind, name }
     }
 
-    /// Its phase in an update: entries come before those that refer to them.
+    /// The phase of an update in which the change is applied: entries come before those that refer to them.
     pub(super) fn phase(&self) -> u8 {
         match self {
             TableChange::Limits(_)
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The table against the plain meaning of a match, limits at their places, and versions under change.
+//! Routing by the compiled table, limits at each scope, and configuration changes with requests in flight.
 
 #![allow(
     missing_docs,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Types t and u, tenants a, b and c, pools p, q and r.
-fn ground() -> Configuration {
+/// Request classes t and u, tenants a, b and c, pools p, q and r.
+fn base_configuration() -> Configuration {
     let traffic = |name: &str| schema::TrafficType {
         name: name.into(),
         goal_ns: 3 * SECOND,
@@ -87,29 +87,29 @@
     }
 }
 
-fn goes(verdict: Admission) -> RouteDecision {
-    match verdict {
-        Admission::Admitted(way) => way,
-        Admission::Rejected(turned) => panic!("turned away: {turned:?}"),
+fn expect_admitted(admission: Admission) -> RouteDecision {
+    match admission {
+        Admission::Admitted(decision) => decision,
+        Admission::Rejected(rejected) => panic!("unexpectedly rejected: {rejected:?}"),
     }
 }
 
-fn turned(verdict: Admission) -> (RejectReason, Duration) {
-    match verdict {
-        Admission::Rejected(turned) => (turned.reason, turned.after),
-        Admission::Admitted(way) => panic!("let in: {way:?}"),
+fn expect_rejected(admission: Admission) -> (RejectReason, Duration) {
+    match admission {
+        Admission::Rejected(rejected) => (rejected.reason, rejected.after),
+        Admission::Admitted(decision) => panic!("unexpectedly admitted: {decision:?}"),
     }
 }
 
 #[test]
 fn route_fallbacks_precede_pool_fallbacks() {
-    let mut all = ground();
-    all.pools.push(pool("s"));
-    all.pools[1].fall_back = "s".into();
+    let mut configuration = base_configuration();
+    configuration.pools.push(pool("s"));
+    configuration.pools[1].fall_back = "s".into();
     let mut split = route("r", &[("p", 50), ("q", 50)]);
     split.fall_back = vec!["r".into()];
-    all.routes = vec![split];
-    let table = Table::new(&all).unwrap();
+    configuration.routes = vec![split];
+    let table = Table::new(&configuration).unwrap();
     let request = Request {
         entity: "NO-1",
         ..Request::default()
@@ -124,42 +124,48 @@
         (&[0, 1, 2, 3], Err(RoutingError::NoPool(0))),
         (&[2, 3], Ok(PlacementReason::Share)),
     ];
-    for (out, wanted) in cases {
-        let found = table.place(&request, &mut chance, |pool| !out.contains(&pool));
-        assert_eq!(found.map(|place| place.by), wanted, "{out:?}");
-        assert!(found.map_or(true, |place| !out.contains(&place.pool)));
+    for (unusable, expected) in cases {
+        let placement = table.place(&request, &mut chance, |pool| !unusable.contains(&pool));
+        assert_eq!(placement.map(|place| place.by), expected, "{unusable:?}");
+        assert!(placement.map_or(true, |place| !unusable.contains(&place.pool)));
     }
 }
 
 #[test]
-fn invalid_configurations_are_refused() {
-    type Bend = fn(&mut Configuration);
-    let table: [(Bend, &str); 8] = [
+fn invalid_configurations_are_rejected() {
+    type Mutation = fn(&mut Configuration);
+    let cases: [(Mutation, &str); 8] = [
         (
-            |c| c.routes[0].to[0].pool = "x".into(),
+            |configuration| configuration.routes[0].to[0].pool = "x".into(),
             "there is no pool `x`",
         ),
-        (|c| c.routes[0].to[0].share = 0, "route `r`: a share of 0"),
         (
-            |c| c.routes[0].to[0].share = 5,
-            "route `r`: its shares are not 100 %",
+            |configuration| configuration.routes[0].to[0].share = 0,
+            "route `r`: invalid share of 0 millionths",
         ),
         (
-            |c| c.routes[0].to.clear(),
-            "route `r`: its shares are not 100 %",
+            |configuration| configuration.routes[0].to[0].share = 5,
+            "route `r`: the shares do not add up to 100 %",
         ),
         (
-            |c| c.pools[0].fall_back = "p".into(),
-            "pool `p` falls back in a ring",
+            |configuration| configuration.routes[0].to.clear(),
+            "route `r`: the shares do not add up to 100 %",
         ),
-        (|c| c.pools[1].name = "p".into(), "pool `p` is there twice"),
         (
-            |c| c.routes[0].limits = "x".into(),
+            |configuration| configuration.pools[0].fall_back = "p".into(),
+            "the fallbacks of pool `p` form a cycle",
+        ),
+        (
+            |configuration| configuration.pools[1].name = "p".into(),
+            "pool `p` is defined twice",
+        ),
+        (
+            |configuration| configuration.routes[0].limits = "x".into(),
             "there is no limits `x`",
         ),
         (
-            |c| {
-                c.routes[0].r#match = Some(Match {
+            |configuration| {
+                configuration.routes[0].r#match = Some(Match {
                     types: vec!["x".into()],
                     ..Default::default()
                 })
@@ -167,79 +173,82 @@
             "there is no type `x`",
         ),
     ];
-    for (bend, wanted) in table {
-        let mut all = ground();
-        all.routes = vec![route("r", &[("p", 100)])];
-        assert!(Table::new(&all).is_ok());
-        bend(&mut all);
-        assert_eq!(Table::new(&all).unwrap_err().to_string(), wanted);
+    for (mutate, expected) in cases {
+        let mut configuration = base_configuration();
+        configuration.routes = vec![route("r", &[("p", 100)])];
+        assert!(Table::new(&configuration).is_ok());
+        mutate(&mut configuration);
+        assert_eq!(
+            Table::new(&configuration).unwrap_err().to_string(),
+            expected
+        );
     }
 }
 
 #[test]
-fn limits_count_at_each_scope_and_by_key() {
-    let mut all = ground();
-    all.limits = vec![
+fn limits_apply_at_each_scope_and_per_key() {
+    let mut configuration = base_configuration();
+    configuration.limits = vec![
         limits("by-tenant", 10, 1, 0, Per::Tenant),
         limits("few", 0, 0, 2, Per::All),
         limits("pool", 0, 0, 1, Per::All),
     ];
-    all.types[1].limits = "few".into();
-    all.pools[1].limits = "pool".into();
-    let mut first = route("r", &[("p", 100)]);
-    first.limits = "by-tenant".into();
-    first.r#match = Some(Match {
+    configuration.types[1].limits = "few".into();
+    configuration.pools[1].limits = "pool".into();
+    let mut limited_route = route("r", &[("p", 100)]);
+    limited_route.limits = "by-tenant".into();
+    limited_route.r#match = Some(Match {
         types: vec!["t".into()],
         ..Default::default()
     });
-    all.routes = vec![first, route("rest", &[("q", 100)])];
-    all.routes[1].fall_back = vec!["r".into()];
-    let mut router = Router::new(&all, 1).unwrap();
+    configuration.routes = vec![limited_route, route("rest", &[("q", 100)])];
+    configuration.routes[1].fall_back = vec!["r".into()];
+    let mut router = Router::new(&configuration, 1).unwrap();
     let now = ms(5_000);
-    let of = |tenant: Option<u16>| Request {
+    let request_of = |tenant: Option<u16>| Request {
         tenant,
         ..Request::default()
     };
     for tenant in [Some(0), Some(1), None] {
-        let way = goes(router.on_arrival(now, &of(tenant), |_| true));
+        let decision = expect_admitted(router.on_arrival(now, &request_of(tenant), |_| true));
         assert_eq!(
-            turned(router.on_arrival(now, &of(tenant), |_| true)),
+            expect_rejected(router.on_arrival(now, &request_of(tenant), |_| true)),
             (RejectReason::Limit(LimitScope::Route), ms(100))
         );
-        router.on_completed(way);
+        router.on_completed(decision);
     }
-    // One a pool, then the fall-back; two of the type in all.
-    let other = Request {
+    // The pool admits one request, the next takes the fallback, and the class admits two in total.
+    let request_of_u = Request {
         request_class: 1,
         ..Request::default()
     };
-    let one = goes(router.on_arrival(now, &other, |_| true));
-    let two = goes(router.on_arrival(now, &other, |_| true));
+    let first = expect_admitted(router.on_arrival(now, &request_of_u, |_| true));
+    let second = expect_admitted(router.on_arrival(now, &request_of_u, |_| true));
     assert_eq!(
-        (one.placement.pool, one.placement.by),
+        (first.placement.pool, first.placement.by),
         (1, PlacementReason::Share)
     );
     assert_eq!(
-        (two.placement.pool, two.placement.by),
+        (second.placement.pool, second.placement.by),
         (2, PlacementReason::Fallback(0))
     );
     assert_eq!(
-        turned(router.on_arrival(now, &other, |_| true)).0,
+        expect_rejected(router.on_arrival(now, &request_of_u, |_| true)).0,
         RejectReason::Limit(LimitScope::Type)
     );
-    router.on_completed(one);
-    let again = goes(router.on_arrival(now, &other, |_| true));
-    assert_eq!(again.placement.pool, 1);
+    router.on_completed(first);
+    let retaken = expect_admitted(router.on_arrival(now, &request_of_u, |_| true));
+    assert_eq!(retaken.placement.pool, 1);
     assert_eq!(
-        turned(router.on_arrival(now, &other, |pool| pool == 1)).0,
+        expect_rejected(router.on_arrival(now, &request_of_u, |pool| pool == 1)).0,
         RejectReason::Limit(LimitScope::Pool)
     );
     assert_eq!(
-        turned(router.on_arrival(now, &other, |_| false)).0,
+        expect_rejected(router.on_arrival(now, &request_of_u, |_| false)).0,
         RejectReason::NoPool
     );
-    router.on_completed(two);
-    router.on_completed(again);
+    router.on_completed(second);
+    router.on_completed(retaken);
     let counts = router.counts();
     assert_eq!(
         (
@@ -253,17 +262,17 @@
 }
 
 #[test]
-fn a_rejected_request_takes_nothing_from_any_limit() {
-    let mut all = ground();
-    all.limits = vec![
+fn rejected_request_consumes_nothing_from_any_limit() {
+    let mut configuration = base_configuration();
+    configuration.limits = vec![
         limits("type", 1, 1, 0, Per::All),
         limits("tenant", 1, 1, 0, Per::All),
     ];
-    all.types[0].limits = "type".into();
-    all.tenants[0].limits = "tenant".into();
-    all.routes = vec![route("r", &[("p", 100)])];
-    let mut router = Router::new(&all, 1).unwrap();
-    let way = goes(router.on_arrival(
+    configuration.types[0].limits = "type".into();
+    configuration.tenants[0].limits = "tenant".into();
+    configuration.routes = vec![route("r", &[("p", 100)])];
+    let mut router = Router::new(&configuration, 1).unwrap();
+    let decision = expect_admitted(router.on_arrival(
         ms(0),
         &Request {
             tenant: Some(0),
@@ -272,9 +281,9 @@
         },
         |_| true,
     ));
-    // The tenant's is used up, the type's is not, and stays so.
+    // The tenant's limit is exhausted. The rejected request must not consume from the class's limit.
     assert_eq!(
-        turned(router.on_arrival(
+        expect_rejected(router.on_arrival(
             ms(0),
             &Request {
                 tenant: Some(0),
@@ -284,7 +293,7 @@
         )),
         (RejectReason::Limit(LimitScope::Tenant), ms(1_000))
     );
-    let other = goes(router.on_arrival(
+    let other = expect_admitted(router.on_arrival(
         ms(0),
         &Request {
             tenant: Some(1),
@@ -292,15 +301,15 @@
         },
         |_| true,
     ));
-    router.on_completed(way);
+    router.on_completed(decision);
     router.on_completed(other);
 }
 
 #[test]
 fn retry_after_stays_within_the_configured_bounds() {
-    let mut all = ground();
-    all.limits = vec![limits("slow", 1, 1, 0, Per::All)];
-    all.retry_after = vec![schema::RetryAfter {
+    let mut configuration = base_configuration();
+    configuration.limits = vec![limits("slow", 1, 1, 0, Per::All)];
+    configuration.retry_after = vec![schema::RetryAfter {
         name: "ra".into(),
         least_ns: SECOND / 5,
         most_ns: SECOND / 2,
@@ -308,90 +317,93 @@
     let mut only = route("r", &[("p", 100)]);
     only.limits = "slow".into();
     only.retry_after = "ra".into();
-    all.routes = vec![only];
-    let mut router = Router::new(&all, 1).unwrap();
-    let way = goes(router.on_arrival(ms(0), &Request::default(), |_| true));
+    configuration.routes = vec![only];
+    let mut router = Router::new(&configuration, 1).unwrap();
+    let decision = expect_admitted(router.on_arrival(ms(0), &Request::default(), |_| true));
     assert_eq!(
-        turned(router.on_arrival(ms(0), &Request::default(), |_| true)).1,
+        expect_rejected(router.on_arrival(ms(0), &Request::default(), |_| true)).1,
         ms(500)
     );
     assert_eq!(
-        turned(router.on_arrival(ms(990), &Request::default(), |_| true)).1,
+        expect_rejected(router.on_arrival(ms(990), &Request::default(), |_| true)).1,
         ms(200)
     );
-    router.on_completed(way);
+    router.on_completed(decision);
 }
 
-/// A configuration for each number: routes, limits and pools come and go.
-fn turning(number: u64) -> Configuration {
-    let mut all = ground();
-    all.limits = vec![
+/// A configuration for each version number; routes, limits and pools differ between them.
+fn configuration_of(number: u64) -> Configuration {
+    let mut configuration = base_configuration();
+    configuration.limits = vec![
         limits("l", 0, 0, 100_000 + number % 3, Per::Tenant),
         limits("m", 0, 0, 100_000, Per::All),
     ];
     if number.is_multiple_of(2) {
-        all.pools.push(pool("even"));
-        all.routes.push(route("some", &[("even", 40), ("p", 60)]));
-        all.routes[0].limits = "m".into();
-        all.routes[0].split_by = SplitBy::Chance.into();
-        all.routes[0].r#match = Some(Match {
+        configuration.pools.push(pool("even"));
+        configuration
+            .routes
+            .push(route("some", &[("even", 40), ("p", 60)]));
+        configuration.routes[0].limits = "m".into();
+        configuration.routes[0].split_by = SplitBy::Chance.into();
+        configuration.routes[0].r#match = Some(Match {
             types: vec!["u".into()],
             ..Default::default()
         });
     }
     let mut rest = route("rest", &[("q", 100)]);
     rest.limits = "l".into();
-    all.routes.push(rest);
-    all
+    configuration.routes.push(rest);
+    configuration
 }
 
 #[test]
-fn a_hundred_versions_among_ten_thousand_open_requests() {
-    let mut chance = WyRand::new_seed(11);
-    let mut router = Router::new(&turning(0), 1).unwrap();
+fn versions_are_dropped_after_their_last_request_completes() {
+    let mut rng = WyRand::new_seed(11);
+    let mut router = Router::new(&configuration_of(0), 1).unwrap();
     let mut open: Vec<(RouteDecision, u64)> = Vec::new();
-    let mut present = 1;
-    for change in 1..=100u64 {
+    let mut current = 1;
+    for round in 1..=100u64 {
         for _ in 0..200 {
             let request = Request {
-                request_class: chance.generate_range(0u16..2),
-                tenant: [None, Some(0), Some(2)][chance.generate_range(0..3usize)],
+                request_class: rng.generate_range(0u16..2),
+                tenant: [None, Some(0), Some(2)][rng.generate_range(0..3usize)],
                 ..Request::default()
             };
             open.push((
-                goes(router.on_arrival(ms(change), &request, |_| true)),
-                present,
+                expect_admitted(router.on_arrival(ms(round), &request, |_| true)),
+                current,
             ));
         }
-        // Half of what is open ends, old and new alike.
+        // 100 requests complete per round, of old and new versions at random.
         for _ in 0..100 {
-            let (way, version) = open.swap_remove(chance.generate_range(0..open.len()));
-            assert_eq!(way.version, version);
+            let (decision, version) = open.swap_remove(rng.generate_range(0..open.len()));
+            assert_eq!(decision.version, version);
             assert!(
                 router
                     .versions()
-                    .any(|one| one.number == version && one.open_requests > 0),
-                "without its version"
+                    .any(|open_version| open_version.number == version
+                        && open_version.open_requests > 0),
+                "the version of an open request is missing"
             );
-            let name = way.route.to_string();
+            let route = decision.route.to_string();
             assert!(
-                name == "rest" || version % 2 == 1,
-                "{name} in version {version}"
+                route == "rest" || version % 2 == 1,
+                "{route} in version {version}"
             );
-            router.on_completed(way);
+            router.on_completed(decision);
         }
-        present = router.install(&turning(change), ms(change)).unwrap();
-        assert_eq!(present, change + 1);
-        let told: u64 = router.versions().map(|version| version.open_requests).sum();
-        assert_eq!(told, open.len() as u64);
-        // No version without a request but the present one.
+        current = router.install(&configuration_of(round), ms(round)).unwrap();
+        assert_eq!(current, round + 1);
+        let in_flight: u64 = router.versions().map(|version| version.open_requests).sum();
+        assert_eq!(in_flight, open.len() as u64);
+        // Only the current version may have no requests.
         assert!(router
             .versions()
-            .all(|one| one.open_requests > 0 || one.number == present));
+            .all(|open_version| open_version.open_requests > 0 || open_version.number == current));
     }
     assert_eq!(open.len(), 10_000);
-    while let Some((way, _)) = open.pop() {
-        router.on_completed(way);
+    while let Some((decision, _)) = open.pop() {
+        router.on_completed(decision);
     }
     assert_eq!(
         router.versions().collect::<Vec<_>>(),
@@ -405,11 +417,11 @@
         (counts.versions_installed, counts.versions_dropped),
         (101, 100)
     );
-    // Those that were ever used: a limit by tenant for two tenants and the unknown, and one for all. With nobody
-    // inside they are given back.
+    // At most 4 buckets were ever used: one limit per tenant for two tenants and the unknown one, and one limit for
+    // all. Idle buckets are freed.
     assert!(
         router.bucket_usage().allocated <= 4,
-        "buckets are used again: {:?}",
+        "buckets are not reused: {:?}",
         router.bucket_usage()
     );
     (0..8).for_each(|_| router.tick(ms(101)));
@@ -417,111 +429,119 @@
 }
 
 #[test]
-fn versions_are_bounded_and_a_refused_one_changes_nothing() {
-    let mut router = Router::new(&turning(0), 1).unwrap();
-    let mut ways = vec![goes(
-        router.on_arrival(ms(0), &Request::default(), |_| true),
-    )];
+fn versions_are_bounded_and_a_rejected_one_changes_nothing() {
+    let mut router = Router::new(&configuration_of(0), 1).unwrap();
+    let mut decisions = vec![expect_admitted(router.on_arrival(
+        ms(0),
+        &Request::default(),
+        |_| true,
+    ))];
     for number in 1..MAX_VERSIONS as u64 {
-        router.install(&turning(number), ms(0)).unwrap();
-        ways.push(goes(
-            router.on_arrival(ms(0), &Request::default(), |_| true),
-        ));
+        router.install(&configuration_of(number), ms(0)).unwrap();
+        decisions.push(expect_admitted(router.on_arrival(
+            ms(0),
+            &Request::default(),
+            |_| true,
+        )));
     }
     let before: Vec<_> = router.versions().collect();
     assert!(router
-        .install(&turning(1), ms(0))
+        .install(&configuration_of(1), ms(0))
         .unwrap_err()
         .to_string()
-        .contains("still have tickets"));
-    let mut bad = turning(1);
-    bad.routes[0].to[0].pool = "gone".into();
-    assert!(router.install(&bad, ms(0)).is_err());
+        .contains("still have requests in flight"));
+    let mut invalid = configuration_of(1);
+    invalid.routes[0].to[0].pool = "gone".into();
+    assert!(router.install(&invalid, ms(0)).is_err());
     assert_eq!(router.versions().collect::<Vec<_>>(), before);
-    router.on_completed(ways.remove(3));
+    router.on_completed(decisions.remove(3));
     assert!(router
-        .install(&bad, ms(0))
+        .install(&invalid, ms(0))
         .unwrap_err()
         .to_string()
         .contains("no pool `gone`"));
-    assert!(router.install(&turning(1), ms(0)).is_ok());
+    assert!(router.install(&configuration_of(1), ms(0)).is_ok());
     assert_eq!(router.counts().versions_rejected, 3);
-    ways.into_iter().for_each(|way| router.on_completed(way));
+    decisions
+        .into_iter()
+        .for_each(|decision| router.on_completed(decision));
 }
 
 #[test]
-fn counts_carry_over_to_a_new_version() {
-    let with = |at_once: u64, rate: u64| {
-        let mut all = ground();
-        all.limits = vec![limits("l", rate, 2, at_once, Per::Tenant)];
+fn limit_counts_carry_over_to_a_new_version() {
+    let configuration_with = |at_once: u64, rate: u64| {
+        let mut configuration = base_configuration();
+        configuration.limits = vec![limits("l", rate, 2, at_once, Per::Tenant)];
         let mut only = route("r", &[("p", 100)]);
         only.limits = "l".into();
-        all.routes = vec![only];
-        all
+        configuration.routes = vec![only];
+        configuration
     };
-    let mut router = Router::new(&with(2, 10), 1).unwrap();
+    let mut router = Router::new(&configuration_with(2, 10), 1).unwrap();
     let request = Request {
         tenant: Some(1),
         ..Request::default()
     };
-    let ways = [0, 1].map(|_| goes(router.on_arrival(ms(0), &request, |_| true)));
-    // Tenants in another order, one more of them, and another rate: the two are still inside, and owed.
-    let mut next = with(3, 20);
-    next.tenants.reverse();
-    next.tenants.push(schema::Tenant {
+    let decisions = [0, 1].map(|_| expect_admitted(router.on_arrival(ms(0), &request, |_| true)));
+    // The order of the tenants, their number and the rate change: the two requests in flight and their
+    // rate debt still count.
+    let mut changed = configuration_with(3, 20);
+    changed.tenants.reverse();
+    changed.tenants.push(schema::Tenant {
         name: "d".into(),
         ..Default::default()
     });
-    router.install(&next, ms(0)).unwrap();
+    router.install(&changed, ms(0)).unwrap();
     let tenant = router.table().tenant("b");
     let request = Request {
         tenant,
         ..Request::default()
     };
     assert_eq!(
-        turned(router.on_arrival(ms(0), &request, |_| true)),
+        expect_rejected(router.on_arrival(ms(0), &request, |_| true)),
         (RejectReason::Limit(LimitScope::Route), ms(50))
     );
-    let third = goes(router.on_arrival(ms(50), &request, |_| true));
+    let third = expect_admitted(router.on_arrival(ms(50), &request, |_| true));
     assert_eq!(
-        turned(router.on_arrival(ms(9_000), &request, |_| true)),
+        expect_rejected(router.on_arrival(ms(9_000), &request, |_| true)),
         (RejectReason::Limit(LimitScope::Route), ms(100))
     );
-    let free = Request {
+    let request_of_d = Request {
         tenant: router.table().tenant("d"),
         ..Request::default()
     };
-    let fourth = goes(router.on_arrival(ms(50), &free, |_| true));
-    ways.into_iter()
+    let fourth = expect_admitted(router.on_arrival(ms(50), &request_of_d, |_| true));
+    decisions
+        .into_iter()
         .chain([third, fourth])
-        .for_each(|way| router.on_completed(way));
-    // Of five that there could be, the two that were used, which still owe; then none.
+        .for_each(|decision| router.on_completed(decision));
+    // Of five possible buckets, the two used ones still have a debt at 60 ms, and none is left at 10 s.
     (0..8).for_each(|_| router.tick(ms(60)));
     assert_eq!(router.bucket_usage().in_use, 2);
     (0..8).for_each(|_| router.tick(ms(10_000)));
     assert_eq!(router.bucket_usage().in_use, 0);
 }
 
-fn any_route() -> impl Strategy<Value = Match> {
-    let some =
-        |of: &'static [&'static str]| proptest::sample::subsequence(of.to_vec(), 0..=of.len());
+fn any_match() -> impl Strategy<Value = Match> {
+    let subset =
+        |all: &'static [&'static str]| proptest::sample::subsequence(all.to_vec(), 0..=all.len());
     let owned = |list: Vec<&'static str>| list.into_iter().map(str::to_owned).collect::<Vec<_>>();
     (
-        some(&["t", "u"]),
-        some(&["a", "b", "c"]),
-        some(&["NO-*", "NO-1*", "NO-12", "SE"]),
+        subset(&["t", "u"]),
+        subset(&["a", "b", "c"]),
+        subset(&["NO-*", "NO-1*", "NO-12", "SE"]),
         0i32..3,
         0u64..3,
         0u64..3,
     )
         .prop_map(
-            move |(types, tenants, entities, again, least, more)| Match {
+            move |(types, tenants, entities, attempts, min_size, extra)| Match {
                 types: owned(types),
                 tenants: owned(tenants),
                 entities: owned(entities),
-                again,
-                size_least: least,
-                size_most: if more == 0 { 0 } else { least + more },
+                again: attempts,
+                size_least: min_size,
+                size_most: if extra == 0 { 0 } else { min_size + extra },
             },
         )
 }
@@ -529,17 +549,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The rows find the route that the plain meaning finds, and miss for a reason that holds.
+    /// The bit rows find the same route as a direct evaluation of the matches, and report a mismatch if and only if
+    /// the direct evaluation does.
     #[test]
-    fn bit_rows_equal_the_matches(matches in proptest::collection::vec(any_route(), 0..90)) {
-        let mut all = ground();
-        all.routes = matches
+    fn bit_rows_agree_with_direct_evaluation_of_the_matches(matches in proptest::collection::vec(any_match(), 0..90)) {
+        let mut configuration = base_configuration();
+        configuration.routes = matches
             .into_iter()
             .enumerate()
             .map(|(k, matched)| schema::Route { r#match: Some(matched), ..route(&format!("r{k}"), &[("p", 100)]) })
             .collect();
-        let table = Table::new(&all).unwrap();
-        for point in Samples::of(&[&all]).each() {
+        let table = Table::new(&configuration).unwrap();
+        for point in Samples::of(&[&configuration]).each() {
             let request = Request {
                 request_class: table.request_class(point.class).unwrap(),
                 tenant: table.tenant(point.tenant),
@@ -548,8 +569,8 @@
                 size: point.size,
                 ..Request::default()
             };
-            prop_assert_eq!(table.route(&request).map(usize::from), first_match(&all.routes, &point));
-            for (k, route) in all.routes.iter().enumerate() {
+            prop_assert_eq!(table.route(&request).map(usize::from), first_match(&configuration.routes, &point));
+            for (k, route) in configuration.routes.iter().enumerate() {
                 let plain = first_mismatch(route.r#match.as_ref(), &point);
                 prop_assert_eq!(table.mismatch(k as u16, &request).is_some(), plain.is_some());
             }
--- a/crates/routing/tests/table_update.rs
+++ b/crates/routing/tests/table_update.rs
@@ -1,4 +1,4 @@
-//! A change of named things against the whole configuration taken anew: the same decisions, whole or not at all.
+//! An update of single entries leads to the same decisions as a full reload, and is applied completely or not at all.
 
 #![allow(
     missing_docs,
@@ -17,9 +17,9 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-struct Chance(WyRand);
+struct Random(WyRand);
 
-impl Chance {
+impl Random {
     fn below(&mut self, n: usize) -> usize {
         self.0.generate_range(0..n)
     }
@@ -28,8 +28,8 @@
         format!("{kind}{}", self.below(of))
     }
 
-    /// Of a few, none now and then.
-    fn or_none(&mut self, kind: &str, of: usize) -> String {
+    /// A name of that kind, or an empty one in a third of the cases.
+    fn name_or_empty(&mut self, kind: &str, of: usize) -> String {
         if self.below(3) == 0 {
             String::new()
         } else {
@@ -37,13 +37,14 @@
         }
     }
 
-    fn some(&mut self, kind: &str, of: usize, one_in: usize) -> Vec<String> {
-        let all = if self.below(one_in) == 0 {
+    /// A sorted list of up to three names, which is not empty in one of `one_in` cases.
+    fn names(&mut self, kind: &str, of: usize, one_in: usize) -> Vec<String> {
+        let count = if self.below(one_in) == 0 {
             1 + self.below(3)
         } else {
             0
         };
-        let mut names: Vec<String> = (0..all).map(|_| self.name(kind, of)).collect();
+        let mut names: Vec<String> = (0..count).map(|_| self.name(kind, of)).collect();
         names.sort();
         names.dedup();
         names
@@ -54,12 +55,12 @@
 const TENANTS: usize = 12;
 const POOLS: usize = 7;
 const LIMITS: usize = 5;
-const FEW: usize = 3;
+const BUDGETS_AND_BOUNDS: usize = 3;
 const ROUTES: usize = 150;
 
-fn a_type(name: String, chance: &mut Chance) -> schema::TrafficType {
-    let limits = chance.or_none("l", LIMITS);
-    let goal_ns = SECOND * (1 + chance.below(5) as u64);
+fn random_type(name: String, random: &mut Random) -> schema::TrafficType {
+    let limits = random.name_or_empty("l", LIMITS);
+    let goal_ns = SECOND * (1 + random.below(5) as u64);
     schema::TrafficType {
         name,
         goal_ns,
@@ -68,56 +69,56 @@
     }
 }
 
-fn a_tenant(name: String, chance: &mut Chance) -> schema::Tenant {
+fn random_tenant(name: String, random: &mut Random) -> schema::Tenant {
     schema::Tenant {
         name,
-        limits: chance.or_none("l", LIMITS),
+        limits: random.name_or_empty("l", LIMITS),
         ..Default::default()
     }
 }
 
-fn a_pool(name: String, chance: &mut Chance) -> schema::Pool {
+fn random_pool(name: String, random: &mut Random) -> schema::Pool {
     let member = |n| schema::Member {
         address: format!("{name}:{n}"),
         weight: ONE,
         ..Default::default()
     };
-    let fall_back = if chance.below(3) == 0 {
-        chance.name("p", POOLS)
+    let fall_back = if random.below(3) == 0 {
+        random.name("p", POOLS)
     } else {
         String::new()
     };
     schema::Pool {
-        members: (0..chance.below(3)).map(member).collect(),
-        limits: if chance.below(3) == 0 {
-            chance.name("l", LIMITS)
+        members: (0..random.below(3)).map(member).collect(),
+        limits: if random.below(3) == 0 {
+            random.name("l", LIMITS)
         } else {
             String::new()
         },
-        retry_after: chance.or_none("a", FEW),
+        retry_after: random.name_or_empty("a", BUDGETS_AND_BOUNDS),
         fall_back,
         name,
         ..Default::default()
     }
 }
 
-fn some_limits(name: String, chance: &mut Chance) -> schema::Limits {
+fn random_limits(name: String, random: &mut Random) -> schema::Limits {
     let rate = Rate {
-        micro_tickets: 1_000_000 * (1 + chance.below(40) as u64),
+        micro_tickets: 1_000_000 * (1 + random.below(40) as u64),
         per_ns: SECOND,
     };
-    let per = [Per::All, Per::Tenant, Per::Type, Per::Pool][chance.below(4)];
+    let per = [Per::All, Per::Tenant, Per::Type, Per::Pool][random.below(4)];
     schema::Limits {
         name,
-        rate: (chance.below(4) > 0).then_some(rate),
-        burst: chance.below(5) as u64,
-        at_once: chance.below(4) as u64 * 2,
+        rate: (random.below(4) > 0).then_some(rate),
+        burst: random.below(5) as u64,
+        at_once: random.below(4) as u64 * 2,
         per: per.into(),
     }
 }
 
-fn a_route(name: String, chance: &mut Chance) -> schema::Route {
-    let (first, second) = (chance.below(POOLS), chance.below(POOLS));
+fn random_route(name: String, random: &mut Random) -> schema::Route {
+    let (first, second) = (random.below(POOLS), random.below(POOLS));
     let target = |pool: usize, share| schema::Target {
         pool: format!("p{pool}"),
         share,
@@ -130,36 +131,36 @@
         ],
     };
     let patterns = ["NO-*", "NO-1*", "NO-12", "SE"];
-    let entities = (0..chance.below(3))
-        .map(|_| patterns[chance.below(4)].to_owned())
+    let entities = (0..random.below(3))
+        .map(|_| patterns[random.below(4)].to_owned())
         .collect();
     schema::Route {
         name,
-        r#match: (chance.below(12) > 0).then(|| Match {
-            types: chance.some("t", TYPES, 2),
-            tenants: chance.some("c", TENANTS, 2),
+        r#match: (random.below(12) > 0).then(|| Match {
+            types: random.names("t", TYPES, 2),
+            tenants: random.names("c", TENANTS, 2),
             entities,
-            again: chance.below(3) as i32,
-            size_least: chance.below(2) as u64,
-            size_most: [0, 2][chance.below(2)],
+            again: random.below(3) as i32,
+            size_least: random.below(2) as u64,
+            size_most: [0, 2][random.below(2)],
         }),
         to,
-        split_by: [SplitBy::Chance, SplitBy::Entity][chance.below(2)].into(),
-        fall_back: if chance.below(2) == 0 {
-            vec![chance.name("p", POOLS)]
+        split_by: [SplitBy::Chance, SplitBy::Entity][random.below(2)].into(),
+        fall_back: if random.below(2) == 0 {
+            vec![random.name("p", POOLS)]
         } else {
             vec![]
         },
-        limits: chance.or_none("l", LIMITS),
-        budget: chance.or_none("b", FEW),
-        retry_after: chance.or_none("a", FEW),
+        limits: random.name_or_empty("l", LIMITS),
+        budget: random.name_or_empty("b", BUDGETS_AND_BOUNDS),
+        retry_after: random.name_or_empty("a", BUDGETS_AND_BOUNDS),
         ..Default::default()
     }
 }
 
-fn a_budget(name: String, chance: &mut Chance) -> schema::Budget {
+fn random_budget(name: String, random: &mut Random) -> schema::Budget {
     let queue = schema::Stage {
-        share: 100_000 * (1 + chance.below(5) as u64),
+        share: 100_000 * (1 + random.below(5) as u64),
         fixed_ns: 0,
     };
     schema::Budget {
@@ -169,8 +170,8 @@
     }
 }
 
-fn a_retry_after(name: String, chance: &mut Chance) -> schema::RetryAfter {
-    let least_ns = 1_000_000 * (1 + chance.below(50) as u64);
+fn random_retry_after(name: String, random: &mut Random) -> schema::RetryAfter {
+    let least_ns = 1_000_000 * (1 + random.below(50) as u64);
     schema::RetryAfter {
         name,
         least_ns,
@@ -178,269 +179,288 @@
     }
 }
 
-fn whole(routes: usize, chance: &mut Chance) -> Configuration {
+fn random_configuration(routes: usize, random: &mut Random) -> Configuration {
     let named = |kind: &str, n: usize| (0..n).map(|k| format!("{kind}{k}")).collect::<Vec<_>>();
-    let mut all = Configuration {
+    let mut configuration = Configuration {
         version: 1,
         types: named("t", TYPES)
             .into_iter()
-            .map(|name| a_type(name, chance))
+            .map(|name| random_type(name, random))
             .collect(),
         tenants: named("c", TENANTS)
             .into_iter()
-            .map(|name| a_tenant(name, chance))
+            .map(|name| random_tenant(name, random))
             .collect(),
         pools: named("p", POOLS)
             .into_iter()
-            .map(|name| a_pool(name, chance))
+            .map(|name| random_pool(name, random))
             .collect(),
         limits: named("l", LIMITS)
             .into_iter()
-            .map(|name| some_limits(name, chance))
+            .map(|name| random_limits(name, random))
             .collect(),
-        budgets: named("b", FEW)
+        budgets: named("b", BUDGETS_AND_BOUNDS)
             .into_iter()
-            .map(|name| a_budget(name, chance))
+            .map(|name| random_budget(name, random))
             .collect(),
-        retry_after: named("a", FEW)
+        retry_after: named("a", BUDGETS_AND_BOUNDS)
             .into_iter()
-            .map(|name| a_retry_after(name, chance))
+            .map(|name| random_retry_after(name, random))
             .collect(),
         ..Default::default()
     };
-    all.pools.iter_mut().for_each(|pool| pool.fall_back.clear());
-    all.routes = named("r", routes)
+    configuration
+        .pools
+        .iter_mut()
+        .for_each(|pool| pool.fall_back.clear());
+    configuration.routes = named("r", routes)
         .into_iter()
-        .map(|name| a_route(name, chance))
+        .map(|name| random_route(name, random))
         .collect();
-    all
+    configuration
 }
 
-fn put<T>(all: &mut Vec<T>, name: impl Fn(&T) -> &str, thing: T) {
-    match all.iter().position(|one| name(one) == name(&thing)) {
-        Some(at) => all[at] = thing,
-        None => all.push(thing),
+fn put<T>(entries: &mut Vec<T>, name: impl Fn(&T) -> &str, entry: T) {
+    match entries
+        .iter()
+        .position(|existing| name(existing) == name(&entry))
+    {
+        Some(index) => entries[index] = entry,
+        None => entries.push(entry),
     }
 }
 
-/// What a configuration is after some things were put and removed, and the change that says so.
-fn some_change(all: &Configuration, chance: &mut Chance) -> (Configuration, Vec<TableChange>) {
-    let mut all = all.clone();
+/// A configuration after random entries were put and removed, and the changes of the equivalent update.
+fn random_update(
+    configuration: &Configuration,
+    random: &mut Random,
+) -> (Configuration, Vec<TableChange>) {
+    let mut changed = configuration.clone();
     let mut changes: Vec<TableChange> = Vec::new();
-    let mut routes = Vec::new();
-    for _ in 0..1 + chance.below(4) {
-        let removes = chance.below(4) == 0;
+    let mut changed_routes = Vec::new();
+    for _ in 0..1 + random.below(4) {
+        let removes = random.below(4) == 0;
         let kind = [
             (EntryKind::Type, "t", TYPES),
             (EntryKind::Tenant, "c", TENANTS),
             (EntryKind::Pool, "p", POOLS),
             (EntryKind::Limits, "l", LIMITS),
-            (EntryKind::Budget, "b", FEW),
-            (EntryKind::RetryAfter, "a", FEW),
+            (EntryKind::Budget, "b", BUDGETS_AND_BOUNDS),
+            (EntryKind::RetryAfter, "a", BUDGETS_AND_BOUNDS),
             (EntryKind::Route, "r", ROUTES),
             (EntryKind::Route, "r", ROUTES),
             (EntryKind::Route, "r", ROUTES),
-        ][chance.below(9)];
-        let name = chance.name(kind.1, kind.2);
+        ][random.below(9)];
+        let name = random.name(kind.1, kind.2);
         let kind = kind.0;
         if changes
             .iter()
             .any(|change| change.key() == EntryKey { kind, name: &name })
-            || routes.contains(&name)
+            || changed_routes.contains(&name)
         {
             continue;
         }
         if removes {
-            let before = all.clone();
-            all.types
+            let before = changed.clone();
+            changed
+                .types
                 .retain(|one| kind != EntryKind::Type || one.name != name);
-            all.tenants
+            changed
+                .tenants
                 .retain(|one| kind != EntryKind::Tenant || one.name != name);
-            all.pools
+            changed
+                .pools
                 .retain(|one| kind != EntryKind::Pool || one.name != name);
-            all.limits
+            changed
+                .limits
                 .retain(|one| kind != EntryKind::Limits || one.name != name);
-            all.budgets
+            changed
+                .budgets
                 .retain(|one| kind != EntryKind::Budget || one.name != name);
-            all.retry_after
+            changed
+                .retry_after
                 .retain(|one| kind != EntryKind::RetryAfter || one.name != name);
-            all.routes
+            changed
+                .routes
                 .retain(|one| kind != EntryKind::Route || one.name != name);
-            if all != before {
+            if changed != before {
                 changes.push(TableChange::Remove(kind, name));
             }
             continue;
         }
         let change = match kind {
-            EntryKind::Type => TableChange::Type(a_type(name, chance)),
-            EntryKind::Tenant => TableChange::Tenant(a_tenant(name, chance)),
-            EntryKind::Pool => TableChange::Pool(a_pool(name, chance)),
-            EntryKind::Limits => TableChange::Limits(some_limits(name, chance)),
-            EntryKind::Budget => TableChange::Budget(a_budget(name, chance)),
-            EntryKind::RetryAfter => TableChange::RetryAfter(a_retry_after(name, chance)),
+            EntryKind::Type => TableChange::Type(random_type(name, random)),
+            EntryKind::Tenant => TableChange::Tenant(random_tenant(name, random)),
+            EntryKind::Pool => TableChange::Pool(random_pool(name, random)),
+            EntryKind::Limits => TableChange::Limits(random_limits(name, random)),
+            EntryKind::Budget => TableChange::Budget(random_budget(name, random)),
+            EntryKind::RetryAfter => TableChange::RetryAfter(random_retry_after(name, random)),
             _ => {
-                let route = a_route(name.clone(), chance);
-                match all.routes.iter().position(|one| one.name == name) {
-                    // Half of those that are there stay in their place.
-                    Some(at) if chance.below(2) == 0 => all.routes[at] = route,
-                    there => {
-                        there.map(|at| all.routes.remove(at));
-                        all.routes.insert(chance.below(all.routes.len() + 1), route);
+                let route = random_route(name.clone(), random);
+                match changed.routes.iter().position(|one| one.name == name) {
+                    // Half of the existing routes keep their position.
+                    Some(index) if random.below(2) == 0 => changed.routes[index] = route,
+                    existing => {
+                        existing.map(|index| changed.routes.remove(index));
+                        changed
+                            .routes
+                            .insert(random.below(changed.routes.len() + 1), route);
                     }
                 }
-                routes.push(name);
+                changed_routes.push(name);
                 continue;
             }
         };
         match change.clone() {
-            TableChange::Type(one) => put(&mut all.types, |one| &one.name, one),
-            TableChange::Tenant(one) => put(&mut all.tenants, |one| &one.name, one),
-            TableChange::Pool(one) => put(&mut all.pools, |one| &one.name, one),
-            TableChange::Limits(one) => put(&mut all.limits, |one| &one.name, one),
-            TableChange::Budget(one) => put(&mut all.budgets, |one| &one.name, one),
-            TableChange::RetryAfter(one) => put(&mut all.retry_after, |one| &one.name, one),
+            TableChange::Type(one) => put(&mut changed.types, |one| &one.name, one),
+            TableChange::Tenant(one) => put(&mut changed.tenants, |one| &one.name, one),
+            TableChange::Pool(one) => put(&mut changed.pools, |one| &one.name, one),
+            TableChange::Limits(one) => put(&mut changed.limits, |one| &one.name, one),
+            TableChange::Budget(one) => put(&mut changed.budgets, |one| &one.name, one),
+            TableChange::RetryAfter(one) => put(&mut changed.retry_after, |one| &one.name, one),
             _ => unreachable!(),
         }
         changes.push(change);
     }
-    for (at, route) in all
+    for (index, route) in changed
         .routes
         .iter()
         .enumerate()
-        .filter(|(_, route)| routes.contains(&route.name))
+        .filter(|(_, route)| changed_routes.contains(&route.name))
     {
-        let before = all.routes.get(at + 1).map(|next| next.name.clone());
-        changes.push(TableChange::Route(route.clone(), before));
+        let next_route = changed.routes.get(index + 1).map(|next| next.name.clone());
+        changes.push(TableChange::Route(route.clone(), next_route));
     }
-    (all, changes)
+    (changed, changes)
 }
 
-/// What a request was told, in names.
-fn told(router: &Router, verdict: Admission) -> (String, Option<RouteDecision>) {
-    match verdict {
-        Admission::Admitted(way) => {
-            let told = format!(
+/// The answer to a request, with names instead of indices, and the decision if it was admitted.
+fn describe(router: &Router, admission: Admission) -> (String, Option<RouteDecision>) {
+    match admission {
+        Admission::Admitted(decision) => {
+            let text = format!(
                 "{} {} {:?} {:?}",
-                way.route, way.pool, way.placement.by, way.times
+                decision.route, decision.pool, decision.placement.by, decision.times
             );
-            (told, Some(way))
+            (text, Some(decision))
         }
-        Admission::Rejected(turned) => {
-            let route = turned.route.map(|at| router.table().route_name(at));
+        Admission::Rejected(rejected) => {
+            let route = rejected.route.map(|index| router.table().route_name(index));
             (
-                format!("{:?} {:?} {route:?}", turned.reason, turned.after),
+                format!("{:?} {:?} {route:?}", rejected.reason, rejected.after),
                 None,
             )
         }
     }
 }
 
-fn names_lead_home(table: &Table) {
-    let c = table.configuration();
-    for (at, one) in c.types.iter().enumerate() {
-        assert_eq!(table.request_class(&one.name), Some(at as u16));
+fn assert_names_match_indices(table: &Table) {
+    let configuration = table.configuration();
+    for (index, entry) in configuration.types.iter().enumerate() {
+        assert_eq!(table.request_class(&entry.name), Some(index as u16));
     }
-    for (at, one) in c.tenants.iter().enumerate() {
-        assert_eq!(table.tenant(&one.name), Some(at as u16));
+    for (index, entry) in configuration.tenants.iter().enumerate() {
+        assert_eq!(table.tenant(&entry.name), Some(index as u16));
     }
-    for (at, one) in c.pools.iter().enumerate() {
+    for (index, entry) in configuration.pools.iter().enumerate() {
         assert_eq!(
-            (table.pool(&one.name), table.pool_name(at as u16)),
-            (Some(at as u16), &*one.name)
+            (table.pool(&entry.name), table.pool_name(index as u16)),
+            (Some(index as u16), &*entry.name)
         );
     }
-    for (at, one) in c.routes.iter().enumerate() {
-        assert_eq!(table.route_name(at as u16), one.name);
+    for (index, entry) in configuration.routes.iter().enumerate() {
+        assert_eq!(table.route_name(index as u16), entry.name);
     }
 }
 
 #[test]
-fn an_update_decides_as_a_full_reload() {
-    let (mut taken, mut refused, mut went, mut turned) = (0, 0, 0, 0);
+fn update_leads_to_the_same_decisions_as_a_full_reload() {
+    let (mut applied, mut rejected, mut admitted, mut not_admitted) = (0, 0, 0, 0);
     for seed in 0..60 {
-        let mut chance = Chance(WyRand::new_seed(seed));
+        let mut random = Random(WyRand::new_seed(seed));
         let routes = [0, 3, 63, 64, 65, 130][seed as usize % 6];
-        let mut all = whole(routes, &mut chance);
-        let mut by_change = Router::new(&all, seed).unwrap();
-        let mut by_whole = Router::new(&all, seed).unwrap();
+        let mut configuration = random_configuration(routes, &mut random);
+        let mut updated = Router::new(&configuration, seed).unwrap();
+        let mut reloaded = Router::new(&configuration, seed).unwrap();
         let (mut now, mut open) = (Duration::ZERO, Vec::new());
-        for step in 0..40 {
-            let (next, changes) = some_change(&all, &mut chance);
-            let whole = by_whole.install(&next, now);
-            let change = by_change.apply(&changes, now);
-            match (&whole, &change) {
-                (Ok(one), Ok(other)) => {
-                    assert_eq!(one, other);
-                    all = next;
-                    taken += 1;
+        for round in 0..40 {
+            let (next, changes) = random_update(&configuration, &mut random);
+            let reload = reloaded.install(&next, now);
+            let update = updated.apply(&changes, now);
+            match (&reload, &update) {
+                (Ok(reload_version), Ok(update_version)) => {
+                    assert_eq!(reload_version, update_version);
+                    configuration = next;
+                    applied += 1;
                 }
-                (Err(_), Err(_)) => refused += 1,
-                _ => panic!("seed {seed} step {step}: {whole:?} but {change:?} for {changes:?}"),
+                (Err(_), Err(_)) => rejected += 1,
+                _ => panic!("seed {seed} round {round}: {reload:?} but {update:?} for {changes:?}"),
             }
-            names_lead_home(by_change.table());
-            let c = by_change.table().configuration();
+            assert_names_match_indices(updated.table());
+            let updated_configuration = updated.table().configuration();
             assert!(
-                c.routes == all.routes,
-                "seed {seed} step {step}: {changes:?}"
+                updated_configuration.routes == configuration.routes,
+                "seed {seed} round {round}: {changes:?}"
             );
             for _ in 0..50 {
-                now += Duration::from_millis(chance.below(20) as u64);
-                let (tenant, out) = (chance.name("c", TENANTS + 1), chance.name("p", POOLS));
-                let entity = ["", "NO-1", "NO-12", "NO-2", "SE"][chance.below(5)];
-                let (traffic, again) = (chance.name("t", TYPES), chance.below(3) == 0);
-                let size = chance.below(4) as u64;
-                let mut both = [&mut by_change, &mut by_whole].map(|router| {
+                now += Duration::from_millis(random.below(20) as u64);
+                let (tenant, unusable) = (random.name("c", TENANTS + 1), random.name("p", POOLS));
+                let entity = ["", "NO-1", "NO-12", "NO-2", "SE"][random.below(5)];
+                let (class, is_retry) = (random.name("t", TYPES), random.below(3) == 0);
+                let size = random.below(4) as u64;
+                let mut answers = [&mut updated, &mut reloaded].map(|router| {
                     let table = router.table();
-                    let traffic = table.request_class(&traffic)?;
+                    let class = table.request_class(&class)?;
                     let tenant = table.tenant(&tenant);
-                    let out = table.pool(&out);
+                    let unusable = table.pool(&unusable);
                     let request = Request {
-                        request_class: traffic,
+                        request_class: class,
                         tenant,
                         entity,
-                        is_retry: again,
+                        is_retry,
                         size,
                         ..Request::default()
                     };
-                    let verdict = router.on_arrival(now, &request, |pool| Some(pool) != out);
-                    Some(told(router, verdict))
+                    let admission = router.on_arrival(now, &request, |pool| Some(pool) != unusable);
+                    Some(describe(router, admission))
                 });
-                let words = both
+                let texts = answers
                     .each_ref()
-                    .map(|told| told.as_ref().map(|(words, _)| words));
-                assert_eq!(words[0], words[1], "seed {seed} step {step}: {changes:?}");
-                let ways = both
+                    .map(|answer| answer.as_ref().map(|(text, _)| text));
+                assert_eq!(texts[0], texts[1], "seed {seed} round {round}: {changes:?}");
+                let decisions = answers
                     .each_mut()
-                    .map(|told| told.as_mut().and_then(|(_, way)| way.take()));
-                match ways {
-                    [Some(one), Some(other)] => {
-                        went += 1;
-                        open.push((one, other));
+                    .map(|answer| answer.as_mut().and_then(|(_, decision)| decision.take()));
+                match decisions {
+                    [Some(updated_decision), Some(reloaded_decision)] => {
+                        admitted += 1;
+                        open.push((updated_decision, reloaded_decision));
                     }
-                    _ => turned += 1,
+                    _ => not_admitted += 1,
                 }
-                if open.len() > 8 || (chance.below(3) == 0 && !open.is_empty()) {
-                    let (one, other) = open.swap_remove(chance.below(open.len()));
-                    by_change.on_completed(one);
-                    by_whole.on_completed(other);
+                if open.len() > 8 || (random.below(3) == 0 && !open.is_empty()) {
+                    let (updated_decision, reloaded_decision) =
+                        open.swap_remove(random.below(open.len()));
+                    updated.on_completed(updated_decision);
+                    reloaded.on_completed(reloaded_decision);
                 }
             }
         }
     }
     assert!(
-        taken > 800 && refused > 300,
-        "{taken} taken, {refused} refused"
+        applied > 800 && rejected > 300,
+        "{applied} applied, {rejected} rejected"
     );
     assert!(
-        went > 30_000 && turned > 10_000,
-        "{went} went, {turned} turned away"
+        admitted > 30_000 && not_admitted > 10_000,
+        "{admitted} admitted, {not_admitted} not admitted"
     );
 }
 
 #[test]
-fn an_invalid_update_is_refused_and_changes_nothing() {
-    let mut chance = Chance(WyRand::new_seed(3));
-    let mut all = whole(0, &mut chance);
+fn invalid_update_is_rejected_and_changes_nothing() {
+    let mut random = Random(WyRand::new_seed(3));
+    let mut configuration = random_configuration(0, &mut random);
     let route = |name: &str, pool: &str| schema::Route {
         name: name.into(),
         to: vec![schema::Target {
@@ -456,9 +476,9 @@
         budget: "b0".into(),
         ..Default::default()
     };
-    all.routes = vec![route("r0", "p0"), route("r1", "p1")];
-    all.pools[0].retry_after = "a0".into();
-    let gone = |kind, name: &str| TableChange::Remove(kind, name.into());
+    configuration.routes = vec![route("r0", "p0"), route("r1", "p1")];
+    configuration.pools[0].retry_after = "a0".into();
+    let remove = |kind, name: &str| TableChange::Remove(kind, name.into());
     let pool = |name: &str, fall_back: &str| {
         TableChange::Pool(schema::Pool {
             name: name.into(),
@@ -470,42 +490,45 @@
         name: "new".into(),
         ..Default::default()
     });
-    let table: Vec<(Vec<TableChange>, &str)> = vec![
+    let cases: Vec<(Vec<TableChange>, &str)> = vec![
+        (
+            vec![tenant.clone(), remove(EntryKind::Tenant, "new")],
+            "tenant `new` is changed twice in one update",
+        ),
         (
-            vec![tenant.clone(), gone(EntryKind::Tenant, "new")],
-            "tenant `new` is named twice in one change",
+            vec![remove(EntryKind::Tenant, "c3")],
+            "tenant `c3` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::Tenant, "c3")],
-            "tenant `c3` cannot go: something refers to it",
+            vec![remove(EntryKind::Type, "t1")],
+            "type `t1` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::Type, "t1")],
-            "type `t1` cannot go: something refers to it",
+            vec![remove(EntryKind::Pool, "p1")],
+            "pool `p1` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::Pool, "p1")],
-            "pool `p1` cannot go: something refers to it",
+            vec![remove(EntryKind::Limits, "l0")],
+            "limits `l0` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::Limits, "l0")],
-            "limits `l0` cannot go: something refers to it",
+            vec![remove(EntryKind::RetryAfter, "a0")],
+            "retry-after `a0` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::RetryAfter, "a0")],
-            "retry-after `a0` cannot go: something refers to it",
+            vec![remove(EntryKind::Budget, "b0")],
+            "budget `b0` cannot be removed: another entry refers to it",
         ),
         (
-            vec![gone(EntryKind::Budget, "b0")],
-            "budget `b0` cannot go: something refers to it",
+            vec![remove(EntryKind::Route, "r9")],
+            "there is no route `r9`",
         ),
-        (vec![gone(EntryKind::Route, "r9")], "there is no route `r9`"),
         (
-            vec![gone(EntryKind::Health, "h9")],
+            vec![remove(EntryKind::Health, "h9")],
             "there is no health `h9`",
         ),
         (
-            vec![gone(EntryKind::Attempts, "h9")],
+            vec![remove(EntryKind::Attempts, "h9")],
             "there is no attempts `h9`",
         ),
         (
@@ -514,7 +537,7 @@
         ),
         (
             vec![TableChange::Route(route("r0", "p2"), Some("r0".into()))],
-            "route `r0` cannot stand before itself",
+            "route `r0` cannot be placed before itself",
         ),
         (
             vec![TableChange::Route(route("r2", "p9"), None)],
@@ -522,22 +545,22 @@
         ),
         (
             vec![pool("x", "y"), pool("y", "z"), pool("z", "x")],
-            "falls back in a ring",
+            "form a cycle",
         ),
         (
-            vec![tenant, gone(EntryKind::Route, "r0"), pool("p1", "p9")],
+            vec![tenant, remove(EntryKind::Route, "r0"), pool("p1", "p9")],
             "there is no pool `p9`",
         ),
     ];
-    let mut router = Router::new(&all, 1).unwrap();
-    for (changes, wanted) in table {
-        let refused = router
+    let mut router = Router::new(&configuration, 1).unwrap();
+    for (changes, expected) in cases {
+        let error = router
             .apply(&changes, Duration::ZERO)
             .unwrap_err()
             .to_string();
-        assert!(refused.contains(wanted), "{refused}, not {wanted}");
-        assert_eq!(*router.table().configuration(), all, "{wanted}");
-        names_lead_home(router.table());
+        assert!(error.contains(expected), "{error}, not {expected}");
+        assert_eq!(*router.table().configuration(), configuration, "{expected}");
+        assert_names_match_indices(router.table());
     }
     assert_eq!(
         (
@@ -546,23 +569,26 @@
         ),
         (15, 1)
     );
-    // Together with what refers to them they may go; and pools may be told in any order.
-    let routes = [gone(EntryKind::Route, "r0"), gone(EntryKind::Route, "r1")];
-    let others = [
-        gone(EntryKind::Pool, "p1"),
-        gone(EntryKind::Tenant, "c3"),
+    // Entries can be removed together with those that refer to them, and pools can be listed in any order.
+    let removed_routes = [
+        remove(EntryKind::Route, "r0"),
+        remove(EntryKind::Route, "r1"),
+    ];
+    let other_changes = [
+        remove(EntryKind::Pool, "p1"),
+        remove(EntryKind::Tenant, "c3"),
         pool("x", "y"),
         pool("y", ""),
     ];
     router
         .apply(
             &[
-                others,
+                other_changes,
                 [
-                    routes[0].clone(),
-                    routes[1].clone(),
+                    removed_routes[0].clone(),
+                    removed_routes[1].clone(),
                     pool("z", "x"),
-                    gone(EntryKind::Budget, "b0"),
+                    remove(EntryKind::Budget, "b0"),
                 ],
             ]
             .concat(),
@@ -570,5 +596,5 @@
         )
         .unwrap();
     assert_eq!(router.table().configuration().routes, []);
-    names_lead_home(router.table());
+    assert_names_match_indices(router.table());
 }
--- a/crates/routing/tests/table_update_cost.rs
+++ b/crates/routing/tests/table_update_cost.rs
@@ -1,4 +1,5 @@
-//! What a change costs goes by what it says: allocations are counted, in number and bytes, at two sizes of the whole.
+//! The cost of an update depends on its changes, not on the size of the table: the number of allocations and the bytes
+//! allocated are equal for two table sizes.
 
 #![allow(
     missing_docs,
@@ -15,26 +16,27 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-struct Counting;
+struct CountingAllocator;
 
 thread_local! {
-    static MADE: Cell<(usize, usize)> = const { Cell::new((0, 0)) };
+    /// The number of allocations, and their bytes.
+    static ALLOCATED: Cell<(usize, usize)> = const { Cell::new((0, 0)) };
 }
 
-// SAFETY: all work is the system allocator's; the count is a plain cell of this thread.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: delegates to the system allocator; the counter is a plain cell of this thread.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        MADE.with(|made| made.set((made.get().0 + 1, made.get().1 + layout.size())));
+        ALLOCATED.with(|total| total.set((total.get().0 + 1, total.get().1 + layout.size())));
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALL: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn tenant(n: usize, share: u64) -> schema::Tenant {
     schema::Tenant {
@@ -88,7 +90,7 @@
     }
 }
 
-fn whole(routes: usize, tenants: usize) -> Configuration {
+fn configuration(routes: usize, tenants: usize) -> Configuration {
     let traffic = schema::TrafficType {
         name: "t".into(),
         goal_ns: 1_000_000_000,
@@ -105,18 +107,18 @@
     }
 }
 
-/// Allocations and bytes of each kind of change, after one of each that may make room for more.
+/// The number and bytes of the allocations of each kind of change, after three of the same kind that may grow a list.
 fn costs(routes: usize, tenants: usize) -> Vec<(&'static str, usize, usize)> {
-    let mut router = Router::new(&whole(routes, tenants), 1).unwrap();
-    let mut cost = |what: &'static str, change: &dyn Fn(usize) -> TableChange| {
+    let mut router = Router::new(&configuration(routes, tenants), 1).unwrap();
+    let mut cost = |name: &'static str, change: &dyn Fn(usize) -> TableChange| {
         for n in 0..3 {
             router.apply(&[change(n)], Duration::ZERO).unwrap();
         }
         let change = change(3);
-        let before = MADE.with(Cell::get);
+        let before = ALLOCATED.with(Cell::get);
         router.apply(&[change], Duration::ZERO).unwrap();
-        let after = MADE.with(Cell::get);
-        (what, after.0 - before.0, after.1 - before.1)
+        let after = ALLOCATED.with(Cell::get);
+        (name, after.0 - before.0, after.1 - before.1)
     };
     vec![
         cost("tenant changed", &|n| {
@@ -150,14 +152,14 @@
 }
 
 #[test]
-fn the_cost_of_an_update_does_not_depend_on_the_table() {
-    // Both just under a power of two, so that no list has to grow where it is counted.
+fn update_allocates_the_same_for_tables_of_different_sizes() {
+    // The sizes are below a power of two, so that no list has to grow during a counted change.
     let (small, large) = (costs(54, 230), costs(5_400, 23_000));
     assert_eq!(small, large);
-    for (what, made, bytes) in large {
+    for (name, allocations, bytes) in large {
         assert!(
-            made <= 20 && bytes <= 2_500,
-            "{what}: {made} allocations, {bytes} bytes"
+            allocations <= 20 && bytes <= 2_500,
+            "{name}: {allocations} allocations, {bytes} bytes"
         );
     }
 }
