--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,22 +1,22 @@
-//! The checker: the state of each request, and the rules over it.
+//! The checker: the state of each request, and the invariants over it.
 
 use crate::{Answer, Kind, RecordedStep, Step, Violation};
 use foldhash::HashMap;
 use std::time::Duration;
 
-/// Steps stored of one request: its arrival, and a run and an answer for each of some attempts.
+/// Maximum number of steps stored per request: its arrival, and a run and an answer for each of several attempts.
 pub const MAX_STEPS: usize = 24;
 
-/// Rule 1: no request is lost.
+/// Invariant 1: no request is lost.
 const NO_REQUEST_LOST: u8 = 1;
-/// Rule 2: no effect happens twice.
+/// Invariant 2: no effect happens twice.
 const NO_EFFECT_TWICE: u8 = 2;
-/// Rule 3: a front drains before it is gone.
+/// Invariant 3: a forwarder drains before it exits.
 const SAFE_DRAIN: u8 = 3;
-/// Rule 4: whatever has a bound stays within it.
+/// Invariant 4: every bounded value stays within its bound.
 const WITHIN_BOUNDS: u8 = 4;
 
-/// What is known of one request.
+/// The state of one request.
 #[derive(Debug)]
 struct RequestState {
     kind: Kind,
@@ -24,7 +24,7 @@
     front: u32,
     runs: u32,
     shared: bool,
-    /// Runs that no mark excuses.
+    /// Runs whose attempt was not marked as a retry.
     unmarked_runs: u32,
     answer: Option<Answer>,
     caller_left: bool,
@@ -45,14 +45,14 @@
     }
 }
 
-/// Counts of the steps of a run.
+/// Counts of the reported steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests.
+    /// Requests received.
     pub asked: u64,
-    /// Attempts at members.
+    /// Attempts sent to members.
     pub tried: u64,
-    /// Runs.
+    /// Executions of requests by members.
     pub ran: u64,
     /// Requests answered with a result.
     pub honoured: u64,
@@ -62,26 +62,26 @@
     pub given_up: u64,
     /// Requests answered with an application exception.
     pub exceptions: u64,
-    /// Requests whose caller left before an answer.
+    /// Requests whose caller disconnected before an answer.
     pub left: u64,
 }
 
-/// The checker of the four rules, see the crate's documentation.
+/// The checker of the four invariants. See the crate's documentation.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     requests: HashMap<u64, RequestState>,
     open: u64,
     tally: Tally,
-    /// Open requests of each front.
+    /// Open requests by forwarder.
     open_by_front: HashMap<u32, u64>,
     first_violation: Option<Violation>,
-    /// Requests that are over are dropped so long after their deadline; none: never.
+    /// How long after their deadline completed requests are dropped; `None`: never.
     retention: Option<Duration>,
 }
 
 impl InvariantChecker {
-    /// For long runs: requests that are over are dropped `after` their deadline, so a run that comes even later
-    /// would not be seen. It should be the longest that anything may take.
+    /// For long runs: completed requests are dropped when `after` has passed since their deadline. A run that is
+    /// reported even later is not checked, so `after` should be the longest time that anything can take.
     pub fn with_retention(after: Duration) -> Self {
         Self {
             retention: Some(after),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Requests without an answer whose caller waits.
+    /// The number of requests without an answer whose caller is still waiting.
     pub fn open(&self) -> u64 {
         self.open
     }
@@ -99,7 +99,7 @@
         self.tally
     }
 
-    /// Requests whose state is stored.
+    /// The number of requests whose state is stored.
     pub fn stored_requests(&self) -> usize {
         self.requests.len()
     }
@@ -119,7 +119,7 @@
         rule: u8,
         at: Duration,
         request: Option<u64>,
-        why: impl Into<String>,
+        reason: impl Into<String>,
     ) -> Result<(), Violation> {
         let state = request.and_then(|request| self.requests.get(&request));
         let steps = state.map(|state| state.steps.clone()).unwrap_or_default();
@@ -127,27 +127,27 @@
             rule,
             at,
             request,
-            reason: why.into(),
+            reason: reason.into(),
             steps,
         };
         self.first_violation.get_or_insert(violation.clone());
         Err(violation)
     }
 
-    /// One step of one request.
+    /// Records a step of a request.
     ///
     /// # Errors
-    /// The rule that it violates.
+    /// If the step violates an invariant.
     pub fn record(&mut self, at: Duration, request: u64, step: Step) -> Result<(), Violation> {
         if let Step::Asked { kind, due, front } = step {
             return self.on_asked(at, request, kind, due, front);
         }
         let Some(state) = self.requests.get_mut(&request) else {
-            // A request that was dropped may still be tried or run: late, and known to be over.
+            // A dropped request may still have late attempts or runs, which are ignored.
             return match step {
                 Step::Answered(_) => {
-                    let why = "an answer to nothing that was asked";
-                    self.violation(NO_REQUEST_LOST, at, Some(request), why)
+                    let reason = "an answer to an unknown request";
+                    self.violation(NO_REQUEST_LOST, at, Some(request), reason)
                 }
                 _ => Ok(()),
             };
@@ -191,7 +191,7 @@
                 NO_REQUEST_LOST,
                 at,
                 Some(request),
-                "asked twice under one number",
+                "a second request with the same number",
             );
         }
         let state = RequestState {
@@ -228,16 +228,16 @@
         state.unmarked_runs += u32::from(!marked);
         let (runs, unmarked) = (state.runs, state.unmarked_runs);
         let rejected = state.answer == Some(Answer::Dismissed);
-        let why = match state.kind {
+        let reason = match state.kind {
             Kind::Rerunnable => return Ok(()),
             _ if rejected => "ran after it was dismissed".to_owned(),
             Kind::Exclusive if runs > 1 => format!("an exclusive ticket ran {runs} times"),
             Kind::Ticketed if unmarked > 1 => {
-                format!("a ticketed one ran {unmarked} times without a mark")
+                format!("a request with a key ran {unmarked} times without a retry mark")
             }
             Kind::Ticketed | Kind::Exclusive => return Ok(()),
         };
-        self.violation(NO_EFFECT_TWICE, at, Some(request), why)
+        self.violation(NO_EFFECT_TWICE, at, Some(request), reason)
     }
 
     fn on_answered(&mut self, at: Duration, request: u64, answer: Answer) -> Result<(), Violation> {
@@ -245,7 +245,7 @@
             return Ok(());
         };
         if state.caller_left {
-            // The answer and the caller's leaving crossed: nobody reads it.
+            // The caller disconnected while the answer was being sent, so the answer is not read.
             return Ok(());
         }
         if state.answer.is_some() {
@@ -257,8 +257,8 @@
         self.count(answer);
         self.close(request);
         if at > deadline {
-            let why = format!("answered after {deadline:?}, its due time");
-            return self.violation(NO_REQUEST_LOST, at, Some(request), why);
+            let reason = format!("answered after its deadline, {deadline:?}");
+            return self.violation(NO_REQUEST_LOST, at, Some(request), reason);
         }
         if answer == Answer::Dismissed && kind != Kind::Rerunnable && runs > 0 {
             return self.violation(
@@ -273,7 +273,7 @@
                 NO_REQUEST_LOST,
                 at,
                 Some(request),
-                "honoured though it never ran",
+                "answered with a result although it never ran",
             );
         }
         Ok(())
@@ -297,24 +297,25 @@
         }
     }
 
-    /// The lowest number of a request that `matches`: the same run reports the same request, whatever the order
-    /// of the map.
+    /// The lowest number of a request that `matches`, so that the reported request does not depend on the order of
+    /// the map.
     fn lowest(&self, matches: impl Fn(&RequestState) -> bool) -> Option<u64> {
         let matching = self.requests.iter().filter(|(_, state)| matches(state));
         matching.map(|(request, _)| *request).min()
     }
 
-    /// Time passed: a request without an answer past its deadline is lost. Goes through all requests stored.
+    /// Checks that no request is without an answer past its deadline, and drops completed requests after their
+    /// retention. Iterates over all stored requests.
     ///
     /// # Errors
-    /// The first that is lost.
+    /// If a request has no answer past its deadline; names the one with the lowest number.
     pub fn check_deadlines(&mut self, now: Duration) -> Result<(), Violation> {
         if let Some(lost) = self.lowest(|state| state.is_open() && state.deadline < now) {
             return self.violation(
                 NO_REQUEST_LOST,
                 now,
                 Some(lost),
-                "no answer by its due time",
+                "no answer by its deadline",
             );
         }
         if let Some(retention) = self.retention {
@@ -324,64 +325,68 @@
         Ok(())
     }
 
-    /// A front that drained is gone: no request there may be open. Callers whose connections it closed have left.
+    /// Checks that a forwarder that has exited after its drain has no open requests. Callers whose connections it
+    /// closed must have been reported as [`Step::Left`].
     ///
     /// # Errors
-    /// How many requests are open there.
+    /// If requests are open there; gives their number.
     pub fn check_drained(&mut self, at: Duration, front: u32) -> Result<(), Violation> {
         let open = self.open_by_front.get(&front).copied().unwrap_or(0);
         if open == 0 {
             return Ok(());
         }
         let first = self.lowest(|state| state.is_open_at(front));
-        let why = format!("front {front} is gone and owes {open} answers");
-        self.violation(SAFE_DRAIN, at, first, why)
+        let reason = format!("forwarder {front} exited with {open} requests unanswered");
+        self.violation(SAFE_DRAIN, at, first, reason)
     }
 
-    /// Something that has a bound, by its name for people.
+    /// Checks a value against its bound. `what` names the value in the violation.
     ///
     /// # Errors
-    /// If it is past its bound.
+    /// If the value exceeds its bound.
     pub fn check_bound(
         &mut self,
         at: Duration,
         what: &str,
-        size: u64,
+        value: u64,
         bound: u64,
     ) -> Result<(), Violation> {
-        if size <= bound {
+        if value <= bound {
             return Ok(());
         }
-        let why = format!("{what}: {size}, its bound is {bound}");
-        self.violation(WITHIN_BOUNDS, at, None, why)
+        let reason = format!("{what}: {value} exceeds the bound of {bound}");
+        self.violation(WITHIN_BOUNDS, at, None, reason)
     }
 
-    /// Retries of one program against their budget: `share` of first attempts, and `start` more.
+    /// Checks the retries of one process against their budget: `share` of its first attempts, plus `base`.
     ///
     /// # Errors
-    /// If there were more.
+    /// If there were more retries.
     pub fn check_retry_budget(
         &mut self,
         at: Duration,
-        first: u64,
-        further: u64,
+        first_attempts: u64,
+        retries: u64,
         share: f64,
-        start: u64,
+        base: u64,
     ) -> Result<(), Violation> {
-        let bound = start + (first as f64 * share) as u64;
-        self.check_bound(at, "further tries", further, bound)
+        let bound = base + (first_attempts as f64 * share) as u64;
+        self.check_bound(at, "retries", retries, bound)
     }
 
-    /// The run is over: every request has its answer, or its caller left.
+    /// Ends the run and checks that every request has an answer or a caller that disconnected.
     ///
     /// # Errors
     /// The first violation of the whole run, or a request without an answer.
     pub fn finish(&mut self, at: Duration) -> Result<Tally, Violation> {
         if self.open > 0 {
             let first = self.lowest(RequestState::is_open);
-            let why = format!("{} tickets without an answer at the end", self.open);
+            let reason = format!(
+                "{} requests without an answer at the end of the run",
+                self.open
+            );
             // It counts only if it is the first violation, which is returned below.
-            let _ = self.violation(NO_REQUEST_LOST, at, first, why);
+            let _ = self.violation(NO_REQUEST_LOST, at, first, reason);
         }
         self.first_violation.clone().map_or(Ok(self.tally), Err)
     }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,17 +1,17 @@
-//! The four rules as a checker that any run reports to, step by step: a forwarder's tests on loopback, a simulated
-//! fleet, a model of ten thousand nodes. It knows no sockets and no clock; whoever runs passes in what happened.
+//! Checks the four invariants over the steps that any run reports: a forwarder's tests on loopback, a simulated fleet,
+//! a model of ten thousand nodes. The checker has no sockets and no clock; its caller passes in each step and its time.
 //!
-//! | rule | what breaks it here |
+//! | invariant | what violates it here |
 //! | --- | --- |
-//! | 1, no request lost | no answer by its deadline, a second answer, an answer to nothing that was requested |
-//! | 2, no effect twice | a second unmarked run of a request with a key, any second run of a non-idempotent one, rejected though it ran |
-//! | 3, safe drain | a front that is gone while requests there are unanswered |
-//! | 4, nothing falls over | anything measured past its bound, retries past their budget |
+//! | 1, no request lost | no answer by its deadline, a second answer, an answer to an unknown request |
+//! | 2, no effect twice | a second unmarked run of a keyed request, any second run of a non-idempotent one, both a run and a rejection |
+//! | 3, safe drain | a forwarder that has exited while requests at it are unanswered |
+//! | 4, nothing exceeds its bound | a measured value above its bound, retries above their budget |
 //!
-//! The first violation is returned at once and stored, with the steps of the request that led to it.
+//! Each violation is returned to the caller with the steps of the request that led to it; the first one is stored.
 //!
-//! Invariant: `open` is the number of requests that have neither an answer nor a caller that left; the steps stored
-//! of one request are at most [`MAX_STEPS`], so the memory of a long run grows with its requests alone.
+//! Invariant: `open` is the number of requests that have no answer and whose caller has not disconnected. At most
+//! [`MAX_STEPS`] steps are stored per request, so the memory of a long run grows only with its requests.
 //!
 //! ```
 //! use rainstand_invariants::{Answer, InvariantChecker, Kind, Step};
--- a/crates/invariants/src/step.rs
+++ b/crates/invariants/src/step.rs
@@ -1,58 +1,58 @@
-//! What can happen to a request.
+//! The steps of a request, as reported to the checker.
 
 use std::time::Duration;
 
-/// Whether a request may have its effect again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// Idempotent: any number of times.
     Rerunnable,
-    /// Idempotent with a key: again only under the mark by which a node recognizes the repeat.
+    /// Idempotent with a key: more than once only if marked as a retry, by which a node recognizes the repetition.
     Ticketed,
     /// Non-idempotent: once.
     Exclusive,
 }
 
-/// The answer to a request; it has exactly one.
+/// The answer to a request. A request has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// A result.
     Honoured,
-    /// Rejected: it did not run.
+    /// Rejected: the request did not run.
     Dismissed,
-    /// Failed: it may have run.
+    /// Failed: the request may have run.
     GivenUp,
-    /// An application exception: the request could not be read, so nothing ran.
+    /// An application exception: the request could not be decoded, so it did not run.
     Exception,
 }
 
-/// What happened to a request.
+/// A step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A caller sent it to a front.
+    /// A caller sent it to a forwarder.
     Asked {
-        /// Whether it may have its effect again.
+        /// Whether it may be executed more than once.
         kind: Kind,
-        /// By when it must be answered, on the clock of all steps.
+        /// Its deadline, on the clock of all steps.
         due: Duration,
-        /// Number of the front.
+        /// Number of the forwarder.
         front: u32,
     },
-    /// An attempt went to a member.
+    /// An attempt was sent to a member.
     Tried {
         /// Number of the member.
         at: u32,
     },
-    /// It had its effect at a member.
+    /// It was executed by a member.
     Ran {
         /// Number of the member.
         on: u32,
-        /// Whether the attempt was marked as a further one.
+        /// Whether the attempt was marked as a retry.
         marked: bool,
     },
-    /// The cached result of another request's run serves it: it needs no run of its own.
+    /// It is served by the cached result of another request's run and needs no run of its own.
     Shared,
-    /// Its caller gave it up or closed its connection: nobody waits for an answer.
+    /// Its caller cancelled it or disconnected, so that no answer is awaited.
     Left,
     /// Its caller was answered.
     Answered(Answer),
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -1,43 +1,47 @@
-//! A violation of a rule.
+//! A violation of an invariant.
 
 use crate::Step;
 use std::fmt;
 use std::time::Duration;
 
-/// A rule that was violated.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Number of the rule, 1 to 4.
+    /// Number of the invariant, 1 to 4.
     pub rule: u8,
-    /// When.
+    /// When it was detected, on the clock of all steps.
     pub at: Duration,
-    /// The request, if it is about one.
+    /// The request, if the violation concerns one.
     pub request: Option<u64>,
-    /// How it was violated.
+    /// How the invariant was violated.
     pub reason: String,
     /// The request's steps up to this one.
     pub steps: Vec<RecordedStep>,
 }
 
-/// A step of a request, and when it was recorded.
+/// A recorded step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedStep {
-    /// On the clock of all steps.
+    /// When it was recorded, on the clock of all steps.
     pub at: Duration,
-    /// What happened.
+    /// The step.
     pub step: Step,
 }
 
 impl fmt::Display for Violation {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "rule {} at {:?}", self.rule, self.at)?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            formatter,
+            "invariant {} violated at {:?}",
+            self.rule, self.at
+        )?;
         if let Some(request) = self.request {
-            write!(out, ", ticket {request}")?;
+            write!(formatter, ", request {request}")?;
         }
-        write!(out, ": {}", self.reason)?;
+        write!(formatter, ": {}", self.reason)?;
         self.steps
             .iter()
-            .try_for_each(|RecordedStep { at, step }| write!(out, "\n  {at:>12?} {step:?}"))
+            .try_for_each(|RecordedStep { at, step }| write!(formatter, "\n  {at:>12?} {step:?}"))
     }
 }
 
--- a/crates/invariants/tests/checker.rs
+++ b/crates/invariants/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker against steps that break each rule, and against a plain count over the whole history.
+//! Steps that violate each invariant are detected, and the checker agrees with counts over the whole history.
 
 #![allow(
     missing_docs,
@@ -24,9 +24,9 @@
     }
 }
 
-/// Steps at 1, 2, 3, … ms and the rule that breaks at the last of them; 0 for none.
+/// Each case gives steps and the invariant that the last one violates; 0 for none.
 #[test]
-fn each_way_to_violate_a_rule_is_detected() {
+fn each_kind_of_violation_is_detected() {
     use {Answer::*, Kind::*, Step::*};
     let ran = Ran {
         on: 0,
@@ -36,7 +36,7 @@
         on: 1,
         marked: true,
     };
-    let table: &[(&[Step], u8)] = &[
+    let cases: &[(&[Step], u8)] = &[
         (&[asked(Exclusive), ran, Answered(Honoured)], 0),
         (&[asked(Exclusive), ran, Answered(GivenUp)], 0),
         (&[asked(Exclusive), ran, Answered(Dismissed)], 2),
@@ -64,61 +64,64 @@
         (&[asked(Rerunnable), asked(Rerunnable)], 1),
         (&[Answered(Dismissed)], 1),
     ];
-    for (steps, rule) in table {
-        let mut rules = InvariantChecker::default();
+    for (steps, expected) in cases {
+        let mut checker = InvariantChecker::default();
         let (last, before) = steps.split_last().unwrap();
         for (k, step) in before.iter().enumerate() {
-            rules
+            checker
                 .record(ms(k as u64), 5, *step)
-                .unwrap_or_else(|broken| panic!("{steps:?}: {broken}"));
+                .unwrap_or_else(|violation| panic!("{steps:?}: {violation}"));
         }
-        let found = rules
+        let found = checker
             .record(ms(9), 5, *last)
             .err()
-            .map_or(0, |broken| broken.rule);
-        assert_eq!(found, *rule, "{steps:?}");
-        assert_eq!(rules.first_violation().is_some(), *rule > 0);
+            .map_or(0, |violation| violation.rule);
+        assert_eq!(found, *expected, "{steps:?}");
+        assert_eq!(checker.first_violation().is_some(), *expected > 0);
     }
 }
 
 #[test]
 fn unanswered_late_and_undrained_requests_are_detected() {
-    let mut rules = InvariantChecker::default();
-    rules.record(ms(0), 1, asked(Kind::Rerunnable)).unwrap();
-    rules.check_deadlines(ms(1_000)).unwrap();
+    let mut checker = InvariantChecker::default();
+    checker.record(ms(0), 1, asked(Kind::Rerunnable)).unwrap();
+    checker.check_deadlines(ms(1_000)).unwrap();
     assert_eq!(
-        rules.check_deadlines(ms(1_001)).unwrap_err().request,
+        checker.check_deadlines(ms(1_001)).unwrap_err().request,
         Some(1)
     );
-    assert_eq!(rules.check_drained(ms(1_001), 1).unwrap_err().rule, 3);
-    assert_eq!(rules.check_drained(ms(1_001), 2), Ok(()));
+    assert_eq!(checker.check_drained(ms(1_001), 1).unwrap_err().rule, 3);
+    assert_eq!(checker.check_drained(ms(1_001), 2), Ok(()));
     assert_eq!(
-        rules
+        checker
             .record(ms(1_002), 1, Step::Answered(Answer::GivenUp))
             .unwrap_err()
             .rule,
         1
     );
-    assert_eq!(rules.check_drained(ms(1_003), 1), Ok(()));
-    // The first one stays what it was.
-    assert_eq!(rules.finish(ms(1_003)).unwrap_err().at, ms(1_001));
-    let mut rules = InvariantChecker::default();
+    assert_eq!(checker.check_drained(ms(1_003), 1), Ok(()));
+    // The first violation is retained.
+    assert_eq!(checker.finish(ms(1_003)).unwrap_err().at, ms(1_001));
+    let mut checker = InvariantChecker::default();
     assert_eq!(
-        rules.check_bound(ms(1), "links", 65, 64).unwrap_err().rule,
+        checker
+            .check_bound(ms(1), "links", 65, 64)
+            .unwrap_err()
+            .rule,
         4
     );
-    assert!(rules.check_retry_budget(ms(1), 100, 30, 0.2, 10).is_ok());
-    assert!(rules.check_retry_budget(ms(1), 100, 31, 0.2, 10).is_err());
-    let mut rules = InvariantChecker::default();
-    rules.record(ms(0), 1, asked(Kind::Rerunnable)).unwrap();
-    assert_eq!(rules.finish(ms(5)).unwrap_err().rule, 1);
+    assert!(checker.check_retry_budget(ms(1), 100, 30, 0.2, 10).is_ok());
+    assert!(checker.check_retry_budget(ms(1), 100, 31, 0.2, 10).is_err());
+    let mut checker = InvariantChecker::default();
+    checker.record(ms(0), 1, asked(Kind::Rerunnable)).unwrap();
+    assert_eq!(checker.finish(ms(5)).unwrap_err().rule, 1);
 }
 
 #[test]
-fn a_long_run_drops_requests_that_are_over() {
-    let mut rules = InvariantChecker::with_retention(ms(500));
+fn completed_requests_are_dropped_after_the_retention() {
+    let mut checker = InvariantChecker::with_retention(ms(500));
     for n in 0..10_000u64 {
-        rules
+        checker
             .record(
                 ms(n),
                 n,
@@ -129,62 +132,66 @@
                 },
             )
             .unwrap();
-        rules
+        checker
             .record(ms(n), n, Step::Answered(Answer::Dismissed))
             .unwrap();
         if n % 100 == 0 {
-            rules.check_deadlines(ms(n)).unwrap();
+            checker.check_deadlines(ms(n)).unwrap();
         }
     }
-    assert!(rules.stored_requests() < 800, "{}", rules.stored_requests());
-    assert_eq!(rules.finish(ms(20_000)).unwrap().dismissed, 10_000);
+    assert!(
+        checker.stored_requests() < 800,
+        "{}",
+        checker.stored_requests()
+    );
+    assert_eq!(checker.finish(ms(20_000)).unwrap().dismissed, 10_000);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(18), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a plain count over the whole history: the checker breaks exactly where that does.
+    /// The checker reports a violation exactly where counts over the whole history show one.
     #[test]
-    fn it_agrees_with_a_count_over_all_steps(
+    fn checker_agrees_with_counts_over_all_steps(
         steps in proptest::collection::vec((0u64..3, 0u8..6, any::<bool>()), 0..40),
         exclusive in any::<bool>(),
     ) {
         let kind = if exclusive { Kind::Exclusive } else { Kind::Rerunnable };
-        let mut rules = InvariantChecker::default();
-        (0..3).for_each(|ticket| rules.record(ms(0), ticket, asked(kind)).unwrap());
+        let mut checker = InvariantChecker::default();
+        (0..3).for_each(|request| checker.record(ms(0), request, asked(kind)).unwrap());
         let (mut runs, mut answers) = ([0u32; 3], [None::<Answer>; 3]);
         let mut left = [false; 3];
-        for (k, (ticket, what, marked)) in steps.into_iter().enumerate() {
-            let t = ticket as usize;
-            let (step, breaks) = match what {
+        for (k, (request, event, marked)) in steps.into_iter().enumerate() {
+            let index = request as usize;
+            let (step, violates) = match event {
                 0 | 1 => {
-                    runs[t] += 1;
-                    let twice = runs[t] > 1 || answers[t] == Some(Answer::Dismissed);
-                    (Step::Ran { on: 0, marked }, exclusive && twice)
+                    runs[index] += 1;
+                    let repeated = runs[index] > 1 || answers[index] == Some(Answer::Dismissed);
+                    (Step::Ran { on: 0, marked }, exclusive && repeated)
                 }
                 2 => {
-                    left[t] |= answers[t].is_none();
+                    left[index] |= answers[index].is_none();
                     (Step::Left, false)
                 }
                 n => {
                     let answer = [Answer::Honoured, Answer::Dismissed, Answer::GivenUp][usize::from(n - 3)];
-                    let second = answers[t].is_some();
+                    let second = answers[index].is_some();
                     let wrong = match answer {
-                        Answer::Dismissed => exclusive && runs[t] > 0,
-                        Answer::Honoured => runs[t] == 0,
+                        Answer::Dismissed => exclusive && runs[index] > 0,
+                        Answer::Honoured => runs[index] == 0,
                         _ => false,
                     };
-                    let heard = !left[t];
-                    if heard && !second {
-                        answers[t] = Some(answer);
+                    let awaited = !left[index];
+                    if awaited && !second {
+                        answers[index] = Some(answer);
                     }
-                    (Step::Answered(answer), heard && (second || wrong))
+                    (Step::Answered(answer), awaited && (second || wrong))
                 }
             };
-            let found = rules.record(ms(k as u64), ticket, step);
-            prop_assert_eq!(found.is_err(), breaks, "{:?}", step);
-            let open = (0..3).filter(|t| answers[*t].is_none() && !left[*t]).count() as u64;
-            prop_assert_eq!(rules.open(), open);
+            let found = checker.record(ms(k as u64), request, step);
+            prop_assert_eq!(found.is_err(), violates, "{:?}", step);
+            let open = (0..3).filter(|index| answers[*index].is_none() && !left[*index]).count() as u64;
+            prop_assert_eq!(checker.open(), open);
         }
     }
 }
