--- a/crates/routing/src/router/limits.rs
+++ b/crates/routing/src/router/limits.rs
@@ -101,20 +101,20 @@
             .types
             .iter()
             .zip(&table.type_limits)
-            .for_each(|(x, limits)| add(LimitScope::Type, &x.name, *limits));
+            .for_each(|(entry, limits)| add(LimitScope::Type, &entry.name, *limits));
         configuration
             .tenants
             .iter()
             .zip(&table.tenant_limits)
-            .for_each(|(x, limits)| add(LimitScope::Tenant, &x.name, *limits));
+            .for_each(|(entry, limits)| add(LimitScope::Tenant, &entry.name, *limits));
         table
             .routes
             .iter()
-            .for_each(|x| add(LimitScope::Route, &x.name, x.limits));
+            .for_each(|entry| add(LimitScope::Route, &entry.name, entry.limits));
         table
             .pools
             .iter()
-            .for_each(|x| add(LimitScope::Pool, &x.name, x.limits));
+            .for_each(|entry| add(LimitScope::Pool, &entry.name, entry.limits));
         rules
     }
 
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -535,11 +535,11 @@
         0u64..3,
     )
         .prop_map(
-            move |(types, tenants, entities, attempts, min_size, extra)| Match {
+            move |(types, tenants, entities, again, min_size, extra)| Match {
                 types: owned(types),
                 tenants: owned(tenants),
                 entities: owned(entities),
-                again: attempts,
+                again,
                 size_least: min_size,
                 size_most: if extra == 0 { 0 } else { min_size + extra },
             },
--- a/crates/routing/tests/table_update.rs
+++ b/crates/routing/tests/table_update.rs
@@ -264,25 +264,25 @@
             let before = changed.clone();
             changed
                 .types
-                .retain(|one| kind != EntryKind::Type || one.name != name);
+                .retain(|entry| kind != EntryKind::Type || entry.name != name);
             changed
                 .tenants
-                .retain(|one| kind != EntryKind::Tenant || one.name != name);
+                .retain(|entry| kind != EntryKind::Tenant || entry.name != name);
             changed
                 .pools
-                .retain(|one| kind != EntryKind::Pool || one.name != name);
+                .retain(|entry| kind != EntryKind::Pool || entry.name != name);
             changed
                 .limits
-                .retain(|one| kind != EntryKind::Limits || one.name != name);
+                .retain(|entry| kind != EntryKind::Limits || entry.name != name);
             changed
                 .budgets
-                .retain(|one| kind != EntryKind::Budget || one.name != name);
+                .retain(|entry| kind != EntryKind::Budget || entry.name != name);
             changed
                 .retry_after
-                .retain(|one| kind != EntryKind::RetryAfter || one.name != name);
+                .retain(|entry| kind != EntryKind::RetryAfter || entry.name != name);
             changed
                 .routes
-                .retain(|one| kind != EntryKind::Route || one.name != name);
+                .retain(|entry| kind != EntryKind::Route || entry.name != name);
             if changed != before {
                 changes.push(TableChange::Remove(kind, name));
             }
@@ -297,7 +297,7 @@
             EntryKind::RetryAfter => TableChange::RetryAfter(random_retry_after(name, random)),
             _ => {
                 let route = random_route(name.clone(), random);
-                match changed.routes.iter().position(|one| one.name == name) {
+                match changed.routes.iter().position(|entry| entry.name == name) {
                     // Half of the existing routes keep their position.
                     Some(index) if random.below(2) == 0 => changed.routes[index] = route,
                     existing => {
@@ -312,12 +312,12 @@
             }
         };
         match change.clone() {
-            TableChange::Type(one) => put(&mut changed.types, |one| &one.name, one),
-            TableChange::Tenant(one) => put(&mut changed.tenants, |one| &one.name, one),
-            TableChange::Pool(one) => put(&mut changed.pools, |one| &one.name, one),
-            TableChange::Limits(one) => put(&mut changed.limits, |one| &one.name, one),
-            TableChange::Budget(one) => put(&mut changed.budgets, |one| &one.name, one),
-            TableChange::RetryAfter(one) => put(&mut changed.retry_after, |one| &one.name, one),
+            TableChange::Type(new) => put(&mut changed.types, |new| &new.name, new),
+            TableChange::Tenant(new) => put(&mut changed.tenants, |new| &new.name, new),
+            TableChange::Pool(new) => put(&mut changed.pools, |new| &new.name, new),
+            TableChange::Limits(new) => put(&mut changed.limits, |new| &new.name, new),
+            TableChange::Budget(new) => put(&mut changed.budgets, |new| &new.name, new),
+            TableChange::RetryAfter(new) => put(&mut changed.retry_after, |new| &new.name, new),
             _ => unreachable!(),
         }
         changes.push(change);
--- a/crates/routing/tests/table_update_cost.rs
+++ b/crates/routing/tests/table_update_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of an update depends on its changes, not on the size of the table: the number of allocations and the bytes
-//! allocated are equal for two table sizes.
+//! The allocations of an update, in number and bytes, depend on its changes and not on the size of the table: they are
+//! counted at two table sizes.
 
 #![allow(
     missing_docs,
