--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,35 +1,35 @@
 //! The admission policy: every decision of a node. Nothing here does I/O or reads a clock.
 //!
-//! The program around it calls the `on_...` methods of [`AdmissionController`] as requests arrive, runs and
-//! downstream calls end and ticks are due; orders go out through the trait [`Host`]. Times are on one clock, whose
-//! origin is that program's choice. One module for each rule, in the order in which a request meets them:
+//! The embedding program calls the `on_...` methods of [`AdmissionController`] when requests arrive, when runs and
+//! downstream calls end and when ticks are due; it receives orders through the trait [`Host`]. All times are on one
+//! clock, whose origin the program chooses. There is one module per rule, in the order in which a request meets them:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `deadlines` | by when a request is started and answered; what happens when it is not |
-//! | `idempotency` | which request is never run again, and answered from the cache |
+//! | `deadlines` | the latest start and the deadline of a request, and what happens when they pass |
+//! | `idempotency` | which repeats are answered from the cache instead of being run again |
 //! | `admission` | whether a request that was read is queued or rejected, and why |
 //! | `health` | whether the node is healthy, and which requests an unhealthy one admits |
-//! | `drain` | which requests are refused after a shutdown notice, and by when all are answered |
+//! | `drain` | which requests are rejected after a shutdown notice, and the deadline of all others |
 //! | `overload` | when the node counts as overloaded |
 //! | `tenant_quotas` | what a tenant is charged, when it is over its quota, and for how long (KIP-124) |
-//! | `rejection` | how long a rejected caller is asked to wait, and whether to try another node |
+//! | `rejection` | the retry-after of a rejected request, and whether another node may be tried |
 //! | `fleet_load` | whether other nodes seem overloaded too |
-//! | `load_shedding` | which queued request goes when there is too much |
+//! | `load_shedding` | which queued request is rejected when memory or the queues are over their bounds |
 //! | `scheduling` | which queued request starts next, and when |
 //! | `concurrency_limit` | how many requests may run at once |
-//! | `startup` | what a node assumes of a cold machine and of a predecessor |
-//! | `downstream_calls` | which downstream call is made next, and what follows one that failed |
+//! | `startup` | how much less a node uses on a cold machine and after a predecessor |
+//! | `downstream_calls` | which downstream call is made next, and what follows a failed one |
 //! | `downstream_limit` | how many downstream calls are made, and how long each may take |
-//! | `runs` | what a run is charged, and what its end teaches |
-//! | `stalls` | for how long the whole process stood still |
-//! | `completion` | how a request ends without a result, and what it leaves behind |
-//! | `load_advertisement` | whether callers are asked to keep away |
+//! | `runs` | what a run is charged, and which statistics its end updates |
+//! | `stalls` | for how long the whole process was stalled |
+//! | `completion` | how a request without a result ends, and when it is removed |
+//! | `load_advertisement` | whether the node advertises itself as unavailable |
 //! | `idle_connections` | how long an idle connection stays open |
 //!
-//! `assembly` puts a controller together and gives it new settings; `shared_constants` holds what several rules
-//! share. `docs/decisions.md` says of each rule what a caller gets and which counter or log event shows it;
-//! `docs/design.md` has the reasons.
+//! `assembly` builds a controller and applies new settings to it; `shared_constants` holds the constants that several
+//! rules use. `docs/decisions.md` lists for each rule what a caller receives and which counter or log event shows it;
+//! `docs/design.md` gives the reasons.
 
 use crate::host::{Arrival, Gauges, Host, Outcome, RequestClass};
 use crate::in_flight::{InFlightRequests, Request, Stage};
@@ -77,7 +77,7 @@
 /// The admission policy of one node.
 pub struct AdmissionController {
     classes: Vec<RequestClass>,
-    /// Whether value is counted for each unit of work, not for each request.
+    /// Whether value is counted per unit of work instead of per request.
     by_work: bool,
     quotas: TenantQuotas,
     limiter: ConcurrencyLimiter,
@@ -89,16 +89,16 @@
     health: HealthMonitor,
     stalls: StallClock,
     shutdown: Option<Shutdown>,
-    /// By request class.
+    /// Indexed by request class.
     queues: Vec<ClassQueue>,
-    /// Requests at a downstream call that is not made yet, oldest first.
+    /// Indices of the requests whose downstream call is not made yet, oldest first.
     awaiting_call: VecDeque<usize>,
-    /// As of the last tick.
+    /// Whether the cores were busy at the last tick.
     cores_busy: bool,
 }
 
 impl AdmissionController {
-    /// The first call: sets the health that checks are answered with, and asks for the first tick.
+    /// Must be called first: reports the node as healthy and requests the first tick.
     pub fn begin(&mut self, now: Duration, host: &mut dyn Host) {
         host.set_health(true);
         self.request_tick(now, host);
@@ -106,7 +106,7 @@
         self.limiter.start_round(now);
     }
 
-    /// A request was read; `index` is an index that is free, and is taken until [`Host::release`].
+    /// A request was read. `index` is a free index, which the request occupies until [`Host::release`].
     pub fn on_arrival(
         &mut self,
         now: Duration,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The request that an arrival brings, with its class as of now and its deadline.
+    /// Creates the request of an arrival, with its class as currently configured and its deadline.
     fn new_request(&self, now: Duration, arrival: &Arrival) -> Request {
         let class = self.classes[arrival.class];
         let account = self.quotas.account_of(arrival.tenant);
@@ -139,10 +139,12 @@
         Request::new(arrival, class, account, arrived, deadline)
     }
 
-    /// A run has come to a downstream call, and waits for [`Host::call_downstream`] or its skipping.
+    /// A run needs its downstream call, and waits for [`Host::call_downstream`] or [`Host::reply_degraded`].
     pub fn on_downstream_call(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         let request = self.in_flight.get(index);
-        if let Some(request) = request.filter(|r| r.stage == Stage::Running && !r.answered) {
+        if let Some(request) =
+            request.filter(|request| request.stage == Stage::Running && !request.answered)
+        {
             request.call_requested = now;
             request.call_attempts = 0;
             self.await_call(index);
@@ -150,7 +152,7 @@
         self.dispatch(now, host);
     }
 
-    /// An attempt of a downstream call is over.
+    /// An attempt of a downstream call has ended.
     pub fn on_call_finished(
         &mut self,
         now: Duration,
@@ -165,7 +167,7 @@
         self.dispatch(now, host);
     }
 
-    /// A run or a cached reply is over.
+    /// A run or a reply from the cache has ended.
     pub fn on_run_finished(
         &mut self,
         now: Duration,
@@ -183,13 +185,13 @@
         self.dispatch(now, host);
     }
 
-    /// The caller has left: nothing need be answered.
+    /// The caller has disconnected: no answer is needed.
     pub fn on_caller_gone(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         self.abandon(host, index);
         self.dispatch(now, host);
     }
 
-    /// The tick that [`Host::wake`] asked for, with the gauges as of now.
+    /// The tick that [`Host::wake`] requested, with the current gauges.
     pub fn on_tick(&mut self, now: Duration, host: &mut dyn Host, gauges: Gauges) {
         if let Some(stall) = self.stalls.on_tick(now) {
             self.health.on_stall(stall);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// The process will be stopped after `kill_in`: all is answered before.
+    /// The process will be killed after `kill_in`: all requests are answered before that.
     pub fn on_shutdown_notice(&mut self, now: Duration, host: &mut dyn Host, kill_in: Duration) {
         let shutdown = Shutdown::noticed_at(now, kill_in);
         self.shutdown = Some(shutdown);
--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -1,20 +1,19 @@
 //! Whether a request that has just been read is queued or rejected.
 //!
-//! [`decide`] checks in this order, and the first that holds is the reason:
+//! [`decide`] checks these conditions in order; the first one that holds is the reason:
 //!
 //! | reason | holds when |
 //! | --- | --- |
-//! | [`RejectReason::DeadlinePassed`] | its deadline is over |
-//! | [`RejectReason::Draining`] | it reached the machine past the grace of a shutdown |
-//! | [`RejectReason::NoTimeLeft`] | the cores are busy, and it can no longer be started in time ([`deadlines`](super::deadlines)) |
-//! | [`RejectReason::Unhealthy`] | the node is unhealthy, and this is no probe ([`health`](super::health)) |
-//! | [`RejectReason::OverQuota`] | the node is overloaded ([`overload`](super::overload)), and its tenant's delay is not over ([`tenant_quotas`](super::tenant_quotas)) |
+//! | [`RejectReason::DeadlinePassed`] | its deadline has passed |
+//! | [`RejectReason::Draining`] | it reached the machine after the grace period of a shutdown |
+//! | [`RejectReason::NoTimeLeft`] | the cores are busy, and its latest start has passed ([`deadlines`](super::deadlines)) |
+//! | [`RejectReason::Unhealthy`] | the node is unhealthy, and no probe is due ([`health`](super::health)) |
+//! | [`RejectReason::OverQuota`] | the node is overloaded ([`overload`](super::overload)), and the delay of its tenant has not ended ([`tenant_quotas`](super::tenant_quotas)) |
 //!
-//! All times are on the controller's clock. Which delay a rejected request's caller is asked for is decided in
-//! [`rejection`](super::rejection).
+//! All times are on the controller's clock. [`rejection`](super::rejection) decides the retry-after.
 //!
-//! Source: the last row is KIP-124's, with a rejection in place of a delayed response. The others are ours: they
-//! keep cores from work whose answer would come too late.
+//! Source: the last row is from KIP-124, with a rejection in place of a delayed response. The other rows are not: they
+//! keep the cores free of work whose answer would come too late.
 
 use super::overload::is_overloaded;
 use super::rejection::RejectReason;
@@ -23,41 +22,41 @@
 use crate::host::Arrival;
 use std::time::Duration;
 
-/// What the decision depends on.
+/// Inputs of the decision on one request.
 pub(super) struct AdmissionInputs {
     /// The time of the decision.
     pub(super) now: Duration,
-    /// The last moment for an answer.
+    /// The latest time for the answer.
     pub(super) deadline: Duration,
-    /// The last moment for a start.
+    /// The latest time for the start of the run.
     pub(super) start_by: Duration,
-    /// Whether it reached the machine past the grace of a shutdown.
+    /// Whether the request reached the machine after the grace period of a shutdown.
     pub(super) is_past_drain_grace: bool,
-    /// Whether the cores read busy.
+    /// Whether the cores gauge reads busy.
     pub(super) cores_busy: bool,
-    /// Whether the node's health lets a request in now.
+    /// Whether the node is healthy, or the request may be a probe.
     pub(super) is_admitted_by_health: bool,
-    /// Time that the queue takes to clear, and for which the request waited to be read.
+    /// Time the queue takes to clear, plus the time the request waited to be read.
     pub(super) wait: Duration,
-    /// The latency objective of its class.
+    /// The latency objective of the request's class.
     pub(super) latency_objective: Duration,
-    /// What is left of its tenant's delay.
+    /// Remaining delay of the request's tenant.
     pub(super) quota_delay: Duration,
 }
 
-/// What becomes of a request that was read.
+/// The decision on a request that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
-    /// It is not run.
+    /// The request is rejected without a run.
     Reject(RejectReason),
-    /// It waits in its queue, at most until `start_by`.
+    /// The request is queued.
     Enqueue {
-        /// When it is rejected unless it was started.
+        /// When the request is rejected if it has not been started.
         start_by: Duration,
     },
 }
 
-/// Decides on a request that was read.
+/// Decides whether a request is queued or rejected.
 pub(super) fn decide(inputs: &AdmissionInputs) -> Decision {
     let now = inputs.now;
     if inputs.deadline <= now {
@@ -85,7 +84,7 @@
 }
 
 impl AdmissionController {
-    /// Decides on request `index`, which `arrival` brought.
+    /// Decides on request `index`, created from `arrival`.
     pub(super) fn decide_admission(
         &mut self,
         now: Duration,
@@ -94,7 +93,7 @@
     ) -> Decision {
         let inputs = self.admission_inputs(now, index, arrival);
         let decision = decide(&inputs);
-        // On an unhealthy node only what is queued is a probe.
+        // On an unhealthy node a request counts as a probe only if it is queued.
         if let Decision::Enqueue { .. } = decision {
             self.health.on_admitted(now);
         }
@@ -117,7 +116,7 @@
             start_by: request.start_by(usual_run),
             is_past_drain_grace: self
                 .shutdown
-                .is_some_and(|shutdown| shutdown.refuses(request.arrived, grace)),
+                .is_some_and(|shutdown| shutdown.rejects(request.arrived, grace)),
             cores_busy: self.cores_busy,
             is_admitted_by_health: self.health.admits(now),
             wait,
--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -1,4 +1,4 @@
-//! How an [`AdmissionController`] is assembled from its components, and takes new settings while it runs.
+//! Building an [`AdmissionController`] from its components, and applying new settings while it runs.
 
 use super::fleet_load::FleetLoad;
 use super::health::HealthMonitor;
@@ -12,23 +12,23 @@
 use crate::in_flight::InFlightRequests;
 use std::collections::VecDeque;
 
-/// The components of an [`AdmissionController`] that are made from settings of their own.
+/// The components of an [`AdmissionController`] that have settings of their own.
 pub struct Components {
-    /// What each tenant may spend and has spent.
+    /// Quota and usage of each tenant.
     pub quotas: TenantQuotas,
     /// How many requests may run at once.
     pub limiter: ConcurrencyLimiter,
-    /// Requests in flight with their timers and memory.
+    /// Requests in flight with their timers and memory use.
     pub in_flight: InFlightRequests,
-    /// The rate of downstream calls.
+    /// The rate and the share of downstream calls.
     pub downstream: DownstreamLimiter,
-    /// What callers learn of the node's load.
+    /// What the node advertises to its callers.
     pub advertiser: LoadAdvertiser,
 }
 
 impl AdmissionController {
-    /// A controller that has not begun. `by_work`: value is counted for each unit of work, not for each
-    /// request.
+    /// Creates a controller; [`AdmissionController::begin`] starts it. `by_work`: value is counted per unit of work
+    /// instead of per request.
     pub fn new(classes: Vec<RequestClass>, by_work: bool, components: Components) -> Self {
         let Components {
             quotas,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// New settings under load, from a controller made of them; requests in flight and all that was learned
-    /// stay. Other counts of classes or tenants, which the reader of settings refuses, change neither.
+    /// Takes over the settings of `new`, a controller created from them; requests in flight and all statistics are
+    /// kept. If the number of classes or tenants differs, which the settings reader rejects, both keep their settings.
     pub fn reconfigure(&mut self, new: AdmissionController) {
         let same_classes = new.classes.len() == self.classes.len();
         if same_classes && new.quotas.tenants() == self.quotas.tenants() {
--- a/src/choice/completion.rs
+++ b/src/choice/completion.rs
@@ -1,21 +1,22 @@
-//! How a request that is not rejected ends without a result, and what it leaves behind.
+//! How a request that is not rejected ends without a result, and when it is removed.
 //!
-//! A request that may have run is never rejected, as that promises that nothing ran: it fails, with a final error.
-//! Once it is answered, or its caller has left, nobody waits for it: its run is cancelled where runs can be. It is
-//! removed when nothing more can follow: at once if it never ran, else when its run ends. Not in KIP-124.
+//! A request that may have run is never rejected, because a rejection promises that nothing ran: it fails with a
+//! final error. Once it is answered, or its caller has disconnected, its result is not needed: its run is cancelled
+//! where runs can be cancelled. A request that never ran is removed immediately, any other when its run ends. Not in
+//! KIP-124.
 
 use super::AdmissionController;
 use crate::host::Host;
 use crate::in_flight::Stage;
 
 impl AdmissionController {
-    /// The final error to a request that may have run.
+    /// Answers a request that may have run with a final error.
     pub(super) fn fail(&mut self, host: &mut dyn Host, index: usize) {
         host.fail(index);
         self.abandon(host, index);
     }
 
-    /// Nobody waits for the request any more: frees what can be freed now, the rest when its run ends.
+    /// Frees what can be freed of a request whose result is not needed any more; the rest is freed when its run ends.
     pub(super) fn abandon(&mut self, host: &mut dyn Host, index: usize) {
         self.in_flight.clear_timer(index);
         let Some(request) = self.in_flight.get(index) else {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Removes a request from all tables; its index is free again.
+    /// Removes a request from all tables and frees its index.
     pub(super) fn release(&mut self, host: &mut dyn Host, index: usize) {
         let Some(request) = self.in_flight.remove(index) else {
             return;
--- a/src/choice/concurrency_limit.rs
+++ b/src/choice/concurrency_limit.rs
@@ -1,20 +1,20 @@
 //! How many requests may run at once: a learned limit below a hard ceiling.
 //!
 //! The **ceiling** is [`SAFETY_SHARE`] of the concurrency that a machine survives: its cores times the overload
-//! factor of the settings, less while it is cold ([`startup`](super::startup)). It holds whatever else is learned.
+//! factor of the settings, less while it is cold ([`startup`](super::startup)). It bounds the learned limit.
 //!
-//! The **learned limit** is one of [`LIMIT_STEPS`], in requests a core. A round of [`LEARNING_ROUND`] counts when
-//! the limit was reached and requests were queued at each of its ticks; its throughput (completions a second) is
-//! then the sample for its step. After such a round a neighbouring step is explored now and then; else the step
-//! with the highest throughput is taken, where a higher step must reach [`MIN_GAIN`] times that of a lower one.
-//! While the cores have time left though the limit is reached and requests are queued, it climbs a step each
-//! [`CLIMB_INTERVAL`]. It never goes more than one step past the highest that a counted round was run at.
+//! The **learned limit** is one of [`LIMIT_STEPS`], in requests per core. A round of [`LEARNING_ROUND`] counts if
+//! the limit was reached and requests were queued at each of its ticks; its throughput (completions per second) is
+//! then a sample for its step. After a counted round a neighbouring step is explored with a probability of one in
+//! [`EXPLORE_ONE_IN`]; otherwise the step with the highest throughput is chosen, where a higher step must reach
+//! [`MIN_GAIN`] times the throughput of a lower one. While the limit is reached and requests are queued, but the
+//! cores are not busy, the limit rises by a step every [`CLIMB_INTERVAL`]. It is never more than one step above the
+//! highest step of a counted round.
 //!
-//! **Corrections:** threads that read requests take cores from runs and are taken off the learned limit, but one
-//! run for [`CORES_PER_GUARANTEED_RUN`] cores may always go on; runs that wait for a disk leave their cores to
-//! others and are added.
+//! **Corrections:** threads that read requests occupy cores and are subtracted from the learned limit, but one run
+//! per [`CORES_PER_GUARANTEED_RUN`] cores is always allowed; runs that wait for a disk free their cores and are added.
 //!
-//! Inputs: gauges of the cores (share in use; threads that run or want to), numbers of running and queued
+//! Inputs: gauges of the cores (share in use; threads that run or are runnable), numbers of running and queued
 //! requests. Not in KIP-124, whose brokers have a fixed number of threads.
 
 use super::overload::cores_are_busy;
@@ -26,42 +26,42 @@
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Steps of the learned limit, in requests a core. Much higher concurrency gets less done, and waits on
+/// Steps of the learned limit, in requests per core. Much higher concurrency lowers the throughput, and waits for
 /// downstream calls hide that from the cores gauge.
 const LIMIT_STEPS: [f64; 6] = [1.0, 1.1, 1.2, 1.3, 1.4, 1.5];
-/// Cores for each run that may go on even if reading takes all cores: reading alone would serve nobody.
+/// Cores per run that is allowed even if reading occupies all cores: without runs no request would be served.
 const CORES_PER_GUARANTEED_RUN: usize = 2;
-/// Length of a round of the learner.
+/// Duration of a learning round.
 const LEARNING_ROUND: Duration = Duration::from_secs(1);
 /// Decay span of a step's throughput.
 const THROUGHPUT_SPAN: Duration = Duration::from_secs(20);
-/// One counted round in so many is followed by a neighbouring step.
+/// One in this many counted rounds, on average, is followed by the exploration of a neighbouring step.
 const EXPLORE_ONE_IN: u32 = 8;
-/// Throughput ratio from which a higher step is preferred: less concurrency for the same work.
+/// Throughput ratio above which a higher step is preferred: at similar throughput, lower concurrency is better.
 const MIN_GAIN: f64 = 1.15;
-/// Time between two climbs: the cores gauge needs most of its half second to show the last one.
+/// Time between two rises of the limit: the cores gauge averages half a second and needs most of that to show one.
 const CLIMB_INTERVAL: Duration = Duration::from_millis(250);
-/// Mean of runs off the cores from which they count as disk waits: a gauge that lags shows some too.
+/// Mean number of runs off the cores above which they count as disk waits: a lagging gauge shows a few as well.
 const MIN_DISK_WAITS: f64 = 0.25;
 
-/// A round of the learner.
+/// A learning round.
 #[derive(Default)]
 struct LearningRound {
     started: Duration,
-    /// Runs that succeeded in it.
+    /// Number of successful runs in the round.
     completions: u32,
-    /// Whether the limit was reached, with requests queued, at every tick of it.
+    /// Whether the limit was reached, with requests queued, at every tick of the round.
     saturated: bool,
 }
 
-/// How the cores are used, as of the last tick.
+/// Use of the cores at the last tick.
 #[derive(Default)]
 struct CoreUse {
-    /// Threads on cores that run no request: they read.
+    /// Number of threads on cores that run no request: they read requests.
     reading: usize,
-    /// Runs off the cores, where that is a habit.
+    /// Number of runs off the cores; zero unless their mean is above [`MIN_DISK_WAITS`].
     disk_waits: usize,
-    /// Mean of runs off the cores.
+    /// Mean number of runs off the cores.
     mean_disk_waits: Mean,
 }
 
@@ -71,9 +71,9 @@
     overload_factor: f64,
     cold_start: Option<ColdStart>,
     step: usize,
-    /// The highest step that a counted round was run at.
+    /// The highest step of a counted round.
     highest_proven: usize,
-    /// Completions a second, by step.
+    /// Completions per second, by step.
     throughput: [Mean; LIMIT_STEPS.len()],
     round: LearningRound,
     core_use: CoreUse,
@@ -81,7 +81,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// `seed`: of the exploration; `overload_factor`: requests a core that a warm node survives.
+    /// `seed`: of the random exploration; `overload_factor`: requests per core that a warm node survives.
     pub fn new(
         seed: u64,
         cores: usize,
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Takes the overload factor of `new`; what was learned stays.
+    /// Takes over the overload factor of `new`; the learned limit is kept.
     pub(super) fn set_overload_factor(&mut self, new: &Self) {
         self.overload_factor = new.overload_factor;
     }
 
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub(super) fn cores(&self) -> usize {
         self.cores
     }
 
-    /// How many requests may run in any case: more could end the process.
+    /// Upper bound of the limit: with more concurrent runs the process could crash.
     pub(super) fn ceiling(&self, now: Duration) -> usize {
         let warm = warm_share(self.cold_start, now);
         let survived = self.cores as f64 * (1.0 + (self.overload_factor - 1.0) * warm);
@@ -131,7 +131,7 @@
         self.round.completions += 1;
     }
 
-    /// A tick came: corrects the limit, and learns when a round is over.
+    /// Corrects the limit, and updates the learned limit at the end of a round.
     pub(super) fn on_tick(
         &mut self,
         now: Duration,
@@ -166,11 +166,11 @@
         core_use
             .mean_disk_waits
             .add(now, disk_waits as f64, RECENT_SPAN);
-        let is_habit = core_use.mean_disk_waits.read() > Some(MIN_DISK_WAITS);
-        core_use.disk_waits = if is_habit { disk_waits } else { 0 };
+        let is_sustained = core_use.mean_disk_waits.read() > Some(MIN_DISK_WAITS);
+        core_use.disk_waits = if is_sustained { disk_waits } else { 0 };
     }
 
-    /// Begins a round.
+    /// Starts a learning round.
     pub(super) fn start_round(&mut self, now: Duration) {
         self.round = LearningRound {
             started: now,
@@ -179,7 +179,7 @@
         };
     }
 
-    /// Takes the round that is over as a sample of its step.
+    /// Records the throughput of the round that has ended as a sample for its step.
     fn learn(&mut self, now: Duration) {
         let span = now.saturating_sub(self.round.started).as_secs_f64();
         let throughput = f64::from(self.round.completions) / span;
@@ -187,7 +187,7 @@
         self.highest_proven = self.highest_proven.max(self.step);
     }
 
-    /// Explores a neighbouring step now and then, else takes the one with the highest throughput.
+    /// Chooses the step with the highest throughput, or at random a neighbouring step to explore.
     fn choose_step(&mut self, now: Duration, max_step: usize) {
         if self.rng.generate_range(0..EXPLORE_ONE_IN) == 0 {
             let up = self.rng.generate_range(0..2u32) == 1;
--- a/src/choice/deadlines.rs
+++ b/src/choice/deadlines.rs
@@ -1,22 +1,22 @@
-//! By when a request is started and answered, and what happens when it is not.
+//! The latest start and the deadline of a request, and what happens when they pass.
 //!
-//! The **deadline** of an answer: what its caller allows, else its class's deadline from when it reached the
-//! machine; under a shutdown no later than that allows; [`TIME_MARGIN`] ahead in any case, so that the answer still
-//! arrives.
+//! The **deadline** of an answer is the caller's timeout if there is one, else the deadline of the request's class,
+//! counted from when the request reached the machine; during a shutdown it is no later than the shutdown allows. It
+//! is brought forward by [`TIME_MARGIN`], so that the answer arrives in time.
 //!
-//! The **latest start**: half of the latency objective after it reached the machine, and early enough that
-//! [`RUN_TIME_HEADROOM`] usual runs fit before the objective and before the deadline. It acts twice:
-//! - on arrival, on busy cores only: a request that is past it when it is read is rejected
-//!   ([`admission`](super::admission)), with the longest retry-after;
-//! - in the queue, whatever the cores gauge reads: a request that is past it is rejected at the next tick, with
-//!   the time that the queue takes as retry-after.
+//! The **latest start** is half of the latency objective after the request reached the machine, and early enough that
+//! [`RUN_TIME_HEADROOM`] times the usual run time fits before the objective and before the deadline. It is checked
+//! - on arrival, only if the cores are busy: a request that is read later is rejected
+//!   ([`admission`](super::admission)) with the longest retry-after;
+//! - in the queue, regardless of the cores gauge: a request that has not been started is rejected at the next tick,
+//!   with the time the queue takes to clear as retry-after.
 //!
-//! Each request in flight has one timer. What its expiry does:
+//! Each request in flight has one timer:
 //!
-//! | stage | the timer is set to | on expiry |
+//! | stage | the timer is set to | on expiry the request |
 //! | --- | --- | --- |
-//! | queued | the latest start | rejected |
-//! | awaiting its call | the last moment at which the call is worth making | goes on without the call, or fails |
+//! | queued | the latest start | is rejected |
+//! | awaiting its call | the latest time at which the call is worth making | continues without the call, or fails |
 //! | any other | the deadline | fails |
 //!
 //! All times are on the controller's clock. Not in KIP-124.
@@ -29,12 +29,12 @@
 use crate::in_flight::{Request, Stage};
 use std::time::Duration;
 
-/// Share of the latency objective that a request may wait, unread or queued.
+/// Share of the latency objective that a request may wait to be read and in the queue.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// Usual runs for which a start must leave time: runs spread far above their mean.
+/// Multiple of the usual run time that must be left at a start: many runs take far longer than the mean.
 const RUN_TIME_HEADROOM: f64 = 1.5;
 
-/// The last moment for the answer to a request that reached the machine at `arrived`.
+/// The latest time for the answer to a request that reached the machine at `arrived`.
 pub(super) fn answer_deadline(
     now: Duration,
     arrived: Duration,
@@ -42,16 +42,16 @@
     class: &RequestClass,
     shutdown: Option<Shutdown>,
 ) -> Duration {
-    let wanted = match arrival.caller_timeout {
+    let requested = match arrival.caller_timeout {
         Some(timeout) => now + timeout,
         None => (arrived + class.deadline).max(now),
     };
-    let latest = shutdown.map_or(wanted, |shutdown| wanted.min(shutdown.deadline));
+    let latest = shutdown.map_or(requested, |shutdown| requested.min(shutdown.deadline));
     latest.saturating_sub(TIME_MARGIN)
 }
 
 impl Request {
-    /// The last moment for the start of its run.
+    /// The latest time for the start of the run.
     pub(super) fn start_by(&self, usual_run: Duration) -> Duration {
         let needed = usual_run.as_secs_f64() * RUN_TIME_HEADROOM;
         let needed = Duration::try_from_secs_f64(needed).unwrap_or(Duration::MAX);
@@ -63,7 +63,7 @@
 }
 
 impl AdmissionController {
-    /// Answers or moves on every request whose timer has expired.
+    /// Rejects, fails or continues every request whose timer has expired, according to its stage.
     pub(super) fn expire_deadlines(&mut self, now: Duration, host: &mut dyn Host) {
         while let Some(index) = self.in_flight.next_expired(now) {
             let request = self.in_flight.expect(index);
--- a/src/choice/downstream_calls.rs
+++ b/src/choice/downstream_calls.rs
@@ -1,19 +1,19 @@
-//! Which downstream call is made next, and what follows one that ended badly.
+//! Which downstream call is made next, and what follows a failed one.
 //!
-//! **Waiting.** A call that [`downstream_limit`](super::downstream_limit) does not let through yet waits until a
-//! usual call no longer fits before its deadline: a call made later would only fail. A request that can do without
-//! its call waits at most [`MAX_OPTIONAL_CALL_WAIT`] usual calls, then goes on without it.
+//! **Waiting.** A call that [`downstream_limit`](super::downstream_limit) does not admit yet waits until a usual call
+//! no longer fits before its deadline: a later call would only fail. A request whose call is optional waits at most
+//! [`MAX_OPTIONAL_CALL_WAIT`] usual call times, then continues without it.
 //!
-//! **Order.** The call goes first whose loss costs most value, of equal ones the newest. Where the node's share of
-//! the tier is contended, a call is held back while a class that would lose more value is short of calls
-//! ([`CALL_SHORTAGE`]).
+//! **Order.** The call whose loss costs the most value is made first; among equal ones the newest. While the node's
+//! share of the tier is contended, a call is held back as long as a class that would lose more value is short of
+//! calls ([`CALL_SHORTAGE`]).
 //!
-//! **The deadline** of a call is that of its request; where an answer without the call has a value, early enough
-//! to still give that answer within the latency objective; in any case within what the limiter grants.
+//! **Deadline.** The deadline of a call is that of its request. Where an answer without the call has a value, it is
+//! early enough to give that answer within the latency objective. It never exceeds the time limit of the limiter.
 //!
-//! **Retries.** A call is made again only if it certainly did not run, or its request is idempotent: no second
-//! effect downstream. There are at most [`MAX_CALL_ATTEMPTS`] attempts, except of a required call that did not
-//! run. Where there is no retry, the request goes on without its call if that has a value, else it fails.
+//! **Retries.** A call is retried only if it certainly did not run, or if its request is idempotent, so that it has
+//! no second effect downstream. There are at most [`MAX_CALL_ATTEMPTS`] attempts, except for a required call that did
+//! not run. Without a retry, the request continues without its call if such an answer has a value, else it fails.
 //!
 //! Values are those of the classes in the settings; times are on the controller's clock. Not in KIP-124.
 
@@ -24,29 +24,30 @@
 use crate::in_flight::{DownstreamCall, Request, Stage};
 use std::time::Duration;
 
-/// Share of a class's calls that failed or were never made from which it is short of calls.
+/// Share of failed or unmade calls above which a class is short of calls.
 const CALL_SHORTAGE: f64 = 0.1;
-/// Usual call times that a request waits for a call it can do without: whatever waits comes back to the cores.
+/// Maximum wait for an optional call, in usual call times: every waiting request will need the cores again.
 const MAX_OPTIONAL_CALL_WAIT: f64 = 4.0;
-/// Share of a class's usual run still needed after a call.
+/// Share of a class's usual run time that is still needed after a call.
 const RUN_SHARE_AFTER_CALL: f64 = 0.6;
-/// Attempts of one call, except a required one that did not run.
+/// Maximum attempts of one call, except of a required one that did not run.
 const MAX_CALL_ATTEMPTS: u32 = 3;
 
-/// A call that waits, by its place among those that wait.
+/// A waiting call.
 struct WaitingCall {
+    /// Position in the queue of waiting calls.
     position: usize,
-    /// The value that is lost without it.
+    /// The value that is lost without the call.
     value: f64,
 }
 
-/// What follows a call that failed.
+/// What follows a failed call.
 enum AfterFailedCall {
-    /// Nothing: the request is answered.
+    /// Nothing: the request is already answered.
     Nothing,
-    /// Another attempt.
+    /// The call is retried.
     Retry,
-    /// The run goes on without the call.
+    /// The run continues without the call.
     Skip,
     /// The request fails.
     Fail,
@@ -75,14 +76,14 @@
 }
 
 impl ClassQueue {
-    /// Whether too many of the class's calls were lost lately.
+    /// Whether the share of the class's recent calls that failed or were not made is above [`CALL_SHORTAGE`].
     fn is_short_of_calls(&self, now: Duration) -> bool {
         self.call_loss.known(now, MEAN_SPAN, MIN_WEIGHT) > Some(CALL_SHORTAGE)
     }
 }
 
 impl AdmissionController {
-    /// The latest that a call may take, whatever the limiter grants.
+    /// The deadline of a request's call, without the time limit of the limiter.
     fn call_deadline(&mut self, index: usize) -> Duration {
         let request = self.in_flight.expect(index);
         if request.class.degraded_share == 0.0 {
@@ -96,7 +97,7 @@
             .min(request.deadline)
     }
 
-    /// Has a request wait for its call.
+    /// Puts a request into the queue of waiting calls.
     pub(super) fn await_call(&mut self, index: usize) {
         let usual = self.downstream.usual_call();
         let mut start_by = self.call_deadline(index).saturating_sub(usual);
@@ -110,7 +111,7 @@
         self.awaiting_call.push_back(index);
     }
 
-    /// Makes the calls that the rate and the share allow.
+    /// Makes the waiting calls that the rate and the share allow.
     pub(super) fn make_calls(&mut self, now: Duration, host: &mut dyn Host) {
         while let Some(limit) = self.downstream.time_limit(now) {
             let next = self.next_call(now);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The call to make next, if one may go.
+    /// The call to make next, unless it is held back.
     fn next_call(&mut self, now: Duration) -> Option<WaitingCall> {
         let waiting = self.awaiting_call.iter().enumerate();
         let calls = waiting.map(|(position, &index)| WaitingCall {
@@ -128,13 +129,13 @@
             value: self.in_flight.expect(index).class.call_value(),
         });
         let best = calls.max_by(|a, b| a.value.total_cmp(&b.value))?;
-        let may_go =
-            self.downstream.is_uncontended() || !self.more_valuable_is_short(now, best.value);
-        may_go.then_some(best)
+        let allowed =
+            self.downstream.is_uncontended() || !self.more_valuable_class_is_short(now, best.value);
+        allowed.then_some(best)
     }
 
-    /// Whether a class that loses more than `value` without its calls is short of them.
-    fn more_valuable_is_short(&self, now: Duration, value: f64) -> bool {
+    /// Whether a class that loses more than `value` without its calls is short of calls.
+    fn more_valuable_class_is_short(&self, now: Duration, value: f64) -> bool {
         let classes = self.classes.iter().zip(&self.queues);
         let mut more_valuable = classes.filter(|(class, _)| class.call_value() > value);
         more_valuable.any(|(_, queue)| queue.is_short_of_calls(now))
@@ -158,7 +159,7 @@
         host.call_downstream(index, call.deadline);
     }
 
-    /// An attempt of a call is over.
+    /// Handles the end of a call attempt.
     pub(super) fn end_call(
         &mut self,
         now: Duration,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets a run go on without its call.
+    /// Continues a run without its call.
     pub(super) fn skip_call(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         self.awaiting_call.retain(|&other| other != index);
         self.in_flight.set_stage(index, Stage::Running);
--- a/src/choice/downstream_limit.rs
+++ b/src/choice/downstream_limit.rs
@@ -1,18 +1,19 @@
 //! How many downstream calls this node makes, and how long each may take.
 //!
-//! **The rate** (calls a second) holds for every call. A call that succeeds while recent calls take no more than
-//! [`SLOWDOWN_RATIO`] times their usual time raises it by the factor [`CALL_RATE_INCREASE`]; one that fails, or
-//! comes while they are slower, lowers it by [`CALL_RATE_DECREASE`]. It falls from at most
-//! [`SLOWDOWN_RATIO`] times the calls that really ended lately, and never below [`CALL_RATE_DECREASE`] times those
-//! that succeeded. A call that was cancelled, or timed out with less time than a usual call takes, proves nothing.
+//! **The rate** (calls per second) bounds every call. A call that succeeds while recent calls take no more than
+//! [`SLOWDOWN_RATIO`] times their usual time multiplies the rate by [`CALL_RATE_INCREASE`]; a call that fails, or ends
+//! while recent calls are slower, multiplies it by [`CALL_RATE_DECREASE`]. A decrease starts from at most
+//! [`SLOWDOWN_RATIO`] times the rate of calls that ended recently, and never goes below [`CALL_RATE_DECREASE`] times
+//! the rate of recent successes. A call that was cancelled, or timed out in less time than a usual call takes, does
+//! not change the rate.
 //!
-//! **The share** holds where the nodes of a fleet share the tier: this node's part of the calls that may be held
-//! there at once, in the mean over a window. What its calls held in the window, what those in progress may still
-//! hold at most, and what a cancelled call lingers stay under [`SAFETY_SHARE`] of it, in every window and whatever
-//! becomes of the calls; after a start under less ([`startup`](super::startup)). One call gets at most half of this
-//! budget, unless recent calls are that slow; none is made that the budget leaves less than [`SLOWDOWN_RATIO`]
-//! recent calls' time, as it would only fail. Past [`UNCONTENDED_SHARE`] of the budget calls are made one at a
-//! time.
+//! **The share** applies where the nodes of a fleet share the tier. It is this node's part of the calls that may
+//! occupy the tier at once, as a mean over a window. The budget is [`SAFETY_SHARE`] of it, and less after a start
+//! ([`startup`](super::startup)). The time that this node's calls occupied in the window, the most that calls in
+//! progress may still occupy, and the linger of cancelled calls stay within the budget in every window, whatever the
+//! outcomes of the calls. One call gets at most half of the budget, unless recent calls are slower than that. No call
+//! is made if the budget leaves it less than [`SLOWDOWN_RATIO`] times the time of recent calls, because it would only
+//! fail. Above [`UNCONTENDED_SHARE`] of the budget, calls are made one at a time.
 //!
 //! Inputs: the share's concurrency (calls), window and linger (time, settings); starts and ends of calls. Not in
 //! KIP-124.
@@ -25,23 +26,24 @@
 use crate::options::DownstreamShare;
 use std::time::Duration;
 
-/// Least rate, in calls a second: one probes the tier.
+/// Lowest rate, in calls per second: one call still probes the tier.
 const MIN_CALL_RATE: f64 = 1.0;
-/// Rate at the start, in calls a second.
+/// Rate at the start, in calls per second.
 const INITIAL_CALL_RATE: f64 = 16.0;
-/// Highest rate, in calls a second.
+/// Highest rate, in calls per second.
 const MAX_CALL_RATE: f64 = 1_000.0;
-/// Seconds for which unused calls are saved up.
+/// Maximum burst of the token bucket, in seconds of the rate.
 const CALL_BURST_S: f64 = 0.25;
-/// Times their usual time from which calls count as slow.
+/// Multiple of their usual time above which calls count as slow.
 const SLOWDOWN_RATIO: f64 = 2.0;
-/// Factor of the rate at a call that fails or is slow.
+/// Factor applied to the rate when a call fails or calls are slow.
 const CALL_RATE_DECREASE: f64 = 0.84;
-/// Factor of the rate at any other call. With the decrease, the rate falls when more than half of the calls fail.
+/// Factor applied to the rate when any other call ends. With [`CALL_RATE_DECREASE`], the rate falls if more than half
+/// of the calls fail.
 const CALL_RATE_INCREASE: f64 = 1.2;
-/// Weight of recent calls from which their number is a measure of the rate.
+/// Weight of recent calls from which they are enough to measure the rate of calls.
 const MIN_RECENT_CALLS: f64 = 2.0;
-/// Share of the budget up to which calls are made freely: a tier slows down well before it fails.
+/// Share of the budget up to which calls may be concurrent: a tier slows down well before it fails.
 const UNCONTENDED_SHARE: f64 = 0.25;
 
 /// The rate of downstream calls, and this node's share of the load that all nodes put on that tier.
@@ -49,26 +51,26 @@
 pub struct DownstreamLimiter {
     share: Option<DownstreamShare>,
     ramp: BudgetRamp,
-    /// Calls a second.
+    /// Calls per second.
     rate: f64,
-    /// Calls that may be made at once by the rate, as of `refilled`.
+    /// Tokens in the bucket at time `refilled`; a call takes one.
     tokens: f64,
     refilled: Duration,
-    /// Time of a successful call, in seconds.
+    /// Mean time of successful calls over [`RECENT_SPAN`], in seconds.
     recent_time: Mean,
-    /// The same over a longer span.
+    /// Mean time of successful calls over [`MEAN_SPAN`], in seconds.
     usual_time: Mean,
     successes: Decaying,
     completions: Decaying,
-    /// Time that calls held at the tier in the window, lingering included.
+    /// Time for which ended calls occupied the tier in the window, linger included.
     used: WindowSum,
-    /// The most that the calls in progress may still hold.
+    /// The most time for which calls in progress may still occupy the tier, linger included.
     reserved: Duration,
 }
 
 impl DownstreamLimiter {
-    /// Of a node that may have had a predecessor on its machine. `share`: this node's share of the tier, where
-    /// nodes share it.
+    /// The limiter of a node that may have had a predecessor on its machine. `share`: this node's share of the tier,
+    /// if nodes share it.
     pub fn new(share: Option<DownstreamShare>) -> Self {
         Self {
             share,
@@ -79,8 +81,8 @@
         }
     }
 
-    /// Of the first node on its machine: nothing that this one does not know of is held downstream, so it has its
-    /// whole share at once. `share` as in [`DownstreamLimiter::new`].
+    /// The limiter of the first node on its machine: no predecessor's calls can occupy the tier, so the node may use
+    /// its whole budget immediately. `share` as in [`DownstreamLimiter::new`].
     pub fn without_predecessor(share: Option<DownstreamShare>) -> Self {
         Self {
             ramp: BudgetRamp::without_predecessor(),
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Takes the share of `new`. `calling`: number of calls in progress; `time_limits`: the most that they may
-    /// take together. Both are reserved anew, for a tier that becomes shared or unshared.
+    /// Takes over the share of `new`. `calling`: number of calls in progress; `time_limits`: sum of their time limits.
+    /// The reservation is recomputed from both, because the tier may become shared or unshared.
     pub(super) fn set_share(&mut self, new: &Self, calling: usize, time_limits: Duration) {
         self.share = new.share;
         self.reserved = self.share.map_or(Duration::ZERO, |share| {
@@ -102,15 +104,15 @@
         Duration::from_secs_f64(self.usual_time.read().unwrap_or(0.0))
     }
 
-    /// How long a call made now may take; `None` if none may be made.
+    /// How long a call made now may take; `None` if no call may be made.
     pub(super) fn time_limit(&mut self, now: Duration) -> Option<Duration> {
         self.refill(now);
-        let longest = match self.share {
+        let limit = match self.share {
             Some(share) => self.time_limit_by_share(now, share),
             None => Some(Duration::MAX),
         };
         let is_free = self.reserved.is_zero() || self.is_uncontended();
-        longest.filter(|_| self.tokens >= 1.0 && is_free)
+        limit.filter(|_| self.tokens >= 1.0 && is_free)
     }
 
     fn refill(&mut self, now: Duration) {
@@ -135,7 +137,8 @@
             .max(budget / 2)
             .min(budget)
             .saturating_sub(share.linger);
-        // Until one succeeds while the budget grows, a call that the growth cuts short would only fail.
+        // While the budget grows and no call has succeeded yet, the usual time is unknown: a call with a short limit
+        // would only fail.
         let least = if usable < 1.0 && slow_call.is_zero() {
             most / 2
         } else {
@@ -145,7 +148,7 @@
         (left >= least && !limit.is_zero()).then_some(limit)
     }
 
-    /// Whether so little of the budget is in use that all classes may call alike.
+    /// Whether so little of the budget is in use that no class has to be preferred.
     pub(super) fn is_uncontended(&self) -> bool {
         let Some(share) = self.share else { return true };
         let bound = share
@@ -154,13 +157,13 @@
         self.used.read() + self.reserved <= bound
     }
 
-    /// A call is made: takes a token, and reserves the most that the call may hold.
+    /// Records the start of a call: takes a token, and reserves the most time that the call may occupy the tier.
     pub(super) fn on_call_started(&mut self, call: DownstreamCall) {
         self.tokens -= 1.0;
         self.reserved += self.reservation(call);
     }
 
-    /// A call returned, or was cancelled and may linger downstream.
+    /// Records the end of a call; one that was cancelled may linger downstream.
     pub(super) fn on_call_ended(&mut self, now: Duration, call: DownstreamCall, outcome: Outcome) {
         let took = now.saturating_sub(call.started);
         if let Some(share) = self.share {
@@ -186,13 +189,13 @@
         }
     }
 
-    /// The most that a call may hold at the tier; nothing where nodes do not share it.
+    /// The most time for which a call may occupy the tier, linger included; zero if nodes do not share the tier.
     fn reservation(&self, call: DownstreamCall) -> Duration {
         self.share
             .map_or(Duration::ZERO, |share| call.time_limit() + share.linger)
     }
 
-    /// Raises or lowers the rate after a call whose outcome shows how the tier does.
+    /// Raises or lowers the rate after a call whose outcome shows the state of the tier.
     fn adapt_rate(&mut self, now: Duration, outcome: Outcome, usual_time: f64) {
         let slowed = self.recent_time.read().unwrap_or(0.0) > SLOWDOWN_RATIO * usual_time;
         let good = outcome == Outcome::Succeeded && !slowed;
@@ -203,7 +206,7 @@
         };
         let span = RECENT_SPAN.as_secs_f64();
         let succeeding = self.successes.read(now, RECENT_SPAN) / span * CALL_RATE_DECREASE;
-        // A rate that never bound is no measure of the tier: failures lower what was really made.
+        // The rate may be far above the calls that were made; a decrease starts from the latter.
         let made = self.completions.read(now, RECENT_SPAN);
         let rate = if !good && made >= MIN_RECENT_CALLS {
             self.rate.min(made / span * SLOWDOWN_RATIO)
@@ -214,7 +217,7 @@
         self.rate = (rate * factor).clamp(least, MAX_CALL_RATE);
     }
 
-    /// The least rate: lower on a shared tier, for which many nodes at one call a second each may be too much.
+    /// The lowest rate: lower on a shared tier, which many nodes with one call per second each could overload.
     fn min_rate(&self) -> f64 {
         self.share.map_or(MIN_CALL_RATE, |share| {
             MIN_CALL_RATE.min(share.window.as_secs_f64().recip())
--- a/src/choice/drain.rs
+++ b/src/choice/drain.rs
@@ -1,9 +1,8 @@
-//! What a shutdown notice changes: until when requests are still taken, and by when all are answered.
+//! Effects of a shutdown notice: which requests are rejected, and the deadline of all others.
 //!
-//! - A request that reached the machine later than the grace (time, from the settings) after the notice is
-//!   rejected.
-//! - The deadline of every other request is brought forward to before the kill.
-//! - The node advertises itself as unavailable at once, and its health checks fail.
+//! - A request that reached the machine more than the grace period (time, settings) after the notice is rejected.
+//! - The deadline of every other request is brought forward to a time before the kill.
+//! - The node immediately advertises itself as unavailable, and its health checks fail.
 //!
 //! Not in KIP-124.
 
@@ -14,12 +13,12 @@
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     noticed: Duration,
-    /// By when the answers must have left.
+    /// When all answers must have been sent.
     pub(super) deadline: Duration,
 }
 
 impl Shutdown {
-    /// A notice that came at `now`, of a kill after `kill_in`.
+    /// A notice received at `now` that announces a kill after `kill_in`.
     pub(super) fn noticed_at(now: Duration, kill_in: Duration) -> Self {
         Self {
             noticed: now,
@@ -27,13 +26,13 @@
         }
     }
 
-    /// The last moment for an answer.
+    /// The latest time for an answer.
     pub(super) fn last_answer(self) -> Duration {
         self.deadline.saturating_sub(TIME_MARGIN)
     }
 
-    /// Whether a request that reached the machine at `arrived` came past the grace.
-    pub(super) fn refuses(self, arrived: Duration, grace: Duration) -> bool {
+    /// Whether a request that reached the machine at `arrived` came after the grace period.
+    pub(super) fn rejects(self, arrived: Duration, grace: Duration) -> bool {
         arrived > self.noticed + grace
     }
 }
--- a/src/choice/fleet_load.rs
+++ b/src/choice/fleet_load.rs
@@ -1,18 +1,18 @@
 //! Whether the other nodes of the fleet seem overloaded too.
 //!
-//! No node tells another of its load, but retries do: a request that another node rejected comes here as a retry.
-//! While the cores here are busy and more than [`FLEET_OVERLOAD_RETRIES`] of recent arrivals were retries, others
-//! are taken to be overloaded. Where callers mark no retries, busy cores here must do. A rejected caller is then
-//! asked not to try another node ([`rejection`](super::rejection)). Not in KIP-124.
+//! Nodes do not exchange their load, but retries show it: a request that another node rejected arrives here as a
+//! retry. While the cores are busy and more than [`FLEET_OVERLOAD_RETRIES`] of recent arrivals were retries, the other
+//! nodes are assumed to be overloaded. If callers do not mark retries, busy cores alone suffice. A rejected caller is
+//! then asked not to try another node ([`rejection`](super::rejection)). Not in KIP-124.
 
 use super::shared_constants::RECENT_SPAN;
 use crate::decay::Mean;
 use std::time::Duration;
 
-/// Share of retries among recent arrivals above which other nodes are taken to be overloaded too.
+/// Share of retries among recent arrivals above which other nodes are assumed to be overloaded too.
 const FLEET_OVERLOAD_RETRIES: f64 = 0.12;
 
-/// What the retries among arrivals show of the other nodes.
+/// Estimates the load of the other nodes from the retries among arrivals.
 #[derive(Default)]
 pub(super) struct FleetLoad {
     retry_share: Mean,
--- a/src/choice/idempotency.rs
+++ b/src/choice/idempotency.rs
@@ -1,10 +1,10 @@
-//! That no request has a second effect.
+//! Ensures that no request takes effect twice.
 //!
-//! - The result of a request with a key is cached from its arrival until its key's window (time, from its class)
-//!   is over, counted from when it reached the machine.
-//! - A repeat, which its key identifies, is answered with the first attempt's result and never run; it is not
-//!   rejected either, whatever the load. A repeat of a request that must not run twice is handled alike.
-//! - A cached result of a request that never ran is discarded ([`rejection`](super::rejection)), so that its retry
+//! - The result of a request with a key is cached until the key's window (time, from its class) has passed, counted
+//!   from when the request reached the machine.
+//! - A repeat, identified by its key, is answered with the result of the first attempt. It is never run, and never
+//!   rejected, whatever the load. The same holds for a known repeat of a request that must not run twice.
+//! - The cache entry of a request that never ran is discarded ([`rejection`](super::rejection)), so that its retry
 //!   runs.
 //!
 //! Not in KIP-124.
@@ -21,14 +21,14 @@
 }
 
 impl AdmissionController {
-    /// Has a repeat answered with the first attempt's result.
+    /// Answers a repeat with the result of the first attempt.
     pub(super) fn reply_to_repeat(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         self.in_flight.set_stage(index, Stage::AwaitingResult);
         host.reply_from_cache(index);
         self.expire_deadlines(now, host);
     }
 
-    /// Has the result of a request with a key cached for repeats. `waited`: since it reached the machine.
+    /// Caches the result of a request with a key for repeats. `waited`: time since it reached the machine.
     pub(super) fn cache_result(
         &mut self,
         now: Duration,
--- a/src/choice/idle_connections.rs
+++ b/src/choice/idle_connections.rs
@@ -1,10 +1,10 @@
 //! How long an idle connection of a caller stays open.
 //!
-//! At first as long as callers keep one. Once each [`ADJUST_INTERVAL`] the time is halved while
-//! [`CONNECTIONS_PER_CORE`] connections a core or more are open and there are more than [`CALLERS_PER_CORE`]
-//! callers a core; else it doubles again. An open connection costs work even if nobody uses it again, and a full
-//! table refuses callers before their requests are read; few callers come back before long, and opening a
-//! connection anew costs work too.
+//! The idle timeout starts at that of the callers. Every [`ADJUST_INTERVAL`] it is halved while at least
+//! [`CONNECTIONS_PER_CORE`] connections per core are open and there are more than [`CALLERS_PER_CORE`] callers per
+//! core; otherwise it doubles, up to that of the callers. An open connection costs work even if it is never used
+//! again, and a full connection table rejects callers before their requests are read. With few callers, each is
+//! likely to use its connection again soon, and a new connection costs work too.
 //!
 //! Inputs: open connections (a gauge; a missing one counts as none), cores, the number of callers and their own
 //! idle timeout (settings). Not in KIP-124.
@@ -15,13 +15,13 @@
 
 /// Time between two adjustments.
 const ADJUST_INTERVAL: Duration = Duration::from_secs(1);
-/// Open connections a core from which idle ones may close sooner.
+/// Open connections per core from which the idle timeout may be lowered.
 const CONNECTIONS_PER_CORE: f64 = 6.0;
-/// Callers a core up to which idle connections never close sooner.
+/// Callers per core up to which the idle timeout is never lowered.
 const CALLERS_PER_CORE: f64 = 10.0;
-/// Factor of the idle timeout at an adjustment while too many connections are open.
+/// Factor applied to the idle timeout while too many connections are open.
 const IDLE_TIMEOUT_DECREASE: f64 = 0.5;
-/// Factor of the idle timeout at any other adjustment.
+/// Factor applied to the idle timeout at any other adjustment.
 const IDLE_TIMEOUT_INCREASE: f64 = 2.0;
 
 /// The idle timeout of callers' connections.
@@ -31,7 +31,7 @@
 }
 
 impl IdleConnections {
-    /// Idle connections stay as long as callers keep them.
+    /// Starts with the idle timeout of the callers.
     pub(super) fn new(clients: ClientConnections) -> Self {
         Self {
             timeout: clients.idle_timeout,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Lowers the timeout to one that callers have now.
+    /// Limits the timeout to the current idle timeout of the callers.
     pub(super) fn cap(&mut self, clients: ClientConnections) {
         self.timeout = self.timeout.min(clients.idle_timeout);
     }
 
-    /// Adjusts the timeout if that is due, to the connections that are `open`; the new one if it changed.
+    /// Adjusts the timeout to the number of `open` connections if an adjustment is due; returns it if it changed.
     pub(super) fn adjust(
         &mut self,
         now: Duration,
--- a/src/choice/load_advertisement.rs
+++ b/src/choice/load_advertisement.rs
@@ -1,15 +1,15 @@
-//! What the node advertises to its callers: whether they are to keep away.
+//! What the node advertises to its callers: whether it is available.
 //!
-//! While the node is unhealthy or draining its health checks fail, and where callers heed a value that answers
-//! carry ([`LoadSignal`]), it is the one that keeps all of them away; else the one that keeps none away. Both are
-//! sent when they change. The load itself is not advertised.
+//! While the node is unhealthy or draining, its health checks fail, and answers carry the load signal
+//! ([`LoadSignal`], if callers use one) that tells callers to send nothing; otherwise they carry the one that does not
+//! limit callers. Both are sent when they change. The load itself is not advertised.
 //!
 //! Not in KIP-124.
 
 use crate::host::{Host, LoadSignal};
 use crate::options::AdvertiserOptions;
 
-/// What callers were told last, and what they heed.
+/// What was advertised last, and which load signal callers use.
 #[derive(Default)]
 pub struct LoadAdvertiser {
     pub(super) options: AdvertiserOptions,
@@ -17,7 +17,7 @@
 }
 
 impl LoadAdvertiser {
-    /// An advertiser that has sent nothing yet.
+    /// An advertiser that has not sent anything yet.
     pub fn new(options: AdvertiserOptions) -> Self {
         Self {
             options,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Whether callers are asked to keep away.
+    /// Whether the node is advertised as unavailable.
     pub(super) fn is_unavailable(&self) -> bool {
         self.unavailable
     }
 
-    /// Asks callers to keep away, or to come again.
+    /// Advertises the node as unavailable or available, if that changed.
     pub(super) fn set_unavailable(&mut self, host: &mut dyn Host, unavailable: bool) {
         if std::mem::replace(&mut self.unavailable, unavailable) == unavailable {
             return;
@@ -43,7 +43,7 @@
 }
 
 impl LoadSignal {
-    /// The value that keeps all callers away, or none of them.
+    /// The signal value of an unavailable or available node; `None` if callers use no signal.
     pub fn value_for(self, unavailable: bool) -> Option<f64> {
         match self {
             Self::Nothing => None,
--- a/src/choice/load_shedding.rs
+++ b/src/choice/load_shedding.rs
@@ -1,15 +1,15 @@
-//! Which queued request is shed when there is too much.
+//! Which queued request is shed when memory or the queues are over their bounds.
 //!
 //! Requests are shed while the requests in flight take more than [`SAFETY_SHARE`] of the memory, or while the node
-//! is overloaded ([`overload`](super::overload)) for its shortest latency objective. The one that goes is the
-//! newest of the tenant that requested most over its target ([`tenant_quotas`](super::tenant_quotas)). Under
-//! overload alone it goes only if that is more than [`SHED_DEMAND_RATIO`] times the target; less is a swing of the
-//! load, and where all request a little too much nobody is shed for it.
+//! is overloaded ([`overload`](super::overload)) for its shortest latency objective. The request that is shed is the
+//! newest of the tenant with the highest ratio of demand to target ([`tenant_quotas`](super::tenant_quotas)). Under
+//! overload alone, it is shed only if that ratio is above [`SHED_DEMAND_RATIO`]: a lower one is a fluctuation of the
+//! load, and if all tenants request slightly too much, none of them is shed.
 //!
-//! What was requested decides, not what was spent: on a node slower than others all spend less than their targets,
-//! and a tenant that floods would take the capacity of those within theirs.
+//! The criterion is the demand, not the core time spent: on a node slower than the others all tenants spend less than
+//! their targets, and a tenant that floods the node would take the capacity of tenants within their quotas.
 //!
-//! Inputs: memory in use (share), the time that the queue takes, demand of each tenant (multiples of T). Not in
+//! Inputs: memory in use (share), the time the queue takes to clear, demand of each tenant (multiples of T). Not in
 //! KIP-124.
 
 use super::overload::is_overloaded;
@@ -20,12 +20,12 @@
 use crate::host::Host;
 use std::time::Duration;
 
-/// Demand over the target above which a tenant's requests are shed under overload.
+/// Ratio of demand to target above which a tenant's requests are shed under overload.
 const SHED_DEMAND_RATIO: f64 = 3.0;
 
 /// A request that may be shed.
 struct ShedCandidate {
-    /// Core time that its tenant's requests would take, over its target.
+    /// Core time that all requests of its tenant would take, as a multiple of the tenant's target.
     demand: f64,
     index: usize,
 }
@@ -42,7 +42,8 @@
                 return;
             }
             let candidate = self.shed_candidate(now);
-            let shed = candidate.filter(|c| out_of_memory || c.demand > SHED_DEMAND_RATIO);
+            let shed =
+                candidate.filter(|candidate| out_of_memory || candidate.demand > SHED_DEMAND_RATIO);
             let Some(ShedCandidate { index, .. }) = shed else {
                 return;
             };
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The newest request of the tenant that requested most over its target.
+    /// The newest request of the tenant with the highest ratio of demand to target.
     fn shed_candidate(&self, now: Duration) -> Option<ShedCandidate> {
         let scale = self.quotas.target_scale(now);
         let newest = self.queues.iter().flat_map(ClassQueue::newest);
--- a/src/choice/rejection.rs
+++ b/src/choice/rejection.rs
@@ -1,17 +1,17 @@
-//! What a rejected request's caller is asked to do: how long to wait, and whether to try another node.
+//! What a rejection tells the caller: how long to wait before a retry, and whether to try another node.
 //!
 //! | reason | retry-after |
 //! | --- | --- |
-//! | over quota | what is left of its tenant's delay (KIP-124's X) |
-//! | queue timeout, overloaded | how long the cores need for the queue |
-//! | all others | the longest that callers heed |
+//! | over quota | the remaining delay of the tenant (X in KIP-124) |
+//! | queue timeout, overloaded | the time the queue takes to clear |
+//! | all others | the maximum retry-after |
 //!
-//! In any case at most what callers heed (time, zero where none may be asked for) and at most the window of the
-//! quotas. A departure from KIP-124, which holds the response back for X: the caller waits instead, and holds no
-//! place here.
+//! It is never longer than the maximum retry-after that callers respect (settings; zero if they cannot be asked to
+//! wait), nor than the window of the quotas. A departure from KIP-124, which delays the response by X: here the caller
+//! waits and occupies nothing on the node.
 //!
-//! Another node is discouraged for a request that is a retry already, and while the fleet seems overloaded
-//! ([`fleet_load`](super::fleet_load)). A node that is unavailable discourages nobody, since then others are better.
+//! Trying another node is discouraged if the request is already a retry, and while the fleet seems overloaded
+//! ([`fleet_load`](super::fleet_load)). An unavailable node never discourages it, since other nodes are then better.
 
 use super::tenant_quotas::WINDOW;
 use super::AdmissionController;
@@ -21,27 +21,27 @@
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectReason {
-    /// Its deadline was over when it was read.
+    /// Its deadline had passed when it was read.
     DeadlinePassed,
-    /// It reached the machine past the grace of a shutdown.
+    /// It reached the machine after the grace period of a shutdown.
     Draining,
-    /// On busy cores, it was read too late to be started in time.
+    /// It was read after its latest start while the cores were busy.
     NoTimeLeft,
     /// The node is unhealthy.
     Unhealthy,
     /// Its tenant is over its quota, and the node is overloaded.
     OverQuota {
-        /// What is left of the tenant's delay.
+        /// Remaining delay of the tenant.
         delay: Duration,
     },
-    /// It was queued until it could no longer be started in time.
+    /// It was still queued at its latest start.
     QueueTimeout,
     /// It was shed from its queue.
     Overloaded,
 }
 
 impl AdmissionController {
-    /// The final answer to a request that never ran.
+    /// Rejects a request that never ran; this is its final answer.
     pub(super) fn reject(
         &mut self,
         now: Duration,
@@ -62,7 +62,7 @@
 
     fn retry_after(&self, reason: RejectReason) -> Duration {
         let max_retry_after = self.advertiser.options.max_retry_after;
-        let wanted = match reason {
+        let retry_after = match reason {
             RejectReason::OverQuota { delay } => delay,
             RejectReason::QueueTimeout | RejectReason::Overloaded => self.queue_wait(),
             RejectReason::DeadlinePassed
@@ -70,7 +70,7 @@
             | RejectReason::NoTimeLeft
             | RejectReason::Unhealthy => max_retry_after,
         };
-        wanted.min(max_retry_after).min(WINDOW)
+        retry_after.min(max_retry_after).min(WINDOW)
     }
 
     fn retry_elsewhere(&mut self, index: usize) -> RetryElsewhere {
@@ -78,8 +78,8 @@
         let fleet_overloaded = self
             .fleet_load
             .is_overloaded(self.cores_busy, options.retries_marked);
-        let futile = self.in_flight.expect(index).is_retry || fleet_overloaded;
-        if futile && !self.advertiser.is_unavailable() {
+        let is_futile = self.in_flight.expect(index).is_retry || fleet_overloaded;
+        if is_futile && !self.advertiser.is_unavailable() {
             RetryElsewhere::Discouraged
         } else {
             RetryElsewhere::Allowed
--- a/src/choice/runs.rs
+++ b/src/choice/runs.rs
@@ -1,12 +1,12 @@
-//! What the start of a run costs its class, and what its end is charged and teaches.
+//! The start and the end of a run: what it is charged, and which statistics it updates.
 //!
-//! A tenant is charged the time from the order to run to the end, less waits for downstream calls and less the
-//! time for which the process stood still ([`stalls`](super::stalls)); [`run_charge`] makes core time of it. Runs
-//! that failed or were cancelled are charged too, as they used the cores. What could not be started is charged to
-//! nobody, is no demand of its tenant and teaches nothing.
+//! A tenant is charged the time from the order to run to the end of the run, minus waits for downstream calls and
+//! minus the time for which the process was stalled ([`stalls`](super::stalls)); [`run_charge`] converts it to core
+//! time. Runs that failed or were cancelled are charged too, because they used the cores. A run that could not be
+//! started is not charged, does not count as demand of its tenant and updates no statistics.
 //!
-//! Source: KIP-124's record of the time on the broker's threads; waits are ours to take off, as a run keeps its
-//! place through them.
+//! Source: KIP-124 records the time on the broker's threads. Subtracting waits is our addition, because a run keeps
+//! its slot while it waits.
 
 use super::tenant_quotas::run_charge;
 use super::AdmissionController;
@@ -14,7 +14,7 @@
 use crate::in_flight::{Request, RunStart, Stage};
 use std::time::Duration;
 
-/// Time that a request has spent at downstream calls, the one that it is at included.
+/// Time that a request has spent on downstream calls, including the current one.
 fn call_wait(now: Duration, request: &Request) -> Duration {
     match request.stage {
         Stage::Running => request.call_wait,
@@ -23,10 +23,10 @@
 }
 
 impl AdmissionController {
-    /// Starts a queued request's run.
+    /// Starts the run of a queued request.
     pub(super) fn start_run(&mut self, now: Duration, host: &mut dyn Host, index: usize) {
         let start = RunStart {
-            at: now,
+            time: now,
             stalled: self.stalls.total(),
         };
         self.in_flight.begin_run(index, start);
@@ -39,7 +39,7 @@
         host.run(index);
     }
 
-    /// A run ended, or could not be started.
+    /// Handles the end of a run, or a run that could not be started.
     pub(super) fn end_run(
         &mut self,
         now: Duration,
@@ -52,7 +52,7 @@
             return;
         };
         if outcome == Outcome::Cancelled && !request.answered {
-            // Cancelled, but not by an order from here: it ran, so only an error is left.
+            // Cancelled, but not on an order of this controller: it may have run, so it can only fail.
             host.fail(index);
         }
         if request.stage == Stage::Calling {
@@ -63,7 +63,7 @@
             self.quotas.withdraw_request(now, request.account);
         } else {
             self.charge_run(now, index, start);
-            self.learn_from_run(now, index, start, outcome);
+            self.record_run_statistics(now, index, start, outcome);
         }
         self.release(host, index);
     }
@@ -73,19 +73,25 @@
         let request = self.in_flight.expect(index);
         let stalled = self.stalls.total().saturating_sub(start.stalled);
         let waits = call_wait(now, request) + stalled;
-        let time = now.saturating_sub(start.at + waits);
+        let time = now.saturating_sub(start.time + waits);
         let charge = run_charge(time, self.limiter.cores(), running);
         self.quotas.charge_run(now, request.account, charge);
     }
 
-    fn learn_from_run(&mut self, now: Duration, index: usize, start: RunStart, outcome: Outcome) {
+    fn record_run_statistics(
+        &mut self,
+        now: Duration,
+        index: usize,
+        start: RunStart,
+        outcome: Outcome,
+    ) {
         let succeeded = outcome == Outcome::Succeeded;
         if succeeded {
             self.limiter.on_run_succeeded();
         }
         self.health.on_run_ended(now, outcome);
         let request = self.in_flight.expect(index);
-        let run_time = now.saturating_sub(start.at);
+        let run_time = now.saturating_sub(start.time);
         self.queues[request.class_index].record_run(now, run_time, request.size_hint, succeeded);
     }
 }
--- a/src/choice/scheduling.rs
+++ b/src/choice/scheduling.rs
@@ -1,18 +1,19 @@
 //! Which queued request starts next, and when.
 //!
-//! One queue for each request class and tenant. A request starts while fewer run than the limit
-//! ([`concurrency_limit`](super::concurrency_limit)), fewer than [`OUTSTANDING_CEILINGS`] ceilings run or are at
-//! downstream calls, and its run fits into [`SAFETY_SHARE`] of the memory. The next one is chosen so:
-//! 1. within a class, the tenant with the least core time charged over its target
-//!    ([`tenant_quotas`](super::tenant_quotas)), and of its requests the oldest;
-//! 2. among classes, those whose next request is of a tenant within its quota go first;
-//! 3. among these, the class with the least virtual time: a start adds its work over the value of its class, so
-//!    classes share the starts by their values (weighted fair queueing). Work is 1 for each request, or its usual
-//!    run time in seconds where the settings count value by work. A class that had nothing queued is brought
-//!    forward to at most one unit behind the class that is served.
+//! There is one queue per request class and tenant. A request may start if fewer requests run than the limit
+//! ([`concurrency_limit`](super::concurrency_limit)) allows, fewer than [`OUTSTANDING_CEILINGS`] times the ceiling run
+//! or are at downstream calls, and its run fits into [`SAFETY_SHARE`] of the memory. The next request is chosen in
+//! three steps:
+//! 1. within a class, the tenant with the lowest ratio of charged core time to target
+//!    ([`tenant_quotas`](super::tenant_quotas)), and the oldest of its requests;
+//! 2. among classes, those whose next request is from a tenant within its quota;
+//! 3. among these, the class with the least virtual time. A start adds its work divided by the value of its class, so
+//!    classes share the starts in proportion to their values (weighted fair queueing). Work is 1 per request, or its
+//!    run time in seconds (size hint, else the usual one) if the settings count value by work. A class that had
+//!    nothing queued is brought forward to at most one unit behind the class that is served.
 //!
-//! Not in KIP-124, whose brokers serve requests in the order of their arrival; a tenant within its quota goes
-//! before one that is over it, in place of a delayed response.
+//! Not in KIP-124, whose brokers serve requests in order of arrival; here tenants within their quotas are served
+//! before those over it, in place of delayed responses.
 
 use super::shared_constants::{MEAN_SPAN, SAFETY_SHARE};
 use super::tenant_quotas::{TargetScale, TenantUsage};
@@ -23,30 +24,31 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests running or at calls, in ceilings: hung calls take no core, yet might all return at once.
+/// Maximum of requests that run or are at downstream calls, as a multiple of the ceiling: requests at hung calls
+/// occupy no core, but might all resume at the same time.
 const OUTSTANDING_CEILINGS: usize = 3;
-/// Virtual time by which a class may stand behind the one that is served.
+/// Maximum lag in virtual time of a class behind the class that is served.
 const MAX_VIRTUAL_LAG: f64 = 1.0;
-/// Run time of a class that is not known yet, in seconds.
+/// Assumed run time of a class without a sample, in seconds.
 const UNKNOWN_RUN_TIME_S: f64 = 1.0;
 
-/// One request class's queues, and what is known of its requests.
+/// The queues and the statistics of one request class.
 #[derive(Clone, Default)]
 pub(super) struct ClassQueue {
-    /// Queued requests by the account of their tenant, oldest first.
+    /// Indices of queued requests by the account of their tenant, oldest first.
     by_account: Vec<VecDeque<usize>>,
-    /// Weighted work started so far.
+    /// Work started so far, divided by the value of the class.
     virtual_time: f64,
-    /// Time of a run, in seconds, all waits included.
+    /// Mean time of a run including all waits, in seconds.
     run_time: Mean,
-    /// Size hint of a run, in seconds.
+    /// Mean size hint of a run, in seconds.
     size_hint: Mean,
     /// Share of downstream calls that failed or were never made.
     pub(super) call_loss: Mean,
 }
 
 impl ClassQueue {
-    /// Empty queues for so many accounts.
+    /// Empty queues for this number of accounts.
     pub(super) fn new(accounts: usize) -> Self {
         Self {
             by_account: vec![VecDeque::new(); accounts],
@@ -59,18 +61,18 @@
         self.by_account[account].push_back(index);
     }
 
-    /// Takes a request out of its tenant's queue.
+    /// Removes a request from its tenant's queue.
     pub(super) fn remove(&mut self, account: usize, index: usize) {
         self.by_account[account].retain(|&other| other != index);
     }
 
-    /// The newest request of each tenant that has one queued, with its account.
+    /// The account and the newest request of each tenant with queued requests.
     pub(super) fn newest(&self) -> impl Iterator<Item = (usize, usize)> + '_ {
         let queues = self.by_account.iter().enumerate();
         queues.filter_map(|(account, queue)| Some((account, *queue.back()?)))
     }
 
-    /// How long a run of this class, and of this size hint, usually takes, all waits included.
+    /// The usual time of a run of this class with this size hint, including all waits.
     pub(super) fn usual_run(&self, size_hint: Option<Duration>) -> Duration {
         let hints = size_hint.zip(self.size_hint.read());
         let size = hints.map_or(1.0, |(hint, mean)| hint.as_secs_f64() / mean);
@@ -78,8 +80,8 @@
             .unwrap_or(Duration::MAX)
     }
 
-    /// Learns from a run that ended. One that did not succeed counts where it already took longer than usual,
-    /// else only short ones would count.
+    /// Records the time of a run that ended. An unsuccessful run is recorded only if it took longer than the mean:
+    /// runs that end early would lower the mean, while ignoring all unsuccessful runs would leave out the long ones.
     pub(super) fn record_run(
         &mut self,
         now: Duration,
@@ -98,13 +100,13 @@
         }
     }
 
-    /// Learns from a downstream call that ended, or was never made.
+    /// Records a downstream call that ended, or that was never made.
     pub(super) fn record_call(&mut self, now: Duration, succeeded: bool) {
         let loss = if succeeded { 0.0 } else { 1.0 };
         self.call_loss.add(now, loss, MEAN_SPAN);
     }
 
-    /// Adds a start to the virtual time. `weight`: of the class.
+    /// Adds the work of a started request to the virtual time. `weight`: the value of the class.
     pub(super) fn charge_start(&mut self, size_hint: Option<Duration>, by_work: bool, weight: f64) {
         let work = if by_work {
             match size_hint {
@@ -118,13 +120,13 @@
     }
 }
 
-/// The tenant whose request a class would start next.
+/// The tenant whose request is the next to start in a class.
 struct NextTenant {
     account: usize,
     usage: TenantUsage,
 }
 
-/// What a class would start next.
+/// The next request to start in a class.
 struct Candidate {
     over_quota: bool,
     virtual_time: f64,
@@ -133,7 +135,7 @@
 }
 
 impl Candidate {
-    /// Less means that it starts first.
+    /// The lesser candidate starts first.
     fn order(&self, other: &Self) -> Ordering {
         let by_quota = self.over_quota.cmp(&other.over_quota);
         by_quota.then(self.virtual_time.total_cmp(&other.virtual_time))
@@ -141,13 +143,13 @@
 }
 
 impl AdmissionController {
-    /// How long until the cores have worked off the queues.
+    /// How long the cores need to clear the queues.
     pub(super) fn queue_wait(&self) -> Duration {
         let cores = self.limiter.cores().max(1) as f64;
         Duration::from_secs_f64(self.in_flight.queued() as f64 * self.quotas.mean_charge() / cores)
     }
 
-    /// Queues a request that was admitted, until `start_by` at the latest.
+    /// Queues an admitted request, with a timer at `start_by`.
     pub(super) fn enqueue(
         &mut self,
         now: Duration,
@@ -162,7 +164,7 @@
         self.dispatch(now, host);
     }
 
-    /// Makes the downstream calls and starts the runs that may go on now.
+    /// Makes the downstream calls and starts the runs that the limits allow.
     pub(super) fn dispatch(&mut self, now: Duration, host: &mut dyn Host) {
         self.make_calls(now, host);
         self.start_queued(now, host);
@@ -209,7 +211,7 @@
         candidates.min_by(Candidate::order)
     }
 
-    /// The tenant of a class that spent least of its target, of those with a request queued.
+    /// Of the tenants with a queued request in a class, the one that spent the smallest part of its target.
     fn next_tenant(
         &self,
         now: Duration,
--- a/src/choice/tenant_quotas.rs
+++ b/src/choice/tenant_quotas.rs
@@ -1,25 +1,25 @@
-//! Tenant quotas: what a tenant is charged for, how much it may be charged in a window, and for how long it
-//! counts as over its quota. Source: KIP-124, "Request rate quotas".
+//! Tenant quotas: what a tenant is charged for, how much it may be charged in a window, and how long it counts as
+//! over its quota. Source: KIP-124, "Request rate quotas".
 //!
 //! | KIP-124 | here | unit |
 //! | --- | --- | --- |
 //! | time on the broker's threads | charge of a run, [`run_charge`] | seconds of core time |
 //! | window W | [`WINDOW`] | time |
 //! | O, observed | what a tenant was charged in the window, as a decaying sum | seconds of core time |
-//! | T, quota | the tenant's requests a second at this node times W times the mean charge | seconds of core time |
+//! | T, quota | the tenant's requests per second at this node times W times the mean charge | seconds of core time |
 //! | delay X = (O - T) / T * W, at most W | [`TenantQuotas::delay`], set when a run ends | time |
 //!
 //! Departures from KIP-124:
-//! - A quota is a number of requests a second over all servers, and becomes core time by the mean charge here.
-//!   Until that mean is known nobody is over its quota.
+//! - A quota is a number of requests per second over all servers. The mean charge on this node converts it to core
+//!   time; until that mean is known, no tenant is over its quota.
 //! - While all tenants together spend more than their quotas, every T is raised in proportion: a tenant is over
-//!   its quota when its part of what was spent exceeds its part of the quotas.
-//! - [`BURST_CHARGES`] mean charges are allowed beyond T: a thin quota holds a few charges only, and the run that
-//!   just ended proves nothing.
-//! - No response is held back. Whether a request is rejected for the delay is decided in
-//!   [`admission`](super::admission), which does so only under overload.
+//!   its quota if its part of the core time spent exceeds its part of the quotas.
+//! - [`BURST_CHARGES`] mean charges are allowed beyond T: a small quota covers only a few charges, so that a single
+//!   run would exceed it.
+//! - Responses are not delayed. [`admission`](super::admission) decides whether a request is rejected because of the
+//!   delay, and does so only under overload.
 //!
-//! Requests of no known tenant share the last account, which has no quota and is never over it.
+//! Requests without a known tenant share the last account, which has no quota and is never over it.
 
 use super::shared_constants::{MEAN_SPAN, MIN_SAMPLES};
 use crate::decay::{Decaying, Mean};
@@ -27,25 +27,25 @@
 
 /// Window W of the quotas, and the longest delay.
 pub(super) const WINDOW: Duration = Duration::from_secs(4);
-/// Mean charges beyond its quota that a tenant may spend in a window.
+/// How much a tenant may spend beyond its quota in a window, in mean charges.
 const BURST_CHARGES: f64 = 1.0;
 
-/// What the targets of all tenants are computed from; the same for all tenants at one time.
+/// Values that the targets of all tenants are computed from.
 #[derive(Clone, Copy)]
 pub(super) struct TargetScale {
     /// Mean charge of a run, in seconds of core time.
     mean_charge: f64,
-    /// What all tenants together spent in the window, in seconds of core time for each request a second of
-    /// their quotas.
+    /// What all tenants together spent in the window, in seconds of core time per request per second of their
+    /// quotas.
     charge_per_rate: f64,
 }
 
-/// What a tenant spent and requested in the window, in multiples of its target T.
+/// What a tenant spent and requested in the window, as multiples of its target T.
 #[derive(Default)]
 pub(super) struct TenantUsage {
-    /// O / T: core time that was charged.
+    /// O / T: the core time charged.
     pub(super) spent: f64,
-    /// Core time that all its requests would take, over T.
+    /// The core time that all its requests would take, divided by T.
     pub(super) requested: f64,
 }
 
@@ -56,26 +56,29 @@
     }
 }
 
-/// What each tenant has spent, and what it may spend.
+/// Quota and usage of each tenant.
 pub struct TenantQuotas {
-    /// Requests a second at this node, by account.
+    /// Quotas of the tenants in requests per second at this node, by account.
     rates: Vec<f64>,
+    /// Charges by account, in seconds of core time.
     spent: Vec<Decaying>,
+    /// Number of requests by account.
     requested: Vec<Decaying>,
-    /// When each account's delay is over.
+    /// When the delay ends, by account.
     delayed_until: Vec<Duration>,
+    /// Mean charge of a run, in seconds of core time.
     charge: Mean,
 }
 
-/// The charge of a run, in seconds of core time: its time on the node, less its waits, over the runs that shared
-/// the cores with it.
+/// The charge of a run, in seconds of core time: its time without waits, times the cores per run where more runs than
+/// cores share them.
 pub(super) fn run_charge(time: Duration, cores: usize, running: usize) -> f64 {
     let cores_per_run = (cores as f64 / running as f64).min(1.0);
     time.as_secs_f64() * cores_per_run
 }
 
 impl TenantQuotas {
-    /// `quotas`: requests a second over all `servers`, by tenant.
+    /// `quotas`: requests per second over all `servers`, by tenant.
     pub fn new(quotas: &[f64], servers: usize) -> Self {
         let accounts = quotas.len() + 1;
         let rates = quotas
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Takes the quotas of `new` in place of its own, which are for the same number of tenants.
+    /// Takes over the quotas of `new`, which must have the same number of tenants.
     pub(super) fn set_rates(&mut self, new: Self) {
         self.rates = new.rates;
     }
@@ -101,7 +104,7 @@
         self.rates.len()
     }
 
-    /// Number of accounts: the tenants' and the one for requests of no tenant.
+    /// Number of accounts: one per tenant, and one for requests without a known tenant.
     pub(super) fn accounts(&self) -> usize {
         self.spent.len()
     }
@@ -111,35 +114,35 @@
         tenant.unwrap_or(usize::MAX).min(self.tenants())
     }
 
-    /// Counts a request as demand of its tenant. Retries do not count: those of what was shed would have it shed
-    /// more.
+    /// Counts a request as demand of its tenant. Retries do not count: the retries of shed requests would cause more
+    /// of them to be shed.
     pub(super) fn record_request(&mut self, now: Duration, account: usize, is_retry: bool) {
         let demand = if is_retry { 0.0 } else { 1.0 };
         self.requested[account].add(now, demand, WINDOW);
     }
 
-    /// Takes back a request that could not be run: a made-up one is no demand of the tenant that it names.
+    /// Uncounts a request that could not be started: a forged request is no demand of the tenant that it names.
     pub(super) fn withdraw_request(&mut self, now: Duration, account: usize) {
         self.requested[account].add(now, -1.0, WINDOW);
     }
 
-    /// The mean charge of a run, in seconds of core time; zero before the first.
+    /// The mean charge of a run, in seconds of core time; zero before the first run.
     pub(super) fn mean_charge(&self) -> f64 {
         self.charge.read().unwrap_or(0.0)
     }
 
-    /// What targets are computed from now; `None` while the mean charge is not known.
+    /// The values that targets are computed from now; `None` while the mean charge is not known.
     pub(super) fn target_scale(&self, now: Duration) -> Option<TargetScale> {
         let mean_charge = self.charge.known(now, MEAN_SPAN, MIN_SAMPLES)?;
-        let all: f64 = self.spent.iter().map(|spent| spent.read(now, WINDOW)).sum();
-        let charge_per_rate = all / self.rates.iter().sum::<f64>().max(f64::MIN_POSITIVE);
+        let total_spent: f64 = self.spent.iter().map(|spent| spent.read(now, WINDOW)).sum();
+        let charge_per_rate = total_spent / self.rates.iter().sum::<f64>().max(f64::MIN_POSITIVE);
         Some(TargetScale {
             mean_charge,
             charge_per_rate,
         })
     }
 
-    /// What a tenant spent and requested, against its target T; nothing where no target is known.
+    /// What a tenant spent and requested, as multiples of its target T; zero if it has no known target.
     pub(super) fn usage(
         &self,
         now: Duration,
@@ -152,15 +155,15 @@
         let mean = scale.mean_charge;
         let target =
             rate * scale.charge_per_rate.max(mean * WINDOW.as_secs_f64()) + BURST_CHARGES * mean;
-        let target_or_tiny = target.max(f64::MIN_POSITIVE);
-        let requested = self.requested[account].read(now, WINDOW) * mean / target_or_tiny;
+        let positive_target = target.max(f64::MIN_POSITIVE);
+        let requested = self.requested[account].read(now, WINDOW) * mean / positive_target;
         TenantUsage {
-            spent: self.spent[account].read(now, WINDOW) / target_or_tiny,
+            spent: self.spent[account].read(now, WINDOW) / positive_target,
             requested,
         }
     }
 
-    /// Charges a run that ended, in seconds of core time, and sets its tenant's delay anew.
+    /// Adds the charge of a run that ended, in seconds of core time, and recomputes its tenant's delay.
     pub(super) fn charge_run(&mut self, now: Duration, account: usize, charge: f64) {
         self.charge.add(now, charge, MEAN_SPAN);
         self.spent[account].add(now, charge, WINDOW);
@@ -168,7 +171,7 @@
         self.delayed_until[account] = now + WINDOW.mul_f64(excess);
     }
 
-    /// What is left of a tenant's delay: zero for one within its quota.
+    /// Remaining delay of a tenant; zero for a tenant within its quota.
     pub(super) fn delay(&self, now: Duration, account: usize) -> Duration {
         self.delayed_until[account].saturating_sub(now)
     }
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -1,23 +1,23 @@
-//! The requests in flight: their stages, their timers and the memory they take.
+//! The requests in flight: their stages, timers and memory use.
 //!
-//! Bookkeeping alone: what happens to a request is decided in [`choice`](crate::choice).
+//! Bookkeeping only: [`choice`](crate::choice) decides what happens to a request.
 
 use crate::host::{Arrival, RequestClass};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Where a request in flight stands.
+/// The stage of a request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// In a queue, not started.
+    /// Queued, not started.
     Queued,
-    /// Waits for the result of the request that it repeats.
+    /// Waiting for the result of the request that it repeats.
     AwaitingResult,
-    /// On the cores, or at a disk wait that no gauge shows.
+    /// Running on the cores, or in a disk wait that no gauge shows.
     Running,
-    /// At a downstream call that is not made yet.
+    /// Waiting for its downstream call to be made.
     AwaitingCall,
-    /// At a downstream call that is in progress.
+    /// Its downstream call is in progress.
     Calling,
 }
 
@@ -29,55 +29,55 @@
 pub struct DownstreamCall {
     /// When the attempt was made.
     pub started: Duration,
-    /// When it is cancelled.
+    /// When the attempt is cancelled.
     pub deadline: Duration,
 }
 
 impl DownstreamCall {
-    /// The longest that the attempt may take.
+    /// How long the attempt may take.
     pub fn time_limit(&self) -> Duration {
         self.deadline.saturating_sub(self.started)
     }
 }
 
-/// When a run began.
+/// The start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunStart {
     /// Time of the order to run.
-    pub at: Duration,
-    /// How long the process had stood still by then, since its start.
+    pub time: Duration,
+    /// Total time for which the process had been stalled by then.
     pub stalled: Duration,
 }
 
-/// A request in flight; times are on the clock that the controller is called with.
+/// A request in flight; times are on the controller's clock.
 pub struct Request {
     /// Index of its class.
     pub class_index: usize,
-    /// Its class as it was on arrival: what was promised then holds to its end.
+    /// Its class as configured when it arrived; later settings do not change it.
     pub class: RequestClass,
     /// Index of its tenant's quota account.
     pub account: usize,
     /// When it reached the machine.
     pub arrived: Duration,
-    /// The last moment for its answer.
+    /// The latest time for its answer.
     pub deadline: Duration,
-    /// Memory that it takes while it is not run, in KiB.
+    /// Memory that it takes until it runs, in KiB.
     pub held_kb: f64,
     /// An estimate of its core time.
     pub size_hint: Option<Duration>,
     /// Whether its caller marked it as a retry.
     pub is_retry: bool,
-    /// Where it stands; changed by [`InFlightRequests::set_stage`] alone.
+    /// Its stage; changed only by [`InFlightRequests::set_stage`].
     pub stage: Stage,
-    /// When its run began; `None` for one that was never run.
+    /// Start of its run; `None` if it has not run.
     pub run_start: Option<RunStart>,
-    /// Whether its caller has an answer, or left.
+    /// Whether its caller has received an answer, or has disconnected.
     pub answered: bool,
     /// Until when its result is cached for repeats.
     pub cached_until: Option<Duration>,
-    /// When it last came to a downstream call.
+    /// When it last needed a downstream call.
     pub call_requested: Duration,
-    /// Time it has spent at downstream calls that are over.
+    /// Time it has spent on downstream calls that have ended.
     pub call_wait: Duration,
     /// Attempts of its current downstream call.
     pub call_attempts: u32,
@@ -87,7 +87,7 @@
 }
 
 impl Request {
-    /// A request of `class` that has just arrived, with `arrived` and `deadline` on the controller's clock.
+    /// Creates a queued request of `class`; `arrived` and `deadline` are on the controller's clock.
     pub fn new(
         arrival: &Arrival,
         class: RequestClass,
@@ -120,24 +120,27 @@
     }
 }
 
-/// All requests in flight, by their small indices, with their timers and the memory they take.
+/// All requests in flight by their indices, with their timers and memory use.
 ///
-/// Each request has at most one timer; counts, timers and memory always match the requests held.
+/// Each request has at most one timer; counts, timers and memory use always match the requests.
 pub struct InFlightRequests {
     requests: Vec<Option<Request>>,
+    /// Expiry time and request index of each timer.
     timers: BTreeSet<(Duration, usize)>,
+    /// Expiry time and request index of each cached result.
     cached: BTreeSet<(Duration, usize)>,
+    /// Number of requests by stage.
     counts: [usize; STAGES],
     used_kb: f64,
     memory_kb: f64,
-    run_factor: f64,
-    entry_kb: f64,
+    run_memory_factor: f64,
+    cached_result_kb: f64,
 }
 
 impl InFlightRequests {
-    /// `memory_kb`: memory that all requests share; `run_factor`: memory of a run over that of the held
-    /// request; `entry_kb`: memory of a cached result.
-    pub fn new(memory_kb: f64, run_factor: f64, entry_kb: f64) -> Self {
+    /// `memory_kb`: memory that all requests share, in KiB; `run_memory_factor`: memory of a running request as a
+    /// multiple of that of a queued one; `cached_result_kb`: memory of a cached result, in KiB.
+    pub fn new(memory_kb: f64, run_memory_factor: f64, cached_result_kb: f64) -> Self {
         let (requests, timers, cached) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         Self {
             requests,
@@ -146,12 +149,12 @@
             counts: [0; STAGES],
             used_kb: 0.0,
             memory_kb,
-            run_factor,
-            entry_kb,
+            run_memory_factor,
+            cached_result_kb,
         }
     }
 
-    /// Adds a request under a free index, with its timer at its deadline.
+    /// Adds a request at a free index, and sets its timer to its deadline.
     pub fn insert(&mut self, index: usize, request: Request) {
         if self.requests.len() <= index {
             self.requests.resize_with(index + 1, || None);
@@ -162,15 +165,15 @@
         self.set_timer_to_deadline(index);
     }
 
-    /// The request of an index, unless it was removed.
+    /// The request at an index, `None` if there is none.
     pub fn get(&mut self, index: usize) -> Option<&mut Request> {
         self.requests.get_mut(index).and_then(Option::as_mut)
     }
 
-    /// A request known to be in flight.
+    /// The request at an index that is known to be in use.
     ///
     /// # Panics
-    /// If it is not.
+    /// If it is not in use.
     pub fn expect(&mut self, index: usize) -> &mut Request {
         self.get(index).expect("a request in flight")
     }
@@ -180,12 +183,12 @@
         self.counts[stage as usize]
     }
 
-    /// Number of requests that wait in a queue.
+    /// Number of queued requests.
     pub fn queued(&self) -> usize {
         self.count(Stage::Queued)
     }
 
-    /// Number of requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.count(Stage::Running)
     }
@@ -210,7 +213,7 @@
         self.counts[stage as usize] += 1;
     }
 
-    /// Begins the run of a request that was never run; it takes the memory of a run.
+    /// Starts the run of a request that has not run; it then takes the memory of a running request.
     ///
     /// # Panics
     /// If it is not in flight.
@@ -219,37 +222,37 @@
         let request = self.expect(index);
         request.run_start = Some(start);
         let held_kb = request.held_kb;
-        self.used_kb += held_kb * (self.run_factor - 1.0);
+        self.used_kb += held_kb * (self.run_memory_factor - 1.0);
     }
 
-    /// Removes a request with its timer and memory; a cached result stays until its time.
+    /// Removes a request with its timer and memory; a cached result stays until it expires.
     pub fn remove(&mut self, index: usize) -> Option<Request> {
         self.clear_timer(index);
         let request = self.requests.get_mut(index)?.take()?;
         self.counts[request.stage as usize] -= 1;
         self.used_kb -= request.held_kb
             * if request.run_start.is_some() {
-                self.run_factor
+                self.run_memory_factor
             } else {
                 1.0
             };
         Some(request)
     }
 
-    /// Sets the timer of a request, in place of the one before.
-    pub fn set_timer(&mut self, index: usize, at: Duration) {
+    /// Sets the timer of a request, replacing the previous one.
+    pub fn set_timer(&mut self, index: usize, expiry: Duration) {
         self.clear_timer(index);
         if let Some(request) = self.get(index) {
-            request.timer = Some(at);
-            self.timers.insert((at, index));
+            request.timer = Some(expiry);
+            self.timers.insert((expiry, index));
         }
     }
 
     /// Clears the timer of a request, if it has one.
     pub fn clear_timer(&mut self, index: usize) {
         let timer = self.get(index).and_then(|request| request.timer.take());
-        if let Some(at) = timer {
-            self.timers.remove(&(at, index));
+        if let Some(expiry) = timer {
+            self.timers.remove(&(expiry, index));
         }
     }
 
@@ -260,7 +263,7 @@
         }
     }
 
-    /// The longest that all calls in progress may occupy the downstream tier together, linger not counted.
+    /// Sum of the time limits of all calls in progress, without linger.
     pub fn call_time_limits(&self) -> Duration {
         let calling = self
             .requests
@@ -270,27 +273,27 @@
         calling.map(|request| request.call.time_limit()).sum()
     }
 
-    /// Brings deadlines and timers of all unanswered requests forward to `latest` where they are later.
+    /// Brings deadlines and timers of all unanswered requests forward to `latest` if they are later.
     pub fn cap_deadlines(&mut self, latest: Duration) {
         for index in 0..self.requests.len() {
             let Some(request) = self.get(index).filter(|request| !request.answered) else {
                 continue;
             };
             request.deadline = request.deadline.min(latest);
-            if request.timer.is_none_or(|at| at > latest) {
+            if request.timer.is_none_or(|expiry| expiry > latest) {
                 self.set_timer(index, latest);
             }
         }
     }
 
-    /// The next request whose timer has expired; the timer is cleared.
+    /// Clears the earliest timer that has expired, and returns its request.
     pub fn next_expired(&mut self, now: Duration) -> Option<usize> {
         let index = self.timers.first().filter(|timer| timer.0 <= now)?.1;
         self.clear_timer(index);
         Some(index)
     }
 
-    /// Counts the memory of a cached result, until its time.
+    /// Counts the memory of a cached result until it expires at `until`.
     ///
     /// # Panics
     /// If the request is not in flight.
@@ -299,7 +302,7 @@
         self.cached.insert((until, index));
     }
 
-    /// Discards a cached result; whether there was one whose time had not passed.
+    /// Discards a cached result; returns whether there was one that had not expired.
     ///
     /// # Panics
     /// If the request is not in flight.
@@ -308,25 +311,25 @@
         cached_until.is_some_and(|until| self.cached.remove(&(until, index)) && until > now)
     }
 
-    /// Share of the memory in use.
+    /// Share of the memory in use, including cached results.
     pub fn memory_share(&mut self, now: Duration) -> f64 {
         self.memory_share_with(now, 0.0)
     }
 
-    /// Share of the memory in use, were the run of request `index` to begin too.
+    /// Share of the memory that would be in use if the run of request `index` started.
     ///
     /// # Panics
     /// If that request is not in flight.
     pub fn memory_share_with_run(&mut self, now: Duration, index: usize) -> f64 {
-        let more_kb = self.expect(index).held_kb * (self.run_factor - 1.0);
-        self.memory_share_with(now, more_kb)
+        let extra_kb = self.expect(index).held_kb * (self.run_memory_factor - 1.0);
+        self.memory_share_with(now, extra_kb)
     }
 
-    fn memory_share_with(&mut self, now: Duration, more_kb: f64) -> f64 {
+    fn memory_share_with(&mut self, now: Duration, extra_kb: f64) -> f64 {
         while self.cached.first().is_some_and(|entry| entry.0 < now) {
             self.cached.pop_first();
         }
-        let cached_kb = self.cached.len() as f64 * self.entry_kb;
-        (self.used_kb + more_kb + cached_kb) / self.memory_kb
+        let cached_kb = self.cached.len() as f64 * self.cached_result_kb;
+        (self.used_kb + extra_kb + cached_kb) / self.memory_kb
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! Admission and scheduling for the servers behind other people's balancers.
+//! Admission control and scheduling for servers behind load balancers that are not under their control.
 //!
 //! An [`AdmissionController`] decides for one server which requests it admits, runs and rejects. It does no
-//! I/O and never reads a clock: the program around it calls in with the time since start, and gets its orders
-//! through the [`Host`] trait. All decisions live in [`choice`]; [`host`] holds the types at its edge,
-//! [`options`] the settings of its parts, [`in_flight`] the requests that are not answered yet, and [`decay`]
-//! the sums that it measures with.
+//! I/O and never reads a clock: the embedding program passes the current time with each call, and receives orders
+//! through the [`Host`] trait. All decisions are made in [`choice`]; [`host`] defines the types of its interface,
+//! [`options`] the settings of its components, [`in_flight`] the table of requests in flight, and [`decay`] the
+//! decaying sums that it measures with.
 
 pub mod choice;
 pub mod decay;
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,27 +1,27 @@
-//! Settings of the parts of an [`AdmissionController`](crate::AdmissionController), with named fields.
+//! Settings of the components of an [`AdmissionController`](crate::AdmissionController).
 
 use crate::host::LoadSignal;
 use std::time::Duration;
 
-/// A cold start: the node begins slowly and warms up at a constant rate.
+/// A cold start: the node starts slowly and warms up at a constant rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// When the machine's work began, on the clock that the controller is called with.
+    /// When the machine started its work, on the controller's clock.
     pub began: Duration,
-    /// Share of the full speed at the beginning, 0 to 1.
+    /// Speed at the start as a share of the full speed, 0 to 1.
     pub initial_speed: f64,
-    /// Time from the beginning to full speed.
+    /// Time from the start to full speed.
     pub warm_up: Duration,
 }
 
-/// This node's part of a downstream tier that the nodes of a fleet share.
+/// This node's share of a downstream tier that the nodes of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DownstreamShare {
-    /// Calls at once that this node may hold there, in the mean over `window`.
+    /// Mean number of concurrent calls over `window` that this node may have there.
     pub concurrency: f64,
     /// Window of that mean.
     pub window: Duration,
-    /// How long a call that was cancelled still occupies the tier.
+    /// How long a cancelled call still occupies the tier.
     pub linger: Duration,
 }
 
@@ -30,20 +30,20 @@
 pub struct ClientConnections {
     /// Number of callers.
     pub callers: usize,
-    /// How long a caller keeps an unused connection.
+    /// How long a caller keeps an idle connection open.
     pub idle_timeout: Duration,
 }
 
-/// What a node advertises to its callers, and what they heed.
+/// What a node may advertise to its callers, and how they react to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdvertiserOptions {
-    /// What callers make of the value that answers carry.
+    /// How callers interpret the load value that answers carry.
     pub signal: LoadSignal,
-    /// The longest delay before a retry that callers heed; zero where none may be asked for.
+    /// The longest retry-after that callers respect; zero if they cannot be asked to wait.
     pub max_retry_after: Duration,
-    /// Requests that reach the machine later than this after a shutdown notice are not run.
+    /// Requests that reach the machine later than this after a shutdown notice are rejected.
     pub drain_grace: Duration,
-    /// Whether callers mark their retries as such.
+    /// Whether callers mark their retries.
     pub retries_marked: bool,
     /// The callers and their connections.
     pub clients: ClientConnections,
