--- a/crates/settings/src/alignment.rs
+++ b/crates/settings/src/alignment.rs
@@ -1,15 +1,15 @@
-//! New settings for a running node, brought into the order in which it knows its classes and tenants.
+//! Reordering new settings for a running node, so that classes and tenants keep their indices.
 
 use crate::fields::{entry_object, list, text_of, Fields};
 use crate::{keys, SettingsError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The settings with request classes and tenants in the order of the known indices: a new file may list them in
-/// another order, and a running controller's tables are laid out by index.
+/// The settings with request classes and tenants in the order of the known indices: new settings may list them in
+/// another order, but the tables of a running controller are indexed by position.
 ///
 /// # Errors
-/// If the names are not the same ones, or an entry cannot be read.
+/// If the names differ, or if an entry cannot be read.
 pub fn align_names(
     settings: &Fields,
     classes: &BTreeMap<String, usize>,
@@ -31,7 +31,7 @@
     Ok(aligned)
 }
 
-/// For each known index, the position of its name in the list of the new settings.
+/// For each known index, the position of its name in the new list.
 fn positions(
     settings: &Fields,
     key: &str,
@@ -50,8 +50,8 @@
     same_names.ok_or(SettingsError::NamesChanged)
 }
 
-/// Reorders a list, if there is one. An entry that the list is too short for becomes null, which is read as an
-/// entry that is not there.
+/// Reorders a list, if it exists. Entries that the list is too short to contain become null, which is read like a
+/// missing entry.
 fn permute(fields: &mut Fields, key: &str, positions: &[usize]) {
     if let Some(Value::Array(entries)) = fields.get_mut(key) {
         let entry = |&position: &usize| entries.get(position).cloned().unwrap_or(Value::Null);
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,17 +1,17 @@
-//! Why settings cannot be read; the texts are shown to operators.
+//! Errors of reading settings; the texts are shown to operators.
 
 use std::time::TryFromFloatSecsError;
 
-/// Why settings cannot be read, with the key that is at fault.
+/// Why settings cannot be read, with the key of the invalid field.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A field is missing, or no text.
+    /// A field is missing, or not a string.
     #[error("{key}: no text there")]
     MissingText {
         /// The field's key.
         key: String,
     },
-    /// A field is missing, or no object.
+    /// A field is missing, or not an object.
     #[error("{key}: no object there")]
     MissingObject {
         /// The field's key.
@@ -23,19 +23,19 @@
         /// The field's key.
         key: String,
     },
-    /// A field is missing, or no unsigned integer.
+    /// A field is missing, or not an unsigned integer.
     #[error("{key}: no whole number there")]
     MissingUnsigned {
         /// The field's key.
         key: String,
     },
-    /// A field that may be missing is there, but no number.
+    /// An optional field is present, but not a number.
     #[error("{key}: not a number")]
     NotANumber {
         /// The field's key.
         key: String,
     },
-    /// A number that is no duration: negative, not finite or too large.
+    /// A number that is not a valid duration: negative, not finite or too large.
     #[error("{seconds} s: {source}")]
     InvalidDuration {
         /// The number.
@@ -43,33 +43,33 @@
         /// Why [`Duration`](std::time::Duration) cannot hold it.
         source: TryFromFloatSecsError,
     },
-    /// A field whose number is no duration.
+    /// A field whose number is not a valid duration.
     #[error("{key}: {source}")]
     InvalidDurationField {
         /// The field's key.
         key: String,
-        /// What is wrong with its number.
+        /// Why its number is not a valid duration.
         source: Box<SettingsError>,
     },
-    /// An entry of a list that is no object.
+    /// An entry of a list that is not an object.
     #[error("{key}: an entry is no object")]
     EntryNotAnObject {
         /// The list's key.
         key: String,
     },
-    /// A request class with an unknown word for its repeatability.
+    /// An unknown value for the repeatability of a request class.
     #[error("effect: {word} is not known")]
     UnknownEffect {
-        /// The word.
+        /// The unknown value.
         word: String,
     },
-    /// An unknown word for how runs can be stopped.
+    /// An unknown value for how runs can be cancelled.
     #[error("halt: {word} is not off, drop or pause")]
     UnknownHalt {
-        /// The word.
+        /// The unknown value.
         word: String,
     },
-    /// New settings for a running node name other request classes or tenants.
+    /// New settings for a running node have different names of request classes or tenants.
     #[error("traffic types and tenants change only at a start")]
     NamesChanged,
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reading one field of a JSON object, with an error that names it.
+//! Reading single fields of a JSON object, with errors that name the field.
 
 use crate::SettingsError;
 use serde_json::{Map, Value};
@@ -7,10 +7,10 @@
 /// The fields of a JSON object.
 pub type Fields = Map<String, Value>;
 
-/// A text field.
+/// A string field.
 ///
 /// # Errors
-/// If it is missing or no text.
+/// If it is missing or not a string.
 pub fn text_of<'a>(fields: &'a Fields, key: &str) -> Result<&'a str, SettingsError> {
     let value = fields.get(key).and_then(Value::as_str);
     value.ok_or_else(|| SettingsError::MissingText {
@@ -18,10 +18,10 @@
     })
 }
 
-/// An object.
+/// An object field.
 ///
 /// # Errors
-/// If it is missing or no object.
+/// If it is missing or not an object.
 pub fn object<'a>(fields: &'a Fields, key: &str) -> Result<&'a Fields, SettingsError> {
     let value = fields.get(key).and_then(Value::as_object);
     value.ok_or_else(|| SettingsError::MissingObject {
@@ -29,7 +29,7 @@
     })
 }
 
-/// A list, empty if it is missing or no list.
+/// A list field, empty if it is missing or not a list.
 pub fn list<'a>(fields: &'a Fields, key: &str) -> &'a [Value] {
     let value = fields.get(key).and_then(Value::as_array);
     value.map_or(&[], Vec::as_slice)
@@ -38,7 +38,7 @@
 /// An entry of a list as an object.
 ///
 /// # Errors
-/// If it is no object; the error names the list by `key`.
+/// If it is not an object; the error names the list by `key`.
 pub fn entry_object<'a>(entry: &'a Value, key: &str) -> Result<&'a Fields, SettingsError> {
     let value = entry.as_object();
     value.ok_or_else(|| SettingsError::EntryNotAnObject {
@@ -46,10 +46,10 @@
     })
 }
 
-/// A number that may be missing or null.
+/// A number field that may be missing or null.
 ///
 /// # Errors
-/// If it is there and no number.
+/// If it is present and not a number.
 pub fn optional(fields: &Fields, key: &str) -> Result<Option<f64>, SettingsError> {
     match fields.get(key) {
         None | Some(Value::Null) => Ok(None),
@@ -62,20 +62,20 @@
     }
 }
 
-/// A number.
+/// A number field.
 ///
 /// # Errors
-/// If it is missing or no number.
+/// If it is missing or not a number.
 pub fn number(fields: &Fields, key: &str) -> Result<f64, SettingsError> {
     optional(fields, key)?.ok_or_else(|| SettingsError::MissingNumber {
         key: key.to_owned(),
     })
 }
 
-/// An unsigned integer.
+/// An unsigned integer field.
 ///
 /// # Errors
-/// If it is missing, or no integer of 0 or more.
+/// If it is missing or not an unsigned integer.
 pub fn unsigned(fields: &Fields, key: &str) -> Result<u64, SettingsError> {
     let value = fields.get(key).and_then(Value::as_u64);
     value.ok_or_else(|| SettingsError::MissingUnsigned {
@@ -83,12 +83,12 @@
     })
 }
 
-/// A flag, false if it is missing or no boolean.
+/// A boolean field, false if it is missing or not a boolean.
 pub fn flag(fields: &Fields, key: &str) -> bool {
     fields.get(key).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// A duration of that many seconds.
+/// Converts a number of seconds to a duration.
 ///
 /// # Errors
 /// If the number is negative, not finite or too large.
@@ -99,10 +99,10 @@
     })
 }
 
-/// A duration from a number of seconds.
+/// A duration field, given in seconds.
 ///
 /// # Errors
-/// If it is missing, no number, or no duration.
+/// If it is missing, not a number, or not a valid duration.
 pub fn duration(fields: &Fields, key: &str) -> Result<Duration, SettingsError> {
     seconds(number(fields, key)?).map_err(|source| SettingsError::InvalidDurationField {
         key: key.to_owned(),
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,16 +1,16 @@
-//! The keys of the settings' format, each under the field's term: the one place that knows the format's words.
+//! The keys of the settings format, as constants with the names used in the code. No other module contains keys.
 
-/// The request classes, a list.
+/// List of the request classes.
 pub(crate) const REQUEST_CLASSES: &str = "requestClasses";
-/// The tenants, a list.
+/// List of the tenants.
 pub(crate) const TENANTS: &str = "parties";
 /// Name of a request class or tenant.
 pub(crate) const NAME: &str = "name";
 /// Number of servers of the fleet.
 pub(crate) const SERVERS: &str = "groupSize";
-/// What value is counted by.
+/// Whether value is counted per request or per unit of work.
 pub(crate) const VALUE_COUNTED_BY: &str = "countedBy";
-/// The word for value that is counted by work.
+/// The value of [`VALUE_COUNTED_BY`] for counting per unit of work.
 pub(crate) const BY_WORK: &str = "work";
 
 /// Fields of a request class.
@@ -28,7 +28,7 @@
     pub(crate) const QUOTA: &str = "quotaRps";
 }
 
-/// What is known of the kind of machine and of its surroundings, an object.
+/// Object that describes the type of machine and its environment.
 pub(crate) const MACHINE: &str = "familyInfo";
 
 /// Fields of [`MACHINE`].
@@ -46,20 +46,20 @@
     pub(crate) const LOAD_SIGNAL: &str = "say";
     pub(crate) const CALLERS: &str = "callers";
     pub(crate) const IDLE_TIMEOUT: &str = "idleS";
-    /// Whether each request class calls downstream, a list by its index.
+    /// List by request class: whether it makes downstream calls.
     pub(crate) const CLASS_CALLS: &str = "classCalls";
-    /// The share of its value that each request class keeps without its call, a list by its index.
+    /// List by request class: the share of its value that an answer without the downstream call has.
     pub(crate) const CLASS_DEGRADED_SHARES: &str = "classSkipWorth";
-    /// Who else uses the downstream tier.
+    /// Whether other nodes use the downstream tier.
     pub(crate) const DOWNSTREAM: &str = "below";
-    /// The word for a tier that the nodes of a fleet share.
+    /// The value of [`DOWNSTREAM`] for a tier that the nodes of a fleet share.
     pub(crate) const DOWNSTREAM_SHARED: &str = "shared";
     pub(crate) const SHARE_CONCURRENCY: &str = "callShare";
     pub(crate) const SHARE_WINDOW: &str = "callsOverS";
     pub(crate) const SHARE_LINGER: &str = "lingersS";
 }
 
-/// What the machine is bound to withstand, an object.
+/// Object with the conditions that the node must withstand.
 pub(crate) const BOUNDS: &str = "obligations";
 
 /// Fields of [`BOUNDS`].
@@ -70,7 +70,7 @@
     pub(crate) const WARM_UP: &str = "rampTimeS";
 }
 
-/// What callers may be asked for, an object.
+/// Object that states what callers may be asked to do.
 pub(crate) const PERMISSIONS: &str = "permissions";
 
 /// Fields of [`PERMISSIONS`].
@@ -79,7 +79,7 @@
     pub(crate) const MAX_RETRY_AFTER: &str = "maxRetryAfterS";
 }
 
-/// The callers, an object.
+/// Object that describes the callers.
 pub(crate) const CLIENTS: &str = "clients";
 
 /// Fields of [`CLIENTS`].
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Start settings, as JSON, made into an admission controller and the tables of names beside it.
+//! Reads the start settings (JSON) and builds an admission controller and its name tables from them.
 //!
-//! The keys are those of the settings' format, whatever the Rust names behind them; `keys` maps them once. Every
-//! error names the field that is at fault, in the words that are shown to operators.
+//! The keys of the settings format differ from the Rust names; `keys` maps them. Every error names the invalid field
+//! in the words that are shown to operators.
 
 mod alignment;
 mod error;
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -1,4 +1,4 @@
-//! What a node is started with: its admission controller, and what the program around it needs beside.
+//! What a node is started with: its admission controller, and the settings that the embedding program needs itself.
 
 use crate::fields::{
     duration, entry_object, flag, list, number, object, optional, text_of, unsigned, Fields,
@@ -13,29 +13,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All that a program around the admission controller takes from the settings.
+/// Everything that the program around an admission controller takes from the settings.
 pub struct Start {
-    /// The controller, not begun yet.
+    /// The controller, which has not begun.
     pub controller: AdmissionController,
     /// Indices of the request classes by name.
     pub classes: BTreeMap<String, usize>,
     /// Indices of the tenants by name.
     pub tenants: BTreeMap<String, usize>,
-    /// Time limits of each request class, by its index.
+    /// Time limits of the request classes, by index.
     pub class_limits: Vec<ClassLimits>,
-    /// Whether running work can be taken off the cores.
+    /// Whether runs can be cancelled.
     pub can_cancel_runs: bool,
     /// Names of the machine's gauges, in the order in which their values are sent.
     pub gauges: Vec<String>,
-    /// How long the answer to an idempotent request may serve others.
+    /// How long the answer to an idempotent request may be reused for other requests.
     pub max_result_age: Duration,
-    /// How long callers keep an unused connection.
+    /// How long callers keep an idle connection open.
     pub idle_timeout: Duration,
-    /// Whether the service registry follows the health that a node reports of itself.
+    /// Whether the service registry uses the health that a node reports.
     pub registry_follows_health: bool,
-    /// Requests that arrive later than this after a shutdown notice are not run.
+    /// Requests that arrive later than this after a shutdown notice are rejected.
     pub drain_grace: Duration,
-    /// The longest delay before a retry that callers may be asked for; zero where none may be asked for.
+    /// The longest retry-after that callers respect; zero if they cannot be asked to wait.
     pub max_retry_after: Duration,
 }
 
@@ -44,7 +44,7 @@
 pub struct ClassLimits {
     /// Time after arrival by which a request must be answered.
     pub deadline: Duration,
-    /// How long repeats are told apart by their key, where requests carry one.
+    /// How long repeats are identified by their key, if requests carry one.
     pub key_window: Option<Duration>,
 }
 
@@ -61,14 +61,14 @@
     }
 }
 
-/// What is known of the machine that a node starts on.
+/// Facts about the machine that a node starts on, in addition to the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
-    /// When its work began, on the clock that the controller is called with.
+    /// When it started its work, on the controller's clock.
     pub began: Duration,
-    /// It was cold then, whatever the settings say.
+    /// Whether it was cold then, even if the settings do not say so.
     pub is_cold: bool,
-    /// An earlier process of this node may have worked on it.
+    /// Whether an earlier process of this node may have run on it.
     pub had_predecessor: bool,
 }
 
@@ -81,10 +81,10 @@
 impl Start {
     /// Reads the settings.
     ///
-    /// `seed`: of the controller's random draws.
+    /// `seed`: seed of the controller's random numbers.
     ///
     /// # Errors
-    /// The first field that is missing or wrong.
+    /// If a field is missing or invalid; the first such field.
     pub fn read(settings: &Fields, seed: u64, machine: Machine) -> Result<Self, SettingsError> {
         let machine_info = object(settings, keys::MACHINE)?;
         let bounds = object(settings, keys::BOUNDS)?;
@@ -113,7 +113,7 @@
             retries_marked,
             clients,
         };
-        // A machine that comes up cold does so in the place of one that worked until then.
+        // A machine that starts cold replaces one that was running until then.
         let downstream = if machine.had_predecessor || cold_start.is_some() {
             DownstreamLimiter::new(share)
         } else {
@@ -183,7 +183,7 @@
     }
 }
 
-/// The tenants, each with its quota in requests a second over the fleet.
+/// The tenants, each with its quota in requests per second over the fleet.
 fn tenant_quotas(settings: &Fields) -> Result<Named<f64>, SettingsError> {
     let (mut indices, mut entries) = (BTreeMap::new(), Vec::new());
     for (index, entry) in list(settings, keys::TENANTS).iter().enumerate() {
@@ -246,12 +246,18 @@
 
 fn in_flight_requests(machine_info: &Fields) -> Result<InFlightRequests, SettingsError> {
     let memory_kb = number(machine_info, keys::machine::MEMORY)?;
-    let run_factor = number(machine_info, keys::machine::RUN_MEMORY_FACTOR)?;
-    let entry_kb = optional(machine_info, keys::machine::CACHED_RESULT_MEMORY)?.unwrap_or(0.0);
-    Ok(InFlightRequests::new(memory_kb, run_factor, entry_kb))
+    let run_memory_factor = number(machine_info, keys::machine::RUN_MEMORY_FACTOR)?;
+    let cached_result_kb =
+        optional(machine_info, keys::machine::CACHED_RESULT_MEMORY)?.unwrap_or(0.0);
+    Ok(InFlightRequests::new(
+        memory_kb,
+        run_memory_factor,
+        cached_result_kb,
+    ))
 }
 
-/// `off` says no; `drop` and `pause` yes, as do settings without the field: nodes ran so before it was read.
+/// `off` means no; `drop` and `pause` mean yes. A missing field means yes, because nodes could always cancel runs
+/// before the field was introduced.
 fn can_cancel_runs(machine_info: &Fields) -> Result<bool, SettingsError> {
     if !machine_info.contains_key(keys::machine::CANCELLATION) {
         return Ok(true);
@@ -272,7 +278,7 @@
     names.map(str::to_owned).collect()
 }
 
-/// Zero where the field is missing, or no duration.
+/// Zero if the field is missing or not a valid duration.
 fn max_result_age(machine_info: &Fields) -> Result<Duration, SettingsError> {
     let seconds = optional(machine_info, keys::machine::MAX_RESULT_AGE)?.unwrap_or(0.0);
     Ok(Duration::try_from_secs_f64(seconds).unwrap_or_default())
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,33 +1,33 @@
-//! Why the simulator cannot be served.
+//! Errors of serving the simulator.
 
 use rainstand_settings::SettingsError;
 use std::io;
 
-/// Why serving ended, with the line of the input, counted from 1.
+/// Why serving failed, with the input line, counted from 1.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A line could not be read.
     #[error("reading line {line}: {source}")]
     Read {
-        /// The line.
+        /// Line number.
         line: u64,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// A line could not be handled.
     #[error("line {line}: {source}")]
     Message {
-        /// The line.
+        /// Line number.
         line: u64,
-        /// Why.
+        /// The cause.
         source: MessageError,
     },
-    /// The answer to the batch that a line ends could not be written.
+    /// The reply to the batch that ends with a line could not be written.
     #[error("writing the reply after line {line}: {source}")]
     Write {
-        /// The line.
+        /// Line number.
         line: u64,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
@@ -35,47 +35,47 @@
 /// Why a message cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// It is not JSON.
+    /// The line is not JSON.
     #[error("not a JSON value: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// It is JSON, but no object.
+    /// The line is JSON, but not an object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// A field is missing or wrong.
+    /// A field is missing or invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// What an event of this name holds is wrong.
+    /// The content of an event is invalid.
     #[error("{event}: {source}")]
     InEvent {
         /// The event's name.
         event: String,
-        /// What is wrong.
+        /// The cause.
         source: Box<MessageError>,
     },
-    /// An event for a node that is not there.
-    #[error("{event}: {node} was never born, or has halted")]
+    /// An event for a node that is not running.
+    #[error("{event}: node {node} is not running")]
     UnknownNode {
         /// The event's name.
         event: String,
         /// The node's name.
         node: String,
     },
-    /// A request of a class that the settings do not name.
-    #[error("type {class} is not known")]
+    /// A request of a class that is not in the settings.
+    #[error("unknown type {class}")]
     UnknownClass {
-        /// The name.
+        /// Name of the class.
         class: String,
     },
-    /// An unknown word for how a run or a call ended.
-    #[error("reason: {word} is not known")]
+    /// An unknown outcome of a run or a call.
+    #[error("reason: unknown value {word}")]
     UnknownReason {
-        /// The word.
+        /// The unknown value.
         word: String,
     },
 }
 
 impl MessageError {
-    /// The error with the name of the event that it is about.
+    /// Adds the name of the event to the error.
     pub(crate) fn in_event(self, event: &str) -> Self {
         Self::InEvent {
             event: event.to_owned(),
--- a/crates/simhost/src/event.rs
+++ b/crates/simhost/src/event.rs
@@ -1,28 +1,28 @@
-//! The simulator's messages, each under the field's term: the one place that knows the names of the protocol.
+//! The messages of the simulator's protocol. No other module contains their names.
 
-/// What a message is about.
+/// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
-    /// The clock moves.
+    /// Sets the clock.
     Clock,
-    /// A batch of events is complete, and its answer is due.
+    /// Ends a batch of events; the reply is due.
     EndOfBatch,
     /// A node starts.
     NodeStarted,
-    /// A node stops at once.
+    /// A node stops immediately.
     NodeStopped,
-    /// An event of a node that runs.
+    /// An event of a running node.
     Node(NodeEvent),
-    /// Nothing that is known here.
+    /// A message of an unknown type.
     Unknown,
 }
 
 /// An event of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodeEvent {
-    /// The process will be stopped.
+    /// The process will be killed.
     ShutdownNotice,
-    /// The tick that was asked for.
+    /// The tick that was requested.
     Tick,
     /// A request was read.
     Arrival,
@@ -33,18 +33,18 @@
 /// An event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEvent {
-    /// A run or a cached reply is over.
+    /// A run or a reply from the cache has ended.
     RunFinished,
-    /// An attempt of a downstream call is over.
+    /// An attempt of a downstream call has ended.
     CallFinished,
-    /// A run has come to a downstream call.
+    /// A run needs its downstream call.
     DownstreamCall,
-    /// The caller has left.
+    /// The caller has disconnected.
     CallerGone,
 }
 
 impl Message {
-    /// The message of a name.
+    /// The message type with this name in the protocol.
     pub(crate) fn from_name(name: &str) -> Self {
         match name {
             "clock" => Self::Clock,
--- a/crates/simhost/src/fleet.rs
+++ b/crates/simhost/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes of one process, and which of them a message is for.
+//! The simulated nodes of one process, and the dispatch of messages to them.
 
 use crate::event::{Message, NodeEvent};
 use crate::node::Node;
@@ -8,24 +8,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The nodes of this process; they share nothing but the clock.
+/// The nodes of this process; they share only the clock.
 #[derive(Default)]
 pub(crate) struct Fleet {
     now: Duration,
     nodes: BTreeMap<String, Node>,
 }
 
-/// What a message was.
+/// The result of handling a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Handled {
-    /// An event; more of its batch follow.
+    /// An event was handled; the batch continues.
     Event,
-    /// The end of a batch: its answer is complete.
+    /// The batch has ended; its reply is complete.
     EndOfBatch,
 }
 
 impl Fleet {
-    /// Handles one message, and appends what it is answered with to `reply`. Unknown messages are ignored.
+    /// Handles one message and appends the resulting orders to `reply`. Unknown messages are ignored.
     pub(crate) fn handle(
         &mut self,
         text: &[u8],
@@ -52,7 +52,7 @@
         Ok(Handled::Event)
     }
 
-    /// Starts the node that a message of this name brings.
+    /// Starts the node described in a message with the name `message`.
     fn start_node(
         &mut self,
         message: &str,
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Hands an event, which a message of this name brings, to its node.
+    /// Passes the event in a message with the name `message` to its node.
     fn node_event(
         &mut self,
         message: &str,
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,7 +1,7 @@
-//! The admission controller behind the simulator's line protocol.
+//! Adapter between the simulator's line protocol and the admission controller.
 //!
-//! Each line is a JSON message: events are decoded, ids mapped to small indices, the controller of the node that
-//! the event names is called, and its orders are encoded as the answer. Nothing is decided here.
+//! Each line is a JSON message. An event is decoded, its request id is mapped to an index, the controller of its node
+//! is called, and the controller's orders are encoded as the reply. This crate makes no decisions.
 
 mod error;
 mod event;
@@ -14,10 +14,10 @@
 use fleet::{Fleet, Handled};
 use std::io::{BufRead, Write};
 
-/// Serves the simulator until `input` ends: after each complete batch of events its answer is written and flushed.
+/// Serves the simulator until `input` ends: after each complete batch of events, the reply is written and flushed.
 ///
 /// # Errors
-/// The first line that cannot be read or handled, or the first answer that cannot be written.
+/// If a line cannot be read or handled, or if a reply cannot be written.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), ServeError> {
     let mut fleet = Fleet::default();
     let mut line = Vec::new();
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
 
-/// Room for the answer to a batch of events, in bytes, before it is written.
+/// Capacity of the output buffer, for the reply to a batch of events.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/simhost/src/node.rs
+++ b/crates/simhost/src/node.rs
@@ -1,4 +1,4 @@
-//! One simulated node: its events as calls of its admission controller.
+//! One simulated node: translates its events to calls of its admission controller.
 
 use crate::event::{NodeEvent, RequestEvent};
 use crate::policy_host::PolicyHost;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An admission controller with the tables of names around it.
+/// An admission controller with its host and the indices of classes and tenants by name.
 pub(crate) struct Node {
     controller: AdmissionController,
     host: PolicyHost,
@@ -44,12 +44,12 @@
         Ok(node)
     }
 
-    /// Moves the orders given so far, encoded, to the end of `reply`.
+    /// Moves the encoded orders given so far to the end of `reply`.
     pub(crate) fn take_orders(&mut self, reply: &mut Vec<u8>) {
         self.host.take_orders(reply);
     }
 
-    /// Handles an event that is for this node.
+    /// Handles an event of this node.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Handles an event of a request; one of a request that is no longer in flight is passed over.
+    /// Handles an event of a request; ignores it if the request is not in flight any more.
     fn handle_request_event(
         &mut self,
         now: Duration,
@@ -131,7 +131,7 @@
     })
 }
 
-/// A duration that is not known where the field is missing, zero or negative.
+/// An optional duration; `None` if the field is missing, zero or negative.
 fn positive_duration(fields: &Fields, key: &str) -> Result<Option<Duration>, SettingsError> {
     let number = optional(fields, key)?.filter(|number| *number > 0.0);
     number.map(seconds).transpose()
--- a/crates/simhost/src/policy_host.rs
+++ b/crates/simhost/src/policy_host.rs
@@ -1,4 +1,4 @@
-//! The orders of an admission controller, encoded as messages to the simulator.
+//! Encodes the orders of an admission controller as messages to the simulator.
 
 use rainstand::{Host, Rejection, RetryElsewhere};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Maps the protocol's request ids to small indices and back, and encodes orders.
+/// Maps the protocol's request ids to indices and back, and encodes orders.
 ///
 /// An index is in use from [`PolicyHost::add_request`] to [`Host::release`].
 pub(crate) struct PolicyHost {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An index for a request that arrives.
+    /// Assigns an index to an arriving request.
     pub(crate) fn add_request(&mut self, id: u64) -> usize {
         let index = self.free.pop().unwrap_or(self.ids.len());
         if index == self.ids.len() {
--- a/crates/simhost/tests/golden.rs
+++ b/crates/simhost/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A conversation with the simulator, line for line as an earlier version held it.
+//! Compares the replies to a sequence of events with a recorded file, line by line.
 
 #![allow(
     missing_docs,
@@ -32,8 +32,8 @@
     let gauge = json!({"core_use": 0.9, "on_cores": 3.0, "heap_share": 0.4, "links": 2.0});
     let reminder = json!({"msg": "reminder", "nodeId": "n1", "gauge": gauge, "handle": 0});
     let born = json!({"msg": "born", "nodeId": "n1", "entropy": 17, "facts": facts()});
-    let mut crowd: Vec<Value> = (100..700).map(|req| ask(req, "register", 0)).collect();
-    crowd.push(reminder.clone());
+    let mut burst: Vec<Value> = (100..700).map(|req| ask(req, "register", 0)).collect();
+    burst.push(reminder.clone());
     vec![
         vec![born],
         vec![
@@ -44,7 +44,7 @@
         vec![reminder.clone(), of("stalledOnCall", 2)],
         vec![end("callEnded", 2, "done"), end("completed", 1, "done")],
         vec![of("clientLeft", 3), end("completed", 2, "err")],
-        crowd,
+        burst,
         (0..8).map(|_| reminder.clone()).collect(),
         vec![json!({"msg": "quiesce", "nodeId": "n1", "patienceLeftS": 1.5})],
         vec![
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_conversation_is_held_as_before() {
+fn replies_match_the_recorded_conversation() {
     let mut input = String::new();
-    for (at, batch) in batches().iter().enumerate() {
+    for (index, batch) in batches().iter().enumerate() {
         input += &format!(
             "{}\n",
-            json!({"msg": "clock", "atTimeS": 1.0 + at as f64 * 0.5})
+            json!({"msg": "clock", "atTimeS": 1.0 + index as f64 * 0.5})
         );
         batch
             .iter()
--- a/crates/simhost/tests/input_errors.rs
+++ b/crates/simhost/tests/input_errors.rs
@@ -1,4 +1,4 @@
-//! What a line that cannot be handled is answered with.
+//! Errors for lines that cannot be handled.
 
 #![allow(
     missing_docs,
@@ -25,20 +25,23 @@
         ),
         (
             "{\"msg\":\"quiesce\",\"nodeId\":\"n\"}\n",
-            Some("line 1: quiesce: n was never born"),
+            Some("line 1: quiesce: node n is not running"),
         ),
         (
             "{\"msg\":\"born\",\"nodeId\":\"n\"}\n",
             Some("line 1: born: entropy: no whole number"),
         ),
     ];
-    for (input, wrong) in cases {
-        let mut out = Vec::new();
-        let end = rainstand_simhost::serve(input.as_bytes(), &mut out);
+    for (input, expected_error) in cases {
+        let mut output = Vec::new();
+        let result = rainstand_simhost::serve(input.as_bytes(), &mut output);
         assert!(
-            matches!((&end, wrong), (Ok(()), None))
-                || end.unwrap_err().to_string().starts_with(wrong.unwrap())
+            matches!((&result, expected_error), (Ok(()), None))
+                || result
+                    .unwrap_err()
+                    .to_string()
+                    .starts_with(expected_error.unwrap())
         );
-        assert_eq!(out.is_empty(), !input.contains("go"));
+        assert_eq!(output.is_empty(), !input.contains("go"));
     }
 }
--- a/crates/simhost/tests/shared_tier.rs
+++ b/crates/simhost/tests/shared_tier.rs
@@ -1,5 +1,5 @@
-//! When a node makes its first call to a tier below that all nodes share: at once on a machine that begins warm, as no
-//! node was there before it, and on a cold one only once its age leaves room beside what the node before may have held.
+//! When a node makes its first call to a downstream tier that all nodes share: immediately on a warm machine, where it
+//! has no predecessor, and on a cold machine only when its age leaves budget besides its predecessor's calls.
 
 #![allow(
     missing_docs,
@@ -33,8 +33,8 @@
     ];
     batches.extend((0..ticks).map(|_| vec![reminder.clone()]));
     let mut input = String::new();
-    for (at, batch) in batches.iter().enumerate() {
-        let clock = json!({"msg": "clock", "atTimeS": 1.0 + at as f64 * TICK_S});
+    for (index, batch) in batches.iter().enumerate() {
+        let clock = json!({"msg": "clock", "atTimeS": 1.0 + index as f64 * TICK_S});
         input += &format!("{clock}\n");
         for message in batch {
             input += &format!("{message}\n");
@@ -44,7 +44,7 @@
     input
 }
 
-/// The number of the batch in whose answer the first call is made.
+/// The index of the batch whose reply contains the first call.
 fn first_call(is_cold: bool) -> Option<usize> {
     let input = conversation(is_cold, 100);
     let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand-simhost"))
@@ -58,20 +58,20 @@
     writer.join().unwrap();
     assert!(ended.status.success());
     let text = String::from_utf8(ended.stdout).unwrap();
-    let answers = text.split("{\"msg\":\"done\"}\n");
-    answers
-        .map(|answer| answer.contains("\"msg\":\"call\""))
-        .position(|calls| calls)
+    let replies = text.split("{\"msg\":\"done\"}\n");
+    replies
+        .map(|reply| reply.contains("\"msg\":\"call\""))
+        .position(|has_call| has_call)
 }
 
 #[test]
-fn the_first_node_of_a_warm_machine_calls_at_once() {
-    // Born, asked, stalled on its call.
+fn the_first_node_on_a_warm_machine_calls_without_delay() {
+    // Batches: the node starts, a request arrives, its run needs the call.
     assert_eq!(first_call(false), Some(2));
 }
 
 #[test]
-fn a_node_on_a_machine_that_came_back_cold_waits_for_its_part() {
+fn a_node_on_a_cold_machine_waits_for_its_budget() {
     let batch = first_call(true);
     assert!(batch > Some(3), "{batch:?}");
 }
