--- a/examples/forwarder/three_nodes.rs
+++ b/examples/forwarder/three_nodes.rs
@@ -1,10 +1,11 @@
-//! Three nodes for a forwarder to stand in front of, and a caller that asks it thirty times.
+//! Three nodes behind a forwarder, and a client that sends it thirty requests.
 //!
 //!     cargo run -p rainstand-forwarder --example three_nodes &
 //!     cargo run -p rainstand-cli -- forward --config examples/forwarder/main.rain --listen 127.0.0.1:5070
 //!
-//! Node three fails every ticket: checks are honoured by the others all the same, registrations that met it
-//! are given up, since they may have run; after some failures it is left out. The caller prints what came of each.
+//! The third node fails every request. The forwarder retries checks on the other nodes; a registration that was sent
+//! to the third node fails, since it may have run. After some failures the forwarder stops using that node. The client
+//! prints the outcome of each request.
 
 #![allow(
     missing_docs,
@@ -21,11 +22,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Tries to reach the forwarder, a quarter of a second apart.
-const TRIES: u32 = 240;
+/// Attempts to connect to the forwarder, 250 ms apart.
+const CONNECT_ATTEMPTS: u32 = 240;
 const FORWARDER: ([u8; 4], u16) = ([127, 0, 0, 1], 5070);
 
-async fn play() -> std::io::Result<()> {
+async fn run() -> std::io::Result<()> {
     let scripts = [
         "honour after 2ms..9ms",
         "cores 2\nhonour after 5ms",
@@ -43,16 +44,16 @@
         .start();
     }
     println!("nodes at 127.0.0.1:5071 to 5073; waiting for a forwarder at 127.0.0.1:5070");
-    let mut found = None;
-    for _ in 0..TRIES {
+    let mut connected = None;
+    for _ in 0..CONNECT_ATTEMPTS {
         sleep(Duration::from_millis(250)).await;
-        found = Caller::new(FORWARDER.into()).await.ok();
-        if found.is_some() {
+        connected = Caller::new(FORWARDER.into()).await.ok();
+        if connected.is_some() {
             break;
         }
     }
-    let Some(mut caller) = found else {
-        println!("none came");
+    let Some(mut caller) = connected else {
+        println!("no forwarder found");
         return Ok(());
     };
     for n in 1..=30 {
@@ -69,15 +70,15 @@
                 ..Call::default()
             })
             .await?;
-        let words = match caller.next_reply().await?.1 {
-            Reply::Served(body) => format!("honoured: {}", String::from_utf8_lossy(&body)),
+        let outcome = match caller.next_reply().await?.1 {
+            Reply::Served(body) => format!("served: {}", String::from_utf8_lossy(&body)),
             Reply::Rejected { retry_after, .. } => {
-                format!("dismissed, come back in {retry_after:?}")
+                format!("rejected, retry after {retry_after:?}")
             }
-            Reply::Failed => "given up".into(),
-            Reply::Exception(why) => why,
+            Reply::Failed => "failed".into(),
+            Reply::Exception(text) => text,
         };
-        println!("{n:>2} {route:<9} {words}");
+        println!("{n:>2} {route:<9} {outcome}");
     }
     Ok(())
 }
@@ -86,5 +87,5 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
-        .block_on(play())
+        .block_on(run())
 }
--- a/examples/toy/stand_ins.rs
+++ b/examples/toy/stand_ins.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for all that a node talks to, written from the protocol: agent, tier below, announce
-//! service and caller. The toy plays with them; the loopback tests drive them step by step.
-#![allow(dead_code)] // neither the toy nor the tests use all of it
+//! Fakes of everything that a node communicates with, implemented from the protocol: agent, downstream tier, service
+//! registry and caller. The toy example uses them; the loopback tests drive them step by step.
+#![allow(dead_code)] // neither the example nor the tests use all of it
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use rainstand_node::thrift::{self, MAP, ONEWAY};
@@ -14,12 +14,12 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Bytes as the agent's lines carry them.
+/// Encodes bytes as in the agent protocol (Base64).
 pub fn packed(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-/// The agent's end of one link. Samples are answered by themselves, with gauges of a calm machine.
+/// The agent's end of a connection. It answers `sample` commands automatically, with the gauges of an idle machine.
 pub struct Agent {
     commands: mpsc::UnboundedReceiver<Value>,
     write: Writer,
@@ -30,12 +30,12 @@
         let (read, write) = listener
             .accept()
             .await
-            .expect("a link to the agent")
+            .expect("a connection to the agent")
             .0
             .into_split();
-        let (put, commands) = mpsc::unbounded_channel();
+        let (sender, commands) = mpsc::unbounded_channel();
         let write = Rc::new(RefCell::new(Some(write)));
-        let samples = write.clone();
+        let sample_writer = write.clone();
         spawn_local(async move {
             let mut lines = BufReader::new(read).lines();
             while let Ok(Some(line)) = lines.next_line().await {
@@ -43,10 +43,10 @@
                 if command["cmd"] == "sample" {
                     let token = &command["token"];
                     tell(
-                        &samples,
+                        &sample_writer,
                         json!({"cmd": "sampled", "token": token, "load": [0.1, 0, 0.1, 1]}),
                     );
-                } else if put.send(command).is_err() {
+                } else if sender.send(command).is_err() {
                     return;
                 }
             }
@@ -54,21 +54,21 @@
         Self { commands, write }
     }
 
-    /// Takes `subscribe` and greets; what the node had read by then.
+    /// Receives `subscribe` and answers with `greeting`; returns the offset that the node had read up to.
     pub async fn greet(&mut self) -> Value {
-        let first = self.command().await.expect("subscribe");
-        assert_eq!(first["cmd"], "subscribe");
+        let subscribe = self.command().await.expect("the command subscribe");
+        assert_eq!(subscribe["cmd"], "subscribe");
         self.tell(json!({"cmd": "greeting", "result": "running", "elapsed_ms": 1000}))
             .await;
-        first["offset"].clone()
+        subscribe["offset"].clone()
     }
 
-    /// The next command but `sample`; none once the link is over.
+    /// The next command except `sample`; `None` after the connection has ended.
     pub async fn command(&mut self) -> Option<Value> {
         self.commands.recv().await
     }
 
-    /// A command that came, if one did.
+    /// The next command, if one has been received.
     pub fn try_command(&mut self) -> Option<Value> {
         self.commands.try_recv().ok()
     }
@@ -81,7 +81,7 @@
         write(&self.write, bytes);
     }
 
-    /// Ends the link.
+    /// Closes the connection.
     pub fn hang_up(self) {
         self.write.take();
     }
@@ -102,13 +102,13 @@
 
 type Writer = Rc<RefCell<Option<OwnedWriteHalf>>>;
 
-fn tell(to: &Writer, message: Value) {
-    write(to, format!("{message}\n").as_bytes());
+fn tell(writer: &Writer, message: Value) {
+    write(writer, format!("{message}\n").as_bytes());
 }
 
-/// Without waiting: what is written here is far smaller than what a socket takes.
-fn write(to: &Writer, bytes: &[u8]) {
-    if let Some(half) = to.borrow().as_ref() {
+/// Writes without waiting: the messages here are far smaller than a socket's send buffer.
+fn write(writer: &Writer, bytes: &[u8]) {
+    if let Some(half) = writer.borrow().as_ref() {
         let _ = half.try_write(bytes);
     }
 }
@@ -123,7 +123,7 @@
         ))
     }
 
-    /// The next request: its head, and its body; none once the connection is over.
+    /// The head and the body of the next request; `None` after the connection has ended.
     pub async fn request(&mut self) -> Option<(String, Vec<u8>)> {
         let (mut head, mut len) = (String::new(), 0);
         loop {
@@ -135,7 +135,7 @@
                 break;
             }
             if let Some(value) = line.strip_prefix("Content-Length: ") {
-                len = value.trim().parse().expect("a length");
+                len = value.trim().parse().expect("Content-Length is a number");
             }
             head += &line;
         }
@@ -148,7 +148,7 @@
         let _ = self.0.write_all(bytes).await;
     }
 
-    /// `status` may carry further headers behind its line.
+    /// Sends a reply; `status` may contain further headers after the status line.
     pub async fn reply(&mut self, status: &str, body: &[u8]) {
         let head = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
@@ -158,11 +158,11 @@
     }
 }
 
-/// What a node said: to which number, in which form, and the body or the texts.
+/// A message of a node: sequence number, kind, and the body or the texts.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Said(pub i32, pub &'static str, pub String);
 
-/// A dispatcher's connection.
+/// A caller's connection to a node.
 pub struct Caller {
     pub stream: TcpStream,
     seq: i32,
@@ -171,12 +171,14 @@
 impl Caller {
     pub async fn connect(addr: SocketAddr) -> Self {
         Self {
-            stream: TcpStream::connect(addr).await.expect("a node that listens"),
+            stream: TcpStream::connect(addr)
+                .await
+                .expect("a connection to the node"),
             seq: 0,
         }
     }
 
-    /// On a connection that stands.
+    /// Uses an open connection.
     pub fn over(stream: TcpStream) -> Self {
         Self { stream, seq: 0 }
     }
@@ -185,7 +187,7 @@
         let _ = self.stream.write_all(bytes).await;
     }
 
-    /// A ticket's frame, not sent yet.
+    /// Encodes a request without sending it.
     pub fn ticket(&mut self, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
         self.seq += 1;
         thrift::process(self.seq, fields, body)
@@ -207,7 +209,7 @@
         self.seq
     }
 
-    /// The next message of the node; none once the connection is over.
+    /// The next message of the node; `None` after the connection has ended.
     pub async fn next(&mut self) -> Option<Said> {
         let len = self.stream.read_u32().await.ok()?;
         let mut frame = vec![0; len as usize];
@@ -218,7 +220,7 @@
             i32::from_be_bytes(rest[..4].try_into().unwrap()),
             &rest[4..],
         );
-        // A reply is a struct with one field, itself a struct whose first field says it all.
+        // A reply is a struct with one field, which is a struct whose first field is enough here.
         let text = |at: usize| {
             let len = u32::from_be_bytes(args[at..at + 4].try_into().unwrap()) as usize;
             String::from_utf8_lossy(&args[at + 4..at + 4 + len]).into_owned()
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -17,7 +17,7 @@
 //! | `fleet_load` | whether other nodes seem overloaded too |
 //! | `load_shedding` | which queued request is rejected when memory or the queues are over their bounds |
 //! | `scheduling` | which queued request starts next, and when |
-//! | `concurrency_limit` | how many requests may run at once |
+//! | `concurrency_limit` | how many requests may run concurrently |
 //! | `startup` | how much less a node uses on a cold machine and after a predecessor |
 //! | `downstream_calls` | which downstream call is made next, and what follows a failed one |
 //! | `downstream_limit` | how many downstream calls are made, and how long each may take |
--- a/src/choice/assembly.rs
+++ b/src/choice/assembly.rs
@@ -16,7 +16,7 @@
 pub struct Components {
     /// Quota and usage of each tenant.
     pub quotas: TenantQuotas,
-    /// How many requests may run at once.
+    /// How many requests may run concurrently.
     pub limiter: ConcurrencyLimiter,
     /// Requests in flight with their timers and memory use.
     pub in_flight: InFlightRequests,
--- a/src/choice/concurrency_limit.rs
+++ b/src/choice/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! How many requests may run at once: a learned limit below a hard ceiling.
+//! How many requests may run concurrently: a learned limit below a hard ceiling.
 //!
 //! The **ceiling** is [`SAFETY_SHARE`] of the concurrency that a machine survives: its cores times the overload
 //! factor of the settings, less while it is cold ([`startup`](super::startup)). It bounds the learned limit.
@@ -65,7 +65,7 @@
     mean_disk_waits: Mean,
 }
 
-/// How many requests may run at once.
+/// How many requests may run concurrently.
 pub struct ConcurrencyLimiter {
     cores: usize,
     overload_factor: f64,
--- a/src/choice/downstream_limit.rs
+++ b/src/choice/downstream_limit.rs
@@ -8,7 +8,7 @@
 //! not change the rate.
 //!
 //! **The share** applies where the nodes of a fleet share the tier. It is this node's part of the calls that may
-//! occupy the tier at once, as a mean over a window. The budget is [`SAFETY_SHARE`] of it, and less after a start
+//! occupy the tier concurrently, as a mean over a window. The budget is [`SAFETY_SHARE`] of it, and less after a start
 //! ([`startup`](super::startup)). The time that this node's calls occupied in the window, the most that calls in
 //! progress may still occupy, and the linger of cancelled calls stay within the budget in every window, whatever the
 //! outcomes of the calls. One call gets at most half of the budget, unless recent calls are slower than that. No call
