--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings format, as constants with the names used in the code. No other module contains keys.
+//! The keys of the settings format, as constants with the names used in the code. Other modules use these constants.
 
 /// List of the request classes.
 pub(crate) const REQUEST_CLASSES: &str = "requestClasses";
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -256,8 +256,7 @@
     ))
 }
 
-/// `off` means no; `drop` and `pause` mean yes. A missing field means yes, because nodes could always cancel runs
-/// before the field was introduced.
+/// `off` means no; `drop` and `pause` mean yes. A missing field means yes: nodes behaved so before the field was read.
 fn can_cancel_runs(machine_info: &Fields) -> Result<bool, SettingsError> {
     if !machine_info.contains_key(keys::machine::CANCELLATION) {
         return Ok(true);
--- a/crates/simhost/src/event.rs
+++ b/crates/simhost/src/event.rs
@@ -1,4 +1,4 @@
-//! The messages of the simulator's protocol. No other module contains their names.
+//! The messages that the simulator sends, and their names in the protocol.
 
 /// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/choice/downstream_limit.rs
+++ b/src/choice/downstream_limit.rs
@@ -206,7 +206,7 @@
         };
         let span = RECENT_SPAN.as_secs_f64();
         let succeeding = self.successes.read(now, RECENT_SPAN) / span * CALL_RATE_DECREASE;
-        // The rate may be far above the calls that were made; a decrease starts from the latter.
+        // A rate that did not limit the calls is no measure of the tier: failures lower the rate of calls made.
         let made = self.completions.read(now, RECENT_SPAN);
         let rate = if !good && made >= MIN_RECENT_CALLS {
             self.rate.min(made / span * SLOWDOWN_RATIO)
--- a/src/choice/tenant_quotas.rs
+++ b/src/choice/tenant_quotas.rs
@@ -14,8 +14,8 @@
 //!   time; until that mean is known, no tenant is over its quota.
 //! - While all tenants together spend more than their quotas, every T is raised in proportion: a tenant is over
 //!   its quota if its part of the core time spent exceeds its part of the quotas.
-//! - [`BURST_CHARGES`] mean charges are allowed beyond T: a small quota covers only a few charges, so that a single
-//!   run would exceed it.
+//! - [`BURST_CHARGES`] mean charges are allowed beyond T: a small quota covers only a few charges, and the run that
+//!   has just ended does not show that the tenant spends too much.
 //! - Responses are not delayed. [`admission`](super::admission) decides whether a request is rejected because of the
 //!   delay, and does so only under overload.
 //!
@@ -121,7 +121,8 @@
         self.requested[account].add(now, demand, WINDOW);
     }
 
-    /// Uncounts a request that could not be started: a forged request is no demand of the tenant that it names.
+    /// Removes a request that could not be started from the demand: it may be forged, and is then no demand of the
+    /// tenant that it names.
     pub(super) fn withdraw_request(&mut self, now: Duration, account: usize) {
         self.requested[account].add(now, -1.0, WINDOW);
     }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn no_quota_rejection_without_a_known_mean_charge_or_without_a_tenant() {
+fn requests_are_not_rejected_before_the_mean_charge_is_known_or_without_a_tenant() {
     for (tenant, runs) in [(Some(0), 1), (None, 9)] {
         let mut node = TestNode::new(Settings::default());
         (0..runs).for_each(|_| {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -407,8 +407,8 @@
     assert_eq!(node.count_orders("call_downstream 2"), 0);
 }
 
-/// Incident i889ff1: two calls per node within one second put thirteen times the planned load on the downstream tier,
-/// and used up the share of five seconds.
+/// Incident i889ff1: two calls per node within one second overloaded the downstream tier thirteenfold, and used up the
+/// share of five seconds.
 #[test]
 fn above_a_quarter_of_the_share_calls_are_made_one_at_a_time() {
     // (share, concurrent calls of two requests that need one)
