--- a/crates/forwarder/src/drain.rs
+++ b/crates/forwarder/src/drain.rs
@@ -1,14 +1,14 @@
-//! Graceful shutdown, from the notice to the end of the process, in this order:
+//! Graceful shutdown, in this order:
 //!
-//! 1. New connections are accepted only as far as the system had taken them already; probes are answered "not well";
-//!    every client that is connected then is sent the shutdown notice; one that is accepted later is only rejected.
-//! 2. New requests are rejected; those in flight are waited for until [`DrainSchedule::fail_at`].
+//! 1. Only connections that are already in the kernel's accept queue are accepted; probes are answered as unhealthy;
+//!    every connected client is sent a shutdown notice. Clients accepted later get no notice, only rejections.
+//! 2. New requests are rejected; those in flight may complete until [`DrainSchedule::fail_at`].
 //! 3. Requests that are still in flight then are answered as failed.
-//! 4. Calls that crossed the notice are rejected for `DRAIN_SETTLE_TIME` more.
-//! 5. Nothing more is taken from clients. Each connection ends when its client has all answers; what has not arrived at
-//!    [`DrainSchedule::end_at`] is cut off and counted.
+//! 4. Calls that clients sent before they read the notice are rejected for another `DRAIN_SETTLE_TIME`.
+//! 5. Nothing more is read from clients. Each connection is closed when its client has all answers; answers that are not
+//!    delivered by [`DrainSchedule::end_at`] are cut off and counted.
 //!
-//! All of it is over by the drain's timeout, at which the process may be killed.
+//! The drain is over by its timeout, at which the process may be killed.
 
 use crate::ForwarderContext;
 use rainstand_protocol::thrift;
@@ -17,34 +17,34 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout_at};
 
-/// After the last answer, for calls that crossed the notice: the protocol allows them 50 ms.
+/// Time after the last answer for calls that clients sent before they read the notice; the protocol allows 50 ms.
 const DRAIN_SETTLE_TIME: Duration = Duration::from_millis(200);
-/// From the end of the requests in flight to the end of the drain, for their answers to reach the clients.
+/// Time for answers to reach the clients, from the end of the requests in flight to the end of the drain.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(500);
-/// The same, as a share of a short drain.
+/// Upper limit of [`FINAL_WRITE_TIME`], as a fraction of the drain's timeout.
 const MAX_FINAL_WRITE_SHARE: f64 = 0.25;
-/// From the end of the drain to its timeout, as the kill may come on time.
+/// Time from the end of the drain to its timeout, as the process may be killed exactly at the timeout.
 const KILL_MARGIN: Duration = Duration::from_millis(50);
-/// The same, as a share of a short drain.
+/// Upper limit of [`KILL_MARGIN`], as a fraction of the drain's timeout.
 const MAX_KILL_MARGIN_SHARE: f64 = 0.05;
-/// Before the end of a connection no new frame is begun for this long, so that the last one is complete.
+/// Time before the close of a connection in which no new frame is started, so that the last one is complete.
 const LAST_FRAME_TIME: Duration = Duration::from_millis(100);
-/// Between looks at what is still open.
+/// Interval at which open requests and connections are checked.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// When the steps of a drain end.
+/// Times at which the steps of a drain end.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSchedule {
-    /// Requests in flight are answered as failed.
+    /// Requests that are still in flight are answered as failed.
     pub fail_at: Instant,
-    /// All connections are closed, whatever is still on its way.
+    /// All connections are closed, even with undelivered answers.
     pub end_at: Instant,
     /// The process may be killed.
     pub kill_at: Instant,
 }
 
 impl DrainSchedule {
-    /// Of a drain that begins now and is killed after `timeout`.
+    /// The schedule of a drain that starts at `now` and may be killed after `timeout`.
     pub fn new(now: Instant, timeout: Duration) -> Self {
         let kill_margin = KILL_MARGIN.min(timeout.mul_f64(MAX_KILL_MARGIN_SHARE));
         let final_write = FINAL_WRITE_TIME.min(timeout.mul_f64(MAX_FINAL_WRITE_SHARE));
@@ -57,25 +57,25 @@
     }
 }
 
-/// When the close of a connection has to be over.
+/// Deadlines for the close of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CloseDeadlines {
-    /// Frames that the system has taken nothing of by then are dropped.
-    pub(crate) begin_frames_by: Instant,
-    /// The connection is closed, whatever is still on its way.
+    /// Frames of which the kernel has accepted nothing by then are dropped.
+    pub(crate) start_frames_by: Instant,
+    /// The connection is closed, even with undelivered answers.
     pub(crate) close_by: Instant,
 }
 
 impl CloseDeadlines {
     pub(crate) fn before(close_by: Instant) -> Self {
         Self {
-            begin_frames_by: close_by.checked_sub(LAST_FRAME_TIME).unwrap_or(close_by),
+            start_frames_by: close_by.checked_sub(LAST_FRAME_TIME).unwrap_or(close_by),
             close_by,
         }
     }
 }
 
-/// Whether the forwarder shuts down.
+/// Whether the forwarder is shutting down.
 #[derive(Debug, Default)]
 pub struct DrainState {
     schedule: Cell<Option<DrainSchedule>>,
@@ -83,18 +83,18 @@
 }
 
 impl DrainState {
-    /// Whether new requests are rejected since the process ends.
+    /// Whether the forwarder is draining, so that new requests are rejected.
     pub fn is_draining(&self) -> bool {
         self.schedule.get().is_some()
     }
 
-    /// By when connections have to be closed, once the forwarder drains.
+    /// Deadlines for closing connections; `None` if the forwarder is not draining.
     pub(crate) fn close_deadlines(&self) -> Option<CloseDeadlines> {
         let schedule = self.schedule.get()?;
         Some(CloseDeadlines::before(schedule.end_at))
     }
 
-    /// Ends listening, once what the system already accepted has been taken. Alone, it does not begin a drain.
+    /// Stops listening; connections in the kernel's accept queue are still accepted. This alone does not start a drain.
     pub fn stop_accepting(&self) {
         self.accept_stopped.notify_one();
     }
@@ -105,13 +105,13 @@
     }
 }
 
-/// Shuts down as the module describes; `drain_timeout`: from now to the kill.
+/// Drains as described in the module documentation; the process may be killed `drain_timeout` from now.
 pub(crate) async fn drain(context: &ForwarderContext, drain_timeout: Duration) {
     let schedule = DrainSchedule::new(Instant::now(), drain_timeout);
     begin(context, schedule);
     wait_for_requests(context, schedule.fail_at).await;
     context.fail_all_in_flight();
-    reject_crossing_calls(context, schedule.end_at).await;
+    wait_for_late_calls(context, schedule.end_at).await;
     for client in context.clients.borrow().values() {
         client.stop_reading();
     }
@@ -133,16 +133,16 @@
     }
 }
 
-/// Gives calls that crossed the notice the time to come, unless all clients closed their connections.
-async fn reject_crossing_calls(context: &ForwarderContext, end_at: Instant) {
+/// Waits for calls that clients sent before they read the notice, unless all clients have disconnected.
+async fn wait_for_late_calls(context: &ForwarderContext, end_at: Instant) {
     let settled_at = Instant::now() + DRAIN_SETTLE_TIME;
-    let close_at = CloseDeadlines::before(end_at).begin_frames_by;
+    let close_at = CloseDeadlines::before(end_at).start_frames_by;
     while Instant::now() < settled_at.min(close_at) && !context.clients.borrow().is_empty() {
         sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// Waits until all connections are closed; each of them has the schedule's end as its deadline.
+/// Waits until all connections are closed; each has [`DrainSchedule::end_at`] as its deadline.
 async fn wait_for_clients(context: &ForwarderContext) {
     while !context.clients.borrow().is_empty() {
         sleep(DRAIN_POLL_INTERVAL).await;
--- a/crates/forwarder/src/listener.rs
+++ b/crates/forwarder/src/listener.rs
@@ -1,6 +1,6 @@
-//! Connections of clients (dispatchers): accepted here, read and written in `session`.
+//! Client connections: accepted here, read and written in `session`.
 //!
-//! After the end of listening, what the system had accepted before is still taken and served.
+//! After listening stops, connections that are already in the kernel's accept queue are still accepted and served.
 
 mod client_connection;
 mod delivery;
@@ -20,22 +20,22 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Connections of clients, 20 KB each while they are busy.
+/// Limit on client connections, 20 KB each while they are busy.
 pub const MAX_CLIENT_CONNECTIONS: usize = 12_000;
-/// After accepting failed, most likely for want of descriptors.
+/// Delay after a failed accept, most likely for lack of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Errors in a row, once listening has ended, after which the rest of the system's queue is abandoned.
+/// Consecutive errors after listening stopped, after which the rest of the accept queue is abandoned.
 const MAX_ACCEPT_ERRORS: usize = 20;
 
-/// Whether new connections are still waited for.
+/// Which connections are accepted.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AcceptPhase {
     Listening,
-    /// Only what the system accepted before is taken.
-    EmptyingQueue,
+    /// Only those that are already in the kernel's accept queue.
+    DrainingQueue,
 }
 
-/// Accepts connections until listening ends, then those that the system had accepted before.
+/// Accepts connections until listening stops, then those left in the kernel's accept queue.
 pub(crate) async fn accept(context: Rc<ForwarderContext>, listener: TcpListener) {
     let mut phase = AcceptPhase::Listening;
     let mut errors = 0;
@@ -44,11 +44,11 @@
             AcceptPhase::Listening => tokio::select! {
                 accepted = listener.accept() => accepted,
                 () = context.drain.accept_stopped() => {
-                    phase = AcceptPhase::EmptyingQueue;
+                    phase = AcceptPhase::DrainingQueue;
                     continue;
                 }
             },
-            AcceptPhase::EmptyingQueue => {
+            AcceptPhase::DrainingQueue => {
                 let Some(accepted) = accept_queued(&listener).await else {
                     return;
                 };
@@ -59,7 +59,7 @@
         match accepted {
             Ok((stream, peer)) => on_accepted(&context, stream, peer).await,
             Err(error) => match connection_limits::recover_descriptor(&context, &error).await {
-                // There are only so many connections to evict, so this does not go on for ever.
+                // The number of connections that can be evicted is finite, so this loop ends.
                 Some(Eviction::Requested) => errors = 0,
                 Some(Eviction::NoneIdle) | None => sleep(ACCEPT_BACKOFF).await,
             },
@@ -67,14 +67,14 @@
     }
 }
 
-/// The next connection that waits with the system; `None` if there is none.
+/// The next connection in the kernel's accept queue; `None` if it is empty.
 async fn accept_queued(listener: &TcpListener) -> Option<io::Result<(TcpStream, SocketAddr)>> {
-    // The runtime limits what a task may take without a yield.
+    // The runtime limits how much a task may do without a yield.
     yield_now().await;
     timeout(Duration::ZERO, listener.accept()).await.ok()
 }
 
-/// Serves a connection in a task of its own, if there may be one more.
+/// Serves a connection in its own task, unless the connection limit is reached.
 async fn on_accepted(context: &Rc<ForwarderContext>, stream: TcpStream, peer: SocketAddr) {
     increment(&context.counters.accepted_connections);
     if !connection_limits::has_capacity(context) {
@@ -96,7 +96,7 @@
         stream,
         peer,
     ));
-    // A connection that was evicted for this one closes before the next is accepted.
+    // Lets a connection that was evicted in favour of this one close before the next accept.
     yield_now().await;
 }
 
--- a/crates/forwarder/src/listener/client_connection.rs
+++ b/crates/forwarder/src/listener/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection as the rest of the forwarder sees it: where answers go, and whether it is idle.
+//! The shared state of a client connection: queued answers, open requests and idleness.
 
 use super::delivery::UndeliveredFrames;
 use crate::socket::flush;
@@ -10,20 +10,20 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A client's connection; its socket belongs to the task that serves it.
+/// A client connection; its socket is owned by the task that serves it.
 pub(crate) struct ClientConnection {
     outbound: RefCell<Ring>,
     undelivered: RefCell<UndeliveredFrames>,
     wake: Notify,
-    /// Ids of the requests in flight, by the client's sequence number.
+    /// Ids of requests in flight, by the client's sequence number.
     pub(crate) open_requests: RefCell<HashMap<i32, u64>>,
     has_sent_call: Cell<bool>,
     accepted_at: Instant,
-    /// It sent something since [`crate::connection_limits`] looked at it last.
+    /// Bytes were received since the last scan of [`crate::connection_limits`].
     active_since_scan: Cell<bool>,
-    /// It was asked to close, to make its descriptor free.
+    /// The connection is to close, to free its file descriptor.
     evicted: Cell<bool>,
-    /// Nothing more is read from it, as the forwarder ends.
+    /// Nothing more is read, because the forwarder shuts down.
     reading_stopped: Cell<bool>,
 }
 
@@ -47,7 +47,7 @@
         self.queue(frame, true);
     }
 
-    /// Queues a frame that answers no call.
+    /// Queues a frame that is not the final answer to a call.
     pub(crate) fn send_notice(&self, frame: &[u8]) {
         self.queue(frame, false);
     }
@@ -65,12 +65,12 @@
         self.outbound.borrow().is_empty()
     }
 
-    /// Bytes that wait to be written.
+    /// Queued bytes that are not written yet.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.outbound.borrow().len()
     }
 
-    /// Writes what the socket takes without waiting.
+    /// Writes as much as the socket accepts without blocking.
     pub(super) fn flush(&self, stream: &TcpStream) -> io::Result<()> {
         let result = flush(&self.outbound, stream);
         let unwritten = self.unwritten_bytes();
@@ -78,34 +78,34 @@
         result
     }
 
-    /// Whether a frame was ever queued on it.
-    pub(super) fn was_sent_anything(&self) -> bool {
+    /// Whether a frame was ever queued.
+    pub(super) fn has_queued_any_frame(&self) -> bool {
         self.undelivered.borrow().queued_bytes() > 0
     }
 
-    /// Answers that have not reached the client.
+    /// Number of answers that have not reached the client.
     pub(super) fn undelivered_answers(&self, stream: &TcpStream) -> u64 {
         let unwritten = self.unwritten_bytes();
         let mut undelivered = self.undelivered.borrow_mut();
         undelivered.count_answers(stream, unwritten)
     }
 
-    /// Takes back the frames that the system took nothing of, so that the stream ends between two frames.
-    pub(super) fn drop_unbegun_frames(&self) {
+    /// Drops queued frames of which nothing is written yet, so that the stream ends at a frame boundary.
+    pub(super) fn drop_unstarted_frames(&self) {
         let mut undelivered = self.undelivered.borrow_mut();
         let mut outbound = self.outbound.borrow_mut();
-        let dropped = undelivered.unbegun_bytes(outbound.len());
-        let kept = outbound.len() - dropped;
-        outbound.truncate(kept);
+        let dropped = undelivered.unstarted_bytes(outbound.len());
+        let retained = outbound.len() - dropped;
+        outbound.truncate(retained);
         undelivered.on_dropped(dropped);
     }
 
-    /// Completes when there is something to be written, or when the connection is evicted.
+    /// Completes when a frame is queued, the connection is evicted, or reading is stopped.
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
 
-    /// Whether a well-formed call or probe ever came on it.
+    /// Whether a well-formed call or probe was ever received.
     pub(crate) fn has_sent_call(&self) -> bool {
         self.has_sent_call.get()
     }
@@ -114,12 +114,12 @@
         self.has_sent_call.set(true);
     }
 
-    /// Whether a request that came on it has no answer yet.
+    /// Whether a request of this connection has no answer yet.
     pub(super) fn has_open_requests(&self) -> bool {
         !self.open_requests.borrow().is_empty()
     }
 
-    /// How long ago it was accepted.
+    /// Time since it was accepted.
     pub(crate) fn age(&self) -> Duration {
         self.accepted_at.elapsed()
     }
@@ -128,23 +128,23 @@
         self.active_since_scan.set(true);
     }
 
-    /// Whether anything came since this was asked last.
+    /// Whether bytes were received since the last call of this function.
     pub(crate) fn take_activity(&self) -> bool {
         self.active_since_scan.take()
     }
 
-    /// Whether it can be evicted: no answer is owed on it, and it was not evicted yet.
+    /// Whether it can be evicted: no request is open, all answers are written, and no eviction is pending.
     pub(crate) fn is_idle(&self) -> bool {
         !self.has_open_requests() && self.is_flushed() && !self.evicted.get()
     }
 
-    /// Asks it to close as soon as nothing is owed on it.
+    /// Requests that the connection closes, provided that no answer is pending.
     pub(crate) fn evict(&self) {
         self.evicted.set(true);
         self.wake.notify_one();
     }
 
-    /// Ends reading: what is queued is written, and the connection closed.
+    /// Stops reading: queued frames are still written, then the connection is closed.
     pub(crate) fn stop_reading(&self) {
         self.reading_stopped.set(true);
         self.wake.notify_one();
@@ -158,7 +158,7 @@
         self.evicted.get()
     }
 
-    /// Withdraws an eviction; whether there was one.
+    /// Withdraws an eviction, and returns whether one was pending.
     pub(crate) fn clear_eviction(&self) -> bool {
         self.evicted.take()
     }
--- a/crates/forwarder/src/listener/delivery.rs
+++ b/crates/forwarder/src/listener/delivery.rs
@@ -1,29 +1,29 @@
-//! Which answers of a connection have not reached the client yet.
+//! Tracks which answers of a connection have not reached the client yet.
 //!
-//! An answer has arrived when the client's system acknowledged its last byte. Answers are known by where they end in the
-//! bytes of the stream; those that have arrived are forgotten from time to time, so that the list stays as long as what
-//! the system and the connection hold.
+//! An answer is delivered when the client's kernel has acknowledged its last byte. Answers are tracked by their end
+//! offset in the stream; delivered ones are removed from time to time, so that the list is bounded by what the kernel's
+//! and the connection's buffers hold.
 
 use rainstand_lingering_close::unacknowledged_bytes;
 use std::collections::VecDeque;
 use tokio::net::TcpStream;
 
-/// Frames that are remembered before it is asked which of them have arrived.
+/// Number of tracked frames from which on delivered ones are looked for and removed.
 const MIN_FRAMES_BEFORE_PRUNING: usize = 64;
 
-/// Where a frame lies in the bytes of the stream.
+/// Byte offsets of a frame in the stream.
 #[derive(Clone, Copy)]
 struct FramePosition {
     start: u64,
-    /// Just past its last byte.
+    /// Exclusive.
     end: u64,
     is_answer: bool,
 }
 
-/// Frames of one connection that may not have arrived.
+/// Frames of one connection that may not be delivered.
 pub(super) struct UndeliveredFrames {
     frames: VecDeque<FramePosition>,
-    /// Bytes that were queued on the connection since its opening.
+    /// Bytes queued on the connection since it was opened.
     queued_bytes: u64,
     prune_at: usize,
 }
@@ -39,12 +39,12 @@
 }
 
 impl UndeliveredFrames {
-    /// Bytes that were queued since the opening.
+    /// Bytes queued since the connection was opened.
     pub(super) fn queued_bytes(&self) -> u64 {
         self.queued_bytes
     }
 
-    /// A frame was queued.
+    /// Records a queued frame.
     pub(super) fn on_queued(&mut self, frame_bytes: usize, is_answer: bool) {
         let start = self.queued_bytes;
         self.queued_bytes += frame_bytes as u64;
@@ -55,42 +55,42 @@
         });
     }
 
-    /// Forgets what has arrived, if many frames are remembered; `unwritten`: bytes that the system did not take yet.
+    /// Removes delivered frames if many are tracked; `unwritten`: queued bytes that the kernel has not accepted yet.
     pub(super) fn prune(&mut self, stream: &TcpStream, unwritten: usize) {
         if self.frames.len() < self.prune_at {
             return;
         }
-        self.forget_arrived(stream, unwritten);
+        self.remove_delivered(stream, unwritten);
         self.prune_at = (2 * self.frames.len()).max(MIN_FRAMES_BEFORE_PRUNING);
         self.frames.shrink_to(self.prune_at);
     }
 
-    /// Answers that have not arrived.
+    /// Number of answers that are not delivered.
     pub(super) fn count_answers(&mut self, stream: &TcpStream, unwritten: usize) -> u64 {
-        self.forget_arrived(stream, unwritten);
+        self.remove_delivered(stream, unwritten);
         let answers = self.frames.iter().filter(|frame| frame.is_answer);
         answers.count() as u64
     }
 
-    /// Bytes at the end of the stream that belong to frames of which the system took nothing.
-    pub(super) fn unbegun_bytes(&self, unwritten: usize) -> usize {
+    /// Bytes at the end of the stream that belong to frames of which the kernel has accepted nothing.
+    pub(super) fn unstarted_bytes(&self, unwritten: usize) -> usize {
         let written = self.queued_bytes - unwritten as u64;
-        let unbegun = self.frames.iter().find(|frame| frame.start >= written);
-        unbegun.map_or(0, |frame| self.queued_bytes.saturating_sub(frame.start)) as usize
+        let unstarted = self.frames.iter().find(|frame| frame.start >= written);
+        unstarted.map_or(0, |frame| self.queued_bytes.saturating_sub(frame.start)) as usize
     }
 
-    /// The last bytes of the stream were taken back; their frames stay undelivered.
+    /// Records that the last bytes of the stream were dropped from the queue; their frames remain undelivered.
     pub(super) fn on_dropped(&mut self, dropped_bytes: usize) {
         self.queued_bytes -= dropped_bytes as u64;
     }
 
-    fn forget_arrived(&mut self, stream: &TcpStream, unwritten: usize) {
+    fn remove_delivered(&mut self, stream: &TcpStream, unwritten: usize) {
         let written = self.queued_bytes - unwritten as u64;
-        let arrived = written.saturating_sub(unacknowledged_bytes(stream).unwrap_or(0));
+        let delivered = written.saturating_sub(unacknowledged_bytes(stream).unwrap_or(0));
         while self
             .frames
             .front()
-            .is_some_and(|frame| frame.end <= arrived)
+            .is_some_and(|frame| frame.end <= delivered)
         {
             self.frames.pop_front();
         }
--- a/crates/forwarder/src/listener/frames.rs
+++ b/crates/forwarder/src/listener/frames.rs
@@ -1,4 +1,4 @@
-//! Calls of clients: complete frames are cut out of the bytes, and each is answered or handed on.
+//! Client calls: splits the received bytes into frames, and answers or forwards each call.
 
 use super::ClientConnection;
 use crate::observability::increment;
@@ -8,11 +8,11 @@
 use rainstand_protocol::thrift::{self, Message, ReasonCode};
 use std::rc::Rc;
 
-/// Takes all complete frames.
+/// Handles all complete frames.
 ///
 /// # Errors
-/// The code for which the connection ends.
-pub(super) fn take_frames(
+/// The reason code with which the connection is closed.
+pub(super) fn handle_frames(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     inbound: &mut Ring,
@@ -20,26 +20,26 @@
     while let Some(length) = thrift::frame(inbound.bytes())? {
         let frame_end = FRAME_HEADER_BYTES + length;
         let frame = &inbound.bytes()[FRAME_HEADER_BYTES..frame_end];
-        take_frame(context, client, frame)?;
+        handle_frame(context, client, frame)?;
         inbound.drop_front(frame_end);
     }
     Ok(())
 }
 
-fn take_frame(
+fn handle_frame(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     frame: &[u8],
 ) -> Result<(), ReasonCode> {
     let message = thrift::message(frame)?;
     match message.name {
-        b"process" if !message.oneway => take_request(context, client, &message)?,
-        b"giveUp" => take_cancellation(context, client, &message)?,
+        b"process" if !message.oneway => handle_request(context, client, &message)?,
+        b"giveUp" => handle_cancellation(context, client, &message)?,
         b"probe" => {
             thrift::probe_args(message.args)?;
             client.on_call();
-            let is_well = !context.drain.is_draining();
-            client.send_notice(&thrift::answer(b"probe", message.seq, &[], is_well));
+            let is_healthy = !context.drain.is_draining();
+            client.send_notice(&thrift::answer(b"probe", message.seq, &[], is_healthy));
         }
         _ => {
             let code = thrift::UNKNOWN_METHOD;
@@ -49,31 +49,31 @@
     Ok(())
 }
 
-fn take_request(
+fn handle_request(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
     message: &Message<'_>,
 ) -> Result<(), ReasonCode> {
-    // Arguments that cannot be read end the connection, as at a node.
+    // Malformed arguments end the connection, as they do at a node.
     thrift::process_args(message.args)?;
     if client.open_requests.borrow().contains_key(&message.seq) {
         return Err("seq_repeated");
     }
     client.on_call();
     let open = client.open_requests.borrow().len();
-    let taken = if open < MAX_PIPELINED_REQUESTS {
+    let result = if open < MAX_PIPELINED_REQUESTS {
         context.on_request(client, message.seq, message.args)
     } else {
         Err(RequestError::TooManyOpenRequests)
     };
-    if let Err(error) = taken {
+    if let Err(error) = result {
         let code = thrift::INTERNAL_ERROR;
         reply_exception(context, client, message, code, &error.to_string());
     }
     Ok(())
 }
 
-fn take_cancellation(
+fn handle_cancellation(
     context: &Rc<ForwarderContext>,
     client: &ClientConnection,
     message: &Message<'_>,
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Answers a call with an exception; a oneway message gets no answer.
+/// Answers a call with an exception; a oneway message is not answered.
 fn reply_exception(
     context: &ForwarderContext,
     client: &ClientConnection,
--- a/crates/forwarder/src/listener/session.rs
+++ b/crates/forwarder/src/listener/session.rs
@@ -1,11 +1,11 @@
-//! A client's connection from its first byte to its end.
+//! A client connection from its first byte to its close.
 //!
-//! Once nothing more is taken from it, what is owed still goes out: to a client that closed its sending side for as long as
-//! its requests take, after bytes that cannot be read within [`CLOSE_ANSWER_TIMEOUT`]. Then the connection is closed so
-//! that the answers reach the client ([`rainstand_lingering_close`]), within [`CLOSE_TIMEOUT`], or by the end of the
+//! After reading stops, pending answers are still sent: for as long as the requests take if the client closed its
+//! sending side, within [`CLOSE_ANSWER_TIMEOUT`] after a protocol error or a read timeout. Then the connection is closed
+//! such that the answers reach the client ([`rainstand_lingering_close`]), within [`CLOSE_TIMEOUT`] or by the end of the
 //! forwarder's drain.
 
-use super::frames::take_frames;
+use super::frames::handle_frames;
 use super::ClientConnection;
 use crate::drain::CloseDeadlines;
 use crate::observability::add;
@@ -20,17 +20,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout};
 
-/// Answers that the client does not read, bytes: past it nothing more is read from it.
+/// Limit on answers that the client has not read, in bytes; above it, nothing more is read from the client.
 const MAX_WRITE_BUFFER_BYTES: usize = 256 << 10;
-/// A frame that was begun is complete within this, and a new connection sends its first within it.
+/// Longest wait for bytes in the middle of a frame, and before the first call on a connection.
 const FRAME_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// After bytes that cannot be read, for requests in flight to be answered.
+/// Time limit for answers to requests in flight after a protocol error or a read timeout.
 const CLOSE_ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// From the start of a close, for all answers to reach the client. It may read them slowly.
+/// Time limit for all answers to reach the client, from the start of a close. The client may read slowly.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// After the end of our side, for a client that has all answers to end its own.
+/// Time that a client that has all answers gets to close its side, from the end of our side.
 const CLOSE_SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Between two looks at whether the forwarder's drain shortens the time for a close.
+/// Interval at which a close checks whether the forwarder's drain brings its deadline forward.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why nothing more is read from a connection.
@@ -40,17 +40,17 @@
     EndOfStream,
     /// The client closed its sending side within a frame.
     EndInFrame,
-    /// The connection broke.
+    /// The connection failed.
     Reset,
-    /// No byte came within [`FRAME_READ_TIMEOUT`] of its opening.
+    /// Nothing was received for [`FRAME_READ_TIMEOUT`] before the first call.
     Silent,
-    /// A frame was not complete within [`FRAME_READ_TIMEOUT`].
+    /// Nothing was received for [`FRAME_READ_TIMEOUT`] in the middle of a frame.
     FrameTimeout,
-    /// It was closed to make its descriptor free.
+    /// The connection was closed to free its file descriptor.
     Evicted,
-    /// The forwarder ends.
+    /// The forwarder shuts down.
     Drained,
-    /// What came is against the protocol.
+    /// The client violated the protocol.
     Protocol(ReasonCode),
 }
 
@@ -65,20 +65,20 @@
             CloseReason::FrameTimeout => "half_a_frame",
             CloseReason::Evicted => "room",
             CloseReason::Drained => "drain",
-            CloseReason::Protocol(flaw) => flaw,
+            CloseReason::Protocol(code) => code,
         }
     }
 }
 
-/// What an evicted connection does next.
+/// The next step of an evicted connection that stays open.
 enum EvictionStep {
-    /// A call was under way: it is served, and the eviction is withdrawn.
-    ReadOn,
-    /// An answer is still owed: the eviction is withdrawn.
+    /// Bytes had been received: they are handled, and the eviction is withdrawn.
+    ReadMore,
+    /// An answer is still pending: the eviction is withdrawn.
     Continue,
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it can be dropped.
 pub(super) async fn serve(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
@@ -87,7 +87,7 @@
     let reason = read_calls(context, client, stream).await;
     match reason {
         CloseReason::Reset | CloseReason::Evicted => return reason,
-        // The decisions end each request in its own time.
+        // No timeout here: the routing decides when each request ends.
         CloseReason::EndOfStream | CloseReason::EndInFrame => {
             write_until_answered(client, stream).await;
         }
@@ -97,13 +97,13 @@
         }
         CloseReason::Drained => {}
     }
-    if client.was_sent_anything() {
+    if client.has_queued_any_frame() {
         close(context, client, stream).await;
     }
     reason
 }
 
-/// Writes answers as they come until no request is open.
+/// Writes answers as they are queued until no request is open.
 async fn write_until_answered(client: &ClientConnection, stream: &TcpStream) {
     while client.flush(stream).is_ok() && client.has_open_requests() {
         let is_blocked = !client.is_flushed();
@@ -114,8 +114,8 @@
     }
 }
 
-/// Brings the queued answers to the client, and counts those that do not reach it in time. Unless the drain ends first, a
-/// client may take [`CLOSE_TIMEOUT`] for it.
+/// Delivers the queued answers to the client, and counts those that do not reach it within [`CLOSE_TIMEOUT`] or by the
+/// end of the drain, whichever is earlier.
 async fn close(context: &ForwarderContext, client: &ClientConnection, stream: &TcpStream) {
     let close_by = Instant::now() + CLOSE_TIMEOUT;
     let mut discard = Discard::default();
@@ -136,16 +136,16 @@
     }
 }
 
-/// When the close of a connection ends, and when the last frame may be begun.
+/// Deadlines for the close of a connection and for the start of its last frame.
 fn close_deadlines(context: &ForwarderContext, close_by: Instant) -> CloseDeadlines {
     context
         .drain
         .close_deadlines()
-        .filter(|of_drain| of_drain.close_by <= close_by)
+        .filter(|drain_deadlines| drain_deadlines.close_by <= close_by)
         .unwrap_or(CloseDeadlines::before(close_by))
 }
 
-/// Writes what is queued, and discards what comes meanwhile, so that it does not fill the client's way to us.
+/// Writes what is queued, and discards received bytes meanwhile, so that the client is not blocked in a write.
 async fn write_queued(
     context: &ForwarderContext,
     client: &ClientConnection,
@@ -160,12 +160,12 @@
         if client.is_flushed() || now >= deadlines.close_by {
             return Ok(());
         }
-        if now >= deadlines.begin_frames_by {
-            client.drop_unbegun_frames();
+        if now >= deadlines.start_frames_by {
+            client.drop_unstarted_frames();
         }
         tokio::select! {
             _ = stream.writable() => {}
-            read = discard.next(stream), if discard.reads_on() => {
+            read = discard.next(stream), if discard.can_read_more() => {
                 read?;
             }
             () = sleep_until((now + CLOSE_POLL_INTERVAL).into()) => {}
@@ -173,7 +173,7 @@
     }
 }
 
-/// Ends our side and waits for the client to have everything.
+/// Closes our sending side and waits until the client has received everything.
 async fn linger(
     context: &ForwarderContext,
     stream: &TcpStream,
@@ -185,7 +185,7 @@
     lingering_close(stream, discard, settle_at, deadline).await
 }
 
-/// Completes when the descriptor of a closing connection is wanted and its client has all answers.
+/// Completes when a closing connection is evicted and its client has received all answers.
 async fn evicted_when_delivered(
     context: &ForwarderContext,
     client: &ClientConnection,
@@ -202,12 +202,12 @@
     }
 }
 
-/// Whether the client acknowledged all that was written to it.
+/// Whether the client's kernel has acknowledged all written bytes.
 fn is_delivered(stream: &TcpStream) -> bool {
     unacknowledged_bytes(stream).unwrap_or(0) == 0
 }
 
-/// Takes calls and writes answers until there is a reason to read no more.
+/// Reads calls and writes answers until there is a reason to stop reading.
 async fn read_calls(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
@@ -221,7 +221,7 @@
     }
 }
 
-/// Writes what is queued, then waits for the next thing to do on the connection and does it.
+/// Writes what is queued, then waits for the next event on the connection and handles it.
 async fn serve_once(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
@@ -234,12 +234,12 @@
     }
     if client.is_evicted() && inbound.is_empty() {
         match on_evicted(context, client, stream, inbound)? {
-            EvictionStep::ReadOn => return Ok(()),
+            EvictionStep::ReadMore => return Ok(()),
             EvictionStep::Continue => {}
         }
     }
     let unwritten = client.unwritten_bytes();
-    let is_timed = !client.has_sent_call() || !inbound.is_empty();
+    let has_read_deadline = !client.has_sent_call() || !inbound.is_empty();
     tokio::select! {
         ready = timeout(FRAME_READ_TIMEOUT, stream.readable()), if unwritten < MAX_WRITE_BUFFER_BYTES => {
             match ready {
@@ -247,7 +247,7 @@
                     let length = on_readable(context, client, stream, ready, inbound)?;
                     end_turn(length).await;
                 }
-                Err(_) if is_timed && !client.has_open_requests() => {
+                Err(_) if has_read_deadline && !client.has_open_requests() => {
                     return Err(timeout_reason(inbound));
                 }
                 Err(_) => {}
@@ -267,7 +267,7 @@
     }
 }
 
-/// Reads what there is, and takes the complete frames of it; how many bytes it was.
+/// Reads the available bytes and handles the complete frames. Returns the number of bytes read.
 fn on_readable(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
@@ -283,12 +283,12 @@
         Err(_) => return Err(CloseReason::Reset),
     };
     client.on_bytes_read();
-    take_frames(context, client, inbound).map_err(CloseReason::Protocol)?;
+    handle_frames(context, client, inbound).map_err(CloseReason::Protocol)?;
     Ok(length)
 }
 
-/// Closes an evicted connection, unless something is owed on it or a call lies in the socket that nobody read yet: such
-/// a call must not be cut off by the close that it crossed.
+/// Closes an evicted connection, unless an answer is pending or the socket holds unread bytes: a call that the client
+/// sent before it could see the close must not be lost.
 fn on_evicted(
     context: &Rc<ForwarderContext>,
     client: &Rc<ClientConnection>,
@@ -299,8 +299,8 @@
         Ok(length) if length > 0 => {
             context.connection_limits.on_eviction_settled(client);
             client.on_bytes_read();
-            take_frames(context, client, inbound).map_err(CloseReason::Protocol)?;
-            Ok(EvictionStep::ReadOn)
+            handle_frames(context, client, inbound).map_err(CloseReason::Protocol)?;
+            Ok(EvictionStep::ReadMore)
         }
         Err(error) if error.kind() != io::ErrorKind::WouldBlock => Err(CloseReason::Reset),
         _ if !client.has_open_requests() && client.is_flushed() && is_delivered(stream) => {
--- a/crates/forwarder/src/request_table.rs
+++ b/crates/forwarder/src/request_table.rs
@@ -1,9 +1,8 @@
-//! Requests in flight, from their arrival to their one answer.
+//! Requests in flight, from arrival to their single answer.
 //!
-//! Invariants: a request is in the table exactly as long as it has no answer, and then also in its client's
-//! `open_requests`. Its [`RequestState`] is taken out to be handed to the decisions
-//! and comes back with the next step, so only one event decides about an attempt; what comes for an earlier attempt
-//! is late and changes nothing.
+//! Invariants: a request is in the table, and in its client's `open_requests`, exactly while it has no answer. Its
+//! [`RequestState`] is taken out for the routing decision and stored again with the next step, so only one event
+//! decides the outcome of an attempt; events for an earlier attempt are late and change nothing.
 
 mod lifecycle;
 mod timers;
@@ -20,68 +19,68 @@
 use timers::AttemptTimers;
 use tokio::sync::Notify;
 
-/// Requests in flight, some KB each; past it a request is rejected at once.
+/// Limit on requests in flight, a few KB each; further requests are rejected immediately.
 pub const MAX_IN_FLIGHT_REQUESTS: usize = 20_000;
 
-/// An attempt of a request, or a wait between two of them.
+/// An attempt of a request, or a wait between two attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
-    /// The request.
+    /// Id of the request.
     pub(crate) request: u64,
-    /// The attempt or wait; no other of this process has the same number.
+    /// Number of the attempt or wait, unique within this process.
     pub(crate) attempt: u64,
 }
 
-/// An attempt that is at a member.
+/// An attempt that was sent to a member.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) member: MemberRef,
-    /// The version whose indices `member` has.
+    /// The configuration version that the indices in `member` refer to.
     pub(crate) version: u64,
     pub(crate) address: Rc<str>,
-    /// When it was sent, by the context's clock.
+    /// Send time, on the context's clock.
     pub(crate) sent_at: Duration,
 }
 
-/// Where a request is.
+/// Whether a request is at a member.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestPhase {
-    /// At no member: before its first attempt, or during a backoff.
+    /// Not sent to a member: before the first attempt, or during a backoff.
     Waiting,
-    /// At a member, or back from it and not decided about.
+    /// Sent to a member, or its outcome is not processed yet.
     AtMember(InFlightAttempt),
 }
 
 /// A request without an answer yet.
 pub(crate) struct InFlightRequest {
     client: Rc<ClientConnection>,
-    /// The client's number of the call.
+    /// The client's sequence number of the call.
     sequence_number: i32,
-    /// The call's arguments as they were read, to be forwarded.
+    /// The call's encoded arguments, to be forwarded.
     pub(crate) call_arguments: Box<[u8]>,
-    /// Absent while an event is decided about.
+    /// `None` while an event of the request is processed.
     state: Option<RequestState>,
-    /// The current attempt or wait; what comes for another is late.
+    /// Number of the current attempt or wait; events for any other are late.
     current_attempt: u64,
     phase: RequestPhase,
 }
 
-/// Requests in flight by their id, and when each must be looked at.
+/// Requests in flight by id, and their timers.
 #[derive(Default)]
 pub struct RequestTable {
     by_id: RefCell<HashMap<u64, InFlightRequest>>,
-    /// The first request came in flight.
+    /// Notified when a request is added to the empty table.
     filled: Notify,
     timers: AttemptTimers,
 }
 
 impl RequestTable {
-    /// How many are in flight.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
 
-    /// Whether none is in flight.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.by_id.borrow().is_empty()
     }
@@ -112,7 +111,7 @@
         requests.insert(request_id, request);
     }
 
-    /// Completes when a request came in flight and there was none.
+    /// Completes when a request is added to the empty table.
     pub(crate) async fn filled(&self) {
         self.filled.notified().await;
     }
@@ -121,7 +120,7 @@
         self.by_id.borrow_mut().remove(&request_id)
     }
 
-    /// Begins an attempt or a wait, and gives the request's state back.
+    /// Begins an attempt or a wait, and stores the request's state again.
     fn begin(&self, id: AttemptId, state: RequestState, phase: RequestPhase) {
         if let Some(request) = self.by_id.borrow_mut().get_mut(&id.request) {
             request.state = Some(state);
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Takes the state of a request out if it is still at this attempt; whoever has it decides about the next step.
+    /// Takes the state out of a request that is still at this attempt; the holder of the state decides the next step.
     fn claim(&self, id: AttemptId) -> Option<RequestState> {
         let mut requests = self.by_id.borrow_mut();
         let request = requests
@@ -148,14 +147,14 @@
         })
     }
 
-    /// Where a request is, if it is still at this attempt.
+    /// The phase of a request that is still at this attempt.
     fn phase(&self, id: AttemptId) -> Option<RequestPhase> {
         let requests = self.by_id.borrow();
         let request = requests.get(&id.request)?;
         (request.current_attempt == id.attempt).then(|| request.phase.clone())
     }
 
-    /// Reads a request that is in flight.
+    /// Calls `read` with a request if it is in flight.
     pub(crate) fn with_request<T>(
         &self,
         request_id: u64,
@@ -164,7 +163,7 @@
         self.by_id.borrow().get(&request_id).map(read)
     }
 
-    /// Has [`run_timers`] look at a request after this time, if it is still at this attempt then.
+    /// Schedules a timer, which [`run_timers`] fires after this time; it has no effect if the attempt has ended by then.
     fn schedule(&self, after: Duration, id: AttemptId) {
         let requests = self.by_id.borrow();
         self.timers.schedule(after, id, &requests);
--- a/crates/forwarder/src/request_table/lifecycle.rs
+++ b/crates/forwarder/src/request_table/lifecycle.rs
@@ -1,13 +1,12 @@
-//! The steps of a request's life: what the decisions of [`Fleet`] order is carried out, and each event
-//! is handed to them.
+//! The steps of a request: events are passed to [`Fleet`], and the actions that it decides on are executed.
 //!
-//! | event | from | next |
+//! | event | source | next step |
 //! | --- | --- | --- |
-//! | [`on_request`](ForwarderContext::on_request) | a client's call was read | an attempt, or the rejection |
+//! | [`on_request`](ForwarderContext::on_request) | a client's call | an attempt, or the rejection |
 //! | [`on_attempt_outcome`](ForwarderContext::on_attempt_outcome) | a connection to a member | a retry, a backoff, or the answer |
 //! | [`on_served`](ForwarderContext::on_served) | a member's result | the answer |
-//! | `on_timer` | an attempt's timeout, or the end of a backoff | as for an outcome |
-//! | [`on_caller_gone`](ForwarderContext::on_caller_gone) | the client cancelled, or its connection ended | the member is notified |
+//! | `on_timer` | an attempt's timeout, or the end of a backoff | same as for an attempt outcome |
+//! | [`on_caller_gone`](ForwarderContext::on_caller_gone) | the client cancelled, or its connection ended | the attempt is cancelled |
 //!
 //! [`Fleet`]: rainstand_routing::fleet::Fleet
 
@@ -25,23 +24,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Retry-after of a request that comes while [`MAX_IN_FLIGHT_REQUESTS`] are in flight or while the forwarder drains.
-/// No decision is asked and no jitter added; the retry-after of decisions is [`rainstand_routing::retry_after`].
+/// Retry-after of requests that arrive while [`MAX_IN_FLIGHT_REQUESTS`] are in flight or while the forwarder drains.
+/// It is sent without a routing decision and without jitter; for the retry-after of routing decisions, see
+/// [`rainstand_routing::retry_after`].
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What became of an outcome.
+/// Whether an attempt outcome took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OutcomeReceipt {
-    /// It decided about the request's next step.
+    /// It determined the request's next step.
     Accepted,
-    /// The request has its answer, or is at another attempt: the outcome changed nothing.
+    /// The request is already answered or at another attempt; the outcome has no effect.
     Late,
 }
 
-/// The answer that a request still needs at its end.
+/// The answer that is still to be sent when a request completes.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// None: the member's own was forwarded, or nobody waits.
+    /// The member's answer was already forwarded, or the caller is gone.
     None,
     Rejected {
         retry_after: Duration,
@@ -71,21 +71,21 @@
             Reply::Rejected {
                 retry_after,
                 nowhere_else,
-            } => Some(rejection(sequence_number, retry_after, nowhere_else)),
+            } => Some(rejection_frame(sequence_number, retry_after, nowhere_else)),
             Reply::Failed => Some(thrift::lost(sequence_number)),
         }
     }
 }
 
-/// A rejection as it goes to the caller; `nowhere_else`: another forwarder is no use either.
-fn rejection(sequence_number: i32, retry_after: Duration, nowhere_else: bool) -> Vec<u8> {
-    let pause = retry_after.as_millis().to_string();
-    let mut texts = vec![("pause", pause.as_str())];
-    texts.extend(nowhere_else.then_some(("terminal", "1")));
-    thrift::backoff(sequence_number, &texts)
+/// The frame of a rejection; `nowhere_else`: retrying at another forwarder would not help either.
+fn rejection_frame(sequence_number: i32, retry_after: Duration, nowhere_else: bool) -> Vec<u8> {
+    let retry_after_ms = retry_after.as_millis().to_string();
+    let mut fields = vec![("pause", retry_after_ms.as_str())];
+    fields.extend(nowhere_else.then_some(("terminal", "1")));
+    thrift::backoff(sequence_number, &fields)
 }
 
-/// Decides about a call that was read.
+/// Asks the routing for the first step of a call.
 fn decide_arrival(
     fleet: &mut Fleet,
     now: Duration,
@@ -123,10 +123,10 @@
 }
 
 impl ForwarderContext {
-    /// Takes a request that was read: it is rejected at once, or its first attempt is sent.
+    /// Handles a new request: it is rejected immediately, or its first attempt is sent.
     ///
     /// # Errors
-    /// If the call is malformed; it gets no other answer then.
+    /// If the call is malformed; no answer has been sent then.
     pub(crate) fn on_request(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
@@ -137,7 +137,11 @@
             thrift::process_args(call_arguments).map_err(RequestError::Unreadable)?;
         if self.drain.is_draining() || self.requests.len() >= MAX_IN_FLIGHT_REQUESTS {
             increment(&self.counters.overload_rejections);
-            client.send_answer(&rejection(sequence_number, OVERLOAD_RETRY_AFTER, false));
+            client.send_answer(&rejection_frame(
+                sequence_number,
+                OVERLOAD_RETRY_AFTER,
+                false,
+            ));
             return Ok(());
         }
         let fields = fields.unwrap_or_default();
@@ -151,12 +155,12 @@
             .open_requests
             .borrow_mut()
             .insert(sequence_number, request_id);
-        self.carry_out(request_id, action);
+        self.execute(request_id, action);
         Ok(())
     }
 
-    /// Carries out the next step of a request.
-    fn carry_out(self: &Rc<Self>, request_id: u64, action: NextAction) {
+    /// Executes the next step of a request.
+    fn execute(self: &Rc<Self>, request_id: u64, action: NextAction) {
         match action {
             NextAction::Dispatch(state, attempt) => self.dispatch(request_id, state, attempt),
             NextAction::Backoff(state, wait) => self.back_off(request_id, state, wait),
@@ -204,7 +208,7 @@
         self.answer(request_id, Reply::from_outcome(completed.outcome));
     }
 
-    /// Ends a request with the answer that it still needs.
+    /// Removes a request and sends the answer that is still missing.
     fn answer(&self, request_id: u64, reply: Reply) {
         let Some(request) = self.requests.remove(request_id) else {
             return;
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Answers all that is in flight as failed, at the end of a drain.
+    /// Answers all requests in flight as failed, at the end of a drain.
     pub(crate) fn fail_all_in_flight(&self) {
         for request_id in self.requests.ids() {
             let id = self.requests.current_attempt(request_id);
@@ -232,7 +236,7 @@
         }
     }
 
-    /// An attempt took too long, or a backoff is over.
+    /// Handles the timeout of an attempt or the end of a backoff.
     pub(super) fn on_timer(self: &Rc<Self>, id: AttemptId) {
         match self.requests.phase(id) {
             None => {}
@@ -245,13 +249,13 @@
             Some(RequestPhase::Waiting) => {
                 if let Some(state) = self.requests.claim(id) {
                     let action = self.fleet.borrow_mut().on_retry_due(self.now(), state);
-                    self.carry_out(id.request, action);
+                    self.execute(id.request, action);
                 }
             }
         }
     }
 
-    /// An attempt ended without a result.
+    /// Handles the end of an attempt that has no result.
     pub(crate) fn on_attempt_outcome(
         self: &Rc<Self>,
         id: AttemptId,
@@ -261,11 +265,11 @@
             return OutcomeReceipt::Late;
         };
         let action = self.decide_outcome(id, state, outcome);
-        self.carry_out(id.request, action);
+        self.execute(id.request, action);
         OutcomeReceipt::Accepted
     }
 
-    /// A member served an attempt: its result goes on unchanged, under the caller's sequence number.
+    /// Handles the result of an attempt: it is forwarded unchanged, with the client's sequence number.
     pub(crate) fn on_served(self: &Rc<Self>, id: AttemptId, body: &[u8]) -> OutcomeReceipt {
         let Some(state) = self.requests.claim(id) else {
             return OutcomeReceipt::Late;
@@ -275,11 +279,11 @@
             request.client.send_answer(&frame);
         });
         let action = self.decide_outcome(id, state, AttemptOutcome::Served);
-        self.carry_out(id.request, action);
+        self.execute(id.request, action);
         OutcomeReceipt::Accepted
     }
 
-    /// Records an outcome in the metrics and asks the decisions for the next step.
+    /// Records an outcome in the metrics and asks the routing for the next step.
     fn decide_outcome(
         &self,
         id: AttemptId,
@@ -297,7 +301,7 @@
             .on_attempt_outcome(now, state, outcome)
     }
 
-    /// The caller cancelled a request, or its connection ended.
+    /// Handles a cancellation by the client, or the end of its connection.
     pub(crate) fn on_caller_gone(self: &Rc<Self>, request_id: u64) {
         let Some(id) = self.requests.current_attempt(request_id) else {
             return;
--- a/crates/forwarder/src/request_table/timers.rs
+++ b/crates/forwarder/src/request_table/timers.rs
@@ -1,7 +1,7 @@
-//! Timeouts of attempts and ends of backoffs, in one heap.
+//! Attempt timeouts and backoff timers, in one heap.
 //!
-//! A timer is not cancelled when its attempt ends: it stays until it is due and does nothing then, or until such
-//! timers outnumber the others.
+//! A timer is not cancelled when its attempt ends: it stays in the heap and has no effect when it fires. Stale timers
+//! are removed when the heap grows too large for the number of requests.
 
 use super::{AttemptId, InFlightRequest};
 use crate::ForwarderContext;
@@ -14,9 +14,9 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Timers that are kept whatever the number of requests.
+/// Number of timers that the heap may hold regardless of the number of requests.
 const MIN_TIMER_CAPACITY: usize = 1_024;
-/// Timers that are kept for each request in flight before those of ended attempts are removed.
+/// Further timers per request in flight before those of ended attempts are removed.
 const MAX_TIMERS_PER_REQUEST: usize = 4;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,11 +25,11 @@
     id: AttemptId,
 }
 
-/// When to look at which attempt, earliest first.
+/// Timers of attempts, earliest first.
 #[derive(Default)]
 pub(super) struct AttemptTimers {
     heap: RefCell<BinaryHeap<Reverse<Timer>>>,
-    /// A timer was scheduled that is due before all others.
+    /// Notified when a timer is scheduled that is due before all others.
     earlier_scheduled: Notify,
 }
 
@@ -67,7 +67,7 @@
         .is_some_and(|request| request.current_attempt == id.attempt)
 }
 
-/// Fires timers as they are due, for as long as the forwarder runs.
+/// Fires timers when they are due; runs as long as the forwarder.
 pub(crate) async fn run_timers(context: Rc<ForwarderContext>) {
     let timers = &context.requests.timers;
     loop {
--- a/crates/forwarder/src/upstream.rs
+++ b/crates/forwarder/src/upstream.rs
@@ -1,13 +1,13 @@
-//! Connections to members: opened as they are needed, one at a time while a member cannot be reached, closed when idle
-//! or old, and never with more attempts open than the protocol allows.
+//! Connections to members: opened on demand (one at a time while a member is unreachable), closed when idle or old. Each
+//! has no more open attempts than the protocol allows.
 //!
-//! When a connection breaks, attempts of which some bytes were never taken by the system are told apart from those that
-//! may have run: they cannot have reached anybody.
+//! When a connection breaks, an attempt that was not completely handed to the kernel cannot have run; all other open
+//! attempts may have.
 //!
-//! A member is taken for the same process as long as connections to it overlap. A connection that we close ourselves
-//! proves nothing against it; after one that ended otherwise it is as old as the oldest connection that is still open,
-//! and with none left nothing is known ([`rainstand_routing::warm_up`]). The last connection is therefore not closed for
-//! its age, only when idle.
+//! A member is assumed to be the same process as long as connections to it overlap. Closing a connection ourselves does
+//! not affect this; after any other end, the process counts as no older than the oldest connection still open, and with
+//! none left its age is unknown ([`rainstand_routing::warm_up`]). Therefore the last connection is closed only when
+//! idle, not for its age.
 
 mod connection;
 mod frames;
@@ -28,43 +28,44 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// Connections to one member.
+/// Limit on connections to one member.
 pub const MAX_UPSTREAM_CONNECTIONS: usize = 64;
-/// A connection gets no new attempts when it is this old, or up to [`CONNECTION_AGE_JITTER`] older: the members behind
-/// one shared address change.
+/// Age from which a connection gets no new attempts, extended by [`CONNECTION_AGE_JITTER`]: the members behind a shared
+/// address change.
 const MAX_CONNECTION_AGE: Duration = Duration::from_mins(5);
-/// A connection's age is extended at random by up to this part, so that not all are replaced at once.
+/// Largest random extension of a connection's age, as a fraction, so that connections are not all replaced at once.
 const CONNECTION_AGE_JITTER: f64 = 0.5;
-/// After a connect failed, attempts there fail at once for this long, so that a member that starts is not flooded.
+/// After a failed connect, attempts to the member fail immediately for this long, so that a starting member is not
+/// flooded.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(200);
-/// Distinguishes the random sequence of connection ages from the others of the same seed.
+/// Separates the random sequence of connection ages from others with the same seed.
 const CONNECTION_AGE_SEED: u64 = 0x6261_636b;
 
-/// One attempt of a request, to be sent.
+/// An attempt that is to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutgoingAttempt {
     pub(crate) id: AttemptId,
-    /// It carries the mark of a retry.
+    /// Whether it is marked as a retry.
     pub(crate) is_retry: bool,
-    /// Number of the attempt in its request, from 1.
+    /// Number of the attempt within its request, from 1.
     pub(crate) attempt_number: u32,
 }
 
-/// Connections to all members, by address.
+/// Connections to all members, by address of the member.
 pub struct UpstreamPool {
     upstreams: RefCell<HashMap<Rc<str>, Rc<Upstream>>>,
     random: RefCell<WyRand>,
 }
 
-/// A member, as its connections show it.
+/// A member's connections and what they show about its process.
 #[derive(Default)]
 struct Upstream {
     connections: RefCell<Vec<Rc<UpstreamConnection>>>,
-    /// When the last connect failed; none once one succeeded.
+    /// Time of the last failed connect; `None` after a successful one.
     connect_failed_at: Cell<Option<Instant>>,
-    /// It announced its shutdown on its last connection.
-    is_leaving: Cell<bool>,
-    /// Since when there was always a connection, by the context's clock; none while there is none.
+    /// It announced its shutdown, and all its connections were retired.
+    is_draining: Cell<bool>,
+    /// Since when it has had a connection without interruption, on the context's clock; `None` if it has none.
     connected_since: Cell<Option<Duration>>,
 }
 
@@ -76,7 +77,7 @@
             .any(|other| !Rc::ptr_eq(other, connection) && other.is_connected())
     }
 
-    /// A connection is established; the first one may be to a new process.
+    /// Handles an established connection; the first one may be to a new process.
     fn on_connected(
         &self,
         context: &ForwarderContext,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A connection ended and is out of the list.
+    /// Handles the end of a connection, which is already removed from `connections`.
     fn on_disconnected(&self, context: &ForwarderContext, address: &str, end: ConnectionEnd) {
         let oldest = self
             .connections
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Whether another connection may be opened now: while the member cannot be reached, one at a time.
+    /// Whether another connection may be opened now; only one at a time while the member is unreachable.
     fn may_connect(&self) -> bool {
         let connections = self.connections.borrow();
         if connections.len() >= MAX_UPSTREAM_CONNECTIONS {
@@ -138,7 +139,7 @@
                 .all(|connection| connection.is_connected())
     }
 
-    /// The fullest connection that has capacity, so that others become idle and close.
+    /// The connection with most open attempts that has capacity, so that others become idle and are closed.
     fn connection_with_capacity(&self) -> Option<Rc<UpstreamConnection>> {
         let connections = self.connections.borrow();
         connections
@@ -148,7 +149,7 @@
             .cloned()
     }
 
-    /// Tells the member that nobody waits for an attempt, on the connection that has it, which is returned.
+    /// Cancels an attempt at the member, and returns the connection on which it was open.
     fn cancel(&self, id: AttemptId) -> Option<Rc<UpstreamConnection>> {
         let connections = self.connections.borrow();
         connections
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Connections to all members, those that are being opened included.
+    /// Number of connections to all members, including those being opened.
     pub fn connection_count(&self) -> usize {
         self.upstreams
             .borrow()
@@ -175,19 +176,19 @@
             .sum()
     }
 
-    /// Bytes that wait to be written to members.
+    /// Bytes that are queued and not written, over all members.
     pub fn unwritten_bytes(&self) -> usize {
-        let of_upstream = |upstream: &Rc<Upstream>| -> usize {
+        let upstream_bytes = |upstream: &Rc<Upstream>| -> usize {
             let connections = upstream.connections.borrow();
             connections
                 .iter()
                 .map(|connection| connection.unwritten_bytes())
                 .sum()
         };
-        self.upstreams.borrow().values().map(of_upstream).sum()
+        self.upstreams.borrow().values().map(upstream_bytes).sum()
     }
 
-    /// Reports to the decisions since when each member is connected: those of a new version may not know it.
+    /// Reports to the routing since when each member is connected, as a new configuration version may add members.
     pub(crate) fn report_connected(&self, context: &ForwarderContext) {
         let (mut fleet, now) = (context.fleet.borrow_mut(), context.now());
         if !fleet.has_warm_up() {
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Removes members without a connection: those of earlier versions.
+    /// Removes members without a connection, such as those of earlier configuration versions.
     pub(crate) fn remove_unconnected(&self) {
         self.upstreams
             .borrow_mut()
@@ -219,15 +220,15 @@
             .clone()
     }
 
-    /// When a connection that is opened now gets no new attempts any more.
-    fn draw_retire_at(&self) -> Instant {
-        let draw = self.random.borrow_mut().generate::<u32>();
-        let fraction = f64::from(draw) / f64::from(u32::MAX);
+    /// The time from which a connection that is opened now gets no new attempts.
+    fn random_retire_at(&self) -> Instant {
+        let random_value = self.random.borrow_mut().generate::<u32>();
+        let fraction = f64::from(random_value) / f64::from(u32::MAX);
         Instant::now() + MAX_CONNECTION_AGE.mul_f64(1.0 + CONNECTION_AGE_JITTER * fraction)
     }
 }
 
-/// Sends an attempt to a member. What came of it is reported to the request, also if it could not be sent.
+/// Sends an attempt to a member. Its outcome is reported to the request table, also if it could not be sent.
 pub(crate) fn send_attempt(
     context: &Rc<ForwarderContext>,
     address: &Rc<str>,
@@ -247,7 +248,7 @@
         .requests
         .with_request(attempt.id.request, |request| {
             if attempt.is_retry {
-                frames::retry_call(
+                frames::retry_frame(
                     sequence_number,
                     &request.call_arguments,
                     attempt.attempt_number,
@@ -266,7 +267,7 @@
     upstream: &Rc<Upstream>,
     address: &Rc<str>,
 ) -> Rc<UpstreamConnection> {
-    let retire_at = context.upstreams.draw_retire_at();
+    let retire_at = context.upstreams.random_retire_at();
     let connection = Rc::new(UpstreamConnection::new(retire_at));
     upstream.connections.borrow_mut().push(connection.clone());
     spawn_local(run_connection(
@@ -278,7 +279,7 @@
     connection
 }
 
-/// Reports from a task of its own, as the caller is in the middle of a step of the same request.
+/// Reports from a separate task, because the calling function is executing a step of the same request.
 fn report_unreachable(context: &Rc<ForwarderContext>, id: AttemptId) {
     let context = context.clone();
     spawn_local(async move {
@@ -286,7 +287,7 @@
     });
 }
 
-/// Tells a member that nobody waits any more for an attempt that took too long.
+/// Cancels an attempt that timed out, and retires its connection if nothing was received on it since the attempt.
 pub(crate) fn cancel_timed_out(
     context: &ForwarderContext,
     address: &str,
@@ -297,13 +298,13 @@
     let Some(connection) = upstream.and_then(|upstream| upstream.cancel(id)) else {
         return;
     };
-    // A connection that was lost without a sign would otherwise time out every attempt for as long as it stays open.
+    // A connection that was lost without a reset would otherwise time out every attempt while it stays open.
     if connection.last_read_at() <= sent_at && connection.retire() {
         increment(&context.counters.silent_upstream_connections);
     }
 }
 
-/// Tells the member that has it, whichever that is, that nobody waits any more for an attempt.
+/// Cancels an attempt at the member where it is open.
 pub(crate) fn cancel_anywhere(context: &ForwarderContext, id: AttemptId) {
     let upstreams = context.upstreams.upstreams.borrow();
     upstreams
--- a/crates/forwarder/src/upstream/connection.rs
+++ b/crates/forwarder/src/upstream/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a member, from its opening to the report of what it leaves unanswered.
+//! One connection to a member, from connecting to the report of its unanswered attempts.
 //!
-//! Invariant: `bytes_sent` and the bytes in `outbound` together are `bytes_queued`; an attempt whose bytes end past
-//! `bytes_sent` was not sent completely, so it cannot have run.
+//! Invariant: `bytes_queued` is `bytes_sent` plus the bytes in `outbound`; an attempt whose bytes end past `bytes_sent`
+//! was not sent completely, so it cannot have run.
 
 use super::replies::on_frame;
 use super::Upstream;
@@ -22,11 +22,11 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Bytes that wait for a member to read them: past it the connection is broken, however open it looks.
+/// Limit on unwritten bytes; above it, the connection counts as broken although it is open.
 const MAX_WRITE_BUFFER_BYTES: usize = 512 << 10;
-/// A connection on which nothing happens for this long is closed: sooner than nodes close theirs.
+/// Time after which an idle connection is closed; shorter than the idle timeout of nodes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Opening takes no longer on a network that works.
+/// Connecting takes no longer than this on a working network.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How a connection ended.
@@ -38,36 +38,36 @@
     ClosedByUs,
     /// The member closed it while no attempt was open on it.
     ClosedByUpstream,
-    /// It broke, or the member closed it while attempts were open, or sent what is no frame.
+    /// It failed, or the member closed it while attempts were open or sent a malformed frame.
     Broken,
 }
 
-/// An attempt that was sent and not answered.
+/// An attempt that is queued or sent, and not answered.
 struct OpenAttempt {
     id: AttemptId,
-    /// Where its bytes end, in all that were queued on the connection.
+    /// End offset of its bytes among those queued on the connection, exclusive.
     end: u64,
 }
 
-/// A connection to a member. Its task writes what is queued, so that attempts that come together leave together.
+/// A connection to a member. Its task does the writing, so that attempts queued together are sent together.
 pub(super) struct UpstreamConnection {
-    /// Absent while it is being opened.
+    /// Unset while the connection is being opened.
     stream: OnceCell<TcpStream>,
     outbound: RefCell<Ring>,
-    /// Bytes that were put into `outbound` since the opening.
+    /// Bytes that were put into `outbound` since the connection was opened.
     bytes_queued: Cell<u64>,
-    /// Bytes of these that the system took.
+    /// Of these, the bytes that the kernel accepted.
     bytes_sent: Cell<u64>,
-    /// By their sequence number here.
+    /// By sequence number on this connection.
     open_attempts: RefCell<HashMap<i32, OpenAttempt>>,
     next_sequence_number: Cell<i32>,
-    /// From then on it gets no new attempts.
+    /// Time from which it gets no new attempts.
     retire_at: Instant,
     /// It gets no new attempts.
     is_retired: Cell<bool>,
-    /// When the member last sent anything on it, by the context's clock.
+    /// When bytes were last received on it, on the context's clock.
     last_read_at: Cell<Duration>,
-    /// By the context's clock.
+    /// On the context's clock.
     connected_at: Cell<Duration>,
     wake: Notify,
 }
@@ -123,7 +123,7 @@
         self.is_retired.get()
     }
 
-    /// Has it get no new attempts; whether it got some until now.
+    /// Stops new attempts on it; returns whether they were allowed until now.
     pub(super) fn retire(&self) -> bool {
         !self.is_retired.replace(true)
     }
@@ -141,8 +141,8 @@
             .insert(sequence_number, OpenAttempt { id, end });
     }
 
-    /// Queues a cancellation if the attempt is open here; whether it is. It takes no place from then on, and an answer
-    /// to it is late.
+    /// Queues a cancellation if the attempt is open on this connection, and returns whether it is. A cancelled attempt
+    /// no longer counts as open, and an answer to it is late.
     pub(super) fn cancel(&self, id: AttemptId) -> bool {
         let open = self.open_attempts.borrow();
         let found = open
@@ -157,13 +157,13 @@
         true
     }
 
-    /// Takes the attempt out that an answer is for.
+    /// Removes and returns the attempt that was answered.
     pub(super) fn take_answered(&self, sequence_number: i32) -> Option<AttemptId> {
         let answered = self.open_attempts.borrow_mut().remove(&sequence_number)?;
         Some(answered.id)
     }
 
-    /// Queues bytes to be written; where they end in all that were queued.
+    /// Queues bytes, and returns their end offset among those queued on the connection.
     fn queue(&self, frame: &[u8]) -> u64 {
         self.outbound.borrow_mut().put(frame);
         self.bytes_queued
@@ -172,7 +172,7 @@
         self.bytes_queued.get()
     }
 
-    /// Writes what the system takes without waiting.
+    /// Writes as much as the kernel accepts without blocking.
     fn flush(&self, stream: &TcpStream) -> io::Result<()> {
         let result = flush(&self.outbound, stream);
         let unwritten = self.unwritten_bytes() as u64;
@@ -180,7 +180,7 @@
         result
     }
 
-    /// The attempts without an answer, in the order in which they were sent.
+    /// Removes and returns the unanswered attempts, in the order in which they were queued.
     fn drain_open_attempts(&self) -> Vec<OpenAttempt> {
         let mut open_attempts = self.open_attempts.borrow_mut();
         let mut open: Vec<OpenAttempt> = open_attempts.drain().map(|(_, open)| open).collect();
@@ -189,7 +189,7 @@
     }
 }
 
-/// Opens a connection, serves it, and reports what it leaves unanswered.
+/// Opens a connection, serves it, and reports its unanswered attempts at the end.
 pub(super) async fn run_connection(
     context: Rc<ForwarderContext>,
     upstream: Rc<Upstream>,
@@ -213,7 +213,7 @@
     report_unanswered(&context, &connection);
 }
 
-/// Whether the connection is established.
+/// Opens the connection, and returns whether that succeeded.
 async fn connect(
     context: &ForwarderContext,
     upstream: &Upstream,
@@ -223,10 +223,10 @@
     let connecting = connection_limits::with_descriptor(context, || TcpStream::connect(address));
     match timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => {
-            on_stream(context, upstream, connection, stream, address);
+            on_stream_connected(context, upstream, connection, stream, address);
             true
         }
-        // The lack is on our side and says nothing about the member.
+        // A lack of file descriptors is local and says nothing about the member.
         Ok(Err(error)) if connection_limits::is_descriptor_exhaustion(&error) => false,
         Ok(Err(_)) | Err(_) => {
             upstream.connect_failed_at.set(Some(Instant::now()));
@@ -235,7 +235,7 @@
     }
 }
 
-fn on_stream(
+fn on_stream_connected(
     context: &ForwarderContext,
     upstream: &Upstream,
     connection: &Rc<UpstreamConnection>,
@@ -245,9 +245,9 @@
     let _ = stream.set_nodelay(true);
     increment(&context.counters.upstream_connections);
     let was_unreachable = upstream.connect_failed_at.take().is_some();
-    let was_leaving = upstream.is_leaving.take();
-    // What was away and can be reached again is a new process, whatever its address.
-    if was_unreachable || was_leaving {
+    let was_draining = upstream.is_draining.take();
+    // A member that was unreachable or draining and can be reached again is a new process, even at the same address.
+    if was_unreachable || was_draining {
         let now = context.now();
         context.fleet.borrow_mut().on_restarted(address, now);
         upstream.connected_since.set(None);
@@ -256,7 +256,7 @@
     upstream.on_connected(context, connection, address);
 }
 
-/// Reports the attempts that are still open: what was not sent completely cannot have run.
+/// Reports the attempts that are still open; one that was not sent completely cannot have run.
 fn report_unanswered(context: &Rc<ForwarderContext>, connection: &UpstreamConnection) {
     let bytes_sent = connection.bytes_sent.get();
     for attempt in connection.drain_open_attempts() {
@@ -272,7 +272,7 @@
     }
 }
 
-/// Writes what is queued and reads what comes until the connection ends.
+/// Writes queued frames and handles received ones until the connection ends.
 async fn serve(
     context: &Rc<ForwarderContext>,
     upstream: &Upstream,
@@ -290,8 +290,8 @@
         if connection.unwritten_bytes() > MAX_WRITE_BUFFER_BYTES {
             return ConnectionEnd::Broken;
         }
-        let was_unused = connection.open_attempts() == 0;
-        if was_unused && is_superseded(upstream, connection) {
+        let was_idle = connection.open_attempts() == 0;
+        if was_idle && should_close_when_idle(upstream, connection) {
             return ConnectionEnd::ClosedByUs;
         }
         let has_unwritten = connection.unwritten_bytes() > 0;
@@ -299,7 +299,7 @@
             ready = timeout(IDLE_TIMEOUT, stream.readable()) => {
                 let read = match ready {
                     Ok(ready) => ready.and_then(|()| context.read_buffer.read(stream, &mut inbound)),
-                    Err(_) if was_unused && connection.open_attempts() == 0 => {
+                    Err(_) if was_idle && connection.open_attempts() == 0 => {
                         return ConnectionEnd::ClosedByUs;
                     }
                     Err(_) => continue,
@@ -312,7 +312,7 @@
                     Err(_) => return ConnectionEnd::Broken,
                 };
                 connection.last_read_at.set(context.now());
-                if take_frames(context, upstream, connection, address, &mut inbound).is_err() {
+                if handle_frames(context, upstream, connection, address, &mut inbound).is_err() {
                     increment(&context.counters.unreadable_replies);
                     return ConnectionEnd::Broken;
                 }
@@ -324,14 +324,14 @@
     }
 }
 
-/// Whether an unused connection is closed: it is retired, or old and not the last one.
-fn is_superseded(upstream: &Upstream, connection: &Rc<UpstreamConnection>) -> bool {
+/// Whether a connection without open attempts is to be closed: it is retired, or old and not the last one.
+fn should_close_when_idle(upstream: &Upstream, connection: &Rc<UpstreamConnection>) -> bool {
     let is_old = Instant::now() >= connection.retire_at;
     connection.is_retired() || (is_old && upstream.has_other_connections(connection))
 }
 
-/// Takes all complete frames.
-fn take_frames(
+/// Handles all complete frames.
+fn handle_frames(
     context: &Rc<ForwarderContext>,
     upstream: &Upstream,
     connection: &UpstreamConnection,
--- a/crates/forwarder/src/upstream/frames.rs
+++ b/crates/forwarder/src/upstream/frames.rs
@@ -1,17 +1,17 @@
-//! Calls of retries: the caller's, with the mark of a retry and a trace of their own.
+//! Frames of retries: the client's call, marked as a retry, with a trace of its own.
 
 use rainstand_protocol::thrift::{self, ProcessArgs};
 
-/// Digits of a trace as the protocol has it, in hexadecimal.
+/// Length of a trace in the protocol, in hexadecimal digits.
 const TRACE_DIGITS: usize = 16;
-/// The part of a trace that differs between the attempts of a request: its last four digits.
+/// Mask of the bits of a trace that differ between the attempts of a request: its last four digits.
 const ATTEMPT_MASK: u32 = 0xffff;
 /// Odd, so that no two of 65,536 attempts get the same digits.
 const ATTEMPT_MULTIPLIER: u32 = 0x9fb9;
 
-/// The trace of an attempt, from the request's `trace` and the attempt's number from 1. The protocol wants another for
-/// each, and who reads logs wants to find the first: only the last four of the sixteen digits change. A trace of another
-/// form is kept.
+/// The trace of an attempt, derived from the request's `trace` and the attempt number, which starts at 1. The protocol
+/// requires a distinct trace per attempt; only the last four of the sixteen digits change, so that the attempts can be
+/// matched in logs. A trace of another form is returned unchanged.
 ///
 /// ```
 /// use rainstand_forwarder::upstream::retry_trace;
@@ -31,13 +31,13 @@
 }
 
 /// The frame of a retry, from the arguments of the client's call.
-pub(super) fn retry_call(
+pub(super) fn retry_frame(
     sequence_number: i32,
     call_arguments: &[u8],
     attempt_number: u32,
 ) -> Vec<u8> {
     let text = |bytes| std::str::from_utf8(bytes).ok();
-    // They were read on arrival, and every field was text.
+    // They were decoded successfully on arrival, with text in every field.
     let ProcessArgs { fields, body } = thrift::process_args(call_arguments).unwrap_or_default();
     let mut fields: Vec<(&str, &str)> = fields
         .unwrap_or_default()
--- a/crates/forwarder/src/upstream/replies.rs
+++ b/crates/forwarder/src/upstream/replies.rs
@@ -1,4 +1,4 @@
-//! What a member sends: answers to attempts, and the notice of its shutdown.
+//! Frames from members: answers to attempts, and shutdown notices.
 
 use super::connection::UpstreamConnection;
 use super::Upstream;
@@ -27,13 +27,13 @@
         return;
     };
     let Some(id) = connection.take_answered(answer.seq) else {
-        // A second answer, or one to nothing that was sent.
+        // A duplicate answer, or one to a cancelled or unknown attempt.
         increment(&context.counters.late_answers);
         return;
     };
     let receipt = match answer.what {
         What::Answer { body, .. } => context.on_served(id, body),
-        What::Backoff(texts) => context.on_attempt_outcome(id, rejected(&texts)),
+        What::Backoff(fields) => context.on_attempt_outcome(id, rejection_outcome(&fields)),
         What::Lost | What::Exception { .. } => {
             context.on_attempt_outcome(id, AttemptOutcome::Failed)
         }
@@ -43,7 +43,8 @@
     }
 }
 
-/// One connection may be closed for many reasons; a member that wants none of them any more shuts down.
+/// Retires the connection. A single connection may be closed for many reasons; the member counts as draining only if
+/// all its connections are retired.
 fn on_shutdown_notice(
     context: &ForwarderContext,
     upstream: &Upstream,
@@ -53,16 +54,16 @@
     connection.retire();
     let connections = upstream.connections.borrow();
     if connections.iter().all(|other| other.is_retired()) {
-        upstream.is_leaving.set(true);
+        upstream.is_draining.set(true);
         let now = context.now();
         context.fleet.borrow_mut().on_leaving(address, now);
     }
 }
 
-/// The outcome that a member's rejection tells; without a readable retry-after it is zero.
-fn rejected(texts: &Texts<'_>) -> AttemptOutcome {
+/// The outcome of a rejection by a member; a missing or malformed retry-after counts as zero.
+fn rejection_outcome(fields: &Texts<'_>) -> AttemptOutcome {
     let text = |key: &[u8]| {
-        texts
+        fields
             .iter()
             .find(|(name, _)| *name == key)
             .map(|(_, value)| *value)
--- a/crates/lingering-close/src/lib.rs
+++ b/crates/lingering-close/src/lib.rs
@@ -1,11 +1,11 @@
-//! The end of a TCP connection that cuts off nothing which its peer has not read yet.
+//! Closes a TCP connection without losing data that the peer has not read yet (lingering close).
 //!
-//! That the system took the bytes of a write does not mean that they arrived. If a socket is closed while bytes lie unread
-//! in it, or bytes come for it later, the system sends a reset and discards what it has not sent. So the sending side is
-//! ended first, what comes is read and discarded, and the socket is closed once the peer has closed or has acknowledged
-//! everything (lingering close).
+//! A successful write does not mean that the bytes were delivered. If a socket is closed with unread received bytes, or
+//! bytes arrive after the close, the kernel sends a reset and discards what it has not sent. Therefore the sending side
+//! is shut down first, received bytes are read and discarded, and the socket is closed once the peer has acknowledged
+//! everything and has closed its side or had time to do so.
 //!
-//! Nothing here has a bound of its own on time: the caller names the deadline.
+//! There are no built-in time limits: the caller passes the deadline.
 
 use rustix::ioctl::{ioctl, Getter, Opcode};
 use socket2::SockRef;
@@ -16,50 +16,50 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep_until;
 
-/// Bytes discarded from one connection at most; past it nothing more is read. All requests that the protocol allows to be
-/// on their way at once, eight times over.
+/// Limit on bytes discarded from one connection; above it, nothing more is read. Eight times the size of all requests
+/// that the protocol allows to be in transit at once.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// Read from a socket at once, bytes.
+/// Size of a read, in bytes.
 const READ_CHUNK_BYTES: usize = 4 << 10;
-/// Between two looks at what is not acknowledged: the system signals no event for it.
+/// Interval at which unacknowledged bytes are checked; the kernel signals no event for acknowledgements.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// `SIOCOUTQ` of Linux: the bytes of a socket's send queue.
+/// Linux `SIOCOUTQ`: number of bytes in a socket's send queue.
 const SIOCOUTQ: Opcode = 0x5411;
 
 /// How a lingering close ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LingerEnd {
-    /// The peer has everything.
+    /// The peer acknowledged everything.
     Delivered,
-    /// The connection broke, or the peer had reset it.
+    /// The connection failed, or the peer reset it.
     Broken,
     /// The deadline passed before the peer had acknowledged everything.
     TimedOut,
 }
 
-/// Bytes of the stream that the system holds since the peer has not acknowledged them, the end of the stream counted as
-/// one; `None` where the system does not say.
+/// Number of sent bytes that the peer has not acknowledged, with the end of the stream counted as one; `None` if the
+/// kernel does not report it.
 pub fn unacknowledged_bytes(stream: &TcpStream) -> Option<u64> {
-    // SAFETY: `SIOCOUTQ` writes one `int` to the address that it is given, and `Getter` gives it that of a `c_int`.
+    // SAFETY: `SIOCOUTQ` writes one `int` to the given address, and `Getter` passes the address of a `c_int`.
     let queued = unsafe { ioctl(stream, Getter::<SIOCOUTQ, c_int>::new()) };
     queued.ok().and_then(|bytes| u64::try_from(bytes).ok())
 }
 
-/// Whether the peer acknowledged everything, as far as the system says.
+/// Whether the peer acknowledged everything; true if the kernel does not report it.
 fn is_acknowledged(stream: &TcpStream) -> bool {
     unacknowledged_bytes(stream).unwrap_or(0) == 0
 }
 
-/// What there was to discard.
+/// Result of a discarding read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discarded {
-    /// Bytes, or none for now.
+    /// Any number of bytes, possibly none; the peer's side is open, or was not read to its end.
     Bytes,
-    /// The peer ended its side.
+    /// The peer closed its side.
     EndOfStream,
 }
 
-/// Reads and discards what comes on a connection, up to a bound.
+/// Reads and discards what is received on a connection, up to a limit.
 #[derive(Debug)]
 pub struct Discard {
     remaining_bytes: usize,
@@ -76,12 +76,12 @@
 }
 
 impl Discard {
-    /// Whether more is read: the peer did not end its side, and the bound is not reached.
-    pub fn reads_on(&self) -> bool {
+    /// Whether more is read: the peer has not closed its side, and the limit is not reached.
+    pub fn can_read_more(&self) -> bool {
         !self.has_ended && self.remaining_bytes > 0
     }
 
-    /// Waits until there is something to read, and discards it.
+    /// Waits until the stream is readable, then reads and discards.
     ///
     /// # Errors
     /// Those of the socket.
@@ -90,13 +90,13 @@
         self.read(stream)
     }
 
-    /// Discards what there is, without waiting.
+    /// Reads and discards the available bytes, without waiting.
     ///
     /// # Errors
     /// Those of the socket.
     pub fn read(&mut self, stream: &TcpStream) -> io::Result<Discarded> {
         let mut chunk = [0; READ_CHUNK_BYTES];
-        while self.reads_on() {
+        while self.can_read_more() {
             match stream.try_read(&mut chunk) {
                 Ok(0) => self.has_ended = true,
                 Ok(length) => self.remaining_bytes = self.remaining_bytes.saturating_sub(length),
@@ -112,11 +112,11 @@
     }
 }
 
-/// Ends the sending side and discards what comes until the peer has closed its side or acknowledged everything. The caller
-/// then drops the stream.
+/// Shuts down the sending side and discards received bytes until the peer has acknowledged everything and closed its
+/// side. The caller then drops the stream.
 ///
-/// A peer that acknowledged everything and keeps its own side open is waited for until `settle_at`. The close is over at
-/// `deadline`, whatever is still on its way; it is asked at each look, every 10 ms, since it may be brought forward.
+/// A peer that acknowledged everything but keeps its side open is waited for until `settle_at`. The close ends at
+/// `deadline` in any case; `deadline` is called at each check, at least every 10 ms, because it may be brought forward.
 pub async fn lingering_close(
     stream: &TcpStream,
     mut discard: Discard,
@@ -127,7 +127,7 @@
         return LingerEnd::Broken;
     }
     loop {
-        // Bytes that lie unread at the end would cause the reset.
+        // Unread bytes at the close would cause a reset.
         let Ok(discarded) = discard.read(stream) else {
             return LingerEnd::Broken;
         };
@@ -140,7 +140,7 @@
             return LingerEnd::TimedOut;
         }
         tokio::select! {
-            read = discard.next(stream), if discard.reads_on() => {
+            read = discard.next(stream), if discard.can_read_more() => {
                 if read.is_err() {
                     return LingerEnd::Broken;
                 }
@@ -150,7 +150,7 @@
     }
 }
 
-/// Waits until the peer acknowledged everything that was written, for a connection that somebody else reads.
+/// Waits until the peer has acknowledged everything written, without reading; for a connection that another task reads.
 pub async fn wait_until_acknowledged(stream: &TcpStream, deadline: Instant) -> LingerEnd {
     loop {
         if is_acknowledged(stream) {
