--- a/crates/forwarder/tests/drain.rs
+++ b/crates/forwarder/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A drain before clients that read slowly: the answers that the forwarder counts are those that its clients read.
+//! Drains with clients that read slowly: the answers that the forwarder counts are those that its clients receive.
 
 #![allow(
     missing_docs,
@@ -22,67 +22,64 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Only what hangs is caught by this.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a test that hangs.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 const ANSWER_BYTES: usize = 8_000;
 const REQUEST_BYTES: usize = 1_500;
 const CLIENTS: usize = 8;
-/// Of a client that reads slowly.
+/// Receive buffer of a client that reads slowly.
 const SMALL_RECEIVE_BUFFER_BYTES: u32 = 4 << 10;
 const SLOW_READ_PAUSE: Duration = Duration::from_millis(30);
-/// Answers that the slow clients read before the drain begins.
+/// Number of answers that the slow clients read before the drain starts.
 const ANSWERS_BEFORE_DRAIN: u64 = 60;
 
 const DRAINS: usize = 4;
-/// More than slow clients take for all that is open, also where their system opens a closed window only when it is probed.
-const ENOUGH_TIME: Duration = Duration::from_secs(20);
-/// Less than that.
-const SHORT_TIME: Duration = Duration::from_millis(500);
+/// Enough for slow clients to read all open answers, even if their kernel opens a closed window only when probed.
+const LONG_DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
+/// Too short for slow clients to read all open answers.
+const SHORT_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the forwarder counted until its end.
+/// The forwarder's counts at its end.
 #[derive(Clone, Copy, Debug)]
-struct Counted {
-    /// Answers that were given.
+struct ForwarderCounts {
+    /// Answers that it sent.
     answers: u64,
-    /// Of these, those that had not reached their clients when the time was over.
+    /// Of these, the answers that were not delivered in time.
     cut_off: u64,
-    /// From the notice to the end.
-    drain: Duration,
+    /// Time from the shutdown request to the end.
+    drain_duration: Duration,
 }
 
-/// What clients read.
+/// What all clients of a test received.
 #[derive(Default)]
-struct Seen {
+struct ClientObservations {
     answers: Cell<u64>,
     slow_answers: Cell<u64>,
     streams_cut_in_frame: Cell<u64>,
-    /// Nobody reads slowly any more.
+    /// Clients no longer read slowly.
     drain_ended: Cell<bool>,
 }
 
-/// Requests that a client has without an answer that it read.
+/// Limits on requests of one client whose answers it has not read.
 #[derive(Clone, Copy)]
 struct OpenRequests {
-    prompt: usize,
+    fast: usize,
     slow: usize,
 }
 
-/// As the protocol allows it.
-const FEW_OPEN_REQUESTS: OpenRequests = OpenRequests {
-    prompt: 31,
-    slow: 31,
-};
-/// So many that the system cannot hold their answers, at most 4 MB a connection by default.
+/// Within the protocol's limit.
+const FEW_OPEN_REQUESTS: OpenRequests = OpenRequests { fast: 31, slow: 31 };
+/// Enough for the answers to exceed the kernel's buffers, by default at most 4 MB per connection.
 const MANY_OPEN_REQUESTS: usize = 1_000;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OnNotice {
-    GoOn,
+    KeepSending,
     StopSending,
 }
 
-/// A member that answers each call at once.
-async fn member() -> SocketAddr {
+/// A member that answers each call immediately.
+async fn start_member() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -93,8 +90,8 @@
     address
 }
 
-/// A member that never answers, and a notice that a connection to it was opened, for a request.
-async fn silent_member() -> (SocketAddr, Rc<Notify>) {
+/// A member that never answers; the [`Notify`] reports a connection to it, which the forwarder opens for a request.
+async fn start_silent_member() -> (SocketAddr, Rc<Notify>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let connected = Rc::new(Notify::new());
@@ -122,7 +119,7 @@
     }
 }
 
-/// The end of a stream, between two frames or in one.
+/// Whether a stream ended at a frame boundary.
 #[derive(Debug, PartialEq, Eq)]
 enum StreamEnd {
     BetweenFrames,
@@ -146,12 +143,12 @@
 
 struct Forwarder {
     address: SocketAddr,
-    leave: oneshot::Sender<()>,
-    ended: oneshot::Receiver<Counted>,
+    shutdown: oneshot::Sender<()>,
+    counts: oneshot::Receiver<ForwarderCounts>,
 }
 
-/// A forwarder on a thread of its own, whose sockets are closed at its end as a process's are.
-async fn forwarder(member: SocketAddr, stop: Duration) -> Forwarder {
+/// Starts a forwarder on its own thread; all its sockets are closed at its end, like those of a process.
+async fn start_forwarder(member: SocketAddr, drain_timeout: Duration) -> Forwarder {
     let text = format!(
         "rain 1\ntype check {{ repeat: rerunnable; goal: 10 s; outer-limit: 20 s }}\n\
          pool p {{ member n {{ address: \"{member}\" }} }}\nroute r {{ to: p }}"
@@ -159,40 +156,40 @@
     let outcome = load(&Memory::new([("a.rain", text.as_str())]), "a.rain");
     let configuration = outcome.configuration.expect("a configuration");
     let (address_sender, address) = oneshot::channel();
-    let (leave, left) = oneshot::channel();
-    let (ended_sender, ended) = oneshot::channel();
+    let (shutdown, shutdown_requested) = oneshot::channel();
+    let (counts_sender, counts) = oneshot::channel();
     std::thread::spawn(move || {
         let runtime = runtime();
-        let counted = LocalSet::new().block_on(&runtime, async move {
+        let counts = LocalSet::new().block_on(&runtime, async move {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             address_sender.send(listener.local_addr().unwrap()).unwrap();
             let context = ForwarderContext::new(configuration, "", 3).unwrap();
-            let noticed = Rc::new(Cell::new(Instant::now()));
-            let notice = noticed.clone();
-            run(context.clone(), listener, stop, async move {
-                left.await.unwrap();
-                notice.set(Instant::now());
+            let shutdown_at = Rc::new(Cell::new(Instant::now()));
+            let set_shutdown_at = shutdown_at.clone();
+            run(context.clone(), listener, drain_timeout, async move {
+                shutdown_requested.await.unwrap();
+                set_shutdown_at.set(Instant::now());
             })
             .await;
             let fleet = context.fleet.borrow().counts();
             let counters = &context.counters;
-            Counted {
+            ForwarderCounts {
                 answers: fleet.served
                     + fleet.rejected
                     + fleet.failed
                     + counters.overload_rejections.get()
                     + counters.exceptions.get(),
                 cut_off: counters.cut_off_answers.get(),
-                drain: noticed.get().elapsed(),
+                drain_duration: shutdown_at.get().elapsed(),
             }
         });
         drop(runtime);
-        let _ = ended_sender.send(counted);
+        let _ = counts_sender.send(counts);
     });
     Forwarder {
         address: address.await.unwrap(),
-        leave,
-        ended,
+        shutdown,
+        counts,
     }
 }
 
@@ -217,32 +214,32 @@
     stream
 }
 
-/// Starts a client that sends until its connection ends, or until it reads the notice.
-async fn client(
+/// Starts a client that sends until its connection ends or, with [`OnNotice::StopSending`], until it reads the notice.
+async fn start_client(
     address: SocketAddr,
     is_slow: bool,
     open_requests: usize,
     on_notice: OnNotice,
-    seen: &Rc<Seen>,
+    observed: &Rc<ClientObservations>,
 ) -> JoinHandle<()> {
     let (read, write) = connect(address, is_slow).await.into_split();
-    let places = Rc::new(Semaphore::new(open_requests));
-    let sender = spawn_local(send_calls(write, places.clone()));
-    let seen = seen.clone();
+    let permits = Rc::new(Semaphore::new(open_requests));
+    let sender = spawn_local(send_calls(write, permits.clone()));
+    let observed = observed.clone();
     spawn_local(async move {
-        read_answers(read, is_slow, on_notice, &places, &seen).await;
-        places.close();
-        // Until here the writing side was open.
+        read_answers(read, is_slow, on_notice, &permits, &observed).await;
+        permits.close();
+        // Keeps the sending side open until here.
         drop(sender.await);
     })
 }
 
-/// Sends while there are places; the writing side stays open.
-async fn send_calls(mut write: OwnedWriteHalf, places: Rc<Semaphore>) -> OwnedWriteHalf {
+/// Sends while there are permits. Returns the sending side, which stays open.
+async fn send_calls(mut write: OwnedWriteHalf, permits: Rc<Semaphore>) -> OwnedWriteHalf {
     let body = vec![b'r'; REQUEST_BYTES];
     let mut sequence_number = 0;
-    while let Ok(place) = places.acquire().await {
-        place.forget();
+    while let Ok(permit) = permits.acquire().await {
+        permit.forget();
         sequence_number += 1;
         let call = thrift::process(sequence_number, &[("route", "check")], &body);
         if write.write_all(&call).await.is_err() {
@@ -256,137 +253,151 @@
     mut read: OwnedReadHalf,
     is_slow: bool,
     on_notice: OnNotice,
-    places: &Semaphore,
-    seen: &Seen,
+    permits: &Semaphore,
+    observed: &ClientObservations,
 ) {
     loop {
         let frame = match read_frame(&mut read).await {
             Ok(frame) => frame,
             Err(StreamEnd::BetweenFrames) => return,
             Err(StreamEnd::InFrame) => {
-                seen.streams_cut_in_frame
-                    .set(seen.streams_cut_in_frame.get() + 1);
+                observed
+                    .streams_cut_in_frame
+                    .set(observed.streams_cut_in_frame.get() + 1);
                 return;
             }
         };
         if thrift::kind(&frame) == Some(thrift::ONEWAY) {
             if on_notice == OnNotice::StopSending {
-                places.close();
+                permits.close();
             }
             continue;
         }
-        seen.answers.set(seen.answers.get() + 1);
+        observed.answers.set(observed.answers.get() + 1);
         if is_slow {
-            seen.slow_answers.set(seen.slow_answers.get() + 1);
-            if !seen.drain_ended.get() {
+            observed.slow_answers.set(observed.slow_answers.get() + 1);
+            if !observed.drain_ended.get() {
                 sleep(SLOW_READ_PAUSE).await;
             }
         }
-        places.add_permits(1);
+        permits.add_permits(1);
     }
 }
 
-/// Every second client reads slowly; what was counted and what was read.
-fn drain_before_slow_readers(
-    stop: Duration,
+/// Runs a drain in which every second client reads slowly. Returns the counts of the forwarder and of the clients.
+fn drain_with_slow_readers(
+    drain_timeout: Duration,
     open_requests: OpenRequests,
     on_notice: OnNotice,
-) -> (Counted, Rc<Seen>) {
+) -> (ForwarderCounts, Rc<ClientObservations>) {
     let runtime = runtime();
-    let seen = Rc::new(Seen::default());
-    let counted = LocalSet::new().block_on(&runtime, async {
-        let played = async {
-            let forwarder = forwarder(member().await, stop).await;
+    let observed = Rc::new(ClientObservations::default());
+    let counts = LocalSet::new().block_on(&runtime, async {
+        let scenario = async {
+            let forwarder = start_forwarder(start_member().await, drain_timeout).await;
             let mut clients = Vec::new();
             for number in 0..CLIENTS {
                 let is_slow = number % 2 == 1;
                 let open = if is_slow {
                     open_requests.slow
                 } else {
-                    open_requests.prompt
+                    open_requests.fast
                 };
-                clients.push(client(forwarder.address, is_slow, open, on_notice, &seen).await);
+                clients.push(
+                    start_client(forwarder.address, is_slow, open, on_notice, &observed).await,
+                );
             }
-            while seen.slow_answers.get() < ANSWERS_BEFORE_DRAIN {
+            while observed.slow_answers.get() < ANSWERS_BEFORE_DRAIN {
                 sleep(Duration::from_millis(1)).await;
             }
-            forwarder.leave.send(()).unwrap();
-            let counted = forwarder.ended.await.unwrap();
-            seen.drain_ended.set(true);
+            forwarder.shutdown.send(()).unwrap();
+            let counts = forwarder.counts.await.unwrap();
+            observed.drain_ended.set(true);
             for client in clients {
                 client.await.unwrap();
             }
-            counted
+            counts
         };
-        timeout(HANGS, played).await
+        timeout(HANG_TIMEOUT, scenario).await
     });
-    (counted.expect("a drain that ends"), seen)
+    (counts.expect("the drain hangs"), observed)
 }
 
-/// Several drains, as it depends on the system's buffers how much is on its way at the end of one.
-fn assert_drains_bring_all_answers(on_notice: OnNotice) {
+/// Repeats the drain, because the amount of data in transit at its end depends on the kernel's buffers.
+fn assert_drains_deliver_all_answers(on_notice: OnNotice) {
     for _ in 0..DRAINS {
-        let (counted, seen) = drain_before_slow_readers(ENOUGH_TIME, FEW_OPEN_REQUESTS, on_notice);
-        assert_eq!(counted.cut_off, 0);
-        assert_eq!(seen.answers.get(), counted.answers, "{counted:?}");
-        assert_eq!(seen.streams_cut_in_frame.get(), 0);
+        let (counts, observed) =
+            drain_with_slow_readers(LONG_DRAIN_TIMEOUT, FEW_OPEN_REQUESTS, on_notice);
+        assert_eq!(counts.cut_off, 0);
+        assert_eq!(observed.answers.get(), counts.answers, "{counts:?}");
+        assert_eq!(observed.streams_cut_in_frame.get(), 0);
     }
 }
 
-// Guards against answers that are counted and then thrown away by a close with requests unread.
+// Guards against a close with unread requests, whose reset discards answers that are already counted.
 #[test]
-fn a_drain_brings_all_counted_answers_to_clients_that_read_slowly_and_go_on_sending() {
-    assert_drains_bring_all_answers(OnNotice::GoOn);
+fn drain_delivers_all_counted_answers_to_slow_clients_that_keep_sending() {
+    assert_drains_deliver_all_answers(OnNotice::KeepSending);
 }
 
-// Guards against the same where clients heed the notice.
+// Guards against the same fault with clients that stop sending on the shutdown notice.
 #[test]
-fn a_drain_brings_all_counted_answers_to_clients_that_read_slowly_and_stop_sending() {
-    assert_drains_bring_all_answers(OnNotice::StopSending);
+fn drain_delivers_all_counted_answers_to_slow_clients_that_stop_sending() {
+    assert_drains_deliver_all_answers(OnNotice::StopSending);
 }
 
-// Guards against answers that the end of the drain cuts off and no counter holds, and against a drain past its kill.
+// Guards against answers that are cut off at the end of the drain without being counted, and against a drain that
+// exceeds its timeout.
 #[test]
-fn answers_that_do_not_arrive_by_the_end_of_a_short_drain_are_counted() {
+fn answers_that_are_not_delivered_by_the_end_of_a_short_drain_are_counted() {
     let open = OpenRequests {
         slow: MANY_OPEN_REQUESTS,
         ..FEW_OPEN_REQUESTS
     };
-    let (counted, seen) = drain_before_slow_readers(SHORT_TIME, open, OnNotice::GoOn);
-    let missing = counted.answers - seen.answers.get();
-    assert!(counted.cut_off > 0, "the time was enough: {counted:?}");
-    assert!(missing <= counted.cut_off, "{missing} missing: {counted:?}");
-    assert!(counted.drain < SHORT_TIME, "{counted:?}");
+    let (counts, observed) =
+        drain_with_slow_readers(SHORT_DRAIN_TIMEOUT, open, OnNotice::KeepSending);
+    let missing = counts.answers - observed.answers.get();
+    assert!(counts.cut_off > 0, "all answers were delivered: {counts:?}");
+    assert!(missing <= counts.cut_off, "{missing} missing: {counts:?}");
+    assert!(counts.drain_duration < SHORT_DRAIN_TIMEOUT, "{counts:?}");
 }
 
-// Guards against requests that the end of a drain fails and no counter holds.
+// Guards against requests that fail at the end of a drain without being counted.
 #[test]
 fn requests_that_fail_at_the_end_of_a_drain_are_counted() {
-    let seen = Rc::new(Seen::default());
-    let played = async {
-        let (member, connected) = silent_member().await;
-        let forwarder = forwarder(member, SHORT_TIME).await;
-        let open = FEW_OPEN_REQUESTS.prompt;
-        let client = client(forwarder.address, false, open, OnNotice::GoOn, &seen).await;
+    let observed = Rc::new(ClientObservations::default());
+    let scenario = async {
+        let (member, connected) = start_silent_member().await;
+        let forwarder = start_forwarder(member, SHORT_DRAIN_TIMEOUT).await;
+        let open = FEW_OPEN_REQUESTS.fast;
+        let client = start_client(
+            forwarder.address,
+            false,
+            open,
+            OnNotice::KeepSending,
+            &observed,
+        )
+        .await;
         connected.notified().await;
-        forwarder.leave.send(()).unwrap();
-        let counted = forwarder.ended.await.unwrap();
+        forwarder.shutdown.send(()).unwrap();
+        let counts = forwarder.counts.await.unwrap();
         client.await.unwrap();
-        counted
+        counts
     };
-    let counted = LocalSet::new().block_on(&runtime(), async { timeout(HANGS, played).await });
-    let counted = counted.expect("a drain that ends");
-    assert!(seen.answers.get() > 0);
-    assert_eq!(seen.answers.get(), counted.answers, "{counted:?}");
+    let counts =
+        LocalSet::new().block_on(&runtime(), async { timeout(HANG_TIMEOUT, scenario).await });
+    let counts = counts.expect("the drain hangs");
+    assert!(observed.answers.get() > 0);
+    assert_eq!(observed.answers.get(), counts.answers, "{counts:?}");
 }
 
-// Guards against a flood that holds up the drain's timers past the kill.
+// Guards against a flood of requests that delays the drain's timers past its timeout.
 #[test]
-fn a_drain_ends_in_time_while_clients_flood() {
+fn drain_ends_in_time_while_clients_flood() {
     let open = OpenRequests {
-        prompt: MANY_OPEN_REQUESTS,
+        fast: MANY_OPEN_REQUESTS,
         ..FEW_OPEN_REQUESTS
     };
-    let (counted, _) = drain_before_slow_readers(SHORT_TIME, open, OnNotice::GoOn);
-    assert!(counted.drain < SHORT_TIME, "{counted:?}");
+    let (counts, _) = drain_with_slow_readers(SHORT_DRAIN_TIMEOUT, open, OnNotice::KeepSending);
+    assert!(counts.drain_duration < SHORT_DRAIN_TIMEOUT, "{counts:?}");
 }
--- a/crates/forwarder/tests/loopback.rs
+++ b/crates/forwarder/tests/loopback.rs
@@ -1,5 +1,6 @@
-//! A forwarder between callers and scripted nodes: one answer each, no exclusive ticket run twice, the drain
-//! kept, second and late answers dropped. Whatever a test looks at, the rules are checked over all of it.
+//! A forwarder between callers and scripted test servers: each request gets one answer, exclusive requests run at most
+//! once, drains complete, duplicate and late answers are dropped. Tests with an `InvariantRecorder` check the invariants
+//! over all their requests.
 
 #![allow(
     missing_docs,
@@ -25,19 +26,19 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// Only what hangs is caught by this; nothing is timed.
-const HANGS: Duration = Duration::from_secs(60);
+/// Ends a test that hangs; no test measures time with it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn configuration(nodes: &[&TestServer], goal: &str) -> Configuration {
     let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.addr).collect();
-    configured(&addresses, goal)
+    configuration_for(&addresses, goal)
 }
 
-fn configured(nodes: &[SocketAddr], goal: &str) -> Configuration {
+fn configuration_for(nodes: &[SocketAddr], goal: &str) -> Configuration {
     let members: String = nodes
         .iter()
         .enumerate()
-        .map(|(k, addr)| format!("member n{k} {{ address: \"{addr}\" }}\n"))
+        .map(|(index, addr)| format!("member n{index} {{ address: \"{addr}\" }}\n"))
         .collect();
     let text = format!(
         "rain 1
@@ -57,64 +58,65 @@
         .unwrap_or_else(|| panic!("{:?}", outcome.findings))
 }
 
-struct World {
+struct RunningForwarder {
     context: Rc<ForwarderContext>,
     addr: SocketAddr,
-    leave: Rc<Notify>,
-    done: JoinHandle<()>,
+    shutdown: Rc<Notify>,
+    task: JoinHandle<()>,
 }
 
-async fn forwarder(configuration: &Configuration) -> World {
+async fn start_forwarder(configuration: &Configuration) -> RunningForwarder {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (addr, context) = (
         listener.local_addr().unwrap(),
         ForwarderContext::new(configuration.clone(), "", 3).unwrap(),
     );
-    let leave = Rc::new(Notify::new());
-    let left = leave.clone();
-    let done = spawn_local(run(
+    let shutdown = Rc::new(Notify::new());
+    let shutdown_requested = shutdown.clone();
+    let task = spawn_local(run(
         context.clone(),
         listener,
         Duration::from_secs(5),
-        async move { left.notified().await },
+        async move { shutdown_requested.notified().await },
     ));
-    World {
+    RunningForwarder {
         context,
         addr,
-        leave,
-        done,
+        shutdown,
+        task,
     }
 }
 
-fn play<T: Future<Output = ()>>(test: T) {
+fn run_test<T: Future<Output = ()>>(test: T) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let done =
-        LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, test).await });
-    done.expect("a test that ends");
+    let finished = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(HANG_TIMEOUT, test).await
+    });
+    finished.expect("the test hangs");
 }
 
-/// Nodes by their scripts, all told to the watch.
-fn nodes(watch: &InvariantRecorder, scripts: &[&str]) -> Vec<TestServer> {
-    let made = |(k, text): (usize, &&str)| {
+/// Starts a test server for each script; all report to the recorder.
+fn start_nodes(recorder: &InvariantRecorder, scripts: &[&str]) -> Vec<TestServer> {
+    let start = |(index, text): (usize, &&str)| {
         let script = Script::read(text).unwrap();
         TestServerOptions {
             script,
             recorder: Some(ServerRecorder {
-                recorder: watch.clone(),
-                server: k as u32,
+                recorder: recorder.clone(),
+                server: index as u32,
             }),
-            seed: k as u64,
+            seed: index as u64,
             ..TestServerOptions::default()
         }
         .start()
     };
-    scripts.iter().enumerate().map(made).collect()
+    scripts.iter().enumerate().map(start).collect()
 }
 
-fn asks<'a>(route: &'a str, body: &'a str) -> Call<'a> {
+fn call_to<'a>(route: &'a str, body: &'a str) -> Call<'a> {
     let kind = if route == "register" {
         Kind::Exclusive
     } else {
@@ -128,260 +130,271 @@
     }
 }
 
-fn honoured(body: &str) -> Reply {
+fn served(body: &str) -> Reply {
     Reply::Served(body.as_bytes().to_vec())
 }
 
-fn dismissed(ms: u64, nowhere_else: bool) -> Reply {
+fn rejected(retry_after_ms: u64, nowhere_else: bool) -> Reply {
     Reply::Rejected {
-        retry_after: Duration::from_millis(ms),
+        retry_after: Duration::from_millis(retry_after_ms),
         nowhere_else,
     }
 }
 
-/// Bytes that wait to be written to members, once the system takes none of them, look after look.
-async fn settled_unwritten_bytes(world: &World) -> usize {
-    let mut unwritten = world.context.upstreams.unwritten_bytes();
-    let mut same_looks = 0;
-    while same_looks < 20 {
+/// Bytes queued for members, once the number does not change any more.
+async fn settled_unwritten_bytes(forwarder: &RunningForwarder) -> usize {
+    let mut unwritten = forwarder.context.upstreams.unwritten_bytes();
+    let mut unchanged_polls = 0;
+    while unchanged_polls < 20 {
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let now = world.context.upstreams.unwritten_bytes();
-        same_looks = if now == unwritten { same_looks + 1 } else { 0 };
-        unwritten = now;
+        let current = forwarder.context.upstreams.unwritten_bytes();
+        unchanged_polls = if current == unwritten {
+            unchanged_polls + 1
+        } else {
+            0
+        };
+        unwritten = current;
     }
     unwritten
 }
 
-async fn until(what: impl Fn() -> bool) {
-    while !what() {
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[test]
-fn tickets_are_spread_and_answered_once_with_their_own_results() {
-    play(async {
-        let watch = InvariantRecorder::default();
-        let nodes = nodes(&watch, &["honour", "twice", "honour"]);
-        let w = forwarder(&configuration(&nodes.iter().collect::<Vec<_>>(), "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
+fn requests_are_distributed_and_each_is_answered_once_with_its_own_result() {
+    run_test(async {
+        let recorder = InvariantRecorder::default();
+        let nodes = start_nodes(&recorder, &["honour", "twice", "honour"]);
+        let forwarder =
+            start_forwarder(&configuration(&nodes.iter().collect::<Vec<_>>(), "10 s")).await;
+        let mut caller = Caller::new(forwarder.addr)
+            .await
+            .unwrap()
+            .recorded_by(&recorder, 1);
         for n in 0..300 {
             let body = format!("body {n}");
-            let ask = asks(if n % 3 == 0 { "register" } else { "check" }, &body);
-            let seq = caller.send(&ask).await.unwrap();
-            assert_eq!(caller.next_reply().await.unwrap(), (seq, honoured(&body)));
+            let request = call_to(if n % 3 == 0 { "register" } else { "check" }, &body);
+            let seq = caller.send(&request).await.unwrap();
+            assert_eq!(caller.next_reply().await.unwrap(), (seq, served(&body)));
         }
         for node in &nodes {
-            let notes = node.observations();
+            let observations = node.observations();
             assert!(
-                (60..150).contains(&notes.runs.len()),
+                (60..150).contains(&observations.runs.len()),
                 "{}",
-                notes.runs.len()
+                observations.runs.len()
             );
-            assert!(notes.runs.values().all(|runs| *runs == 1));
+            assert!(observations.runs.values().all(|runs| *runs == 1));
         }
-        // What was said twice is dropped and counted.
+        // Duplicate answers are dropped and counted.
         assert_eq!(
-            w.context.counters.late_answers.get() as usize,
+            forwarder.context.counters.late_answers.get() as usize,
             nodes[1].observations().runs.len()
         );
-        let seq = caller.send(&asks("nothing", "x")).await.unwrap();
+        // A request class that does not exist.
+        let seq = caller.send(&call_to("nothing", "x")).await.unwrap();
         assert!(matches!(caller.next_reply().await.unwrap(), (n, Reply::Exception(_)) if n == seq));
-        assert_eq!(watch.finish().unwrap().honoured, 300);
+        assert_eq!(recorder.finish().unwrap().honoured, 300);
     });
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_its_type_allows_it() {
-    play(async {
+fn attempt_that_may_have_run_is_retried_only_if_the_request_type_allows_it() {
+    run_test(async {
         for (route, script) in [
             ("check", "reset"),
             ("register", "reset"),
             ("register", "fail"),
         ] {
-            let watch = InvariantRecorder::default();
-            let nodes = nodes(&watch, &[script, "honour"]);
-            let (bad, good) = (&nodes[0], &nodes[1]);
-            let w = forwarder(&configuration(&[bad, good], "10 s")).await;
-            let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
-            let mut given_up = 0;
+            let recorder = InvariantRecorder::default();
+            let nodes = start_nodes(&recorder, &[script, "honour"]);
+            let (faulty, healthy) = (&nodes[0], &nodes[1]);
+            let forwarder = start_forwarder(&configuration(&[faulty, healthy], "10 s")).await;
+            let mut caller = Caller::new(forwarder.addr)
+                .await
+                .unwrap()
+                .recorded_by(&recorder, 1);
+            let mut failed = 0;
             for n in 0..40 {
                 let body = format!("{n}");
-                let seq = caller.send(&asks(route, &body)).await.unwrap();
-                let (told, words) = caller.next_reply().await.unwrap();
-                assert_eq!(told, seq);
-                given_up += u32::from(words == Reply::Failed);
-                // Never dismissed: it may have run.
+                let seq = caller.send(&call_to(route, &body)).await.unwrap();
+                let (answered, reply) = caller.next_reply().await.unwrap();
+                assert_eq!(answered, seq);
+                failed += u32::from(reply == Reply::Failed);
+                // Never rejected, because it may have run.
                 assert!(
-                    words == honoured(&body) || (words == Reply::Failed && route == "register"),
-                    "{n} {route}: {words:?}"
+                    reply == served(&body) || (reply == Reply::Failed && route == "register"),
+                    "request {n}, {route}: {reply:?}"
                 );
                 assert!(
                     route == "check"
-                        || bad.runs_of(body.as_bytes()) + good.runs_of(body.as_bytes()) == 1,
-                    "{n} ran twice"
+                        || faulty.runs_of(body.as_bytes()) + healthy.runs_of(body.as_bytes()) == 1,
+                    "request {n} did not run exactly once"
                 );
             }
-            let tried = bad.total_runs();
-            // Left out after five failures in a row.
-            assert!((1..=5).contains(&tried), "{tried}");
+            let attempts = faulty.total_runs();
+            // The member is ejected after five consecutive failures.
+            assert!((1..=5).contains(&attempts), "{attempts}");
             if route == "check" {
-                // Further tries say so.
+                // Retries are marked as such.
                 assert_eq!(
-                    (given_up, good.observations().retries),
-                    (0, u64::from(tried))
+                    (failed, healthy.observations().retries),
+                    (0, u64::from(attempts))
                 );
             } else {
-                assert_eq!((given_up, good.observations().retries), (tried, 0));
+                assert_eq!((failed, healthy.observations().retries), (attempts, 0));
             }
-            watch.finish().unwrap();
+            recorder.finish().unwrap();
         }
     });
 }
 
 #[test]
-fn nobody_there_is_said_at_once_with_a_time_to_come_back() {
-    play(async {
-        let gone = TcpListener::bind("127.0.0.1:0")
+fn request_without_an_available_member_is_rejected_with_a_retry_after() {
+    run_test(async {
+        let unreachable = TcpListener::bind("127.0.0.1:0")
             .await
             .unwrap()
             .local_addr()
             .unwrap();
-        let full = test_server("dismiss pause 300ms nowhere-else");
-        // Spread over half as much again, or passed on as the member said it.
-        for (addr, most, nowhere) in [(gone, 750, false), (full.addr, 300, true)] {
-            let w = forwarder(&configured(&[addr], "10 s")).await;
-            let mut caller = Caller::new(w.addr).await.unwrap();
-            let seq = caller.send(&asks("register", "one")).await.unwrap();
-            let (told, what) = caller.next_reply().await.unwrap();
+        let rejecting = test_server("dismiss pause 300ms nowhere-else");
+        // The forwarder's own retry-after has jitter of up to 50 %; that of a member is passed on.
+        for (addr, max_ms, is_terminal) in [(unreachable, 750, false), (rejecting.addr, 300, true)]
+        {
+            let forwarder = start_forwarder(&configuration_for(&[addr], "10 s")).await;
+            let mut caller = Caller::new(forwarder.addr).await.unwrap();
+            let seq = caller.send(&call_to("register", "one")).await.unwrap();
+            let (answered, reply) = caller.next_reply().await.unwrap();
             let Reply::Rejected {
                 retry_after: pause,
                 nowhere_else,
-            } = what
+            } = reply
             else {
-                panic!("{what:?}")
+                panic!("{reply:?}")
             };
-            assert_eq!((told, nowhere_else), (seq, nowhere));
+            assert_eq!((answered, nowhere_else), (seq, is_terminal));
             assert!(
-                (most * 2 / 3..=most).contains(&(pause.as_millis() as u64)),
+                (max_ms * 2 / 3..=max_ms).contains(&(pause.as_millis() as u64)),
                 "{pause:?}"
             );
         }
-        assert_eq!(full.total_runs(), 0);
+        assert_eq!(rejecting.total_runs(), 0);
     });
 }
 
 #[test]
-fn a_silent_member_costs_no_more_than_the_goal_time() {
-    play(async {
+fn attempt_at_a_silent_member_times_out_and_is_cancelled() {
+    run_test(async {
         let silent = test_server("silent");
-        let w = forwarder(&configuration(&[&silent], "300 ms")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
-        let seq = caller.send(&asks("register", "one")).await.unwrap();
+        let forwarder = start_forwarder(&configuration(&[&silent], "300 ms")).await;
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
+        let seq = caller.send(&call_to("register", "one")).await.unwrap();
         assert_eq!(caller.next_reply().await.unwrap(), (seq, Reply::Failed));
-        // It is told that nobody waits any more.
-        until(|| silent.observations().cancellations > 0).await;
+        // The attempt is cancelled at the member.
+        wait_until(|| silent.observations().cancellations > 0).await;
         assert_eq!(silent.total_runs(), 1);
     });
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_places() {
-    play(async {
-        let holds = test_server("hold");
-        let w = forwarder(&configuration(&[&holds], "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
-        let seq = caller.send(&asks("check", "one")).await.unwrap();
-        until(|| holds.total_runs() > 0).await;
+fn cancelled_request_frees_its_capacity() {
+    run_test(async {
+        let holding = test_server("hold");
+        let forwarder = start_forwarder(&configuration(&[&holding], "10 s")).await;
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
+        let seq = caller.send(&call_to("check", "one")).await.unwrap();
+        wait_until(|| holding.total_runs() > 0).await;
         caller.cancel(seq).await.unwrap();
-        until(|| holds.observations().cancellations > 0).await;
-        assert!(w.context.requests.is_empty());
-        assert!(w
+        wait_until(|| holding.observations().cancellations > 0).await;
+        assert!(forwarder.context.requests.is_empty());
+        assert!(forwarder
             .context
             .fleet
             .borrow()
             .members(0, Duration::ZERO)
             .all(|member| member.open == 0));
-        // Its late answer goes nowhere.
-        holds.release();
-        until(|| w.context.counters.late_answers.get() > 0).await;
+        // The late answer is dropped.
+        holding.release();
+        wait_until(|| forwarder.context.counters.late_answers.get() > 0).await;
     });
 }
 
 #[test]
-fn a_drain_answers_what_was_read_and_takes_nothing_new() {
-    play(async {
-        let watch = InvariantRecorder::default();
-        let nodes = nodes(&watch, &["hold"]);
-        let w = forwarder(&configuration(&[&nodes[0]], "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap().recorded_by(&watch, 1);
-        let first = caller.send(&asks("register", "one")).await.unwrap();
-        until(|| nodes[0].total_runs() > 0).await;
-        w.leave.notify_one();
-        until(|| w.context.drain.is_draining()).await;
-        let second = caller.send(&asks("register", "two")).await.unwrap();
+fn drain_serves_requests_in_flight_and_rejects_new_ones() {
+    run_test(async {
+        let recorder = InvariantRecorder::default();
+        let nodes = start_nodes(&recorder, &["hold"]);
+        let forwarder = start_forwarder(&configuration(&[&nodes[0]], "10 s")).await;
+        let mut caller = Caller::new(forwarder.addr)
+            .await
+            .unwrap()
+            .recorded_by(&recorder, 1);
+        let first = caller.send(&call_to("register", "one")).await.unwrap();
+        wait_until(|| nodes[0].total_runs() > 0).await;
+        forwarder.shutdown.notify_one();
+        wait_until(|| forwarder.context.drain.is_draining()).await;
+        let second = caller.send(&call_to("register", "two")).await.unwrap();
         assert_eq!(
             caller.next_reply().await.unwrap(),
-            (second, dismissed(200, false))
+            (second, rejected(200, false))
         );
         assert!(caller.got_shutdown_notice);
         nodes[0].release();
-        assert_eq!(caller.next_reply().await.unwrap(), (first, honoured("one")));
-        w.done.await.unwrap();
+        assert_eq!(caller.next_reply().await.unwrap(), (first, served("one")));
+        forwarder.task.await.unwrap();
         assert_eq!(nodes[0].total_runs(), 1);
-        let now = watch.now();
-        watch.checker().check_drained(now, 0).unwrap();
-        watch.finish().unwrap();
+        let now = recorder.now();
+        recorder.checker().check_drained(now, 0).unwrap();
+        recorder.finish().unwrap();
     });
 }
 
 #[test]
-fn a_new_version_moves_new_tickets_and_leaves_running_ones() {
-    play(async {
+fn new_configuration_applies_to_new_requests_and_not_to_those_in_flight() {
+    run_test(async {
         let (old, new) = (test_server("hold"), test_server("honour"));
-        let w = forwarder(&configuration(&[&old], "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
-        let first = caller.send(&asks("register", "one")).await.unwrap();
-        until(|| old.total_runs() > 0).await;
+        let forwarder = start_forwarder(&configuration(&[&old], "10 s")).await;
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
+        let first = caller.send(&call_to("register", "one")).await.unwrap();
+        wait_until(|| old.total_runs() > 0).await;
         assert_eq!(
-            w.context
+            forwarder
+                .context
                 .install_configuration(configuration(&[&new], "10 s")),
             Ok(2)
         );
-        let second = caller.send(&asks("register", "two")).await.unwrap();
-        assert_eq!(
-            caller.next_reply().await.unwrap(),
-            (second, honoured("two"))
-        );
+        let second = caller.send(&call_to("register", "two")).await.unwrap();
+        assert_eq!(caller.next_reply().await.unwrap(), (second, served("two")));
         old.release();
-        assert_eq!(caller.next_reply().await.unwrap(), (first, honoured("one")));
-        // What came back from the old member is not the new one's, though it has its place and name.
-        let metrics = w.context.metrics.to_openmetrics(&w.context);
+        assert_eq!(caller.next_reply().await.unwrap(), (first, served("one")));
+        // The old member's result is not counted for the new one, which has the same index and name.
+        let metrics = forwarder.context.metrics.to_openmetrics(&forwarder.context);
         assert!(
             metrics.contains(r#"tries_total{pool="p",member="n0",came="honoured"} 1"#),
             "{metrics}"
         );
-        let mut bad = configuration(&[&new], "10 s");
-        bad.routes[0].to[0].pool = "gone".into();
-        assert!(w
+        let mut invalid = configuration(&[&new], "10 s");
+        invalid.routes[0].to[0].pool = "gone".into();
+        assert!(forwarder
             .context
-            .install_configuration(bad)
+            .install_configuration(invalid)
             .unwrap_err()
             .to_string()
             .contains("no pool `gone`"));
-        let third = caller.send(&asks("check", "three")).await.unwrap();
-        assert_eq!(
-            caller.next_reply().await.unwrap(),
-            (third, honoured("three"))
-        );
+        let third = caller.send(&call_to("check", "three")).await.unwrap();
+        assert_eq!(caller.next_reply().await.unwrap(), (third, served("three")));
     });
 }
 
-/// Five nodes with all manners at once, callers that come and go: whatever comes of it, the rules hold.
+/// Five nodes with different faults, and callers that cancel, disconnect and reconnect.
 #[test]
-fn whatever_nodes_do_the_rules_hold() {
-    play(async {
-        let watch = InvariantRecorder::default();
+fn invariants_hold_with_faulty_nodes_and_disconnecting_callers() {
+    run_test(async {
+        let recorder = InvariantRecorder::default();
         let scripts = [
             "honour after 1ms..8ms",
             "cores 2\nhonour after 1ms..5ms\nevery 7 twice after 1ms\nevery 11 late after 4ms",
@@ -389,16 +402,19 @@
             "share 30% fail\nshare 20% dismiss pause 20ms\nshare 10% exception",
             "honour after 1ms\nevery 6 silent\nevery 4 dismiss pause 5ms nowhere-else",
         ];
-        let nodes = nodes(&watch, &scripts);
-        let w = forwarder(&configuration(&nodes.iter().collect::<Vec<_>>(), "400 ms")).await;
+        let nodes = start_nodes(&recorder, &scripts);
+        let forwarder =
+            start_forwarder(&configuration(&nodes.iter().collect::<Vec<_>>(), "400 ms")).await;
         let callers: Vec<_> = (0..6u64)
             .map(|k| {
-                let (watch, addr) = (watch.clone(), w.addr);
+                let (recorder, addr) = (recorder.clone(), forwarder.addr);
                 spawn_local(async move {
                     for round in 0..3u64 {
                         let first = k * 1_000_000 + round * 1_000 + 1;
-                        let mut caller =
-                            Caller::new(addr).await.unwrap().recorded_by(&watch, first);
+                        let mut caller = Caller::new(addr)
+                            .await
+                            .unwrap()
+                            .recorded_by(&recorder, first);
                         for n in 0..60u64 {
                             let body = format!("{k} {round} {n}");
                             let route = if (n + k).is_multiple_of(3) {
@@ -406,7 +422,7 @@
                             } else {
                                 "check"
                             };
-                            let seq = caller.send(&asks(route, &body)).await.unwrap();
+                            let seq = caller.send(&call_to(route, &body)).await.unwrap();
                             if n % 17 == 3 {
                                 caller.cancel(seq).await.unwrap();
                             }
@@ -414,7 +430,7 @@
                                 caller.next_reply().await.unwrap();
                             }
                         }
-                        // The last connection ends with calls open, the others hear all answers.
+                        // The last connection ends with requests open; the others wait for all answers.
                         while round < 2 && caller.open_requests() > 0 {
                             caller.next_reply().await.unwrap();
                         }
@@ -426,17 +442,19 @@
         for caller in callers {
             caller.await.unwrap();
         }
-        until(|| w.context.requests.is_empty()).await;
-        let counts = w.context.fleet.borrow().counts();
-        let now = watch.now();
-        watch
+        wait_until(|| forwarder.context.requests.is_empty()).await;
+        let counts = forwarder.context.fleet.borrow().counts();
+        let now = recorder.now();
+        recorder
             .checker()
             .check_retry_budget(now, counts.first_attempts, counts.retries, 0.5, 10)
             .unwrap();
-        let tally = watch.finish().unwrap_or_else(|broken| panic!("{broken}"));
-        // How many of each depends on the machine; that all were asked and some honoured does not.
+        let tally = recorder
+            .finish()
+            .unwrap_or_else(|violation| panic!("{violation}"));
+        // The number of each outcome depends on the machine; that all were sent and some served does not.
         assert!(tally.asked == 1_080 && tally.honoured > 100, "{tally:?}");
-        assert!(w
+        assert!(forwarder
             .context
             .fleet
             .borrow()
@@ -445,7 +463,7 @@
     });
 }
 
-/// One GET of the admin address.
+/// Sends one GET request to the admin address, and returns the whole response.
 async fn get(addr: SocketAddr, path: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(addr).await.unwrap();
@@ -453,42 +471,43 @@
         .write_all(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
         .await
         .unwrap();
-    let mut all = String::new();
-    stream.read_to_string(&mut all).await.unwrap();
-    all
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    response
 }
 
 #[test]
-fn operators_see_members_decisions_and_counters() {
-    play(async {
-        let (bad, good) = (test_server("fail"), test_server("honour"));
-        let w = forwarder(&configuration(&[&bad, &good], "10 s")).await;
+fn admin_endpoint_reports_members_decisions_and_counters() {
+    run_test(async {
+        let (faulty, healthy) = (test_server("fail"), test_server("honour"));
+        let forwarder = start_forwarder(&configuration(&[&faulty, &healthy], "10 s")).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let admin = listener.local_addr().unwrap();
         spawn_local(rainstand_forwarder::admin::serve(
-            w.context.clone(),
+            forwarder.context.clone(),
             listener,
         ));
-        let mut caller = Caller::new(w.addr).await.unwrap();
-        let (mut n, mut more) = (0, 2);
-        let out = || {
-            w.context
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
+        let (mut calls, mut remaining) = (0, 2);
+        let is_ejected = || {
+            forwarder
+                .context
                 .fleet
                 .borrow()
-                .members(0, w.context.now())
-                .any(|m| matches!(m.status, MemberStatus::Ejected(_)))
+                .members(0, forwarder.context.now())
+                .any(|member| matches!(member.status, MemberStatus::Ejected(_)))
         };
-        while more > 0 {
-            n += 1;
+        while remaining > 0 {
+            calls += 1;
             caller
-                .send(&asks("register", &format!("{n}")))
+                .send(&call_to("register", &format!("{calls}")))
                 .await
                 .unwrap();
             caller.next_reply().await.unwrap();
-            more -= u32::from(out());
+            remaining -= u32::from(is_ejected());
         }
         let metrics = get(admin, "/metrics").await;
-        let failed = bad.total_runs();
+        let failed = faulty.total_runs();
         for line in [
             format!(
                 r#"rainstand_forwarder_tries_total{{pool="p",member="n0",came="failed"}} {failed}"#
@@ -498,12 +517,12 @@
             ),
             format!(
                 r#"rainstand_forwarder_tickets_total{{route="x",pool="p",end="honoured",reason="done"}} {}"#,
-                n - failed
+                calls - failed
             ),
             r#"rainstand_forwarder_member_out{pool="p",member="n0"} 1"#.into(),
             format!(
                 r#"rainstand_forwarder_try_seconds_count{{pool="p",member="n1"}} {}"#,
-                n - failed
+                calls - failed
             ),
         ] {
             assert!(metrics.contains(&line), "{line}\n{metrics}");
@@ -530,9 +549,10 @@
         assert!(get(admin, &"x".repeat(9_000))
             .await
             .starts_with("HTTP/1.1 400"));
-        // A version without a member drops its series; those of the others go on.
-        w.context
-            .install_configuration(configured(&[good.addr], "10 s"))
+        // A configuration without a member removes its metrics; those of the others remain.
+        forwarder
+            .context
+            .install_configuration(configuration_for(&[healthy.addr], "10 s"))
             .unwrap();
         let metrics = get(admin, "/metrics").await;
         assert!(
@@ -543,57 +563,61 @@
     });
 }
 
-/// What had not left when its connection broke is proved not run, so an exclusive one goes elsewhere.
+/// An attempt that was not sent completely when its connection broke cannot have run, so that even an exclusive request
+/// is retried.
 #[test]
-fn a_ticket_whose_bytes_never_left_goes_elsewhere() {
-    play(async {
-        // A member that takes connections and reads nothing: once its buffers are full, tickets stay here.
-        // Of a fixed size, as the system would make a larger one as bytes come, and take tickets that waited here.
-        let deaf = TcpSocket::new_v4().unwrap();
-        deaf.set_recv_buffer_size(8 << 10).unwrap();
-        deaf.bind(([127, 0, 0, 1], 0).into()).unwrap();
-        let deaf = deaf.listen(8).unwrap();
-        let (deaf_addr, held) = (
-            deaf.local_addr().unwrap(),
+fn exclusive_request_that_was_never_sent_is_retried_at_another_member() {
+    run_test(async {
+        // A member that accepts connections and reads nothing: once its buffers are full, requests stay in the forwarder.
+        // The size is fixed, because the kernel would otherwise enlarge the buffer and accept requests queued here.
+        let stalled = TcpSocket::new_v4().unwrap();
+        stalled.set_recv_buffer_size(8 << 10).unwrap();
+        stalled.bind(([127, 0, 0, 1], 0).into()).unwrap();
+        let stalled = stalled.listen(8).unwrap();
+        let (stalled_addr, open_streams) = (
+            stalled.local_addr().unwrap(),
             Rc::new(std::cell::RefCell::new(Vec::new())),
         );
-        let holds = held.clone();
-        let deaf_task = spawn_local(async move {
-            while let Ok((stream, _)) = deaf.accept().await {
-                holds.borrow_mut().push(stream);
+        let streams = open_streams.clone();
+        let stalled_task = spawn_local(async move {
+            while let Ok((stream, _)) = stalled.accept().await {
+                streams.borrow_mut().push(stream);
             }
         });
-        let good = test_server("honour");
+        let healthy = test_server("honour");
         let text = format!(
             "rain 1
 type register {{ repeat: exclusive; goal: 10 s; outer-limit: 20 s }}
 limits wide {{ at-once: 4000 tickets }}
 attempts proved {{ tries: 3; budget: 50 %; wait: 1 ms .. 5 ms }}
-pool p {{ member deaf {{ address: \"{deaf_addr}\"; weight: 1 }} member good {{ address: \"{}\" }} }}
+pool p {{ member stalled {{ address: \"{stalled_addr}\"; weight: 1 }} member healthy {{ address: \"{}\" }} }}
 route r {{ to: p; attempts: proved }}",
-            good.addr
+            healthy.addr
         );
         let outcome = load(&Memory::new([("a.rain", text)]), "a.rain");
-        let w = forwarder(
+        let forwarder = start_forwarder(
             &outcome
                 .configuration
                 .unwrap_or_else(|| panic!("{:?}", outcome.findings)),
         )
         .await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
         let body = "x".repeat(2_000);
-        const FULL: usize = 128 << 10;
-        // Given up again and again, so that the link's buffers fill and its places stay free.
-        let mut given_up = 0;
+        const FULL_BYTES: usize = 128 << 10;
+        // Each request is cancelled, so that the buffers fill without reaching the connection's limit on open attempts.
+        let mut cancelled = 0;
         loop {
-            let seq = caller.send(&asks("register", &body)).await.unwrap();
+            let seq = caller.send(&call_to("register", &body)).await.unwrap();
             caller.cancel(seq).await.unwrap();
-            given_up += 1;
-            assert!(given_up < 50_000, "buffers that never fill");
-            if given_up % 64 == 0 {
-                until(|| w.context.fleet.borrow().counts().first_attempts >= given_up).await;
-                let is_filling = w.context.upstreams.unwritten_bytes() >= FULL;
-                if is_filling && settled_unwritten_bytes(&w).await >= FULL {
+            cancelled += 1;
+            assert!(cancelled < 50_000, "the buffers do not fill");
+            if cancelled % 64 == 0 {
+                wait_until(|| {
+                    forwarder.context.fleet.borrow().counts().first_attempts >= cancelled
+                })
+                .await;
+                let is_filling = forwarder.context.upstreams.unwritten_bytes() >= FULL_BYTES;
+                if is_filling && settled_unwritten_bytes(&forwarder).await >= FULL_BYTES {
                     break;
                 }
             }
@@ -602,58 +626,66 @@
         for n in 0..12 {
             last.push(
                 caller
-                    .send(&asks("register", &format!("last {n}")))
+                    .send(&call_to("register", &format!("last {n}")))
                     .await
                     .unwrap(),
             );
         }
-        until(|| w.context.fleet.borrow().counts().first_attempts >= given_up + 12).await;
-        deaf_task.abort();
-        held.borrow_mut().clear();
-        let mut told = std::collections::BTreeMap::new();
-        while told.len() < 12 {
-            let (seq, what) = caller.next_reply().await.unwrap();
+        wait_until(|| forwarder.context.fleet.borrow().counts().first_attempts >= cancelled + 12)
+            .await;
+        stalled_task.abort();
+        open_streams.borrow_mut().clear();
+        let mut replies = std::collections::BTreeMap::new();
+        while replies.len() < 12 {
+            let (seq, reply) = caller.next_reply().await.unwrap();
             if last.contains(&seq) {
-                told.insert(seq, what);
+                replies.insert(seq, reply);
             }
         }
-        // All went through: those that waited here were sent elsewhere.
+        // All are served: those that were never sent were retried at the other member.
         assert!(
-            told.values().all(|what| matches!(what, Reply::Served(_))),
-            "{told:?}"
+            replies
+                .values()
+                .all(|reply| matches!(reply, Reply::Served(_))),
+            "{replies:?}"
         );
-        assert!(w.context.counters.unsent_attempts.get() > 0);
-        assert!((0..12).all(|n| good.runs_of(format!("last {n}").as_bytes()) == 1));
+        assert!(forwarder.context.counters.unsent_attempts.get() > 0);
+        assert!((0..12).all(|n| healthy.runs_of(format!("last {n}").as_bytes()) == 1));
     });
 }
 
-/// A member that says it leaves gets nothing new while another is there, and is a new one when it is back.
+/// A draining member gets no new requests while another member is available; once it can be reached again, it counts as
+/// a new process.
 #[test]
-fn a_member_that_leaves_gets_nothing_new() {
-    play(async {
-        let (leaves, stays) = (test_server("leave after 1ms"), test_server("honour"));
-        let w = forwarder(&configuration(&[&leaves, &stays], "10 s")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
+fn draining_member_gets_no_new_requests() {
+    run_test(async {
+        let (draining, other) = (test_server("leave after 1ms"), test_server("honour"));
+        let forwarder = start_forwarder(&configuration(&[&draining, &other], "10 s")).await;
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
         let mut n = 0;
-        while leaves.total_runs() == 0 {
+        while draining.total_runs() == 0 {
             n += 1;
-            caller.send(&asks("check", &format!("{n}"))).await.unwrap();
+            caller
+                .send(&call_to("check", &format!("{n}")))
+                .await
+                .unwrap();
             assert!(matches!(
                 caller.next_reply().await.unwrap().1,
                 Reply::Served(_)
             ));
         }
-        let leaving = || {
-            w.context
+        let is_draining = || {
+            forwarder
+                .context
                 .fleet
                 .borrow()
-                .members(0, w.context.now())
+                .members(0, forwarder.context.now())
                 .any(|member| member.leaving)
         };
-        until(leaving).await;
+        wait_until(is_draining).await;
         for n in 0..50 {
             caller
-                .send(&asks("check", &format!("later {n}")))
+                .send(&call_to("check", &format!("later {n}")))
                 .await
                 .unwrap();
             assert!(matches!(
@@ -662,37 +694,42 @@
             ));
         }
         assert!(
-            leaves.total_runs() == 1 || !leaving(),
+            draining.total_runs() == 1 || !is_draining(),
             "{}",
-            leaves.total_runs()
+            draining.total_runs()
         );
     });
 }
 
-/// A link that is open and says nothing more, without a reset: tries after the first that it cost go over a new one.
+/// A connection on which nothing is received, without a reset: after the first timeout, attempts use a new connection.
 #[test]
-fn a_link_that_goes_quiet_for_good_gets_no_further_try() {
-    play(async {
-        let quiet = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let w = forwarder(&configured(&[quiet.local_addr().unwrap()], "300 ms")).await;
-        let mut caller = Caller::new(w.addr).await.unwrap();
-        let first = caller.send(&asks("register", "one")).await.unwrap();
-        let (_stays_open, _) = quiet.accept().await.unwrap();
+fn silent_connection_gets_no_attempts_after_a_timeout() {
+    run_test(async {
+        let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let forwarder = start_forwarder(&configuration_for(
+            &[silent.local_addr().unwrap()],
+            "300 ms",
+        ))
+        .await;
+        let mut caller = Caller::new(forwarder.addr).await.unwrap();
+        let first = caller.send(&call_to("register", "one")).await.unwrap();
+        let (_first_connection, _) = silent.accept().await.unwrap();
         assert_eq!(caller.next_reply().await.unwrap(), (first, Reply::Failed));
-        until(|| w.context.counters.silent_upstream_connections.get() == 1).await;
-        caller.send(&asks("register", "two")).await.unwrap();
-        let (_again, _) = quiet.accept().await.unwrap();
+        wait_until(|| forwarder.context.counters.silent_upstream_connections.get() == 1).await;
+        caller.send(&call_to("register", "two")).await.unwrap();
+        let (_second_connection, _) = silent.accept().await.unwrap();
     });
 }
 
-/// A caller that ended its side still gets what it asked for.
 #[test]
-fn a_caller_that_ends_its_side_still_gets_its_answer() {
+fn caller_that_closes_its_sending_side_still_gets_its_answer() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    play(async {
-        let holds = test_server("hold");
-        let w = forwarder(&configuration(&[&holds], "10 s")).await;
-        let mut stream = tokio::net::TcpStream::connect(w.addr).await.unwrap();
+    run_test(async {
+        let holding = test_server("hold");
+        let forwarder = start_forwarder(&configuration(&[&holding], "10 s")).await;
+        let mut stream = tokio::net::TcpStream::connect(forwarder.addr)
+            .await
+            .unwrap();
         let fields = [
             ("route", "check"),
             ("trace", "00000000000000aa"),
@@ -702,53 +739,52 @@
             .write_all(&rainstand_protocol::thrift::process(1, &fields, b"one"))
             .await
             .unwrap();
-        until(|| holds.total_runs() > 0).await;
+        wait_until(|| holding.total_runs() > 0).await;
         stream.shutdown().await.unwrap();
-        // The end of its side has been read once nothing more is read of it: a look that finds the ticket in hand still.
+        // Lets the forwarder read the end of the stream; the request must still be in flight afterwards.
         for _ in 0..50 {
             tokio::task::yield_now().await;
         }
-        holds.release();
+        holding.release();
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.unwrap();
         assert!(answer.windows(3).any(|bytes| bytes == b"one"), "{answer:?}");
-        assert_eq!(holds.observations().cancellations, 0);
+        assert_eq!(holding.observations().cancellations, 0);
     });
 }
 
-/// What the system accepted before the end of listening is answered.
 #[test]
-fn a_crowd_that_waits_at_the_end_of_listening_is_answered() {
+fn connections_in_the_accept_queue_are_answered_after_listening_stops() {
     use std::io::Write;
     use tokio::io::AsyncReadExt;
-    play(async {
-        let holds = test_server("hold");
-        let w = forwarder(&configuration(&[&holds], "10 s")).await;
+    run_test(async {
+        let holding = test_server("hold");
+        let forwarder = start_forwarder(&configuration(&[&holding], "10 s")).await;
         let fields = [
             ("route", "check"),
             ("trace", "00000000000000aa"),
             ("customer", "acme"),
         ];
-        let ticket = rainstand_protocol::thrift::process(1, &fields, b"one");
-        // Without a turn for the forwarder in between.
-        let crowd: Vec<std::net::TcpStream> = (0..100)
+        let call = rainstand_protocol::thrift::process(1, &fields, b"one");
+        // Blocking calls, so that the forwarder's task does not run in between.
+        let streams: Vec<std::net::TcpStream> = (0..100)
             .map(|_| {
-                let mut stream = std::net::TcpStream::connect(w.addr).unwrap();
-                stream.write_all(&ticket).unwrap();
+                let mut stream = std::net::TcpStream::connect(forwarder.addr).unwrap();
+                stream.write_all(&call).unwrap();
                 stream.set_nonblocking(true).unwrap();
                 stream
             })
             .collect();
-        w.context.drain.stop_accepting();
-        w.leave.notify_one();
-        for stream in crowd {
+        forwarder.context.drain.stop_accepting();
+        forwarder.shutdown.notify_one();
+        for stream in streams {
             let mut stream = tokio::net::TcpStream::from_std(stream).unwrap();
             let mut kind = [0; 8];
             stream
                 .read_exact(&mut kind)
                 .await
-                .expect("an answer on a connection that the system accepted");
+                .expect("no answer on a connection in the accept queue");
         }
-        holds.release();
+        holding.release();
     });
 }
--- a/crates/lingering-close/tests/slow_peer.rs
+++ b/crates/lingering-close/tests/slow_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that has sent what nobody reads, and reads slowly what it was sent, gets all of it.
+//! A lingering close delivers all data to a peer that reads slowly and has itself sent bytes that are never read.
 
 #![allow(
     missing_docs,
@@ -13,14 +13,15 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
 
-/// More than the peer's system takes in before the peer reads.
+/// More than the kernel buffers before the peer reads.
 const SENT_BYTES: usize = 400_000;
 const UNREAD_BYTES: usize = 20_000;
-/// Only what hangs is caught by this.
-const HANGS: Duration = Duration::from_secs(30);
+/// Ends a test that hangs.
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection on which the peer has sent, and the server has written, as much as it takes.
-async fn connection() -> (TcpStream, TcpStream, usize) {
+/// Connects a peer that has sent unread bytes, to which the server has written as much as the kernel accepts. Returns the
+/// server's stream, the peer's stream and the number of bytes that the server wrote.
+async fn connect() -> (TcpStream, TcpStream, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
@@ -54,49 +55,49 @@
     read
 }
 
-fn play<T>(test: impl std::future::Future<Output = T>) -> T {
+fn run_test<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     runtime
-        .block_on(async { tokio::time::timeout(HANGS, test).await })
-        .expect("a test that ends")
+        .block_on(async { tokio::time::timeout(HANG_TIMEOUT, test).await })
+        .expect("the test hangs")
 }
 
-// Guards against a close over unread bytes, whose reset discards what the peer was sent.
+// Guards against a close with unread received bytes: its reset discards data that was sent to the peer.
 #[test]
-fn a_peer_gets_all_that_was_written_before_the_close() {
-    play(async {
-        let (server, peer, sent) = connection().await;
-        let (closed, was_closed) = oneshot::channel();
+fn peer_gets_all_data_written_before_the_close() {
+    run_test(async {
+        let (server, peer, sent) = connect().await;
+        let (end_sender, received_end) = oneshot::channel();
         let close = async move {
-            let deadline = Instant::now() + HANGS;
+            let deadline = Instant::now() + HANG_TIMEOUT;
             let settle_at = Instant::now();
             let end = lingering_close(&server, Discard::default(), settle_at, || deadline).await;
             drop(server);
-            closed.send(end).unwrap();
+            end_sender.send(end).unwrap();
         };
         let (read, ()) = tokio::join!(read_to_end(peer), close);
         assert_eq!(read, sent);
-        assert_eq!(was_closed.await.unwrap(), LingerEnd::Delivered);
+        assert_eq!(received_end.await.unwrap(), LingerEnd::Delivered);
     });
 }
 
-// Shows that the connection of the test above does lose bytes where it is closed otherwise.
+// Shows that the connection of the test above does lose data without a lingering close.
 #[test]
-fn a_peer_loses_bytes_by_a_close_over_unread_ones() {
-    play(async {
-        let (server, peer, sent) = connection().await;
+fn plain_close_with_unread_bytes_loses_data() {
+    run_test(async {
+        let (server, peer, sent) = connect().await;
         drop(server);
         assert!(read_to_end(peer).await < sent);
     });
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_left_at_the_deadline() {
-    play(async {
-        let (server, peer, _) = connection().await;
+fn close_with_a_peer_that_does_not_read_ends_at_the_deadline() {
+    run_test(async {
+        let (server, peer, _) = connect().await;
         let now = Instant::now();
         let deadline = now + Duration::from_millis(50);
         let end = lingering_close(&server, Discard::default(), now, || deadline).await;
