--- a/crates/forwarder/src/admin.rs
+++ b/crates/forwarder/src/admin.rs
@@ -1,5 +1,5 @@
-//! What a forwarder shows operators on request, over HTTP on an address of its own: status, metrics, members, the last
-//! decisions. Read only. Bounded: few connections, short requests, one answer each.
+//! The admin endpoint: a read-only HTTP server on its own address that reports status, metrics, members and the last
+//! routing decisions. Connections and request size are limited; each connection gets one response.
 
 mod reports;
 
@@ -19,26 +19,26 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time: a scraper or two, and an operator.
+/// Concurrent connections: enough for one or two scrapers and an operator.
 const MAX_ADMIN_CONNECTIONS: u32 = 8;
-/// Bytes of a request's head.
+/// Size limit of a request head.
 const MAX_REQUEST_HEAD_BYTES: usize = 4 << 10;
-/// Headers of a request.
+/// Limit of header fields in a request.
 const MAX_REQUEST_HEADERS: usize = 32;
-/// Read from a socket at once, bytes.
+/// Size of one read from a socket.
 const READ_CHUNK_BYTES: usize = 1024;
-/// For a request to come and its answer to be read.
+/// Time limit for receiving a request and delivering its response.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// After the end of our side, for a reader that has the answer to end its own.
+/// Time that a client has to close its side after the response was sent and our side was shut down.
 const CLOSE_SETTLE_TIME: Duration = Duration::from_millis(500);
-/// After accepting failed, most likely for want of descriptors.
+/// Pause after a failed accept, most likely caused by a lack of descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Content type of reports with a JSON object a line.
+/// Content type of reports with one JSON object per line.
 const JSON_LINES: &str = "application/x-ndjson";
 /// Content type of the metrics.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a request gets.
+/// An HTTP response.
 struct Response {
     status: &'static str,
     content_type: &'static str,
@@ -63,10 +63,10 @@
     }
 }
 
-/// Answers requests until the program ends.
+/// Serves requests until the process exits.
 ///
 /// # Panics
-/// Outside of a [`tokio::task::LocalSet`].
+/// When called outside of a [`tokio::task::LocalSet`].
 pub async fn serve(context: Rc<ForwarderContext>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0u32));
     loop {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reads one request and answers it; `None` if the connection broke.
+/// Reads one request and responds to it; `None` if the connection broke.
 async fn exchange(context: &ForwarderContext, mut stream: TcpStream) -> Option<()> {
     let request = read_request(&mut stream).await?;
     let Response {
@@ -112,15 +112,15 @@
     Some(())
 }
 
-/// What came as a request.
+/// A request as received.
 enum HttpRequest {
     /// A GET request for this path.
     Get(String),
-    /// No HTTP, another method, or too long a head.
+    /// Not HTTP, another method than GET, or a head over the limit.
     Invalid,
 }
 
-/// Reads a request's head; `None` if the connection broke.
+/// Reads a request head; `None` if the connection broke.
 async fn read_request(stream: &mut TcpStream) -> Option<HttpRequest> {
     let mut head = Vec::new();
     loop {
@@ -143,7 +143,7 @@
     }
 }
 
-/// The report that a request asks for.
+/// Builds the response to a request.
 fn respond(context: &ForwarderContext, request: &HttpRequest) -> Response {
     let path = match request {
         HttpRequest::Get(path) => path.as_str(),
--- a/crates/forwarder/src/admin/reports.rs
+++ b/crates/forwarder/src/admin/reports.rs
@@ -1,5 +1,5 @@
-//! Status, members and decisions as JSON objects, one a line. Keys are read by others and stay; fields have the field's
-//! terms.
+//! Status, members and decisions as JSON objects, one per line. External tools read the JSON keys, so a renamed field
+//! keeps its key.
 
 use crate::ForwarderContext;
 use rainstand_config::schema::Configuration;
@@ -9,41 +9,42 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// One member.
+/// One member of a pool.
 #[derive(Debug, Serialize)]
 pub struct MemberLine<'a> {
-    /// Name of its pool.
+    /// Name of the pool.
     pub pool: &'a str,
-    /// Its name.
+    /// Name of the member.
     pub member: &'a str,
-    /// As configured.
+    /// Configured address.
     pub address: &'a str,
-    /// Its health: `in`, `out` or `trickle`.
+    /// Health status: `in`, `out` or `trickle`.
     #[serde(rename = "standing")]
     pub status: &'static str,
-    /// Why it is ejected.
+    /// Why the member is ejected.
     #[serde(rename = "why", skip_serializing_if = "Option::is_none")]
     pub ejection_reason: Option<&'static str>,
-    /// For how long it is still ejected, ms.
+    /// Remaining ejection time, ms.
     #[serde(rename = "back_in_ms", skip_serializing_if = "Option::is_none")]
     pub ejected_for_ms: Option<u64>,
-    /// Attempts that are at it.
+    /// Attempts in flight at the member.
     pub open: u32,
-    /// Attempts that may be at it.
+    /// Limit of attempts in flight at the member.
     pub limit: u32,
-    /// It is in the forwarder's zone.
+    /// Whether the member is in the forwarder's zone.
     pub near: bool,
-    /// It announced its shutdown.
-    pub leaving: bool,
+    /// Whether the member announced its shutdown.
+    #[serde(rename = "leaving")]
+    pub draining: bool,
 }
 
-/// A published version that this forwarder rejected. In JSON an array of both.
+/// A published version that this forwarder rejected. Serialized as an array of both fields.
 #[derive(Clone, Debug, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct RejectedVersion {
-    /// Its number.
+    /// Version number.
     pub version: u64,
-    /// Why, for people.
+    /// Human-readable reason.
     pub reason: String,
 }
 
@@ -53,27 +54,27 @@
     }
 }
 
-/// The attachment to config servers, and how old what came from them is.
+/// State of the subscription to the config servers, and the age of the configuration that came from them.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigSourceLine {
-    /// The published version in force; 0: none yet, the file's.
+    /// The published version in force; 0 while the configuration of the file is used.
     pub version: u64,
-    /// Digest of its state, in hexadecimal.
+    /// Digest of that version's state, in hexadecimal.
     pub digest: String,
-    /// Since it was last known to be the newest, ms.
+    /// Time since that version was last known to be the newest, ms.
     pub age_ms: u64,
-    /// The config server it is attached to.
+    /// The config server that the forwarder is attached to.
     #[serde(rename = "machine")]
     pub server: Option<String>,
-    /// The last version that was rejected here.
+    /// The last version that this forwarder rejected.
     #[serde(rename = "refused")]
     pub last_rejected: Option<RejectedVersion>,
-    /// Attachments since the start.
+    /// Attachments established since the start.
     pub attachments: u64,
     /// Attachments that ended.
     #[serde(rename = "lost")]
     pub lost_attachments: u64,
-    /// Connections that were tried.
+    /// Connection attempts.
     #[serde(rename = "dials")]
     pub connection_attempts: u64,
     /// Versions that came into force.
@@ -82,41 +83,41 @@
     /// Versions that were rejected.
     #[serde(rename = "refusals")]
     pub rejected_versions: u64,
-    /// Versions whose state was not the published one.
+    /// Versions whose local state differed from the published one.
     #[serde(rename = "differs")]
     pub divergences: u64,
-    /// Bytes from config servers.
+    /// Bytes received from config servers.
     pub bytes_in: u64,
-    /// Bytes to config servers.
+    /// Bytes sent to config servers.
     pub bytes_out: u64,
 }
 
 /// The state of the forwarder.
 #[derive(Debug, Serialize)]
 pub struct StatusLine {
-    /// It drains.
+    /// Whether the forwarder drains.
     #[serde(rename = "leaving")]
     pub draining: bool,
     /// Requests in flight.
     #[serde(rename = "tickets")]
     pub in_flight_requests: usize,
-    /// Connections of clients.
+    /// Client connections.
     pub connections: usize,
-    /// The current version: configurations installed since the start, and with it.
+    /// Current version number: configurations installed so far, including the initial one.
     #[serde(rename = "taken")]
     pub version: u64,
-    /// Present where versions come from config servers.
+    /// Present if the configuration comes from config servers.
     #[serde(rename = "control")]
     pub config_source: Option<ConfigSourceLine>,
 }
 
-/// A member that was not considered. In JSON an array of both.
+/// A member that was not considered. Serialized as an array of both fields.
 #[derive(Clone, Debug, Serialize)]
 #[serde(into = "(&'a str, &'static str)")]
 pub struct SkippedMember<'a> {
-    /// Its name.
+    /// Name of the member.
     pub member: &'a str,
-    /// Why.
+    /// Why it was skipped.
     pub reason: &'static str,
 }
 
@@ -126,49 +127,49 @@
     }
 }
 
-/// One decision. A dispatch has a member, a rejection a reason.
+/// One routing decision: a dispatch has a member, a rejection has a reason.
 #[derive(Debug, Default, Serialize)]
 pub struct DecisionLine<'a> {
-    /// Time since then, ms.
+    /// Time since the decision, ms.
     #[serde(rename = "ago_ms")]
     pub age_ms: u64,
-    /// The request's class.
+    /// The request class.
     #[serde(rename = "type")]
     pub request_class: &'a str,
-    /// The tenant, if it is configured.
+    /// The tenant, if configured.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<&'a str>,
-    /// The route that took it.
+    /// The route that matched the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub route: Option<&'a str>,
-    /// The pool that the route led to.
+    /// The pool that the route selected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<&'a str>,
-    /// The member it was sent to.
+    /// The member that the request was sent to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub member: Option<&'a str>,
     /// How the member was selected.
     #[serde(rename = "how", skip_serializing_if = "Option::is_none")]
     pub selected_by: Option<&'static str>,
-    /// Number of the attempt, from 1.
+    /// Attempt number, from 1.
     #[serde(rename = "tried", skip_serializing_if = "Option::is_none")]
     pub attempt_number: Option<u32>,
-    /// Members that could take it.
+    /// Number of members that were eligible.
     #[serde(rename = "of", skip_serializing_if = "Option::is_none")]
     pub eligible_members: Option<u16>,
-    /// Attempts that the member had already.
+    /// Attempts already in flight at the member.
     #[serde(rename = "in_hand", skip_serializing_if = "Option::is_none")]
     pub open_attempts: Option<u32>,
-    /// Why it was rejected.
+    /// Why the request was rejected.
     #[serde(rename = "turned", skip_serializing_if = "Option::is_none")]
     pub rejected_for: Option<&'static str>,
-    /// When the caller was asked to come back, from then on, ms.
+    /// The retry-after time sent to the caller, ms after the decision.
     #[serde(rename = "told_ms", skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Members that were skipped.
+    /// Members that were skipped, up to the limit of the decision log.
     #[serde(rename = "passed_over", skip_serializing_if = "Vec::is_empty")]
     pub skipped: Vec<SkippedMember<'a>>,
-    /// How many further ones were skipped.
+    /// Number of skipped members beyond those in `skipped`.
     #[serde(rename = "more_passed_over", skip_serializing_if = "is_zero")]
     pub more_skipped: u16,
 }
@@ -185,7 +186,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The state of the forwarder, as one JSON object.
+/// State of the forwarder as one JSON object.
 pub fn status(context: &ForwarderContext) -> String {
     let mut out = String::new();
     let line = StatusLine {
@@ -203,7 +204,7 @@
     out
 }
 
-/// Members and their health, a JSON object a line.
+/// All members and their health, one JSON object per line.
 pub fn members(context: &ForwarderContext) -> String {
     let (fleet, now, mut out) = (context.fleet.borrow(), context.now(), String::new());
     let configuration = fleet.table().configuration();
@@ -237,11 +238,11 @@
         open: snapshot.open,
         limit: snapshot.limit,
         near: snapshot.near,
-        leaving: snapshot.leaving,
+        draining: snapshot.leaving,
     }
 }
 
-/// The last decisions, newest first, a JSON object a line.
+/// The `last` most recent decisions, newest first, one JSON object per line.
 pub fn decisions(context: &ForwarderContext, last: usize) -> String {
     let (fleet, now, mut out) = (context.fleet.borrow(), context.now(), String::new());
     let configuration = fleet.table().configuration();
@@ -304,7 +305,7 @@
     line
 }
 
-/// Adds an object and the end of its line.
+/// Appends an object as one line.
 fn push_line(out: &mut String, line: &impl Serialize) {
     if let Ok(text) = serde_json::to_string(line) {
         out.push_str(&text);
--- a/crates/forwarder/src/config_updates.rs
+++ b/crates/forwarder/src/config_updates.rs
@@ -1,8 +1,8 @@
 //! Translates a delta of the configuration into changes of the routing table.
 //!
-//! The changes are limited to what the delta names and to what belongs to that: a pool is changed together with all of
-//! its members, of which the forwarder uses its subset, and a route together with the one that follows it. Kinds of
-//! resources that do not affect routing are left out.
+//! Only resources that the delta names, and those that belong to them, are changed: a pool together with all of its
+//! members, of which the forwarder uses its subset, and a route together with the route that follows it. Resource kinds
+//! that do not affect routing are ignored.
 
 use rainstand_config::schema::{Pool, Route};
 use rainstand_config_distribution::delta::{ConfigState, ResourceBody, ResourceKey};
@@ -12,10 +12,10 @@
 use rainstand_routing::table_update::{EntryKind, TableChange};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The changes that `delta`, applied to `state`, makes to the table of the forwarder with this number.
+/// The changes that `delta`, applied to `state`, makes to the routing table of forwarder `forwarder_number`.
 ///
 /// # Errors
-/// [`UpdateError::InvalidResource`] for a resource that cannot be decoded; a delta that was validated has none.
+/// [`UpdateError::InvalidResource`] for a resource that cannot be decoded; a validated delta has none.
 pub fn table_changes(
     state: &ConfigState,
     delta: &Delta,
@@ -39,7 +39,7 @@
 /// Pools that a delta changes, by name.
 #[derive(Default)]
 struct PoolUpdates<'delta> {
-    /// Every pool that is upserted, or of which a member is upserted or removed.
+    /// Every pool that is upserted, or that has an upserted or removed member.
     names: BTreeSet<&'delta str>,
     /// Upserted pools, without members.
     upserted: BTreeMap<&'delta str, Pool>,
@@ -65,7 +65,7 @@
 }
 
 struct Translation<'delta> {
-    /// The state that the delta begins at.
+    /// The state that the delta applies to.
     state: &'delta ConfigState,
     delta: &'delta Delta,
     forwarder_number: usize,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds upserts, and collects pools and routes for later.
+    /// Adds upserts; collects those of pools, members and routes, which are translated later.
     fn add_upserts(
         &mut self,
         pools: &mut PoolUpdates<'delta>,
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// The pool of the state, without members, unless it does not exist or is removed.
+    /// The pool as in `state`, without members; `None` if it does not exist or the delta removes it.
     fn remaining_pool(&self, name: &str) -> Result<Option<Pool>, UpdateError> {
         let is_removed = self
             .delta
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Adds to `pool` the members that it has after the delta.
+    /// Adds the members that the pool has after the delta.
     fn add_members(
         &self,
         pool: &mut Pool,
@@ -186,7 +186,7 @@
         Ok(())
     }
 
-    /// Adds the upserted `routes` in the order of their ranks, each with the name of the route that then follows it.
+    /// Adds the upserted `routes` by rank, each with the name of the route that follows it after the delta.
     fn add_routes(&mut self, routes: &BTreeMap<u64, Route>) {
         if routes.is_empty() {
             return;
@@ -223,8 +223,8 @@
     }
 }
 
-/// The table's kind of a resource that can be removed by its name alone; `None` for members, and for resources that do
-/// not affect routing.
+/// The table entry kind of a resource that is removed by name alone; `None` for members, and for resources that do not
+/// affect routing.
 fn table_kind(kind: ResourceKind) -> Option<EntryKind> {
     match kind {
         ResourceKind::Type => Some(EntryKind::Type),
--- a/crates/forwarder/src/connection_limits.rs
+++ b/crates/forwarder/src/connection_limits.rs
@@ -1,8 +1,8 @@
-//! How many client connections there may be, and which one is evicted where a descriptor is wanted and none is left.
+//! The limit of client connections, and the choice of the one to evict when a descriptor is needed and none is left.
 //!
-//! Newcomers, which never sent a call, are evicted in the order in which they came; of the others the next one that was
-//! idle since the scan last passed it (the clock, or second chance, algorithm: each step costs the same, however many
-//! are idle). A connection on which an answer is owed is never evicted.
+//! Newcomers, connections that never sent a call, are evicted in the order of their arrival. Of the others, the next
+//! one that was idle since the scan last passed it is evicted (the clock, or second chance, algorithm: the cost of a
+//! step does not depend on the number of idle connections). A connection with a pending answer is never evicted.
 
 use crate::listener::{ClientConnection, MAX_CLIENT_CONNECTIONS};
 use crate::observability::increment;
@@ -17,25 +17,25 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Descriptors for the standard streams, the runtime, signals, listeners, operators, the file at SIGHUP, and upstream
-/// connections beyond those counted.
+/// Descriptors for the standard streams, the runtime, signals, listeners, admin connections, the configuration file
+/// read at SIGHUP, and upstream connections beyond those counted.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors for upstream connections even while fewer are open.
+/// Descriptors reserved for upstream connections even while fewer are open.
 const MIN_UPSTREAM_DESCRIPTORS: usize = 16;
-/// Between attempts to get a descriptor: an evicted connection closes within a turn of the runtime.
+/// Interval between attempts to get a descriptor: an evicted connection closes within one turn of the runtime.
 const DESCRIPTOR_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Attempts in a row to get a descriptor: half a second, as long as a connect may take.
+/// Consecutive attempts to get a descriptor: half a second in total, the time limit of a connect.
 const MAX_DESCRIPTOR_ATTEMPTS: usize = 100;
-/// `EMFILE` and `ENFILE`: the process, or the machine, has no descriptor left.
+/// `EMFILE` and `ENFILE`: the process or the machine has no descriptor left.
 const DESCRIPTOR_EXHAUSTED_ERRNOS: [i32; 2] = [24, 23];
-/// For this long after it was accepted a connection's first call may be on its way.
+/// Time after the accept in which a connection's first call may still be on its way.
 const FIRST_CALL_GRACE: Duration = Duration::from_millis(100);
-/// Connections that one scan looks at in each queue: where so many are busy, most are.
+/// Connections that one scan examines in each queue: if this many are busy, most are.
 const MAX_SCANNED_CONNECTIONS: usize = 4_096;
-/// Entries of closed connections that a queue may hold beside two for each open one.
+/// Entries that a queue may hold beyond two per open connection; a longer queue is pruned of closed connections.
 const MAX_STALE_ENTRIES: usize = 64;
 
-/// How many client connections there may be beside so many upstream ones, of all descriptors of the process.
+/// The limit of client connections, given the descriptors of the process and the number of open upstream connections.
 ///
 /// ```
 /// use rainstand_forwarder::connection_limits::max_client_connections;
@@ -51,47 +51,47 @@
         .min(MAX_CLIENT_CONNECTIONS)
 }
 
-/// Whether an operation failed for want of a descriptor.
+/// Whether an operation failed for lack of a descriptor.
 pub(crate) fn is_descriptor_exhaustion(error: &io::Error) -> bool {
     error
         .raw_os_error()
         .is_some_and(|code| DESCRIPTOR_EXHAUSTED_ERRNOS.contains(&code))
 }
 
-/// Whether a connection was found to make a descriptor free.
+/// Result of the search for a connection to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Eviction {
     /// An idle connection was asked to close.
     Requested,
-    /// All that were looked at are in use.
+    /// All examined connections are in use.
     NoneIdle,
 }
 
-/// The order in which client connections are evicted, by their ids.
+/// Limits the number of client connections and decides which to evict.
 pub struct ConnectionLimits {
-    /// Descriptors that the process may have.
+    /// Descriptor limit of the process.
     descriptors: usize,
     queues: RefCell<EvictionQueues>,
     /// Evicted connections that are still open.
     pending_evictions: Cell<usize>,
 }
 
-/// A connection is in one of the queues; ids of closed ones are removed as they are met.
+/// Ids of client connections, each in one of the queues. A scan removes the ids of closed connections that it meets.
 #[derive(Default)]
 struct EvictionQueues {
-    /// Not known to have sent a call, in the order in which they came.
+    /// Connections that are not known to have sent a call, in the order of their arrival.
     newcomers: VecDeque<u64>,
-    /// All others, the one that was looked at last at the back.
+    /// All other connections, the last examined one at the back.
     others: VecDeque<u64>,
 }
 
 type Clients = HashMap<u64, Rc<ClientConnection>>;
 
-/// What a scan of the newcomers found.
+/// Result of a scan of the newcomers.
 enum NewcomerScan<'clients> {
-    /// The first idle one that is past its grace.
+    /// The first idle one past its grace period.
     Idle(&'clients Rc<ClientConnection>),
-    /// None of those; the oldest within its grace, if that is idle.
+    /// There is none; the oldest one within its grace period, if idle.
     WithinGrace(Option<&'clients Rc<ClientConnection>>),
 }
 
@@ -114,7 +114,8 @@
         queues.newcomers.push_back(connection_id);
     }
 
-    /// An evicted connection closed, or its eviction is withdrawn since it is in use; others are not affected.
+    /// Called when an evicted connection has closed, or its eviction is withdrawn because it is in use; has no effect
+    /// on other connections.
     pub(crate) fn on_eviction_settled(&self, client: &ClientConnection) {
         if client.clear_eviction() {
             self.pending_evictions.set(self.pending_evictions.get() - 1);
@@ -123,7 +124,7 @@
 }
 
 impl EvictionQueues {
-    /// Removes closed connections where they outnumber the open ones.
+    /// Removes closed connections from queues where they outnumber the open ones.
     fn prune(&mut self, clients: &Clients) {
         for queue in [&mut self.newcomers, &mut self.others] {
             if queue.len() > 2 * clients.len() + MAX_STALE_ENTRIES {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Moves newcomers that sent a call, or are past their grace, to the others, up to the first idle one.
+    /// Moves newcomers that sent a call or are past their grace period to `others`, up to the first idle one.
     fn scan_newcomers<'clients>(&mut self, clients: &'clients Clients) -> NewcomerScan<'clients> {
         for _ in 0..self.newcomers.len().min(MAX_SCANNED_CONNECTIONS) {
             let Some(connection_id) = self.newcomers.pop_front() else {
@@ -144,11 +145,11 @@
             if client.has_sent_call() {
                 self.others.push_back(connection_id);
             } else if client.age() < FIRST_CALL_GRACE {
-                // All behind it are younger.
+                // All connections behind it are younger.
                 self.newcomers.push_front(connection_id);
                 return NewcomerScan::WithinGrace(Some(client).filter(|client| client.is_idle()));
             } else {
-                // Its eviction may be withdrawn: the scan meets it again among the others.
+                // Its eviction may be withdrawn; then it has to be found again among the others.
                 self.others.push_back(connection_id);
                 if client.is_idle() {
                     return NewcomerScan::Idle(client);
@@ -158,12 +159,12 @@
         NewcomerScan::WithinGrace(None)
     }
 
-    /// The first idle connection on which nothing came since the scan last passed it.
+    /// The first idle connection that received nothing since the scan last passed it.
     fn scan_others<'clients>(
         &mut self,
         clients: &'clients Clients,
     ) -> Option<&'clients Rc<ClientConnection>> {
-        // Twice round: the first pass clears the mark of those that were active.
+        // Two rounds: the first clears the activity mark of connections that were active.
         for _ in 0..(2 * self.others.len()).min(MAX_SCANNED_CONNECTIONS) {
             let connection_id = self.others.pop_front()?;
             let Some(client) = clients.get(&connection_id) else {
@@ -177,7 +178,7 @@
         None
     }
 
-    /// The connection to evict next.
+    /// The next connection to evict.
     fn next_idle<'clients>(
         &mut self,
         clients: &'clients Clients,
@@ -190,7 +191,7 @@
     }
 }
 
-/// Whether one more client connection may stay open; at the bound an idle one is evicted for it.
+/// Whether one more client connection may stay open; at the limit, an idle one is evicted for it.
 pub(crate) fn has_capacity(context: &ForwarderContext) -> bool {
     let limits = &context.connection_limits;
     let open = context.clients.borrow().len() - limits.pending_evictions.get();
@@ -198,7 +199,7 @@
         || evict_idle_client(context) == Eviction::Requested
 }
 
-/// Asks the connection that is idle for longest to close at once.
+/// Asks the next idle connection in the order of eviction to close immediately.
 fn evict_idle_client(context: &ForwarderContext) -> Eviction {
     let limits = &context.connection_limits;
     let clients = context.clients.borrow();
@@ -213,10 +214,10 @@
     Eviction::Requested
 }
 
-/// Does what takes a descriptor, again while there is none: idle clients are evicted for it.
+/// Runs an operation that needs a descriptor, and repeats it while there is none; idle clients are evicted to free one.
 ///
 /// # Errors
-/// Those of `operation`, for want of a descriptor only after [`MAX_DESCRIPTOR_ATTEMPTS`].
+/// Those of `operation`; the lack of a descriptor only after [`MAX_DESCRIPTOR_ATTEMPTS`].
 pub(crate) async fn with_descriptor<T, F>(
     context: &ForwarderContext,
     operation: impl Fn() -> F,
@@ -237,8 +238,8 @@
     }
 }
 
-/// After a failure for want of a descriptor: evicts an idle client, and gives it a moment to close. `None`, at once, for
-/// any other failure.
+/// After a failure for lack of a descriptor, evicts an idle client and waits for it to close. Returns `None` without
+/// waiting for any other failure.
 pub(crate) async fn recover_descriptor(
     context: &ForwarderContext,
     error: &io::Error,
--- a/crates/forwarder/src/context.rs
+++ b/crates/forwarder/src/context.rs
@@ -1,7 +1,6 @@
-//! What the tasks of one forwarder share, and how a new version of the configuration is installed.
+//! The state that the tasks of one forwarder share, and the installation of new configuration versions.
 //!
-//! Everything runs on one thread: interior mutability takes the place of locks, and nothing is borrowed across an
-//! await.
+//! Everything runs on one thread: interior mutability replaces locks, and nothing is borrowed across an await.
 
 use crate::admin::ConfigSourceLine;
 use crate::connection_limits::ConnectionLimits;
@@ -20,28 +19,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Reads the state of the attachment to config servers.
+/// Reads the state of the subscription to the config servers.
 pub type ConfigSourceReader = Box<dyn Fn() -> ConfigSourceLine>;
 
-/// What the tasks of one forwarder share.
+/// The state that the tasks of one forwarder share.
 pub struct ForwarderContext {
-    /// Every decision about requests and members.
+    /// Makes all decisions about requests and members.
     pub fleet: RefCell<Fleet>,
     /// Requests without an answer yet.
     pub requests: RequestTable,
     /// Connections to members.
     pub upstreams: UpstreamPool,
-    /// Connections of clients by their id.
+    /// Client connections by id.
     pub(crate) clients: RefCell<HashMap<u64, Rc<ClientConnection>>>,
-    /// Bound of the client connections, and which one is evicted for another.
+    /// Limit of client connections, and the order of eviction.
     pub connection_limits: ConnectionLimits,
-    /// Counters of the sockets' side; those of decisions are [`Fleet::counts`].
+    /// Counters of socket events; [`Fleet::counts`] has those of decisions.
     pub counters: Counters,
-    /// Counters and times by member and route.
+    /// Counters and latency histograms by member and route.
     pub metrics: Metrics,
-    /// Present where versions come from config servers.
+    /// Present if the configuration comes from config servers.
     pub config_source: RefCell<Option<ConfigSourceReader>>,
-    /// Whether the forwarder shuts down.
+    /// State of the graceful shutdown.
     pub drain: DrainState,
     pub(crate) read_buffer: ReadBuffer,
     started_at: Instant,
@@ -49,11 +48,11 @@
 }
 
 impl ForwarderContext {
-    /// A forwarder in `zone` (empty if it does not say) with the first version of its configuration. All random draws
-    /// come from `seed`.
+    /// Creates a forwarder in `zone` (empty if unknown) with its initial configuration. All random numbers derive from
+    /// `seed`.
     ///
     /// # Errors
-    /// Why the configuration cannot be used.
+    /// If the configuration is invalid.
     pub fn new(
         configuration: Configuration,
         zone: &str,
@@ -78,21 +77,22 @@
         }))
     }
 
-    /// Time since the start: the clock of all decisions.
+    /// Time since the start; all decisions use this clock.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// A number that no request, attempt or client connection of this process had before.
+    /// A new id, unique among the requests, attempts and client connections of this process.
     pub(crate) fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
     }
 
-    /// Installs a configuration as a version, whose number it returns. Requests in flight finish under theirs.
+    /// Installs a configuration as a new version and returns the version's number. Requests in flight finish under the
+    /// version that they started with.
     ///
     /// # Errors
-    /// Why it is rejected; nothing has changed then.
+    /// If the configuration is rejected; nothing has changed then.
     pub fn install_configuration(
         &self,
         configuration: Configuration,
@@ -103,11 +103,11 @@
         Ok(version)
     }
 
-    /// Installs changes of single entries as a version, at a cost of their own size, and returns its number. A changed
-    /// pool comes with all members that this forwarder uses ([`rainstand_routing::subset`]).
+    /// Installs changes of single entries as a new version and returns its number; the cost depends only on the size of
+    /// the changes. A changed pool contains all members that this forwarder uses ([`rainstand_routing::subset`]).
     ///
     /// # Errors
-    /// Why they are rejected; nothing has changed then.
+    /// If the changes are rejected; nothing has changed then.
     pub fn apply_changes(&self, changes: &[TableChange]) -> Result<u64, ConfigurationError> {
         let now = self.now();
         let version = self.fleet.borrow_mut().apply(changes, now)?;
@@ -115,7 +115,7 @@
         Ok(version)
     }
 
-    /// Brings up to date what is kept by index, if indices changed with this version.
+    /// Updates all state that is stored by index, if this version changed indices.
     fn on_version_installed(&self, version: u64) {
         if self.fleet.borrow().indices_since() == version {
             self.upstreams.remove_unconnected();
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -1,30 +1,30 @@
-//! A thin forwarder on sockets: clients (dispatchers) on one side, the members of pools (nodes) on the other, and between
-//! them the decisions of `rainstand-routing`, which settle where each request goes, what follows a failure, and the one
-//! answer.
+//! A thin forwarder on sockets, between clients and the members of pools (nodes). This crate does the socket I/O;
+//! `rainstand-routing` decides where each request is sent, how a failure is handled, and which answer the client gets.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`server`] | a forwarder from its start to its end; evaluates the members' health |
-//! | [`context`] | what all tasks share; new versions of the configuration |
-//! | [`listener`] | connections of clients: calls in, answers out |
-//! | [`request_table`] | requests in flight: their attempts, timeouts, and the steps of a request's life |
-//! | [`upstream`] | connections to members: attempts out, their outcomes in |
-//! | [`connection_limits`] | how many clients may be connected, and which is evicted where descriptors run out |
+//! | [`server`] | runs a forwarder from startup to shutdown; evaluates the members' health |
+//! | [`context`] | state shared by all tasks; installs new configuration versions |
+//! | [`listener`] | client connections: reads calls, writes answers |
+//! | [`request_table`] | requests in flight: attempts, timeouts, and the request lifecycle |
+//! | [`upstream`] | connections to members: sends attempts, reads their outcomes |
+//! | [`connection_limits`] | limit of client connections, and eviction when descriptors run out |
 //! | [`drain`] | graceful shutdown |
-//! | [`config_updates`] | a delta from the config servers as changes of the routing table |
+//! | [`config_updates`] | translates deltas from the config servers into changes of the routing table |
 //! | [`observability`] | counters, and metrics by member and route |
-//! | [`admin`] | status, metrics, members and the last decisions for operators, over HTTP |
+//! | [`admin`] | HTTP endpoint for operators: status, metrics, members and the last decisions |
 //!
-//! **The way of a request.** `listener` cuts a call out of a connection's bytes and hands it to `request_table`, which
-//! asks the decisions and carries out what they order: an attempt by way of `upstream`, a backoff, or the answer.
-//! `upstream` reports the outcome of each attempt back, as a timer does its timeout, and the decisions are asked again,
-//! until the request has its one answer and leaves the table. A member's result is forwarded unchanged.
+//! **Request flow.** `listener` extracts a call from a connection's bytes and passes it to `request_table`, which asks
+//! `rainstand-routing` for a decision and executes it: an attempt through `upstream`, a backoff, or the answer.
+//! `upstream` reports the outcome of each attempt, and a timer its timeout; each report leads to the next decision,
+//! until the request has its one answer and is removed from the table. A member's result is forwarded unchanged.
 //!
-//! **Bounds.** [`request_table::MAX_IN_FLIGHT_REQUESTS`] requests,
+//! **Limits.** [`request_table::MAX_IN_FLIGHT_REQUESTS`] requests,
 //! [`connection_limits::max_client_connections`] clients, [`upstream::MAX_UPSTREAM_CONNECTIONS`] connections to each
-//! member, and a bound of bytes on each connection. What is past a bound is rejected or closed, with a counter.
+//! member, and a limit of bytes on each connection. Requests and connections beyond a limit are rejected or closed, and
+//! counted.
 //!
-//! All of it runs on one thread; nothing of the [`ForwarderContext`] is borrowed across an await.
+//! Everything runs on one thread; nothing of the [`ForwarderContext`] is borrowed across an await.
 
 pub mod admin;
 pub mod config_updates;
--- a/crates/forwarder/src/observability.rs
+++ b/crates/forwarder/src/observability.rs
@@ -1,5 +1,5 @@
-//! What went on, for operators: [`Counters`] of the sockets, and [`Metrics`] by member and route in the `OpenMetrics` text
-//! format.
+//! Observability for operators: [`Counters`] of socket events, and [`Metrics`] by member and route in the `OpenMetrics`
+//! text format.
 
 mod counters;
 mod metrics;
--- a/crates/forwarder/src/observability/counters.rs
+++ b/crates/forwarder/src/observability/counters.rs
@@ -1,51 +1,51 @@
-//! Counters of the sockets' side, and the log line of all counters.
+//! Counters of socket events, and the log line with all counters.
 
 use crate::ForwarderContext;
 use std::cell::Cell;
 
-/// What happened on the sockets since the start.
+/// Socket events since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Client connections that were accepted.
     pub accepted_connections: Cell<u64>,
-    /// Client connections that were closed at once, as there was no place and none to evict.
+    /// Client connections closed right after the accept: the limit was reached and none could be evicted.
     pub refused_connections: Cell<u64>,
-    /// Idle client connections that were asked to close for others.
+    /// Idle client connections evicted in favour of new ones.
     pub evicted_connections: Cell<u64>,
-    /// Operations that failed for want of a descriptor.
+    /// Operations that failed for lack of a descriptor.
     pub descriptor_exhaustions: Cell<u64>,
     /// Calls that were answered with an exception.
     pub exceptions: Cell<u64>,
-    /// Requests rejected past the bound of requests in flight, or while draining.
+    /// Requests rejected because the limit of requests in flight was reached, or while draining.
     pub overload_rejections: Cell<u64>,
-    /// Answers that had not reached their clients when this side ended the connection.
+    /// Answers not yet delivered when the forwarder closed the client's connection.
     pub cut_off_answers: Cell<u64>,
     /// Connections to members that were established.
     pub upstream_connections: Cell<u64>,
-    /// Of these, those that broke.
+    /// Connections to members that broke.
     pub broken_upstream_connections: Cell<u64>,
-    /// Of these, those that got no new attempts any more, as nothing was read on them during all of an attempt.
+    /// Connections to members taken out of use because nothing was read on them during a whole attempt.
     pub silent_upstream_connections: Cell<u64>,
-    /// Answers to attempts that had ended, late or second ones.
+    /// Late or duplicate answers: their attempts had already ended.
     pub late_answers: Cell<u64>,
-    /// What members sent that is no answer.
+    /// Messages from members that are not a valid answer.
     pub unreadable_replies: Cell<u64>,
-    /// Attempts that had not been sent completely when their connection broke: proved not run.
+    /// Attempts that were not completely sent when their connection broke, and so certainly did not run.
     pub unsent_attempts: Cell<u64>,
 }
 
-/// Adds one to a counter.
+/// Increments a counter.
 pub(crate) fn increment(counter: &Cell<u64>) {
     add(counter, 1);
 }
 
-/// Adds to a counter.
+/// Adds `number` to a counter.
 pub(crate) fn add(counter: &Cell<u64>, number: u64) {
     counter.set(counter.get() + number);
 }
 
 impl ForwarderContext {
-    /// All counters in one line, by the names that logs have had from the start.
+    /// All counters in one line. Log readers depend on their names.
     pub fn counters_line(&self) -> String {
         let sockets = &self.counters;
         let fleet = self.fleet.borrow().counts();
--- a/crates/forwarder/src/observability/metrics.rs
+++ b/crates/forwarder/src/observability/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters and times by member and by route, kept by a metrics library.
+//! Counters and latency histograms by member and by route.
 //!
-//! Labels are names of the configuration, or words of a fixed list, never what callers send: the number of series is
-//! bounded by the configuration. A request costs no look-up by name: handles are kept by index, and made again with
-//! each version that changes indices. Series of members and routes that such a version left out are dropped with it.
+//! Label values are names from the configuration or from fixed lists, never caller input, so the configuration bounds
+//! the number of series. Recording a request needs no lookup by name: handles are cached by index, and rebuilt with
+//! each version that changes indices. Series of members and routes that such a version removes are dropped.
 
 use super::totals::{Total, TOTALS};
 use crate::ForwarderContext;
@@ -34,13 +34,13 @@
     AttemptOutcome::TimedOut,
     AttemptOutcome::CallerLeft,
 ];
-/// Label of a route or pool of a version whose indices have changed since.
+/// Label value for a route or pool of a version whose indices have changed since.
 const EARLIER_VERSION: &str = "(earlier version)";
-/// Label where a request had no route or no pool.
+/// Label value for a request without a route or pool.
 const NONE: &str = "(none)";
-/// First bucket of a histogram, s; each is twice the one before.
+/// Upper bound of a histogram's first bucket; each further bound is twice the one before.
 const MIN_BUCKET_SECONDS: f64 = 0.0002;
-/// Buckets of a histogram: up to 26 s.
+/// Number of buckets of a histogram; the last bound is 26 s.
 const BUCKETS: u16 = 18;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -79,46 +79,47 @@
     route: String,
 }
 
-/// A histogram of seconds.
-fn seconds() -> Histogram {
+/// A latency histogram in seconds.
+fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(MIN_BUCKET_SECONDS, 2.0, BUCKETS))
 }
 
 struct MemberHandles {
     /// In the order of [`OUTCOMES`].
     outcomes: [Counter; OUTCOMES.len()],
-    seconds: Histogram,
+    latency_seconds: Histogram,
 }
 
-/// What a counter of ended requests stands for.
+/// Identifies a counter of completed requests.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum RequestKey {
-    /// By indices of the current version.
+    /// Completed under the current indices.
     Current {
         route: Option<u16>,
         pool: Option<u16>,
         end: &'static str,
         reason: OutcomeReason,
     },
-    /// Its indices are those of an earlier version.
+    /// Completed under the indices of an earlier version.
     Earlier {
         end: &'static str,
         reason: OutcomeReason,
     },
 }
 
-/// Handles by index, and the version since which the indices are these.
+/// Metric handles by index.
 #[derive(Default)]
 struct Handles {
+    /// First version with the current indices.
     indices_since: u64,
-    /// Only of routes that had a request: of five thousand most have none in a process's life.
+    /// Only routes that had a request: of five thousand routes, most never have one in a process.
     routes: HashMap<u16, Histogram>,
-    /// By pool and member.
+    /// By pool index and member index.
     members: Vec<Vec<MemberHandles>>,
     requests: HashMap<RequestKey, Counter>,
 }
 
-/// Metrics by member and route. See the module's documentation.
+/// Metrics by member and route; see the module documentation.
 pub struct Metrics {
     registry: Registry,
     attempts: Family<AttemptLabels, Counter>,
@@ -127,7 +128,7 @@
     request_seconds: Family<RouteLabels, Histogram, fn() -> Histogram>,
     open: Family<MemberLabels, Gauge>,
     limit: Family<MemberLabels, Gauge>,
-    out: Family<MemberLabels, Gauge>,
+    status: Family<MemberLabels, Gauge>,
     totals: Vec<(Total, Gauge)>,
     handles: RefCell<Handles>,
     /// Members that have series.
@@ -141,12 +142,12 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("rainstand_forwarder"),
             attempts: Family::default(),
-            attempt_seconds: Family::new_with_constructor(seconds as fn() -> Histogram),
+            attempt_seconds: Family::new_with_constructor(latency_histogram as fn() -> Histogram),
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(seconds as fn() -> Histogram),
+            request_seconds: Family::new_with_constructor(latency_histogram as fn() -> Histogram),
             open: Family::default(),
             limit: Family::default(),
-            out: Family::default(),
+            status: Family::default(),
             totals: Vec::new(),
             handles: RefCell::default(),
             known_members: RefCell::default(),
@@ -205,19 +206,23 @@
         registry.register(
             "member_out",
             "1 for a member that is left out, 2 for one that comes back by a trickle",
-            self.out.clone(),
+            self.status.clone(),
         );
     }
 
-    /// A version was installed that changed indices.
+    /// Rebuilds the handles after a version that changed indices was installed.
     pub(crate) fn on_indices_changed(&self, fleet: &Fleet) {
         let configuration = fleet.table().configuration();
         let routes = configuration.routes.iter().map(|route| &*route.name);
         self.remove_routes_except(routes);
-        let members: Vec<Vec<MemberLabels>> = configuration.pools.iter().map(labels).collect();
+        let members: Vec<Vec<MemberLabels>> =
+            configuration.pools.iter().map(member_labels).collect();
         let handles = Handles {
             indices_since: fleet.indices_since(),
-            members: members.iter().map(|pool| self.handles(pool)).collect(),
+            members: members
+                .iter()
+                .map(|pool| self.create_handles(pool))
+                .collect(),
             ..Handles::default()
         };
         self.remove_members_except(members.into_iter().flatten().collect());
@@ -231,11 +236,11 @@
         }
         let names: HashSet<&str> = names.collect();
         known.retain(|labels| {
-            let remains = names.contains(&*labels.route);
-            if !remains {
+            let is_retained = names.contains(&*labels.route);
+            if !is_retained {
                 self.request_seconds.remove(labels);
             }
-            remains
+            is_retained
         });
     }
 
@@ -248,12 +253,12 @@
             self.attempt_seconds.remove(removed);
             self.open.remove(removed);
             self.limit.remove(removed);
-            self.out.remove(removed);
+            self.status.remove(removed);
         }
         *known = members;
     }
 
-    fn handles(&self, members: &[MemberLabels]) -> Vec<MemberHandles> {
+    fn create_handles(&self, members: &[MemberLabels]) -> Vec<MemberHandles> {
         let of_member = |labels: &MemberLabels| {
             let counter = |outcome| {
                 let labels = labels.with_outcome(outcome);
@@ -261,14 +266,14 @@
             };
             MemberHandles {
                 outcomes: OUTCOMES.map(counter),
-                seconds: self.attempt_seconds.get_or_create(labels).clone(),
+                latency_seconds: self.attempt_seconds.get_or_create(labels).clone(),
             }
         };
         members.iter().map(of_member).collect()
     }
 
-    /// An attempt ended, so long after it was sent under this version. One that was sent under earlier indices is
-    /// counted only with its request: its member's index may be another's now.
+    /// Records an attempt that ended `elapsed` after it was sent under `version`. One that was sent under earlier
+    /// indices is counted only with its request, because its member's index may now belong to another member.
     pub(crate) fn record_attempt(
         &self,
         member: MemberRef,
@@ -284,16 +289,17 @@
         let Some(member) = pool.and_then(|pool| pool.get(usize::from(member.member))) else {
             return;
         };
-        let is_outcome = |one: &AttemptOutcome| discriminant(one) == discriminant(&outcome);
+        let is_outcome =
+            |candidate: &AttemptOutcome| discriminant(candidate) == discriminant(&outcome);
         if let Some(index) = OUTCOMES.iter().position(is_outcome) {
             member.outcomes[index].inc();
         }
         if outcome == AttemptOutcome::Served {
-            member.seconds.observe(elapsed.as_secs_f64());
+            member.latency_seconds.observe(elapsed.as_secs_f64());
         }
     }
 
-    /// A request ended.
+    /// Records a completed request.
     pub(crate) fn record_request(&self, completed: &Completed, fleet: &Fleet) {
         let mut handles = self.handles.borrow_mut();
         let (end, reason) = (completed.outcome.as_str(), completed.reason);
@@ -330,14 +336,14 @@
         histogram
     }
 
-    /// All of it in the `OpenMetrics` text format.
+    /// All metrics in the `OpenMetrics` text format.
     pub fn to_openmetrics(&self, context: &ForwarderContext) -> String {
         for (total, gauge) in &self.totals {
             gauge.set((total.read)(context) as i64);
         }
         self.set_member_gauges(&context.fleet.borrow(), context.now());
         let mut text = String::new();
-        // Writing to a string fails only if a metric does: then what there is is shown.
+        // Writing to a string fails only if a metric fails to encode; then the text written so far is returned.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
@@ -345,8 +351,8 @@
     fn set_member_gauges(&self, fleet: &Fleet, now: Duration) {
         for (index, pool) in fleet.table().configuration().pools.iter().enumerate() {
             let snapshots = fleet.members(index as u16, now);
-            for (labels, snapshot) in labels(pool).iter().zip(snapshots) {
-                let out = match snapshot.status {
+            for (labels, snapshot) in member_labels(pool).iter().zip(snapshots) {
+                let status = match snapshot.status {
                     MemberStatus::Healthy => 0,
                     MemberStatus::Ejected(_) => 1,
                     MemberStatus::Probing => 2,
@@ -354,14 +360,14 @@
                 let (open, limit) = (i64::from(snapshot.open), i64::from(snapshot.limit));
                 self.open.get_or_create(labels).set(open);
                 self.limit.get_or_create(labels).set(limit);
-                self.out.get_or_create(labels).set(out);
+                self.status.get_or_create(labels).set(status);
             }
         }
     }
 }
 
-/// Labels of a pool's members, in their order.
-fn labels(pool: &Pool) -> Vec<MemberLabels> {
+/// Labels of a pool's members, in member order.
+fn member_labels(pool: &Pool) -> Vec<MemberLabels> {
     let of_member = |member: &rainstand_config::schema::Member| MemberLabels {
         pool: pool.name.clone(),
         member: member.name.clone(),
@@ -371,7 +377,7 @@
 
 fn request_labels(key: RequestKey, fleet: &Fleet) -> RequestLabels {
     let table = fleet.table();
-    let or_none = |name: Option<&str>| name.unwrap_or(NONE).to_owned();
+    let name_or_none = |name: Option<&str>| name.unwrap_or(NONE).to_owned();
     match key {
         RequestKey::Current {
             route,
@@ -379,8 +385,8 @@
             end,
             reason,
         } => RequestLabels {
-            route: or_none(route.map(|route| table.route_name(route))),
-            pool: or_none(pool.map(|pool| table.pool_name(pool))),
+            route: name_or_none(route.map(|route| table.route_name(route))),
+            pool: name_or_none(pool.map(|pool| table.pool_name(pool))),
             end,
             reason: reason.as_str(),
         },
--- a/crates/forwarder/src/observability/totals.rs
+++ b/crates/forwarder/src/observability/totals.rs
@@ -1,10 +1,10 @@
-//! Figures without labels, which are read from the context when somebody asks for the metrics. Names and help texts are
-//! read by others and stay.
+//! Metrics without labels, read from the context when the metrics are requested. External tools depend on their names
+//! and help texts.
 
 use crate::admin::ConfigSourceLine;
 use crate::ForwarderContext;
 
-/// One figure.
+/// A metric without labels.
 pub(super) struct Total {
     pub(super) name: &'static str,
     pub(super) help: &'static str,
@@ -19,7 +19,7 @@
     Total { name, help, read }
 }
 
-/// All of them, in the order in which they are shown.
+/// All metrics without labels, in output order.
 pub(super) const TOTALS: [Total; 19] = [
     total(
         "tickets_in_hand",
@@ -108,7 +108,7 @@
     }),
 ];
 
-/// A figure of the attachment to config servers; 0 where there is none.
+/// A value of the subscription to the config servers; 0 if there is none.
 fn read_config_source(context: &ForwarderContext, read: fn(&ConfigSourceLine) -> u64) -> u64 {
     context
         .config_source
--- a/crates/forwarder/src/server.rs
+++ b/crates/forwarder/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs a forwarder from its start to the end of its drain.
+//! Runs a forwarder from startup to the end of its drain.
 
 use crate::drain::drain;
 use crate::request_table::run_timers;
@@ -12,17 +12,17 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Between two evaluations of the members' health.
+/// Interval between evaluations of the members' health.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two turns of the process, as far as it gets the processor, while requests are in flight.
+/// Interval at which the process reports to the fleet that it gets processor time, while requests are in flight.
 const TURN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Serves until `shutdown` completes, then drains: requests in flight have `drain_timeout` to end, and their answers a
-/// little longer to be written, see [`crate::drain`].
+/// Serves until `shutdown` completes, then drains: requests in flight have `drain_timeout` to complete, and their
+/// answers a little longer to be written, see [`crate::drain`].
 ///
 /// # Panics
-/// Outside of a [`tokio::task::LocalSet`].
+/// When called outside of a [`tokio::task::LocalSet`].
 pub async fn run(
     context: Rc<ForwarderContext>,
     listener: TcpListener,
@@ -33,14 +33,14 @@
     spawn_local(run_timers(context.clone()));
     spawn_local(evaluate_health(context.clone()));
     context.fleet.borrow_mut().expect_turns(TURN_INTERVAL);
-    spawn_local(take_turns(context.clone()));
+    spawn_local(report_turns(context.clone()));
     shutdown.await;
     drain(&context, drain_timeout).await;
     tracing::info!(event = "counts", words = "counts", what = %context.counters_line());
 }
 
-/// Reports turns while requests are in flight, so that a time without the processor shows as a gap.
-async fn take_turns(context: Rc<ForwarderContext>) {
+/// Reports turns to the fleet while requests are in flight, so that a period without processor time shows as a gap.
+async fn report_turns(context: Rc<ForwarderContext>) {
     loop {
         if context.requests.is_empty() {
             context.fleet.borrow_mut().on_idle();
--- a/crates/forwarder/src/socket.rs
+++ b/crates/forwarder/src/socket.rs
@@ -1,5 +1,4 @@
-//! Reads and writes of non-blocking sockets that take what there is and never wait, and the protocol's bounds of a
-//! connection.
+//! Non-blocking socket reads and writes, and the protocol's limits of a connection.
 
 use rainstand_protocol::ring::Ring;
 use socket2::SockRef;
@@ -8,17 +7,17 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Requests that the protocol allows open on one connection, of a client or to a member.
+/// Requests without an answer that the protocol allows on one connection, from a client or to a member.
 pub(crate) const MAX_PIPELINED_REQUESTS: usize = 32;
-/// Bytes of a frame's length, before the frame.
+/// Size of the length field before each frame.
 pub(crate) const FRAME_HEADER_BYTES: usize = 4;
-/// Bytes that came at once, past which timers and other connections get a turn: some ten requests.
+/// Bytes read in one go, some ten requests, after which timers and other connections get a turn.
 const MAX_BYTES_PER_TURN: usize = 4 << 10;
-/// Read from a socket at once, bytes: two frames of the longest.
+/// Size of one read from a socket: two frames of maximum length.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Where bytes lie between a socket and its connection's ring. One for all connections: with one each, ten thousand
-/// idle ones would hold 8 KB each.
+/// The buffer between a socket and its connection's ring. All connections share it: with one each, ten thousand idle
+/// connections would hold 8 KB each.
 pub(crate) struct ReadBuffer {
     chunk: RefCell<Box<[u8]>>,
 }
@@ -32,7 +31,7 @@
 }
 
 impl ReadBuffer {
-    /// Reads what the socket has into `inbound`; how many bytes it was, 0 at the end of the stream.
+    /// Reads available bytes into `inbound` and returns their number, 0 at the end of the stream.
     pub(crate) fn read(&self, stream: &TcpStream, inbound: &mut Ring) -> io::Result<usize> {
         let mut chunk = self.chunk.borrow_mut();
         let length = stream.try_read(&mut chunk)?;
@@ -40,7 +39,7 @@
         Ok(length)
     }
 
-    /// As [`ReadBuffer::read`], but asks the system even if the runtime has not seen the socket become readable.
+    /// As [`ReadBuffer::read`], but issues the system call even if the runtime has not seen the socket become readable.
     pub(crate) fn read_unpolled(
         &self,
         stream: &TcpStream,
@@ -53,14 +52,14 @@
     }
 }
 
-/// Gives timers and other connections a turn after many bytes, which a flood would otherwise hold up.
+/// Yields after a large read, so that a flood of requests does not delay timers and other connections.
 pub(crate) async fn end_turn(bytes_read: usize) {
     if bytes_read > MAX_BYTES_PER_TURN {
         yield_now().await;
     }
 }
 
-/// Writes what the socket takes without waiting.
+/// Writes as much as the socket accepts without blocking.
 pub(crate) fn flush(outbound: &RefCell<Ring>, stream: &TcpStream) -> io::Result<()> {
     let mut outbound = outbound.borrow_mut();
     while !outbound.is_empty() {
