--- a/crates/forwarder/src/admin/reports.rs
+++ b/crates/forwarder/src/admin/reports.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// State of the subscription to the config servers, and the age of the configuration that came from them.
+/// State of the subscription to the config servers, and the age of the configuration received from them.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigSourceLine {
     /// The published version in force; 0 while the configuration of the file is used.
@@ -77,7 +77,7 @@
     /// Connection attempts.
     #[serde(rename = "dials")]
     pub connection_attempts: u64,
-    /// Versions that came into force.
+    /// Versions that were applied.
     #[serde(rename = "in_force")]
     pub applied_versions: u64,
     /// Versions that were rejected.
--- a/crates/test-servers/src/size.rs
+++ b/crates/test-servers/src/size.rs
@@ -6,7 +6,7 @@
 
 use std::fmt::Write as _;
 
-/// Every so many routes, one matches only some tenants.
+/// One in this many routes matches only some tenants.
 const TENANT_ROUTE_INTERVAL: usize = 8;
 /// Number of tenants that such a route matches.
 const TENANTS_PER_TENANT_ROUTE: usize = 4;
