--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of one node; what is wrong with it is said in one line.
+//! The configuration file of one node. An invalid file is reported in one line.
 
 use crate::log_event;
 use rainstand_settings::fields::{list, number, object, text_of, Fields};
@@ -8,28 +8,28 @@
 use std::num::ParseIntError;
 use std::time::{Duration, TryFromFloatSecsError};
 
-/// Bytes in a megabyte, as the file counts memory.
+/// Bytes in a megabyte of `memory_mb`.
 const MEGABYTE: u32 = 1 << 20;
 
-/// All keys of the file.
+/// All known keys of the file.
 const KEYS: [&str; 9] = [
     "name", "listen", "agent", "announce", "db", "seed", "stop_ms", "limits", "settings",
 ];
 
-/// Unknown keys that are logged: in a file of nothing else, the missing keys tell.
+/// How many unknown keys are logged. A file of only unknown keys is rejected for its missing ones anyway.
 const MAX_UNKNOWN_KEYS: usize = 8;
 
 /// Characters of an unknown key that are logged.
 const MAX_UNKNOWN_KEY_CHARS: usize = 40;
 
-/// The addresses of those that the node connects to: all that a new file changes of them while it runs.
+/// The addresses that the node connects to. A reload changes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
     /// The execution agent.
     pub agent: SocketAddr,
     /// The announce service, if there is one.
     pub announce: Option<SocketAddr>,
-    /// The tier below; the last tier has none.
+    /// The downstream tier; the last tier has none.
     pub below: Option<SocketAddr>,
 }
 
@@ -38,31 +38,31 @@
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Where dispatchers connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the node connects.
+    /// The addresses that the node connects to.
     pub peers: Peers,
-    /// Of the policy's random draws.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// From the shutdown notice to the kill.
-    pub stop: Duration,
+    /// Time from the shutdown notice to the kill.
+    pub stop_timeout: Duration,
     /// Descriptors that the node may have open.
     pub sockets: usize,
-    /// In bytes; what the node retains stays within parts of it.
+    /// Memory limit in bytes; each of the node's caches and buffers is bounded by a fraction of it.
     pub memory: usize,
     /// The policy's settings.
     pub settings: Fields,
-    /// Keys of the file that mean nothing here, such as a misspelt one.
+    /// Unknown keys of the file, such as a misspelt one.
     pub unknown: Vec<String>,
 }
 
-/// What is wrong with a configuration file, in one line.
+/// Why a configuration file is invalid, in one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file is no JSON.
+    /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The file is JSON, but no object.
+    /// The file is JSON, but not an object.
     #[error("not a JSON object")]
     NotAnObject,
     /// A key is missing, or its value has another type.
@@ -71,31 +71,31 @@
     /// The same under `limits`.
     #[error("limits: {0}")]
     Limits(SettingsError),
-    /// The node's name holds other characters.
+    /// The node's name is empty or has other characters.
     #[error("name: letters, digits, '-', '_' and '.' only")]
     Name,
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("seed: {0}")]
     Seed(ParseIntError),
-    /// The time until the kill is none.
+    /// The time until the kill is not a valid duration.
     #[error("stop_ms: {0}")]
     Stop(TryFromFloatSecsError),
-    /// A text is no address with a port.
+    /// A text is not an address with a port.
     #[error("{key}: {text} is no address and port")]
     Address {
         /// The address's key.
         key: &'static str,
-        /// What stands there.
+        /// The text in the file.
         text: String,
     },
-    /// An address is the unspecified one.
+    /// An address is unspecified (0.0.0.0).
     #[error("{key}: one address only, not all of them")]
     UnspecifiedAddress {
         /// The address's key.
         key: &'static str,
     },
-    /// The settings list no classes.
-    #[error("settings: requestClasses: no list there")]
+    /// The settings list no request classes.
+    #[error("settings: requestClasses: missing or empty list")]
     NoClasses,
     /// The policy cannot use the settings.
     #[error("settings: {0}")]
@@ -106,7 +106,7 @@
     /// Reads a file, and checks that the policy can use its settings.
     ///
     /// # Errors
-    /// The first thing that is wrong with it.
+    /// The first problem that is found in the file.
     ///
     /// ```
     /// use rainstand_node::config::Config;
@@ -133,7 +133,7 @@
                 below: optional_address(fields, "db")?,
             },
             seed: u64::from_str_radix(seed, 16).map_err(ConfigError::Seed)?,
-            stop: milliseconds(fields, "stop_ms")?,
+            stop_timeout: milliseconds(fields, "stop_ms")?,
             sockets: limit("sockets")? as usize,
             memory: (limit("memory_mb")? * f64::from(MEGABYTE)) as usize,
             settings: object(fields, "settings")
@@ -148,22 +148,22 @@
         Ok(config)
     }
 
-    /// The policy and the node's parameters, made from the settings. The machine begins with its agent.
+    /// Creates the policy and the node's parameters from the settings. `machine` holds the agent's start.
     ///
     /// # Errors
-    /// Where the settings cannot be used.
+    /// If the settings cannot be used.
     pub fn start(&self, machine: Machine) -> Result<Start, ConfigError> {
         Start::read(&self.settings, self.seed, machine).map_err(ConfigError::Settings)
     }
 
-    /// Logs the keys that mean nothing here, a line each.
+    /// Logs each unknown key in its own line.
     pub fn log_unknown_keys(&self) {
         for key in &self.unknown {
             log_event!(
                 "config_key",
                 "config",
                 key = key,
-                what = "is not known and does nothing"
+                what = "is unknown and ignored"
             );
         }
     }
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -1,5 +1,5 @@
-//! A dispatcher's connection: the state that all parts of the node may see of it. No I/O happens here: the task in
-//! [`crate::connections`] that serves it moves the bytes.
+//! A client's connection: its state that all parts of the node may see. No I/O is done here: the task in
+//! [`crate::connections`] that serves the connection reads and writes.
 
 use crate::socket_buffer::Ring;
 use crate::thrift;
@@ -12,34 +12,34 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Reason codes of a connection's end, as they stand in log lines and in the `ends` counters.
+/// Reason codes of a connection's end, as written in log lines and in the `ends` counters.
 pub mod close_reason {
-    /// Evicted, as connections or calls needed its place.
+    /// Evicted to make capacity for connections or calls.
     pub const CAPACITY: &str = "room";
-    /// Evicted at once, as the node itself had no descriptor left.
+    /// Evicted immediately, as the node itself had no descriptor left.
     pub const DESCRIPTORS: &str = "descriptors";
-    /// Closed as it was accepted: all connections were in use.
+    /// Closed when accepted: all connections were in use.
     pub const FULL: &str = "full";
-    /// Its dispatcher did not close it after `shutdown`.
+    /// The client did not close it after `shutdown`.
     pub const IDLE: &str = "idle";
     /// Closed at the end of a drain.
     pub const DRAIN: &str = "drain";
-    /// Still open as the process had to end.
+    /// Still open when the process had to exit.
     pub const KILL: &str = "kill";
-    /// Its answers were not read.
+    /// The client did not read its answers.
     pub const UNREAD: &str = "unread";
     /// The task that served it panicked.
     pub const PANIC: &str = "panic";
     /// Reading or writing failed.
     pub const RESET: &str = "reset";
-    /// The other side ended it between two frames.
+    /// The peer ended it between two frames.
     pub const END_OF_STREAM: &str = "eof";
-    /// The other side ended it within a frame.
+    /// The peer ended it within a frame.
     pub const END_IN_FRAME: &str = "eof_in_frame";
-    /// No frame was begun in time.
+    /// No frame was started in time.
     pub const SILENT: &str = "silent";
-    /// A frame was begun and not completed in time.
-    pub const HALF_A_FRAME: &str = "half_a_frame";
+    /// A frame was started but not completed in time.
+    pub const PARTIAL_FRAME: &str = "half_a_frame";
 
     /// Whether a connection is closed for this reason even while answers are pending on it.
     #[must_use]
@@ -48,31 +48,31 @@
     }
 }
 
-/// A dispatcher's connection.
+/// A client's connection.
 pub struct Connection {
-    /// Its number among all connections that were accepted, from 1.
+    /// Its number among all accepted connections, from 1.
     pub id: u64,
-    /// The dispatcher's address.
+    /// The client's address.
     pub peer: SocketAddr,
-    /// Read and written by the task that serves it only.
+    /// Read and written only by the task that serves the connection.
     pub stream: TcpStream,
-    /// Where its traffic is recorded, if it is.
+    /// Records its traffic, if recording is on.
     pub recording: Option<ConnectionRecorder>,
-    /// Answers that are not written yet.
+    /// Answers not written yet.
     pub outgoing: RefCell<Ring>,
-    /// Wakes the task that serves it.
+    /// Wakes the task that serves the connection.
     pub wakeup: Notify,
-    /// Indices of the requests that wait for an answer on it, by sequence number.
+    /// Indices of unanswered requests, by sequence number.
     pub open_requests: RefCell<BTreeMap<i32, usize>>,
-    /// A probe or a request on it was answered with more than an error.
+    /// Whether a probe or a request on it was ever answered with more than an error.
     pub is_known: Cell<bool>,
-    /// Messages on it that were answered with an exception.
+    /// Number of messages answered with an exception.
     pub exceptions: Cell<u64>,
-    /// When bytes last moved on it.
+    /// When bytes were last read or written.
     pub last_activity: Cell<Instant>,
-    /// When `shutdown` was sent on it: nothing new is wanted.
+    /// When `shutdown` was sent, which asks the client to send nothing new.
     pub shutdown_sent_at: Cell<Option<Instant>>,
-    /// It is to be closed, for this [`close_reason`].
+    /// Set if it is to be closed, to one of the codes of [`close_reason`].
     pub close_reason: Cell<Option<&'static str>>,
     /// Nothing more is read from it or pending on it: it only waits for the other side's end.
     pub closing: Cell<bool>,
@@ -113,12 +113,12 @@
         self.wakeup.notify_one();
     }
 
-    /// Whether no answer is pending on it, written or not.
+    /// Whether no request is unanswered and no answer is unwritten.
     pub fn is_idle(&self) -> bool {
         self.open_requests.borrow().is_empty() && self.outgoing.borrow().is_empty()
     }
 
-    /// Asks the dispatcher, once, to use it no more.
+    /// Asks the client, once, to stop using the connection.
     pub fn send_shutdown(&self) {
         if self.shutdown_sent_at.get().is_none() && !self.closing.get() {
             self.shutdown_sent_at.set(Some(Instant::now()));
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Asks the task that serves it to close it, for this [`close_reason`].
+    /// Asks the task that serves the connection to close it with this code of [`close_reason`].
     pub fn close_with(&self, code: &'static str) {
         self.close_reason.set(Some(code));
         self.wakeup.notify_one();
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,8 +1,8 @@
-//! Connections of the dispatchers: accepting them, reading frames, writing answers, closing them.
+//! Client connections: accepting them, reading frames, writing answers, closing them.
 //!
-//! Each connection is served by one task; the state that others may see of it is
-//! [`crate::connection::Connection`]. Connections share the process's descriptors with the calls to the tier below:
-//! [`connection_capacity`] says how many may stand, and an idle one is evicted where more are needed.
+//! Each connection is served by one task; its state that other parts of the node may see is
+//! [`crate::connection::Connection`]. Connections share the process's descriptors with downstream calls:
+//! [`connection_capacity`] limits how many may be open, and an idle one is evicted when descriptors are needed.
 
 mod accept;
 mod capacity;
--- a/crates/node/src/connections/accept.rs
+++ b/crates/node/src/connections/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, until the end of listening and past it for those that the system accepted before.
+//! Accepts connections until listening ends, then those that are left in the system's accept backlog.
 
 use super::capacity::{evict_for_descriptor, evict_idle, remaining_capacity};
 use super::exchange::serve;
@@ -14,14 +14,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Pause after an accept that failed, as it does when descriptors run out.
+/// Pause after a failed accept. Accepts fail, for example, while no descriptor is free.
 const ACCEPT_RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Errors in a row, at the end of listening, after which connections that still wait are left to the system: a
-/// second of them at [`ACCEPT_RETRY_BACKOFF`].
-const MAX_ERRORS_IN_A_ROW: usize = 20;
+/// Consecutive errors after which the rest of the backlog is abandoned once listening has ended: one second of
+/// errors at [`ACCEPT_RETRY_BACKOFF`].
+const MAX_CONSECUTIVE_ERRORS: usize = 20;
 
-/// What was done after an accept that failed.
+/// How a failed accept was handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AcceptRetry {
     /// An idle connection is being closed to free a descriptor.
@@ -30,8 +30,7 @@
     BackedOff,
 }
 
-/// Accepts until the end of listening; the listener is closed once everything that the system accepted before is
-/// served.
+/// Accepts until listening ends; the listener is closed once the backlog has been accepted.
 pub async fn accept(context: Rc<NodeContext>) {
     let Some(listener) = context.listener.borrow().clone() else {
         return;
@@ -44,7 +43,7 @@
                 Ok((stream, peer)) => {
                     failing = false;
                     admit(&context, stream, peer);
-                    // A connection that was evicted for this one closes first, also when many come at once.
+                    // A connection that was evicted for this one closes before the next accept, also during a burst.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
@@ -57,19 +56,19 @@
     context.listener.take();
 }
 
-/// Takes over what the system accepted before the end of listening, also past an error.
+/// Accepts the connections that were in the backlog when listening ended, and goes on after errors.
 async fn accept_backlog(context: &Rc<NodeContext>, listener: &TcpListener, mut failing: bool) {
     let mut errors = 0;
-    while errors < MAX_ERRORS_IN_A_ROW {
+    while errors < MAX_CONSECUTIVE_ERRORS {
         match timeout(Duration::ZERO, listener.accept()).await {
             Ok(Ok((stream, peer))) => {
                 errors = 0;
                 admit(context, stream, peer);
-                // The runtime limits the operations of a task between yields: without one the timeout would come
-                // while connections still wait.
+                // The runtime limits a task's operations between yields: without this one the timeout would elapse
+                // while connections are still in the backlog.
                 tokio::task::yield_now().await;
             }
-            // Errors after which a connection is evicted are not counted: there are only so many connections.
+            // Errors followed by an eviction are not counted: the number of connections bounds them.
             Ok(Err(error)) => {
                 let retry = accept_failed(context, &error, &mut failing).await;
                 errors += usize::from(retry == AcceptRetry::BackedOff);
@@ -79,7 +78,7 @@
     }
 }
 
-/// Counts and logs a failed accept, frees a descriptor if that was its cause, and waits before the next try.
+/// Counts and logs a failed accept, evicts a connection if descriptors were exhausted, and waits before the retry.
 async fn accept_failed(
     context: &NodeContext,
     error: &io::Error,
@@ -98,7 +97,7 @@
     }
 }
 
-/// Serves a new connection, unless the node is at its capacity and all connections are in use.
+/// Serves a new connection, or closes it if the node is at capacity and all connections are in use.
 fn admit(context: &Rc<NodeContext>, stream: TcpStream, peer: SocketAddr) {
     count(&context.counts.accepted);
     let _ = stream.set_nodelay(true);
--- a/crates/node/src/connections/capacity.rs
+++ b/crates/node/src/connections/capacity.rs
@@ -1,23 +1,24 @@
-//! How many connections may stand beside calls to the tier below, and eviction of idle ones.
+//! How many connections may be open beside downstream calls, and eviction of idle ones.
 
 use crate::connection::{close_reason, Connection};
 use crate::context::NodeContext;
 use std::rc::Rc;
 
-/// Descriptors reserved for the agent, the announce service, the listener, the runtime's own, standard streams, and
+/// Descriptors reserved for the agent, the announce service, the listener, the runtime, the standard streams and
 /// connections that are being closed.
 const RESERVED_DESCRIPTORS: usize = 64;
 
-/// Of these, what a node at work has open beside connections and calls: twelve, and as many to spare.
+/// The part of [`RESERVED_DESCRIPTORS`] that a running node uses beside connections and calls: twelve, doubled as
+/// a margin.
 const WORKING_DESCRIPTORS: usize = 24;
 
-/// Descriptors reserved for calls below even while few are out, as many of them start at once.
+/// Descriptors reserved for downstream calls even while few are in flight, as many may start at the same time.
 const MIN_CALL_DESCRIPTORS: usize = 48;
 
-/// Closing connections that are not counted as standing: a quarter of the reserved descriptors.
+/// Closing connections that are not counted as open: up to a quarter of the reserved descriptors.
 pub(super) const MAX_CLOSING: usize = RESERVED_DESCRIPTORS / 4;
 
-/// How many connections of dispatchers may stand beside `calls` calls below, out of `sockets` descriptors.
+/// How many client connections may be open beside `calls` downstream calls, out of `sockets` descriptors.
 ///
 /// ```
 /// use rainstand_node::connections::connection_capacity;
@@ -31,23 +32,24 @@
         .max(sockets / 2)
 }
 
-/// Connections that may still be opened; negative if more stand than may.
+/// Connections that may still be opened; negative if more are open than allowed.
 pub(super) fn remaining_capacity(context: &NodeContext) -> isize {
     let calls = context.core.borrow().table.downstream.out.get();
-    // A connection that is asked to close is about to: counted as standing, a second would be closed for one need.
-    let to_close =
+    // A connection with a pending close request is not counted as open, or a second one would be evicted for the
+    // same descriptor.
+    let close_requested =
         |conn: &&Rc<Connection>| conn.close_reason.get().is_some() && !conn.closing.get();
     let connections = context.connections.borrow();
-    let to_close = connections.values().filter(to_close).count();
-    let standing = connections.len() - to_close - closing_count(context).min(MAX_CLOSING);
+    let close_requested = connections.values().filter(close_requested).count();
+    let open = connections.len() - close_requested - closing_count(context).min(MAX_CLOSING);
     let sockets = context
         .config
         .sockets
         .saturating_sub(context.reserved_descriptors.get());
-    connection_capacity(sockets, calls) as isize - standing as isize
+    connection_capacity(sockets, calls) as isize - open as isize
 }
 
-/// Connections that only wait for the other side's end.
+/// Connections that the node has ended and whose peer has not.
 pub(super) fn closing_count(context: &NodeContext) -> usize {
     context
         .connections
@@ -57,13 +59,13 @@
         .count()
 }
 
-/// Closes the idle connection whose last activity is oldest, with this reason code; false if all are in use.
+/// Closes the least recently active idle connection with this reason code; false if all are in use.
 ///
-/// One on which nothing was ever served goes before all others, so that a crowd of silent connections does not
-/// displace the dispatchers.
+/// Connections on which nothing was ever served are evicted first, so that many silent connections do not displace
+/// active clients.
 pub(super) fn evict_idle(context: &NodeContext, code: &'static str) -> bool {
     let connections = context.connections.borrow();
-    // One that closes already frees no further descriptor.
+    // One that is already closing frees no further descriptor.
     let is_evictable = |conn: &&Rc<Connection>| {
         conn.is_idle() && conn.close_reason.get().is_none() && !conn.closing.get()
     };
@@ -78,22 +80,22 @@
     true
 }
 
-/// Closes an idle connection at once, for a descriptor that the node itself needs; false if all are in use.
+/// Closes an idle connection immediately, as the node itself needs a descriptor; false if all are in use.
 pub fn evict_for_descriptor(context: &NodeContext) -> bool {
     evict_idle(context, close_reason::DESCRIPTORS)
 }
 
-/// Evicts idle connections for a call below that is about to open its own.
+/// Evicts idle connections for a downstream call that is about to open its own connection.
 ///
 /// The periodic sweep does the same, but many calls may start between two sweeps.
 pub async fn reserve_for_call(context: &NodeContext) {
     let mut evicted =
         remaining_capacity(context) < 0 && evict_idle(context, close_reason::CAPACITY);
-    // With few descriptors, the half that connections may always have is more than calls leave.
-    let standing = context.connections.borrow().len();
+    // With few descriptors, the half that connections may always use is more than calls leave free.
+    let open = context.connections.borrow().len();
     let calls = context.core.borrow().table.downstream.out.get();
     let reserved = WORKING_DESCRIPTORS + context.reserved_descriptors.get();
-    if standing + calls + reserved > context.config.sockets {
+    if open + calls + reserved > context.config.sockets {
         evicted |= evict_for_descriptor(context);
     }
     if evicted {
--- a/crates/node/src/connections/exchange.rs
+++ b/crates/node/src/connections/exchange.rs
@@ -1,4 +1,4 @@
-//! One connection's exchange: frames read, answers written, until its end.
+//! Serves one connection: reads frames and writes answers until it ends.
 
 use super::capacity::{closing_count, MAX_CLOSING};
 use super::ReadDeadlines;
@@ -15,27 +15,27 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep_until;
 
-/// The length of a frame goes before it in so many bytes.
+/// Size of a frame's length prefix.
 const FRAME_HEADER_BYTES: usize = 4;
 
-/// Unread answers on a connection, in bytes, past which no more is read from it: a full set of answers.
+/// Unread answers on a connection, in bytes, past which no more requests are read from it: a full set of answers.
 const MAX_UNREAD_BYTES: usize = 128 * 1024;
 
-/// Bytes that came at once, past which other connections get a turn: some ten requests.
+/// Buffered bytes past which the task yields to other connections: about ten requests.
 const MAX_BYTES_PER_TURN: usize = 4 * 1024;
 
-/// For the other side, once it has all answers, to end the connection too.
+/// How long a peer that has read all answers may take to close the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// For the other side to take in all answers: it may read them slowly.
+/// How long the peer may take to read all answers: it may read slowly.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How a connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Closing {
-    /// Our side ends first, and what the other side still sends is read.
+    /// The node ends its side first and reads what the peer still sends.
     Graceful,
-    /// At once.
+    /// Without waiting for the peer.
     Immediate,
 }
 
@@ -62,14 +62,14 @@
     }
 }
 
-/// Does what is due at a connection's end, also where the task that serves it panics.
+/// Unregisters and logs a connection at its end, also if the task that serves it panics.
 struct ConnectionGuard {
     context: Rc<NodeContext>,
     conn: Rc<Connection>,
     opened: Instant,
     /// None until the exchange has ended.
     code: Option<&'static str>,
-    /// Requests that were still open at the end.
+    /// Requests that were open at the end.
     open: usize,
 }
 
@@ -89,7 +89,7 @@
     fn drop(&mut self) {
         let code = match self.code {
             Some(code) => code,
-            // Dropped without an end: the process ends.
+            // Dropped without an end or a panic: the process exits.
             None if !std::thread::panicking() => return,
             None => {
                 self.cancel_open_requests();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends.
 pub(super) async fn serve(context: Rc<NodeContext>, conn: Rc<Connection>) {
     let opened = Instant::now();
     let mut guard = ConnectionGuard {
@@ -129,10 +129,10 @@
     }
 }
 
-/// Bytes of a connection that are not consumed yet, and how long more are waited for.
+/// Unconsumed bytes of a connection, and the deadlines for further ones.
 struct FrameReader {
     incoming: Ring,
-    /// Set once nothing more is read: by the other side's end, or by a frame that cannot be read.
+    /// Set once nothing more is read: the peer ended the stream, or a frame was unreadable or late.
     end_code: Option<&'static str>,
     deadlines: ReadDeadlines,
 }
@@ -140,13 +140,13 @@
 /// How a socket is read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadMode {
-    /// As far as the runtime knows of bytes.
+    /// Only if the runtime reports the socket as readable.
     WhenReady,
-    /// Asking the system, as the runtime may not have heard of the last bytes yet.
+    /// With a system call, as the runtime may not have been notified of the last bytes yet.
     Direct,
 }
 
-/// Whether other connections get a turn before this one is read again.
+/// Whether the task yields to other connections before it reads this one again.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Turn {
     Continue,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Nothing more is read, for this reason.
+    /// Stops reading, for this reason.
     fn stop(&mut self, code: &'static str) {
         self.deadlines.stop_reading(Instant::now());
         self.end_code = Some(code);
@@ -205,13 +205,13 @@
         Ok(turn)
     }
 
-    /// The deadline has passed that [`wait_for_event`] waited for.
+    /// Handles the deadline of [`wait_for_event`].
     fn on_deadline(&mut self, context: &NodeContext, conn: &Connection) {
         if self.end_code.is_some() {
             ingress::fail_open_requests(context, conn);
             self.deadlines.clear_answer_deadline();
         } else if !self.incoming.is_empty() {
-            self.stop(close_reason::HALF_A_FRAME);
+            self.stop(close_reason::PARTIAL_FRAME);
         } else if conn.open_requests.borrow().is_empty() {
             self.stop(close_reason::SILENT);
         } else {
@@ -220,7 +220,7 @@
     }
 }
 
-/// Serves until the connection's end.
+/// Reads and writes until the connection ends.
 async fn run_exchange(context: &Rc<NodeContext>, conn: &Rc<Connection>) -> ExchangeEnd {
     let mut reader = FrameReader::new(Instant::now());
     loop {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Writes pending answers as far as the socket takes them.
+/// Writes as much of the pending answers as the socket accepts.
 fn flush(conn: &Connection) -> io::Result<()> {
     let before = conn.outgoing.borrow().len();
     if before > 0 {
@@ -254,7 +254,7 @@
     Ok(())
 }
 
-/// Another part of the node asked for the close; None where the connection turns out to be in use.
+/// Handles a close request of another part of the node; None if the connection turns out to be in use.
 fn close_requested(
     context: &NodeContext,
     conn: &Rc<Connection>,
@@ -268,8 +268,8 @@
             ExchangeEnd::immediate(code)
         });
     }
-    // A request may have crossed the decision to close: it lies unread in the socket, for as long as the process was
-    // busy, or is here in part.
+    // A request may have arrived after the decision to close: unread in the socket while the process was busy, or
+    // partly read.
     if reader.end_code.is_none() && conn.is_idle() {
         if let Err(error) = reader.read(context, conn, ReadMode::Direct) {
             return Some(ExchangeEnd::reset(error));
@@ -279,8 +279,8 @@
     is_unused.then(|| close_unused(context, conn, code))
 }
 
-/// How an unused connection is closed. A graceful close keeps its descriptor for a while, which a flood of
-/// connections would use up; a caller that was served may have an answer on its way, which a reset would discard.
+/// How an unused connection is closed. A graceful close holds its descriptor for a while, so that a flood of
+/// connections would exhaust them; a reset would discard an answer still in transit to a caller that was served.
 fn close_unused(context: &NodeContext, conn: &Connection, code: &'static str) -> ExchangeEnd {
     let is_crowded = || !conn.is_known.get() || closing_count(context) >= MAX_CLOSING;
     match code {
@@ -290,7 +290,7 @@
     }
 }
 
-/// Waits for bytes, for room to write, for a wake-up from another part of the node, or for the next deadline.
+/// Waits until the socket is readable or writable, another part of the node wakes the task, or a deadline passes.
 async fn wait_for_event(
     context: &Rc<NodeContext>,
     conn: &Rc<Connection>,
@@ -303,7 +303,7 @@
     } else {
         reader.deadlines.answer_deadline()
     };
-    // Bytes come before the deadline: a process that was suspended finds both.
+    // Bytes are handled before the deadline: after a suspension of the process both are due.
     tokio::select! {
         biased;
         ready = conn.stream.readable(), if reads => {
@@ -321,7 +321,7 @@
     Ok(())
 }
 
-/// Handles all complete frames; how many there were.
+/// Handles all complete frames and returns their number.
 fn handle_frames(
     context: &NodeContext,
     conn: &Rc<Connection>,
@@ -337,10 +337,10 @@
         let len = match thrift::frame(incoming.bytes()) {
             Ok(Some(len)) => FRAME_HEADER_BYTES + len,
             Ok(None) => return Ok(frames),
-            Err(flaw) => {
-                // Bytes that cannot be read belong in the recording, too.
+            Err(code) => {
+                // Unreadable bytes are recorded, too.
                 record(incoming.bytes());
-                return Err(flaw);
+                return Err(code);
             }
         };
         record(&incoming.bytes()[..len]);
@@ -353,7 +353,7 @@
     }
 }
 
-/// Ends our side and reads on to the other's end, so that nothing on its way is cut off by a reset.
+/// Ends the node's side and reads until the peer ends, so that no reset discards data in transit.
 async fn close_gracefully(stream: &TcpStream) {
     let now = Instant::now();
     let deadline = now + CLOSE_TIMEOUT;
--- a/crates/node/src/connections/read_deadlines.rs
+++ b/crates/node/src/connections/read_deadlines.rs
@@ -1,27 +1,27 @@
-//! How long a connection is waited for. Pure: times come in as arguments.
+//! Read deadlines of a connection. Pure: times are passed in as arguments.
 
 use std::time::{Duration, Instant};
 
-/// For the first whole frame from the connection's opening on, and for each later one from its first bytes on. Who
-/// sends bad input must hear so within 3 s of connecting; a caller's frame comes in one piece.
+/// For the first complete frame, counted from the connection's opening, and for each later one, counted from its
+/// first bytes. A peer that sends bad input must be notified within 3 s of connecting; callers send frames in one piece.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After bytes that cannot be read, for the answers that are still pending on the connection.
+/// How long pending answers are waited for once reading has stopped, such as after unreadable bytes.
 const PENDING_ANSWERS_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The deadlines of what is read from one connection.
+/// The read deadlines of one connection.
 #[derive(Debug)]
 pub struct ReadDeadlines {
-    /// Since when the first frame is waited for: the opening, or the last check that found its request still in flight.
+    /// Start of the wait for the first frame: the opening, or the last check that found its request still in flight.
     first_frame_since: Instant,
-    /// Since when a frame is begun and not complete.
+    /// When the first bytes of a still incomplete frame arrived.
     partial_frame_since: Option<Instant>,
-    /// Once nothing more is read: when the requests still pending on the connection fail.
+    /// When pending requests on the connection fail; set once reading has stopped.
     answer_deadline: Option<Instant>,
 }
 
 impl ReadDeadlines {
-    /// Those of a connection that was opened at this time.
+    /// The deadlines of a connection that was opened at this time.
     #[must_use]
     pub fn new(opened: Instant) -> Self {
         Self {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// By when a complete frame must be there: the first on a connection on which nothing was served yet, else the
-    /// one that was begun, if any.
+    /// When the next complete frame is due: the first one if nothing was served on the connection yet (`is_known`
+    /// is false), else the partly received one, if any.
     #[must_use]
     pub fn frame_deadline(&self, is_known: bool) -> Option<Instant> {
         let since = if is_known {
@@ -43,13 +43,13 @@
         since.map(|since| since + FRAME_TIMEOUT)
     }
 
-    /// By when what is pending fails, once nothing more is read.
+    /// When pending requests fail, once reading has stopped.
     #[must_use]
     pub fn answer_deadline(&self) -> Option<Instant> {
         self.answer_deadline
     }
 
-    /// Bytes came: `starts_frame` if a frame begins with them, `all_consumed` if none of them is left unread.
+    /// Bytes arrived: `starts_frame` if a frame begins with them, `all_consumed` if no partial frame is left.
     pub fn on_bytes(&mut self, now: Instant, starts_frame: bool, all_consumed: bool) {
         self.partial_frame_since = if all_consumed {
             None
@@ -60,17 +60,17 @@
         };
     }
 
-    /// The first request is still in flight: its frame counts as awaited from now on.
+    /// The first request is still in flight: restarts the wait for the first frame.
     pub fn extend_first_frame(&mut self, now: Instant) {
         self.first_frame_since = now;
     }
 
-    /// Nothing more is read: from here on only pending answers are waited for.
+    /// Reading has stopped: starts the wait for pending answers.
     pub fn stop_reading(&mut self, now: Instant) {
         self.answer_deadline = Some(now + PENDING_ANSWERS_TIMEOUT);
     }
 
-    /// What was pending has failed.
+    /// The pending requests have failed.
     pub fn clear_answer_deadline(&mut self) {
         self.answer_deadline = None;
     }
--- a/crates/node/src/connections/sweep.rs
+++ b/crates/node/src/connections/sweep.rs
@@ -1,4 +1,5 @@
-//! The periodic check for connections to close: unused, stuck, forgotten by their callers, or too far behind.
+//! The periodic check for connections to close: unused, stuck, dropped by their callers, or with too many unread
+//! answers.
 
 use super::capacity::{evict_idle, remaining_capacity};
 use crate::completion;
@@ -8,28 +9,28 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Between two sweeps.
+/// Time between two sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After `shutdown` was sent, for the dispatcher to close by itself.
+/// How long a client may take to close a connection after `shutdown` was sent.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After which a connection on which no byte moved, though answers wait to be read, is stuck.
+/// Time without transferred bytes after which a connection with unread answers counts as stuck.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Beyond the time for which callers cache an unused connection: after it they have forgotten this one.
-const FORGOTTEN_MARGIN: Duration = Duration::from_secs(2);
+/// Added to the time for which callers cache an unused connection: after it they have dropped the connection.
+const CACHE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Unread answers on all connections together may take this part of the memory: an eighth.
+/// Unread answers on all connections together may use one eighth of the memory.
 const UNREAD_MEMORY_FRACTION: usize = 8;
 
-/// Sweeps ten times a second, for as long as the process lives.
+/// Sweeps ten times a second until the process exits.
 pub async fn sweep_connections(context: Rc<NodeContext>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
         completion::end_orphans(&context, Instant::now());
         close_unused(&context, Instant::now());
-        // Calls below started since connections took the descriptors that are theirs.
+        // Downstream calls may have started since connections took their descriptors.
         for _ in remaining_capacity(&context)..0 {
             evict_idle(&context, close_reason::CAPACITY);
         }
@@ -37,7 +38,7 @@
     }
 }
 
-/// Closes connections that are stuck, and asks dispatchers to close those that were unused for too long.
+/// Closes stuck connections, and asks clients to close those that were unused for too long.
 fn close_unused(context: &NodeContext, now: Instant) {
     let idle_limit = context.core.borrow().table.idle_limit;
     let idle_timeout = context.idle_timeout.get();
@@ -55,22 +56,21 @@
     }
 }
 
-/// Whether `shutdown` was sent on it longer ago than a dispatcher takes to close.
+/// Whether the client has not closed the connection within [`SHUTDOWN_TIMEOUT`].
 fn ignores_shutdown(conn: &Connection, now: Instant) -> bool {
     conn.shutdown_sent_at
         .get()
         .is_some_and(|sent| now.duration_since(sent) > SHUTDOWN_TIMEOUT)
 }
 
-/// Whether a connection that was quiet for so long is past the policy's limit, where that is shorter than callers
-/// cache a connection, or is forgotten by its caller.
+/// Whether a connection without activity for `quiet` is past the policy's limit, if that is shorter than the time for
+/// which callers cache a connection, or has been dropped by its caller.
 fn is_unused(quiet: Duration, idle_limit: Duration, idle_timeout: Duration) -> bool {
-    let forgotten_after = idle_timeout + FORGOTTEN_MARGIN;
-    quiet > idle_limit.min(forgotten_after)
-        && (idle_limit < idle_timeout || quiet > forgotten_after)
+    let dropped_after = idle_timeout + CACHE_MARGIN;
+    quiet > idle_limit.min(dropped_after) && (idle_limit < idle_timeout || quiet > dropped_after)
 }
 
-/// Closes the connection with most unread answers where all of them together take too much memory.
+/// Closes the connection with the most unread answers if all unread answers together use too much memory.
 fn bound_unread_answers(context: &NodeContext) {
     let connections = context.connections.borrow();
     let unread = |conn: &Rc<Connection>| conn.outgoing.borrow().len();
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one node share: its configuration, the policy with its table, connections, links and counters.
+//! The state shared by the tasks of one node: configuration, policy and request table, connections, links, counters.
 //!
 //! All tasks run on one thread. Invariant: nothing in a [`std::cell::RefCell`] here is borrowed across an await.
 
@@ -23,62 +23,62 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// The policy and the table that it works on.
+/// The policy and the request table that it works on.
 pub struct Core {
-    /// None until the agent has greeted.
+    /// None until the agent's first greeting.
     pub controller: Option<AdmissionController>,
     /// The requests in flight.
     pub table: RequestTable,
 }
 
-/// What the tasks of one node share.
+/// The state shared by the tasks of one node.
 pub struct NodeContext {
-    /// The file that the node started with.
+    /// The configuration that the node started with.
     pub config: Config,
-    /// The newest file whose settings were applied, for a policy that starts after it.
+    /// The newest reloaded configuration that was applied, for a policy that starts after the reload.
     pub reloaded_config: RefCell<Option<Config>>,
-    /// Those of the newest configuration file.
+    /// The peers of the newest configuration file.
     pub peer_addresses: Cell<Peers>,
-    /// The policy and its table.
+    /// The policy and its request table.
     pub core: RefCell<Core>,
-    /// Connections of dispatchers by their numbers.
+    /// Client connections by their numbers.
     pub connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     /// The node's counters.
     pub counts: Rc<Counts>,
-    /// How many connections of dispatchers ended, by reason code.
+    /// Number of ended client connections, by reason code.
     pub ends: RefCell<BTreeMap<&'static str, u64>>,
     /// The link to the agent.
     pub link: Rc<AgentLink>,
-    /// Where the node's traffic is recorded, if it is.
+    /// Records the node's traffic, if recording is on.
     pub record: OnceCell<Rc<TrafficRecording>>,
     /// Names of the gauges, in the order of a sample's values.
     pub(crate) gauge_names: RefCell<Vec<String>>,
-    /// For how long callers cache an unused connection. Follows a new configuration file, as do the next three and the
-    /// policy's settings: see [`crate::reload::apply_settings`].
+    /// How long callers cache an unused connection. A reload updates it, the next three fields and the policy's
+    /// settings: see [`crate::reload::apply_settings`].
     pub idle_timeout: Cell<Duration>,
-    /// How long the node still listens after the shutdown notice.
+    /// How long the node continues to listen after the shutdown notice.
     pub drain_grace: Cell<Duration>,
-    /// The longest wait that callers are asked for.
+    /// The longest retry-after that is sent to callers.
     pub max_retry_after: Cell<Duration>,
-    /// The list of nodes follows what is reported, not only that something is.
+    /// Whether the announce service evaluates the reported health, and not only that a report arrives.
     pub registry_follows_health: Cell<bool>,
-    /// When the shutdown notice came.
-    pub leaving: Cell<Option<Instant>>,
-    /// None once everything that came in before the end of listening is accepted.
+    /// When the shutdown notice arrived; None while the node does not drain.
+    pub draining_since: Cell<Option<Instant>>,
+    /// None once listening has ended and the backlog has been accepted.
     pub listener: RefCell<Option<Rc<TcpListener>>>,
-    /// Wakes the reports: at the shutdown notice, and when the announce service moved.
+    /// Wakes the reporter: at the shutdown notice, and when the announce service's address changed.
     pub report_wakeup: Notify,
-    /// Ends the listening.
+    /// Ends listening.
     pub stop_listening: Notify,
-    /// Descriptors that the group's links and store take, out of all.
+    /// The part of all descriptors that the group's links and store use.
     pub reserved_descriptors: Cell<usize>,
 }
 
 impl NodeContext {
-    /// The shared state of a node that does not run yet.
+    /// The shared state of a node that is not running yet.
     ///
     /// # Errors
-    /// Where the configuration's settings cannot be used.
+    /// If the configuration's settings cannot be used.
     pub fn new(mut config: Config) -> Result<Rc<Self>, ConfigError> {
         let configured = config.sockets;
         config.sockets = clamp_to_system_limit(configured);
@@ -127,7 +127,7 @@
             drain_grace: Cell::new(start.drain_grace),
             max_retry_after: Cell::new(start.max_retry_after),
             registry_follows_health: Cell::new(start.registry_follows_health),
-            leaving: Cell::new(None),
+            draining_since: Cell::new(None),
             listener: RefCell::new(None),
             report_wakeup: Notify::new(),
             stop_listening: Notify::new(),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// One call into the policy, with all that follows from it; nothing before the policy has started.
+    /// Calls the policy and passes it the runs that ended during the call; does nothing before the policy has started.
     pub fn drive_policy(
         &self,
         call: impl FnOnce(&mut AdmissionController, Duration, &mut RequestTable),
@@ -144,7 +144,7 @@
         let Core { controller, table } = &mut *core;
         let Some(policy) = controller else { return };
         let now = table.now();
-        // A defect that one request triggers must not end the process, and all other requests with it.
+        // A defect triggered by one request must not end the process with all its other requests.
         let drive = AssertUnwindSafe(|| {
             call(policy, now, table);
             while let Some(FinishedRun { index, outcome }) = table.run_ends.pop_front() {
@@ -161,12 +161,12 @@
         }
     }
 
-    /// The gauges in a sample of the agent.
+    /// The gauges in an agent's sample.
     pub fn gauges(&self, load: &[serde_json::Value]) -> Gauges {
         agent_link::gauges(&self.gauge_names.borrow(), load)
     }
 
-    /// Logs all counters in one line, whatever the log's rate.
+    /// Logs all counters in one line, regardless of the log's rate limit.
     pub fn print_counts(&self) {
         let table = self.core.borrow().table.state();
         let connections = self.connections.borrow().len();
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counters of everything a node read, sent and answered since its start.
+//! Counters of everything that a node read, sent and answered since its start.
 //!
-//! The names are those of the `counts` line of the log, which scripts read: they stay as they are.
+//! The names are those of the log's `counts` line, which scripts parse: don't rename them.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident)*) => {
-        /// What was read, sent and answered since the start.
+        /// Counters since the start.
         #[derive(Default)]
         pub struct Counts { $($(#[$doc])* pub $name: Cell<u64>,)* }
 
@@ -21,19 +21,19 @@
 }
 
 counters! {
-    /// Connections of dispatchers that were accepted.
+    /// Client connections that were accepted.
     accepted
     /// Accepts that failed.
     accept_errors
-    /// Tries that failed for want of descriptors.
+    /// Attempts that failed because there was no free descriptor.
     descriptors_out
-    /// Connections of dispatchers that ended.
+    /// Client connections that ended.
     closed
     /// Frames that were read.
     frames
     /// Requests with complete fields.
     tickets
-    /// Those of them that repeat an earlier one.
+    /// Retries among them.
     repeats
     /// Health checks.
     probes
@@ -43,7 +43,7 @@
     exceptions
     /// Launches.
     launched
-    /// Runs whose commands were sent again after a reconnect.
+    /// Runs whose commands were resent after a reconnect.
     resent
     /// Runs that were paused.
     frozen
@@ -51,35 +51,35 @@
     thawed
     /// Replies to calls that were passed to their runs.
     delivered
-    /// Runs that went on without their call, by order of the policy.
+    /// Runs that the policy ordered to continue without their call.
     forgone
     /// Numbered notices of the agent.
     notices
     /// Commands that the agent refused.
     refusals
-    /// Calls to the tier below.
+    /// Downstream calls.
     calls
     /// Requests that were answered with a result.
     honoured
     /// Requests that were rejected.
     dismissed
-    /// Requests that were answered with a failure.
+    /// Requests that failed.
     given_up
-    /// Requests that the node itself had to answer, as the policy did not.
+    /// Requests that the node itself answered, as the policy did not.
     unsettled
-    /// Runs whose end no notice reported.
+    /// Runs whose end was not reported by any notice.
     orphans
     /// Links to the agent that were opened.
     agent_links
-    /// Lines of the agent that were skipped as unreadable.
+    /// Lines from the agent that were skipped as unreadable.
     agent_odd
     /// Configuration files that were refused at a reload.
     reloads_refused
-    /// Reports that the announce service took.
+    /// Reports that the announce service accepted.
     announced
-    /// Reports that it did not answer in time.
+    /// Reports that the announce service did not answer in time.
     announce_unanswered
-    /// Reports that failed otherwise.
+    /// Reports that failed for other reasons.
     announce_errors
     /// Ticks of the policy.
     beats
@@ -87,7 +87,7 @@
     late_beats
     /// Ticks that the policy had not requested.
     unasked_beats
-    /// Ticks with old gauges.
+    /// Ticks with outdated gauges.
     stale_gauges
     /// Panics that were caught in a call into the policy.
     panics
--- a/crates/node/src/descriptor_limit.rs
+++ b/crates/node/src/descriptor_limit.rs
@@ -1,16 +1,16 @@
-//! The system's limit of descriptors.
+//! The system's descriptor limit.
 
 use rustix::process::{getrlimit, Resource};
 use std::io;
 use std::time::Duration;
 
-/// Between two tries to get a descriptor: a connection that is closed for it has gone within a turn of the runtime.
+/// Pause between two attempts to open a descriptor: an evicted connection is closed within one turn of the runtime.
 pub const RETRY_BACKOFF: Duration = Duration::from_millis(5);
 
-/// `EMFILE` and `ENFILE`: the process, or the machine, has no descriptor left.
+/// `EMFILE` and `ENFILE`: the process or the machine has no free descriptor.
 const EXHAUSTED_CODES: [i32; 2] = [24, 23];
 
-/// As many of the configured descriptors as the system gives to this process.
+/// Limits the configured number of descriptors to what the system allows this process.
 pub fn clamp_to_system_limit(configured: usize) -> usize {
     let limit = getrlimit(Resource::Nofile)
         .current
@@ -18,7 +18,7 @@
     configured.min(limit.unwrap_or(usize::MAX))
 }
 
-/// Whether this failed for want of descriptors.
+/// Whether an operation failed because no descriptor was free.
 ///
 /// ```
 /// use rainstand_node::descriptor_limit::is_exhausted;
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -1,10 +1,9 @@
-//! How the node gets a descriptor for its own needs once they have run out.
+//! How the node obtains a descriptor for its own use when none is free.
 //!
-//! What the system's limit and the configuration leave is shared out by
-//! [`connection_capacity`](crate::connections::connection_capacity): the node's own needs and the calls to the tier
-//! below come first, and idle connections are evicted for them. Where all that was not enough, a task that needs a
-//! descriptor waits here, and with each try the connection that was idle for longest is closed at once. Connections on
-//! which an answer is pending are never closed for it.
+//! [`connection_capacity`](crate::connections::connection_capacity) divides the descriptors that the system's limit and
+//! the configuration allow: the node itself and downstream calls have priority, and idle connections are evicted for
+//! them. If that was not enough, a task that needs a descriptor retries here, and each attempt immediately closes the
+//! connection that has been idle for longest. Connections with a pending answer are never closed for it.
 
 use crate::connections;
 use crate::context::NodeContext;
@@ -15,14 +14,14 @@
 use std::io;
 use tokio::time::sleep;
 
-/// Tries in a row: half a second, which no opening outlives by much.
-const MAX_TRIES: usize = 100;
+/// Consecutive attempts: half a second, which exceeds by far the time that any single opening takes.
+const MAX_ATTEMPTS: usize = 100;
 
-/// Does what takes a descriptor, again while there is none and idle connections can be closed for it. `purpose`: its
-/// name in the log.
+/// Runs `attempt`, which opens a descriptor, and retries it after closing an idle connection while no descriptor is
+/// free. `purpose` names it in the log.
 ///
 /// # Errors
-/// Those of `attempt`; for want of descriptors only after half a second of tries.
+/// Those of `attempt`; the lack of descriptors is returned only after half a second of attempts.
 pub async fn with_retry<T, F>(
     context: &NodeContext,
     purpose: &'static str,
@@ -31,15 +30,15 @@
 where
     F: Future<Output = io::Result<T>>,
 {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let result = attempt().await;
-        tries += 1;
-        if tries >= MAX_TRIES || !result.as_ref().is_err_and(is_exhausted) {
+        attempts += 1;
+        if attempts >= MAX_ATTEMPTS || !result.as_ref().is_err_and(is_exhausted) {
             return result;
         }
         count(&context.counts.descriptors_out);
-        if tries == 1 {
+        if attempts == 1 {
             log_frequent!("descriptors_out", "out of descriptors", wanted = purpose);
         }
         connections::evict_for_descriptor(context);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,10 @@
-//! A node on sockets: dispatchers on one side, the execution agent and the tier below on the other, and between them
-//! the policy, which decides about every request.
+//! A node on sockets, between clients on one side and the execution agent and the downstream tier on the other. Its
+//! policy decides about every request.
 //!
 //! A request passes [`connections`] (bytes to frames), [`ingress`] (names to indices, retries), the policy's orders in
-//! `policy_host`, [`dispatch`] (launches and calls) and [`completion`] (outcomes to the one answer). What they work on
-//! is the [`request_table`], which knows no I/O. All tasks run on one thread and share a [`NodeContext`]; nothing in it
-//! is borrowed across an await.
+//! `policy_host`, [`dispatch`] (launches and calls) and [`completion`] (outcomes to the single answer). They work on the
+//! [`request_table`], which does no I/O. All tasks run on one thread and share a [`NodeContext`]; nothing in it is
+//! borrowed across an await.
 
 pub mod agent;
 pub mod agent_link;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! Events for on-call staff, on standard error, through macros that are bounded in rate.
+//! Events for on-call staff, written to standard error by rate-limited macros.
 
 use std::cell::Cell;
 use std::fmt::{self, Write};
@@ -9,25 +9,25 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 
-/// Lines a second in the long run: as fast as a person can follow a scroll.
+/// Long-term limit of lines per second: about as fast as a person can read scrolling text.
 const LINES_PER_SECOND: f64 = 20.0;
 
-/// Lines that may come together: a start, or the connections that end at a drain.
+/// Lines that may be written in one burst, such as at a start or as connections end in a drain.
 pub const MAX_BURST: f64 = 200.0;
 
-/// Of a burst, what lines about one connection or request leave to lines about the whole node: a start or a drain.
+/// The part of a burst, in lines, reserved for events about the whole node, such as a start or a drain.
 pub const RESERVED_BURST: f64 = 20.0;
 
-/// What an event is about, and so how early its line is suppressed.
+/// What an event is about, which decides how early its line is suppressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventScope {
     /// The whole node.
     Node,
-    /// One connection or request, of which a flood brings hundreds: the first to be suppressed.
+    /// One connection or request. A flood causes hundreds of such events, so they are suppressed first.
     Single,
 }
 
-/// A token bucket: how many lines may be written, and how many were suppressed.
+/// A token bucket for lines, with a count of the suppressed ones.
 pub struct RateLimiter {
     tokens: Cell<f64>,
     refilled_at: Cell<Option<Instant>>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes a token for a line; how many lines were suppressed before it, or None if this one is, too.
+    /// Takes a token for a line and returns the number of lines suppressed before it, or None if it is suppressed, too.
     pub fn acquire(&self, now: Instant, scope: EventScope) -> Option<u64> {
         let elapsed = self
             .refilled_at
@@ -72,12 +72,12 @@
 }
 
 thread_local! {
-    /// That of this thread's lines.
+    /// The limiter of this thread's lines.
     pub static LOG_LIMITER: RateLimiter = const { RateLimiter::new() };
 }
 
-/// Logs an event about the whole node: a stable code, the words of its line, and fields. Past the rate nothing is
-/// logged, and how many lines were suppressed comes before the next one. Fields called `what` and `why` stand without
+/// Logs an event about the whole node: a stable code, the words of its line, and fields. Lines past the rate limit are
+/// suppressed, and the next written line is preceded by their number. The fields `what` and `why` are written without
 /// their name in a text line.
 #[macro_export]
 macro_rules! log_event {
@@ -96,7 +96,7 @@
     ($code:literal, $($rest:tt)*) => { $crate::log_event!(scope: Node, $code, $($rest)*) };
 }
 
-/// Logs an event about one connection or request, of which a flood brings hundreds: the first to be suppressed.
+/// Logs an event about one connection or request. A flood causes hundreds of such events, so they are suppressed first.
 #[macro_export]
 macro_rules! log_frequent {
     ($($rest:tt)*) => { $crate::log_event!(scope: Single, $($rest)*) };
@@ -108,16 +108,16 @@
     /// Words, and fields as `name=value`.
     #[default]
     Text,
-    /// One object a line: `at_ms`, `event`, and the fields.
+    /// One object per line: `at_ms`, `event`, and the fields.
     Json,
 }
 
-/// The program's events are written elsewhere already.
+/// Another subscriber is already installed.
 #[derive(Debug, thiserror::Error)]
 #[error("log: {0}")]
 pub struct InstallError(#[from] SetGlobalDefaultError);
 
-/// Writes events, a line each.
+/// Writes each event as a line.
 pub struct LogLayer {
     format: LogFormat,
     write: fn(&str),
@@ -131,15 +131,15 @@
         })
     }
 
-    /// Writes through a function, which gets lines without their ends.
+    /// Writes through a function, which receives lines without line ends.
     pub fn with_writer(format: LogFormat, write: fn(&str)) -> Self {
         Self { format, write }
     }
 
-    /// From here on the program's events are written.
+    /// Installs the layer as the process's global subscriber.
     ///
     /// # Errors
-    /// If another subscriber writes them already.
+    /// If another subscriber is already installed.
     pub fn install(self) -> Result<(), InstallError> {
         let subscriber = tracing_subscriber::registry().with(self);
         tracing::subscriber::set_global_default(subscriber)?;
@@ -208,7 +208,7 @@
     }
 }
 
-/// Numbers and booleans as such, so that readers need not parse them out of texts.
+/// Converts numbers and booleans to JSON numbers and booleans, so that readers need not parse strings.
 fn json_value(text: &str) -> serde_json::Value {
     match (text.parse::<i64>(), text) {
         (Ok(number), _) => number.into(),
@@ -218,7 +218,7 @@
     }
 }
 
-/// Runs what writes a line. `eprintln!` panics where the log's reader has closed its end; the node goes on.
+/// Runs `write_line` and ignores a panic: `eprintln!` panics if the log's reader has closed the pipe.
 pub fn ignore_write_panic(write_line: impl FnOnce()) {
     let _ = catch_unwind(AssertUnwindSafe(write_line));
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `rainstand-node`: one node; `ROUTER_CONFIG` is the path of its configuration.
+//! `rainstand-node` runs one node; `ROUTER_CONFIG` is the path of its configuration.
 
 use rainstand_cluster::planted;
 use rainstand_cluster::ClusterError;
@@ -65,7 +65,7 @@
 }
 
 impl Signals {
-    /// Handles the signals from here on.
+    /// Installs handlers for the signals.
     fn install(runtime: &Runtime) -> Result<Self, StartError> {
         let _guard = runtime.enter();
         let handle = |kind| signal(kind).map_err(StartError::Signals);
@@ -79,7 +79,7 @@
 }
 
 fn main() -> ExitCode {
-    // Further arguments are ignored: a deployment may pass what it likes.
+    // Other arguments are ignored: deployments may pass some.
     match std::env::args().nth(1).as_deref() {
         Some("--help" | "-h") => {
             println!("{HELP}");
@@ -100,19 +100,19 @@
     }
 }
 
-/// Reads the configuration, and serves until the drain is done.
+/// Reads the configuration and serves until the drain has ended.
 fn start() -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?;
-    // Before all else: until then a signal ends the process, and a reload of a file that was replaced just after it was
-    // read would be lost.
+    // Before everything else: an unhandled signal would end the process, and a reload signal for a file that was
+    // replaced just after it was read would be lost.
     let signals = Signals::install(&runtime);
     let path = std::env::var("ROUTER_CONFIG").map_err(|_| StartError::NoConfig)?;
     let config = read_config(&path)?;
     let settings = read_settings()?;
-    LogLayer::new(settings.form).install()?;
+    LogLayer::new(settings.log_format).install()?;
     config.log_unknown_keys();
     let context = NodeContext::new(config)?;
     if let Some(recording) = &settings.recording {
@@ -132,7 +132,7 @@
     })
 }
 
-/// The compiled configuration that `RAINSTAND_SETTINGS` names, or the default.
+/// The settings of the compiled configuration at `RAINSTAND_SETTINGS`, or the default.
 fn read_settings() -> Result<Settings, StartError> {
     let Ok(path) = std::env::var("RAINSTAND_SETTINGS") else {
         return Ok(Settings::default());
@@ -143,7 +143,7 @@
     }
 }
 
-/// Listens, joins the group if there is one, and serves until a signal to drain and the drain's end.
+/// Listens, joins the group if there is one, and serves until a signal arrives and the drain has ended.
 async fn serve(
     context: Rc<NodeContext>,
     settings: Settings,
@@ -155,7 +155,7 @@
         .await
         .map_err(|cause| StartError::Listen { address, cause })?;
     let mut signals = signals?;
-    // Before the line that says that the node is up: it has all its addresses then.
+    // Before the line that reports the start, so that all addresses are bound when it is written.
     if let Some(group) = settings.group {
         group_membership::join(&context, group).await?;
     }
@@ -168,10 +168,10 @@
     );
     let reloading = reload::keep_reloading(context.clone(), path.into(), signals.reload);
     spawn_local(reloading);
-    let printing = context.clone();
+    let counts_context = context.clone();
     spawn_local(async move {
         while signals.print_counts.recv().await.is_some() {
-            printing.print_counts();
+            counts_context.print_counts();
         }
     });
     let shutdown = async move {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's run, from its listener to the end of its drain.
+//! Runs a node, from its listener to the end of its drain.
 
 use crate::context::NodeContext;
 use crate::supervisor::supervise;
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Serves on this listener until `shutdown` is done and everything is answered. Runs on a
+/// Serves on this listener until `shutdown` completes and everything is answered. Must run on a
 /// [`tokio::task::LocalSet`].
 pub async fn run(
     context: Rc<NodeContext>,
--- a/crates/node/src/node_tasks.rs
+++ b/crates/node/src/node_tasks.rs
@@ -1,4 +1,4 @@
-//! What the request table starts beyond itself, carried out by the node.
+//! The node's implementation of the tasks that the request table starts.
 
 use crate::context::NodeContext;
 use crate::request_table::{CallOrder, NodeTasks};
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -1,5 +1,5 @@
-//! Starting a recording of the node's own traffic, if its settings ask for one: dispatchers' connections, and the links
-//! to the agent and to the tier below.
+//! Starts a recording of the node's traffic, if its settings configure one: client connections, and the links to the
+//! agent and to the downstream tier.
 
 use crate::context::NodeContext;
 use crate::traffic_recording::TrafficRecording;
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The program's name and version, as a recording's files carry them.
+/// The program's name and version, as written to a recording's files.
 const PROGRAM: &str = concat!("rainstand-node ", env!("CARGO_PKG_VERSION"));
 
-/// No thread could be started for a recording.
+/// The recording's thread could not be started.
 #[derive(Debug, thiserror::Error)]
 #[error("recording: {0}")]
 pub struct RecordingError(#[from] std::io::Error);
@@ -21,7 +21,7 @@
 /// Starts a recording.
 ///
 /// # Errors
-/// No thread could be started for it.
+/// If its thread could not be started.
 pub fn start(context: &NodeContext, recording: &Recording) -> Result<(), RecordingError> {
     let start = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -36,14 +36,15 @@
         file_bytes: recording.file_bytes,
         files: recording.files,
     };
-    start_on(context, store, limits, recording.links)
+    start_with_store(context, store, limits, recording.links)
 }
 
-/// As [`start`], on any store of files. `includes_links`: whether the links to the agent and to the tier below are recorded, too.
+/// As [`start`], with any file store. `includes_links` tells whether the links to the agent and to the downstream tier
+/// are recorded, too.
 ///
 /// # Errors
-/// No thread could be started for it.
-pub fn start_on(
+/// If its thread could not be started.
+pub fn start_with_store(
     context: &NodeContext,
     store: impl FileStore + Send + 'static,
     limits: Limits,
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -1,4 +1,4 @@
-//! Reports to the announce service: the node stays listed while it reports.
+//! Reports to the announce service, which lists the node for as long as it reports.
 
 use crate::context::NodeContext;
 use crate::counters::count;
@@ -10,42 +10,42 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Between reports: four of them fit in the 3 s after which a silent node is struck off the list.
+/// Time between reports: four fit in the 3 s after which the service delists a silent node.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// After a report that failed.
+/// Pause after a failed report.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// For one report, with its connection.
+/// Time limit of one report, including its connection.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Without any answer for so long, the service counts as down: the time after which a silent node is struck off.
+/// Time without an answer after which the service counts as down: the time after which it delists a silent node.
 const DOWN_AFTER: Duration = Duration::from_secs(3);
 
-/// The service's reply to a report that it took: no content.
+/// Status of the reply to an accepted report: no content.
 const STATUS_ACCEPTED: u16 = 204;
 
-/// What became of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReportOutcome {
     Accepted,
-    /// Sent, perhaps, and not answered in time.
+    /// Not answered in time; it may have been sent.
     Unanswered,
     Failed,
 }
 
 /// The connection to the service, and whether the service is known to be down.
 struct Reporter {
-    /// Cached between reports.
+    /// Reused between reports.
     stream: Option<TcpStream>,
-    /// Where the connection goes.
+    /// The address that the connection leads to.
     address: Option<SocketAddr>,
     is_down: bool,
     last_answer: Instant,
 }
 
-/// Reports until the node leaves, and then stops, so that it is struck off. Where the list follows the state, it
-/// reports `false` once before; elsewhere that would only keep it on the list for longer.
+/// Reports until the node drains, and then stops, so that the node is delisted. If the service evaluates the reported
+/// health, a last report of `false` precedes; otherwise it would only keep the node listed for longer.
 pub async fn keep_reporting(context: Rc<NodeContext>) {
     let mut reporter = Reporter {
         stream: None,
@@ -58,13 +58,13 @@
             context.report_wakeup.notified().await;
             continue;
         };
-        let is_leaving = context.leaving.get().is_some();
-        if is_leaving && !context.registry_follows_health.get() {
+        let is_draining = context.draining_since.get().is_some();
+        if is_draining && !context.registry_follows_health.get() {
             return;
         }
-        let is_accepting = !is_leaving && context.core.borrow().table.healthy;
+        let is_accepting = !is_draining && context.core.borrow().table.healthy;
         let outcome = reporter.report(&context, address, is_accepting).await;
-        if is_leaving && outcome == ReportOutcome::Accepted {
+        if is_draining && outcome == ReportOutcome::Accepted {
             return;
         }
         tokio::select! {
@@ -84,7 +84,7 @@
 }
 
 impl Reporter {
-    /// Follows the service to its configured address. A connection to where it no longer is would still be answered
+    /// Drops the connection if the configured address has changed. The service might still answer at its old address
     /// for a while.
     fn follow(&mut self, address: Option<SocketAddr>) -> Option<SocketAddr> {
         if std::mem::replace(&mut self.address, address) != address {
@@ -93,7 +93,7 @@
         address
     }
 
-    /// Sends one report, counts it, and logs where the service went down or came up.
+    /// Sends one report, counts its outcome, and logs if the service went down or came up.
     async fn report(
         &mut self,
         context: &NodeContext,
@@ -107,7 +107,7 @@
         let counts = &context.counts;
         let (outcome, counter) = match &result {
             Ok(_) => (ReportOutcome::Accepted, &counts.announced),
-            // A lost answer does not mean a lost report: what was sent and not answered counts.
+            // The report may have arrived although its answer is missing, so it is not counted as failed.
             Err(error) if error.kind() == io::ErrorKind::TimedOut => {
                 (ReportOutcome::Unanswered, &counts.announce_unanswered)
             }
@@ -127,7 +127,7 @@
         outcome
     }
 
-    /// One report on the cached connection or a new one; the connection, where it can be used again.
+    /// Sends one report on the cached connection or a new one; returns the connection if it can be reused.
     async fn exchange(
         &mut self,
         context: &NodeContext,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Logs, once, that the service is down; a single missing answer is not logged.
+    /// Logs once that the service is down; a single missing answer is not logged.
     fn on_no_answer(&mut self, error: &io::Error) {
         if !self.is_down && self.last_answer.elapsed() > DOWN_AFTER {
             self.is_down = true;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,10 +1,10 @@
-//! A new configuration file under load: at SIGHUP the node reads it again and applies its addresses and its settings,
-//! or nothing of it: half a file would send one customer's requests by another's settings.
+//! Reload of the configuration file under load: at SIGHUP the node reads the file again and applies all of its addresses
+//! and settings, or none: a partly applied file could handle one customer's requests by another's settings.
 //!
-//! Which classes and tenants there are, the memory and the cores hold until the next start; the file may list classes
-//! and tenants in another order. Runs and notice numbers go on over the reload, and requests in flight stay in flight, under
-//! the terms that they came under; what cannot be applied leaves the old file in force. A rollback is the same step with
-//! the old file.
+//! The set of classes and tenants, the memory and the cores are fixed until the next start; the file may list classes
+//! and tenants in another order. Runs and notice numbers continue over the reload, and requests in flight keep the
+//! settings under which they arrived. If the new file cannot be applied, the old one stays in force. A rollback is a
+//! reload of the old file.
 
 use crate::config::{Config, ConfigError, Peers};
 use crate::context::{Core, NodeContext};
@@ -20,7 +20,7 @@
 use tokio::signal::unix::Signal;
 use tokio::time::timeout;
 
-/// Why a file could not be read again.
+/// Why the file could not be read again.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error(transparent)]
@@ -32,15 +32,15 @@
 /// Why the settings of a file could not be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
-    /// They name other classes or tenants than the node started with.
+    /// The settings name other classes or tenants than the node started with.
     #[error("{0}")]
-    OtherNames(rainstand_settings::SettingsError),
-    /// The policy cannot use them.
+    NameMismatch(rainstand_settings::SettingsError),
+    /// The policy cannot use the settings.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
 
-/// Reads the file again at each signal, also while draining.
+/// Reloads the file at each signal, also while draining.
 pub async fn keep_reloading(context: Rc<NodeContext>, path: PathBuf, mut signals: Signal) {
     while signals.recv().await.is_some() {
         if planted("descriptor-leak") {
@@ -51,16 +51,16 @@
             Ok(config) => {
                 apply(&context, config);
                 if planted("reload-forgotten") {
-                    // A signal of the next milliseconds is taken for the one that was just handled.
+                    // The planted bug: a signal within the next 3 ms is lost.
                     let _ = timeout(Duration::from_millis(3), signals.recv()).await;
                 }
             }
             Err(error) => {
                 count(&context.counts.reloads_refused);
-                // One line whatever is in the file: it may hold line ends.
+                // Escaped to stay on one line: the error may quote line ends of the file.
                 log_event!(
                     "reload_refused",
-                    "reload refused, the old addresses stay",
+                    "reload refused, the old addresses stay in force",
                     why = error.to_string().escape_debug()
                 );
             }
@@ -74,7 +74,7 @@
     Ok(Config::read(&bytes)?)
 }
 
-/// Applies all of a file, or nothing.
+/// Applies all of a file, or none of it.
 fn apply(context: &NodeContext, config: Config) {
     config.log_unknown_keys();
     let peers = config.peers;
@@ -84,14 +84,14 @@
             count(&context.counts.reloads_refused);
             log_event!(
                 "settings_refused",
-                "settings refused, the old file stays",
+                "settings refused, the old file stays in force",
                 why = error
             );
         }
     }
 }
 
-/// Follows the peers to new addresses: links and calls to one that moved go to the new address at once.
+/// Switches to the peers' new addresses: links and calls to a peer that moved use its new address immediately.
 pub fn apply_peers(context: &NodeContext, new: Peers) {
     let old = context.peer_addresses.replace(new);
     let text = |peer: Option<SocketAddr>| peer.map_or("none".to_owned(), |peer| peer.to_string());
@@ -113,16 +113,16 @@
     }
 }
 
-/// Applies the policy's settings of a new file, with those that the node reads beside it.
+/// Applies a new file's settings for the policy and for the node itself.
 ///
 /// # Errors
-/// Where the new settings name other classes or tenants, as the table is laid out by them, or cannot be used.
+/// If the settings name other classes or tenants, as the request table is indexed by them, or cannot be used.
 pub fn apply_settings(context: &NodeContext, mut config: Config) -> Result<(), ApplyError> {
     let mut core = context.core.borrow_mut();
     let Core { controller, table } = &mut *core;
     config.settings =
         rainstand_settings::align_names(&config.settings, &table.classes, &table.tenants)
-            .map_err(ApplyError::OtherNames)?;
+            .map_err(ApplyError::NameMismatch)?;
     let start = config.start(Machine {
         began: table.now(),
         ..Machine::default()
--- a/crates/node/src/socket_buffer.rs
+++ b/crates/node/src/socket_buffer.rs
@@ -1,39 +1,39 @@
-//! Ring buffers on sockets: what moves between a connection and its buffer without waiting.
+//! Ring buffers on sockets: non-blocking reads and writes between a connection and its buffers.
 
 pub use rainstand_protocol::ring::Ring;
 use socket2::SockRef;
 use std::io::{self, Read};
 use tokio::net::TcpStream;
 
-/// Bytes moved between a socket and a buffer in one go: a few frames, and small on the stack.
+/// Maximum bytes per read from a socket: a few frames, and small on the stack.
 const CHUNK_BYTES: usize = 8 * 1024;
 
-/// What one read brought.
+/// The result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes.
+    /// Bytes were read.
     Some,
-    /// None for now.
+    /// No bytes are available now.
     Nothing,
-    /// The other side ended the connection.
+    /// The peer ended the connection.
     End,
 }
 
-/// Reads and writes that do not wait.
+/// Non-blocking reads and writes.
 pub trait SocketIo {
-    /// One read from the socket, as far as the runtime knows of bytes.
+    /// Reads once from the socket, if the runtime reports it as readable.
     ///
     /// # Errors
     /// Those of the socket.
     fn fill(&mut self, from: &TcpStream) -> io::Result<ReadOutcome>;
 
-    /// The same, asking the system: the runtime may not have heard yet of bytes that came while it was busy.
+    /// Reads once with a system call: the runtime may not know yet of bytes that arrived while it was busy.
     ///
     /// # Errors
     /// Those of the socket.
     fn fill_now(&mut self, from: &TcpStream) -> io::Result<ReadOutcome>;
 
-    /// Writes what the socket takes; true once the buffer is empty.
+    /// Writes as much as the socket accepts; true once the buffer is empty.
     ///
     /// # Errors
     /// Those of the socket.
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Tasks that go on for as long as the process lives.
+//! Supervision of tasks that run until the process exits.
 
 use crate::context::NodeContext;
 use crate::counters::count;
@@ -9,10 +9,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Before a task that panicked is restarted: it costs little, however often it panics.
+/// Pause before a task that panicked is restarted: bounds the cost of one that panics repeatedly.
 const RESTART_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Runs a task, and restarts it whenever it panics, which is counted and logged; one that returns is done.
+/// Runs a task, and counts, logs and restarts it whenever it panics; returns once the task returns.
 pub async fn supervise<F: Future<Output = ()> + 'static>(
     context: Rc<NodeContext>,
     name: &'static str,
--- a/crates/node/tests/recording.rs
+++ b/crates/node/tests/recording.rs
@@ -262,7 +262,8 @@
         },
     ] {
         // With the second one the node answers, drains and ends though no write ever returns.
-        let seen = play_with(|context| recording::start_on(context, bad, limits, true).unwrap());
+        let seen =
+            play_with(|context| recording::start_with_store(context, bad, limits, true).unwrap());
         assert_eq!(
             seen.iter().filter(|(_, said)| said.1 == "honoured").count(),
             12
@@ -280,7 +281,7 @@
         ),
         (
             "version: 1 recordings { folder: \"a\" } recordings { folder: \"b\" }",
-            "a node takes one",
+            "a node takes at most one",
         ),
         ("version: 1\nrecording { }", "2:1:"),
         ("version: 7", "knows version 1"),
@@ -292,7 +293,7 @@
     assert_eq!(
         Settings::read("version: 1 logs { form: JSON }")
             .unwrap()
-            .form,
+            .log_format,
         LogFormat::Json
     );
 }
