--- a/crates/node/benches/round_trip.rs
+++ b/crates/node/benches/round_trip.rs
@@ -1,9 +1,9 @@
-//! Record, replay on a fresh node, compare; and what recording costs.
+//! Records traffic, replays it on a new node and compares; measures the cost of recording.
 //! `cargo build --release && cargo bench -p rainstand-node --bench round_trip`
 //!
-//! A stand-in agent finishes every launch at once with its own body. Calls go out paced on four
-//! connections to a node that records and to one that does not; their CPU times are told. The recording is
-//! replayed against a fresh node, and `rainstand pcap replay` tells how late its sends were and what differs.
+//! A fake agent finishes every launch immediately and echoes the body. Requests are sent at a fixed rate on four
+//! connections to a node that records and to one that does not, and their CPU times are printed. The recording is
+//! replayed on a new node, and `rainstand pcap replay` prints how late its sends were and which answers differ.
 
 #![allow(
     missing_docs,
@@ -20,14 +20,15 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Calls a second, and for how long.
+/// Requests per second.
 const RATE: u64 = 1_000;
+/// Duration of a round in seconds.
 const SECONDS: u64 = 10;
 const CONNECTIONS: usize = 4;
-/// With and without recording.
+/// Rounds, each with and without recording.
 const ROUNDS: u32 = 4;
 
-fn agent() -> SocketAddr {
+fn start_agent() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -44,7 +45,7 @@
     let mut offset = 0;
     for line in lines.map_while(Result::ok) {
         let command: Value = serde_json::from_str(&line).unwrap();
-        let told = match command["cmd"].as_str().unwrap() {
+        let reply = match command["cmd"].as_str().unwrap() {
             "subscribe" => json!({"cmd": "greeting", "result": "running", "elapsed_ms": 60_000}),
             "sample" => {
                 json!({"cmd": "sampled", "token": command["token"], "load": [0.1, 0, 0.1, 1]})
@@ -56,7 +57,7 @@
             }
             _ => continue,
         };
-        if stream.write_all(format!("{told}\n").as_bytes()).is_err() {
+        if stream.write_all(format!("{reply}\n").as_bytes()).is_err() {
             return;
         }
     }
@@ -67,7 +68,7 @@
     addr: SocketAddr,
 }
 
-fn node(folder: &Path, agent: SocketAddr, settings: Option<&Path>) -> Node {
+fn start_node(folder: &Path, agent: SocketAddr, settings: Option<&Path>) -> Node {
     let addr = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -89,14 +90,14 @@
     while TcpStream::connect(addr).is_err() {
         std::thread::sleep(Duration::from_millis(10));
     }
-    // The agent greets within this.
+    // The agent greets within this time.
     std::thread::sleep(Duration::from_millis(300));
     Node { child, addr }
 }
 
 impl Node {
     /// CPU time of the process so far.
-    fn cpu(&self) -> Duration {
+    fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat
             .rsplit(')')
@@ -108,7 +109,8 @@
         Duration::from_millis(ticks * 10)
     }
 
-    fn peak(&self) -> String {
+    /// The line of the peak resident memory.
+    fn peak_memory(&self) -> String {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         status
             .lines()
@@ -125,27 +127,27 @@
     }
 }
 
-/// Paced calls on one connection; how many were answered.
-fn call(addr: SocketAddr, which: usize) -> usize {
+/// Sends requests at a fixed rate on one connection; returns how many were answered.
+fn send_requests(addr: SocketAddr, connection: usize) -> usize {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.set_nodelay(true).unwrap();
-    let mut back = stream.try_clone().unwrap();
-    let calls = (RATE * SECONDS) as usize / CONNECTIONS;
+    let mut incoming = stream.try_clone().unwrap();
+    let requests = (RATE * SECONDS) as usize / CONNECTIONS;
     let reader = std::thread::spawn(move || {
-        for answered in 0..calls {
+        for answered in 0..requests {
             let mut head = [0; 4];
-            if back.read_exact(&mut head).is_err() {
+            if incoming.read_exact(&mut head).is_err() {
                 return answered;
             }
             let mut frame = vec![0; u32::from_be_bytes(head) as usize];
-            back.read_exact(&mut frame).unwrap();
+            incoming.read_exact(&mut frame).unwrap();
         }
-        calls
+        requests
     });
     let start = Instant::now();
-    let each = Duration::from_secs(SECONDS) / calls as u32;
-    for n in 0..calls {
-        let due = start + each * n as u32 + each / CONNECTIONS as u32 * which as u32;
+    let interval = Duration::from_secs(SECONDS) / requests as u32;
+    for n in 0..requests {
+        let due = start + interval * n as u32 + interval / CONNECTIONS as u32 * connection as u32;
         while let Some(left) = due
             .checked_duration_since(Instant::now())
             .filter(|left| !left.is_zero())
@@ -160,7 +162,7 @@
             .unwrap()
             .as_millis()
             .to_string();
-        let trace = format!("{:016x}", (which << 32) + n);
+        let trace = format!("{:016x}", (connection << 32) + n);
         let fields = [
             ("route", "check"),
             ("trace", &trace),
@@ -177,17 +179,21 @@
     reader.join().unwrap()
 }
 
-fn load(node: &Node) -> Duration {
-    let before = node.cpu();
-    let calls: Vec<_> = (0..CONNECTIONS)
-        .map(|which| {
+/// Runs one round on a node; returns the CPU time that it used.
+fn run_load(node: &Node) -> Duration {
+    let before = node.cpu_time();
+    let callers: Vec<_> = (0..CONNECTIONS)
+        .map(|connection| {
             let addr = node.addr;
-            std::thread::spawn(move || call(addr, which))
+            std::thread::spawn(move || send_requests(addr, connection))
         })
         .collect();
-    let answered: usize = calls.into_iter().map(|one| one.join().unwrap()).sum();
+    let answered: usize = callers
+        .into_iter()
+        .map(|caller| caller.join().unwrap())
+        .sum();
     assert_eq!(answered, (RATE * SECONDS) as usize);
-    node.cpu() - before
+    node.cpu_time() - before
 }
 
 fn main() {
@@ -197,33 +203,33 @@
     let records = folder.path().join("records");
     std::fs::create_dir(&records).unwrap();
     let settings = folder.path().join("settings.txtpb");
-    let place = records.to_str().unwrap();
+    let records_path = records.to_str().unwrap();
     std::fs::write(
         &settings,
-        format!("version: 1 recordings {{ folder: \"{place}\" file_bytes: 1000000000 files: 2 }}"),
+        format!("version: 1 recordings {{ folder: \"{records_path}\" file_bytes: 1000000000 files: 2 }}"),
     )
     .unwrap();
-    let agent = agent();
-    let tickets = RATE * SECONDS;
+    let agent = start_agent();
+    let requests = RATE * SECONDS;
     for round in 0..ROUNDS {
         let (plain, recording) = (
-            node(folder.path(), agent, None),
-            node(folder.path(), agent, Some(&settings)),
+            start_node(folder.path(), agent, None),
+            start_node(folder.path(), agent, Some(&settings)),
         );
-        // In turn first and second, since a machine that warms up favours one of them.
+        // The order alternates, since the second run benefits from a machine that has warmed up.
         let (without, with) = if round % 2 == 0 {
-            let without = load(&plain);
-            (without, load(&recording))
+            let without = run_load(&plain);
+            (without, run_load(&recording))
         } else {
-            let with = load(&recording);
-            (load(&plain), with)
+            let with = run_load(&recording);
+            (run_load(&plain), with)
         };
         println!(
-            "round {round}: CPU a ticket {:.1} us without, {:.1} us with recording; {} and {}",
-            without.as_secs_f64() * 1e6 / tickets as f64,
-            with.as_secs_f64() * 1e6 / tickets as f64,
-            plain.peak(),
-            recording.peak()
+            "round {round}: CPU per request {:.1} us without, {:.1} us with recording; {} and {}",
+            without.as_secs_f64() * 1e6 / requests as f64,
+            with.as_secs_f64() * 1e6 / requests as f64,
+            plain.peak_memory(),
+            recording.peak_memory()
         );
         plain.stop();
         recording.stop();
@@ -233,7 +239,7 @@
         .map(|entry| entry.unwrap().path())
         .collect();
     files.sort();
-    let fresh = node(folder.path(), agent, None);
+    let fresh = start_node(folder.path(), agent, None);
     let (file, to) = (
         files[files.len() - 1].to_str().unwrap(),
         fresh.addr.to_string(),
--- a/crates/node/tests/descriptors.rs
+++ b/crates/node/tests/descriptors.rs
@@ -1,5 +1,6 @@
-//! Descriptors run out, in real processes with a low limit: idle clients rest at it, discovery is down, and the node
-//! still has those that it needs itself. Whoever rests makes room; every ticket gets its answer.
+//! Exhaustion of descriptors, in real processes with a low limit: idle clients use up the limit and the announce service
+//! is down, but the node still gets the descriptors that it needs itself by evicting idle clients, and answers every
+//! request.
 
 #![allow(
     missing_docs,
@@ -17,30 +18,31 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use world::stand_ins::{Agent, Caller, Http};
-use world::{alone, born, example, said, whole_ticket, Program};
+use world::{born, complete_request, example, run_with_timeout, said, NodeProcess};
 
-/// Descriptors of the node.
+/// Descriptor limit of the node.
 const LIMIT: usize = 160;
-/// More than the node has for itself with one call.
-const OWN: u64 = 16;
-/// More clients than it can have.
-const IDLE: usize = 300;
+/// More descriptors than the node itself uses with one call.
+const NODE_DESCRIPTORS: u64 = 16;
+/// More idle clients than the node can have.
+const IDLE_CLIENTS: usize = 300;
 
-/// What the announce service does.
+/// How the announce service behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Announce {
-    /// There is none.
+enum AnnounceBehaviour {
+    /// No service is configured.
     None,
-    /// Nobody listens.
-    Dead,
-    /// Connections come in with the system and nobody answers.
+    /// Its address refuses connections.
+    Down,
+    /// Connections are accepted, but never answered.
     Silent,
-    Resets,
+    /// Connections are closed once accepted.
+    Closes,
 }
 
-/// One node as a process, and all that it talks to.
-struct Squeezed {
-    node: Program,
+/// A node process with few descriptors, and test servers for its peers.
+struct LimitedNode {
+    process: NodeProcess,
     agents: TcpListener,
     agent: Option<Agent>,
     below: TcpListener,
@@ -49,16 +51,16 @@
     idle: Vec<Caller>,
 }
 
-impl Squeezed {
-    /// A node that is given so many descriptors and was told that it has `sockets`.
-    async fn start(name: &str, sockets: [usize; 2], announce: Announce) -> Self {
+impl LimitedNode {
+    /// A node with `sockets`: the descriptors that the system allows, and those that are configured.
+    async fn start(name: &str, sockets: [usize; 2], announce: AnnounceBehaviour) -> Self {
         Self::start_with(name, sockets, announce, None).await
     }
 
     async fn start_with(
         name: &str,
-        [given, sockets]: [usize; 2],
-        announce: Announce,
+        [allowed, configured]: [usize; 2],
+        announce: AnnounceBehaviour,
         settings: Option<&Path>,
     ) -> Self {
         let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
@@ -78,25 +80,28 @@
             config[key] = json!(of.local_addr().unwrap().to_string());
         }
         drop(own);
-        if announce == Announce::None {
+        if announce == AnnounceBehaviour::None {
             config["announce"] = Value::Null;
         }
-        config["limits"]["sockets"] = json!(sockets);
+        config["limits"]["sockets"] = json!(configured);
         config["stop_ms"] = json!(30_000);
         config["settings"]["obligations"]["drainGraceS"] = json!(0);
-        // Who rests does not go by itself.
+        // Idle clients are not disconnected for their idle time.
         config["settings"]["familyInfo"]["idleS"] = json!(600);
         let path =
             std::env::temp_dir().join(format!("rainstand-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config.to_string()).unwrap();
-        if matches!(announce, Announce::Silent | Announce::Resets) {
-            spawn_local(misbehave(service, announce));
+        if matches!(
+            announce,
+            AnnounceBehaviour::Silent | AnnounceBehaviour::Closes
+        ) {
+            spawn_local(serve_announce(service, announce));
         }
-        let node = Program::start_within(&path, given, settings);
+        let process = NodeProcess::start_with_descriptor_limit(&path, allowed, settings);
         let mut agent = Agent::accept(&agents).await;
         agent.greet().await;
         Self {
-            node,
+            process,
             agents,
             agent: Some(agent),
             below,
@@ -110,23 +115,23 @@
         Caller::connect(self.config["listen"].as_str().unwrap().parse().unwrap()).await
     }
 
-    /// A client that was of use once and rests from then on.
-    async fn one_that_rests(&self) -> Caller {
+    /// A client that has been served once and is idle from then on.
+    async fn connect_idle_client(&self) -> Caller {
         let mut caller = self.caller().await;
         let probe = caller.probe().await;
         assert_eq!(caller.next().await, said(probe, "probe", "good"));
         caller
     }
 
-    async fn fill(&mut self) {
-        for _ in 0..IDLE {
-            self.idle.push(self.one_that_rests().await);
+    async fn connect_idle_clients(&mut self) {
+        for _ in 0..IDLE_CLIENTS {
+            self.idle.push(self.connect_idle_client().await);
         }
     }
 
-    /// Those that the node has open, by number.
-    fn open(&self) -> Vec<u64> {
-        let folder = std::fs::read_dir(format!("/proc/{}/fd", self.node.pid())).unwrap();
+    /// The node's open descriptors, sorted.
+    fn open_descriptors(&self) -> Vec<u64> {
+        let folder = std::fs::read_dir(format!("/proc/{}/fd", self.process.pid())).unwrap();
         let mut open: Vec<u64> = folder
             .filter_map(|entry| entry.unwrap().file_name().to_str()?.parse().ok())
             .collect();
@@ -134,49 +139,49 @@
         open
     }
 
-    /// From here on the node can open none, unless it closes one. What it has open stays: those that rest, and so many
-    /// `others` of this test.
-    async fn squeeze(&mut self, others: usize) {
+    /// Limits the descriptors so that the node can open none unless it closes one. The idle clients and `others`, the
+    /// number of other connections of the test, stay open.
+    async fn exhaust_descriptors(&mut self, others: usize) {
         loop {
-            // Whom the node ended lets go of it, or a descriptor would come free later.
+            // Drop clients that the node closed, or their descriptors would become free later.
             self.idle.retain(|caller| {
-                let ended = caller.stream.try_read(&mut [0]);
-                ended.is_err_and(|why| why.kind() == std::io::ErrorKind::WouldBlock)
+                let read = caller.stream.try_read(&mut [0]);
+                read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
             });
-            if counted(&self.counts().await, "conns") != self.idle.len() + others {
+            if counter(&self.counts().await, "conns") != self.idle.len() + others {
                 continue;
             }
-            let open = self.open();
+            let open = self.open_descriptors();
             let first_free = (0..)
                 .zip(&open)
                 .find(|(n, fd)| n != *fd)
                 .map_or(open.len() as u64, |(n, _)| n);
-            // Among those before it many must be clients' that rest.
-            if first_free >= OWN + 30 {
-                return self.allow(first_free);
+            // Many of the descriptors below it must be those of idle clients.
+            if first_free >= NODE_DESCRIPTORS + 30 {
+                return self.set_descriptor_limit(first_free);
             }
-            // The next takes the first that is free.
-            self.idle.push(self.one_that_rests().await);
+            // The next connection takes the first free descriptor.
+            self.idle.push(self.connect_idle_client().await);
         }
     }
 
-    fn allow(&self, descriptors: u64) {
+    fn set_descriptor_limit(&self, descriptors: u64) {
         let limit = Rlimit {
             current: Some(descriptors),
             maximum: Some(LIMIT as u64),
         };
-        prlimit(Pid::from_raw(self.node.pid()), Resource::Nofile, limit).unwrap();
+        prlimit(Pid::from_raw(self.process.pid()), Resource::Nofile, limit).unwrap();
     }
 
-    /// The agent's link breaks, and is opened anew.
-    async fn agent_again(&mut self) {
+    /// Closes the agent's link, and accepts the node's new one.
+    async fn reconnect_agent(&mut self) {
         self.agent.take().unwrap().hang_up();
         let mut agent = Agent::accept(&self.agents).await;
         agent.greet().await;
         self.agent = Some(agent);
     }
 
-    /// The next command, which must be this one; the ticket's name in it.
+    /// Expects `cmd` as the next command, and returns its request id.
     async fn expect(&mut self, cmd: &str) -> Value {
         let command = self
             .agent
@@ -189,10 +194,10 @@
         command["req"].clone()
     }
 
-    /// One ticket on a connection, launched, its call made and answered, and honoured; it is told by notices from this one on.
-    async fn honours(&mut self, caller: &mut Caller, notice: u64) {
+    /// Serves one request on a connection, with one downstream call. Its notices are numbered from `notice`.
+    async fn serve_request(&mut self, caller: &mut Caller, notice: u64) {
         caller
-            .send(&whole_ticket(1, &format!("{notice:016x}")))
+            .send(&complete_request(1, &format!("{notice:016x}")))
             .await;
         let req = self.expect("launch").await;
         self.agent
@@ -212,33 +217,33 @@
         assert_eq!(caller.next().await, said(1, "honoured", "r"));
     }
 
-    /// All that rest are told and closed, and the process ends.
-    async fn drains(mut self) {
-        self.node.signal("-TERM");
-        self.node.says("drain ends").await;
-        assert!(self.node.process.wait().await.unwrap().success());
+    /// Drains the node: it closes the idle connections, and the process exits.
+    async fn drain(mut self) {
+        self.process.signal("-TERM");
+        self.process.wait_for_line("drain ends").await;
+        assert!(self.process.child.wait().await.unwrap().success());
         std::fs::remove_file(&self.path).unwrap();
     }
 
-    /// The counters, on request.
+    /// Requests and returns the line of counters.
     async fn counts(&mut self) -> String {
-        self.node.signal("-USR1");
-        self.node.says("counts").await
+        self.process.signal("-USR1");
+        self.process.wait_for_line("counts").await
     }
 }
 
-/// An announce service of no use, for as long as the test lasts.
-async fn misbehave(service: TcpListener, announce: Announce) {
+/// An announce service that never answers, until the end of the test.
+async fn serve_announce(service: TcpListener, announce: AnnounceBehaviour) {
     let mut held = Vec::new();
     loop {
         let http = Http::accept(&service).await;
-        if announce == Announce::Silent {
+        if announce == AnnounceBehaviour::Silent {
             held.push(http);
         }
     }
 }
 
-/// One that is worth nothing without its call.
+/// A request of a class that is worth nothing without its call.
 fn register_request(seq: i32, n: usize) -> Vec<u8> {
     let (trace, born) = (format!("{n:016x}"), born());
     let fields = [
@@ -258,8 +263,8 @@
     )
 }
 
-/// `key=value` in a line of counters.
-fn counted(line: &str, key: &str) -> usize {
+/// The value of `key=value` in a line of counters.
+fn counter(line: &str, key: &str) -> usize {
     let words = line.split(|c: char| c.is_whitespace() || "[]".contains(c));
     let value = words
         .filter_map(|word| word.split_once('='))
@@ -271,48 +276,57 @@
         .unwrap()
 }
 
-/// More was configured than the system gives: the fewer hold.
+/// More descriptors are configured than the system allows: the system's limit applies.
 #[test]
 fn idle_clients_at_the_limit_leave_the_node_its_reserved_descriptors() {
-    for announce in [Announce::Dead, Announce::Silent, Announce::Resets] {
-        alone(async move {
-            let mut s = Squeezed::start("rests", [LIMIT, 4_096], announce).await;
-            s.fill().await;
-            assert!(s.open().len() <= LIMIT / 2 + 32, "{:?}", s.open());
-            s.agent_again().await;
-            let mut caller = s.caller().await;
-            s.honours(&mut caller, 1).await;
-            // A new file, with which the agent moves.
-            s.agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            s.config["agent"] = json!(s.agents.local_addr().unwrap().to_string());
-            std::fs::write(&s.path, s.config.to_string()).unwrap();
-            s.node.signal("-HUP");
-            s.node.says("reload agent=").await;
-            s.agent_again().await;
-            let counts = s.counts().await;
-            assert!(counted(&counts, "room") >= IDLE - LIMIT, "{counts}");
+    for announce in [
+        AnnounceBehaviour::Down,
+        AnnounceBehaviour::Silent,
+        AnnounceBehaviour::Closes,
+    ] {
+        run_with_timeout(async move {
+            let mut node = LimitedNode::start("idle", [LIMIT, 4_096], announce).await;
+            node.connect_idle_clients().await;
+            assert!(
+                node.open_descriptors().len() <= LIMIT / 2 + 32,
+                "{:?}",
+                node.open_descriptors()
+            );
+            node.reconnect_agent().await;
+            let mut caller = node.caller().await;
+            node.serve_request(&mut caller, 1).await;
+            // A reload that moves the agent.
+            node.agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
+            node.config["agent"] = json!(node.agents.local_addr().unwrap().to_string());
+            std::fs::write(&node.path, node.config.to_string()).unwrap();
+            node.process.signal("-HUP");
+            node.process.wait_for_line("reload agent=").await;
+            node.reconnect_agent().await;
+            let counts = node.counts().await;
+            assert!(counter(&counts, "room") >= IDLE_CLIENTS - LIMIT, "{counts}");
             assert_eq!(
                 (
-                    counted(&counts, "accept_errors"),
-                    counted(&counts, "descriptors_out")
+                    counter(&counts, "accept_errors"),
+                    counter(&counts, "descriptors_out")
                 ),
                 (0, 0)
             );
-            s.drains().await;
+            node.drain().await;
         });
     }
 }
 
-/// As many as come at once, beside as many that rest as there may be: who rests makes room in that instant, whether the
-/// system gives no more or only the configuration says so.
+/// Many calls start at the same time while idle clients use all descriptors: idle clients are evicted immediately,
+/// whether the limit is the system's or only the configuration's.
 #[test]
 fn concurrent_calls_are_made_with_idle_clients_at_the_descriptor_limit() {
-    const BUNCH: usize = 80;
-    // Tickets whose calls end well one after the other, until the node dares to make so many at once.
-    const CALM: usize = 60;
-    let bunch = |given| async move {
-        let mut s = Squeezed::start("bunch", [given, LIMIT], Announce::Silent).await;
-        let mut agent = s.agent.take().unwrap();
+    const CONCURRENT_CALLS: usize = 80;
+    // Requests with successful calls in sequence, until the node allows that many concurrent calls.
+    const SEQUENTIAL_CALLS: usize = 60;
+    let run = |allowed| async move {
+        let mut node =
+            LimitedNode::start("concurrent", [allowed, LIMIT], AnnounceBehaviour::Silent).await;
+        let mut agent = node.agent.take().unwrap();
         let answering = spawn_local(async move {
             let mut notice = 0;
             while let Some(command) = agent.command().await {
@@ -324,114 +338,121 @@
                 }
             }
         });
-        let mut caller = s.caller().await;
-        for n in 0..CALM {
+        let mut caller = node.caller().await;
+        for n in 0..SEQUENTIAL_CALLS {
             caller.send(&register_request(n as i32, n)).await;
-            let mut http = Http::accept(&s.below).await;
+            let mut http = Http::accept(&node.below).await;
             http.request().await.unwrap();
             http.reply("200 OK", b"row").await;
             assert_eq!(caller.next().await, said(n as i32, "honoured", "r"));
         }
-        s.fill().await;
+        node.connect_idle_clients().await;
         let mut callers = Vec::new();
-        for n in 0..BUNCH {
+        for n in 0..CONCURRENT_CALLS {
             if n % 25 == 0 {
-                callers.push(s.caller().await);
+                callers.push(node.caller().await);
             }
             callers[n / 25]
-                .send(&register_request(n as i32, CALM + n))
+                .send(&register_request(n as i32, SEQUENTIAL_CALLS + n))
                 .await;
         }
         let mut calls = Vec::new();
-        for _ in 0..BUNCH {
-            let mut http = Http::accept(&s.below).await;
+        for _ in 0..CONCURRENT_CALLS {
+            let mut http = Http::accept(&node.below).await;
             http.request().await.unwrap();
             calls.push(http);
         }
-        assert!(s.open().len() <= LIMIT, "{:?}", s.open());
+        assert!(
+            node.open_descriptors().len() <= LIMIT,
+            "{:?}",
+            node.open_descriptors()
+        );
         for mut http in calls {
             http.reply("200 OK", b"row").await;
         }
-        for n in 0..BUNCH {
+        for n in 0..CONCURRENT_CALLS {
             let answer = callers[n / 25].next().await.unwrap();
             assert_eq!(answer.1, "honoured", "{n}: {answer:?}");
         }
-        // Each was made once, and none was ended for it that was owed an answer.
-        let counts = s.counts().await;
+        // Each call was made once, and no connection with a pending answer was closed for it.
+        let counts = node.counts().await;
         assert_eq!(
-            (counted(&counts, "calls"), counted(&counts, "left")),
-            (CALM + BUNCH, 0),
+            (counter(&counts, "calls"), counter(&counts, "left")),
+            (SEQUENTIAL_CALLS + CONCURRENT_CALLS, 0),
             "{counts}"
         );
-        s.drains().await;
+        node.drain().await;
         answering.abort();
     };
-    alone(bunch(LIMIT));
-    alone(bunch(4 * LIMIT));
+    run_with_timeout(run(LIMIT));
+    run_with_timeout(run(4 * LIMIT));
 }
 
-/// The system takes descriptors back from a node that runs: what the node needs itself, it has by closing who rests.
+/// The limit is lowered while the node runs: it gets the descriptors that it needs by evicting idle clients.
 #[test]
 fn exhausted_descriptors_are_freed_from_idle_clients_for_connections_calls_and_files() {
     const CROWD: usize = 20;
-    alone(async {
-        let mut s = Squeezed::start("none-left", [LIMIT; 2], Announce::Resets).await;
-        s.fill().await;
-        s.squeeze(0).await;
-        s.node.signal("-STOP");
+    run_with_timeout(async {
+        let mut node = LimitedNode::start("exhausted", [LIMIT; 2], AnnounceBehaviour::Closes).await;
+        node.connect_idle_clients().await;
+        node.exhaust_descriptors(0).await;
+        node.process.signal("-STOP");
         let mut crowd = Vec::new();
         for _ in 0..CROWD {
-            let mut caller = s.caller().await;
+            let mut caller = node.caller().await;
             caller.probe().await;
             crowd.push(caller);
         }
-        s.node.signal("-CONT");
+        node.process.signal("-CONT");
         for caller in &mut crowd {
             assert_eq!(caller.next().await, said(1, "probe", "good"));
         }
-        // A call below.
-        s.allow(LIMIT as u64);
-        let mut caller = s.caller().await;
-        s.squeeze(CROWD + 1).await;
-        s.honours(&mut caller, 1).await;
-        // A file to be read.
-        s.allow(LIMIT as u64);
-        s.squeeze(CROWD + 1).await;
-        s.node.signal("-HUP");
-        let told = s.node.says("reload").await;
-        assert!(told.starts_with("reload agent="), "{told}");
-        let counts = s.counts().await;
+        // A downstream call.
+        node.set_descriptor_limit(LIMIT as u64);
+        let mut caller = node.caller().await;
+        node.exhaust_descriptors(CROWD + 1).await;
+        node.serve_request(&mut caller, 1).await;
+        // A file to read.
+        node.set_descriptor_limit(LIMIT as u64);
+        node.exhaust_descriptors(CROWD + 1).await;
+        node.process.signal("-HUP");
+        let line = node.process.wait_for_line("reload").await;
+        assert!(line.starts_with("reload agent="), "{line}");
+        let counts = node.counts().await;
         assert!(
-            counted(&counts, "accept_errors") > 0 && counted(&counts, "descriptors_out") > 0,
+            counter(&counts, "accept_errors") > 0 && counter(&counts, "descriptors_out") > 0,
             "{counts}"
         );
-        s.drains().await;
+        node.drain().await;
     });
 }
 
-/// They were gone while clients took all that was left.
+/// The links were lost, and clients have used up all descriptors since.
 #[test]
 fn exhausted_descriptors_are_freed_for_reconnects_to_agent_and_announce_service() {
-    alone(async {
-        let mut s = Squeezed::start("agent-back", [LIMIT; 2], Announce::None).await;
-        s.fill().await;
-        let addr = s.agents.local_addr().unwrap();
-        // Nobody listens there from here on.
-        s.agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        s.agent.take().unwrap().hang_up();
-        s.node.says("end link=agent code=agent_unreachable").await;
-        s.squeeze(0).await;
-        s.agents = TcpListener::bind(addr).await.unwrap();
-        let mut agent = Agent::accept(&s.agents).await;
+    run_with_timeout(async {
+        let mut node = LimitedNode::start("agent-back", [LIMIT; 2], AnnounceBehaviour::None).await;
+        node.connect_idle_clients().await;
+        let addr = node.agents.local_addr().unwrap();
+        // From here on the agent's address refuses connections.
+        node.agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        node.agent.take().unwrap().hang_up();
+        node.process
+            .wait_for_line("end link=agent code=agent_unreachable")
+            .await;
+        node.exhaust_descriptors(0).await;
+        node.agents = TcpListener::bind(addr).await.unwrap();
+        let mut agent = Agent::accept(&node.agents).await;
         agent.greet().await;
-        s.agent = Some(agent);
-        s.drains().await;
+        node.agent = Some(agent);
+        node.drain().await;
     });
-    alone(async {
-        let mut s = Squeezed::start("announce-back", [LIMIT; 2], Announce::Dead).await;
-        s.fill().await;
-        s.squeeze(0).await;
-        let service = TcpListener::bind(s.config["announce"].as_str().unwrap())
+    run_with_timeout(async {
+        let mut node =
+            LimitedNode::start("announce-back", [LIMIT; 2], AnnounceBehaviour::Down).await;
+        node.connect_idle_clients().await;
+        node.exhaust_descriptors(0).await;
+        let service = TcpListener::bind(node.config["announce"].as_str().unwrap())
             .await
             .unwrap();
         let mut reports = Http::accept(&service).await;
@@ -441,28 +462,30 @@
             .unwrap()
             .0
             .starts_with("PUT /announce/"));
-        s.drains().await;
+        node.drain().await;
     });
 }
 
-/// Accepting fails in the very moment in which the listening ends: what the system accepted before is served all the same.
+/// Accepts fail when listening ends: the system's accept backlog is still served.
 #[test]
 fn accept_backlog_is_served_after_end_of_listening_despite_accept_errors() {
     const CROWD: usize = 32;
-    alone(async {
-        let mut s = Squeezed::start("deaf", [LIMIT; 2], Announce::Dead).await;
-        s.fill().await;
-        s.squeeze(0).await;
-        s.node.signal("-STOP");
+    run_with_timeout(async {
+        let mut node = LimitedNode::start("backlog", [LIMIT; 2], AnnounceBehaviour::Down).await;
+        node.connect_idle_clients().await;
+        node.exhaust_descriptors(0).await;
+        node.process.signal("-STOP");
         let mut crowd = Vec::new();
         for n in 0..CROWD {
-            let mut caller = s.caller().await;
-            caller.send(&whole_ticket(1, &format!("{n:016x}"))).await;
+            let mut caller = node.caller().await;
+            caller
+                .send(&complete_request(1, &format!("{n:016x}")))
+                .await;
             crowd.push(caller);
         }
-        s.node.signal("-TERM");
-        s.node.signal("-CONT");
-        let mut agent = s.agent.take().unwrap();
+        node.process.signal("-TERM");
+        node.process.signal("-CONT");
+        let mut agent = node.agent.take().unwrap();
         let answering = spawn_local(async move {
             let mut notice = 0;
             while let Some(command) = agent.command().await {
@@ -475,33 +498,34 @@
         for (n, caller) in crowd.iter_mut().enumerate() {
             let answer = loop {
                 match caller.next().await {
-                    Some(said) if said.1 == "shutdown" => {}
-                    other => break other.map(|said| said.1),
+                    Some(reply) if reply.1 == "shutdown" => {}
+                    other => break other.map(|reply| reply.1),
                 }
             };
             assert!(
                 answer.is_some(),
-                "{n} of {CROWD} that the system accepted has no answer"
+                "connection {n} of {CROWD} in the backlog got no answer"
             );
         }
         drop(crowd);
-        s.node.says("drain ends").await;
-        let counts = s.node.says("counts").await;
-        assert!(counted(&counts, "accept_errors") > 0, "{counts}");
-        assert!(s.node.process.wait().await.unwrap().success());
-        std::fs::remove_file(&s.path).unwrap();
+        node.process.wait_for_line("drain ends").await;
+        let counts = node.process.wait_for_line("counts").await;
+        assert!(counter(&counts, "accept_errors") > 0, "{counts}");
+        assert!(node.process.child.wait().await.unwrap().success());
+        std::fs::remove_file(&node.path).unwrap();
         answering.abort();
     });
 }
 
-/// A member of a group beside many that are down: links to them, from them, and the store's files are put by.
+/// A member of a group whose other members are down: descriptors are reserved for the links to and from them, and for
+/// the store's files.
 #[test]
 fn idle_clients_at_the_limit_leave_a_member_the_descriptors_of_its_group() {
     const MEMBERS: usize = 40;
-    alone(async {
+    run_with_timeout(async {
         let folder = tempfile::tempdir().unwrap();
         let member = |n: usize| {
-            // The example's own name first; nobody listens at the others'.
+            // The first member has the example's name; the addresses of the others refuse connections.
             let (name, port) = if n == 0 {
                 ("n1".to_owned(), 0)
             } else {
@@ -520,25 +544,30 @@
              start_within_ns: 1000000000 come_back_ns: 500000000\n{members}}}"
         );
         std::fs::write(&settings, text).unwrap();
-        let mut s =
-            Squeezed::start_with("group", [LIMIT; 2], Announce::Dead, Some(&settings)).await;
-        s.fill().await;
+        let mut node = LimitedNode::start_with(
+            "group",
+            [LIMIT; 2],
+            AnnounceBehaviour::Down,
+            Some(&settings),
+        )
+        .await;
+        node.connect_idle_clients().await;
         // Both links of each other member, and the store.
-        let kept = 2 * (MEMBERS - 1) + 8;
-        let counts = s.counts().await;
-        // Half of what is left, and those that say good-bye.
+        let reserved = 2 * (MEMBERS - 1) + 8;
+        let counts = node.counts().await;
+        // Half of the remaining descriptors, and the connections that are being closed.
         assert!(
-            counted(&counts, "conns") <= (LIMIT - kept) / 2 + 16,
+            counter(&counts, "conns") <= (LIMIT - reserved) / 2 + 16,
             "{counts}"
         );
         assert_eq!(
             (
-                counted(&counts, "accept_errors"),
-                counted(&counts, "descriptors_out")
+                counter(&counts, "accept_errors"),
+                counter(&counts, "descriptors_out")
             ),
             (0, 0),
             "{counts}"
         );
-        s.drains().await;
+        node.drain().await;
     });
 }
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -1,4 +1,4 @@
-//! Lines of the log: their text, their JSON, and their rate.
+//! Log lines: their text format, their JSON format, and the rate limit.
 
 #![allow(
     missing_docs,
@@ -32,7 +32,7 @@
                 what = "launch",
                 req = "0a\nb".escape_debug()
             );
-            log_frequent!("announce_down", "announce down", why = "nobody there");
+            log_frequent!("announce_down", "announce down", why = "connection refused");
         });
     }
     let written = WRITTEN.take();
@@ -41,7 +41,7 @@
         [
             "end conn=7 code=eof open=0",
             "agent refused launch req=0a\\nb",
-            "announce down: nobody there"
+            "announce down: connection refused"
         ]
     );
     let objects: Vec<serde_json::Value> = written[3..]
@@ -61,18 +61,18 @@
             &objects[2]["why"],
             objects[2]["at_ms"].as_u64() > Some(1_700_000_000_000)
         ),
-        (&"nobody there".into(), true)
+        (&"connection refused".into(), true)
     );
 }
 
 #[test]
-fn lines_past_the_rate_are_counted_and_not_written() {
+fn lines_over_the_rate_limit_are_counted_and_not_written() {
     let (limiter, start) = (RateLimiter::new(), Instant::now());
     let written = (0..1_000)
         .filter(|_| limiter.acquire(start, EventScope::Single).is_some())
         .count();
     assert_eq!(written, (MAX_BURST - RESERVED_BURST) as usize);
-    // A flood of them leaves capacity for what concerns the whole node.
+    // A flood of single events leaves tokens for events about the whole node.
     assert_eq!(
         limiter.acquire(start, EventScope::Node),
         Some(1_000 - written as u64)
--- a/crates/node/tests/read_deadlines.rs
+++ b/crates/node/tests/read_deadlines.rs
@@ -1,4 +1,4 @@
-//! The deadlines of what is read from a connection.
+//! The read deadlines of a connection.
 
 #![allow(
     missing_docs,
@@ -14,8 +14,8 @@
 fn only_unknown_connections_and_partial_frames_have_a_deadline() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    // When bytes came, whether a frame begins with them and whether they end with one; then by when the
-    // next frame is due on a connection that was of no use, and on one that was.
+    // When bytes arrive (in ms), whether a frame starts with them, and whether they end with a complete frame; then
+    // when the next frame is due on a connection on which nothing was served yet, and on one that has served a request.
     let cases = [
         (100, true, true, Some(2_000), None),
         (500, true, false, Some(2_000), Some(2_500)),
--- a/crates/node/tests/recording.rs
+++ b/crates/node/tests/recording.rs
@@ -1,4 +1,4 @@
-//! The node records what passes its sockets: what callers saw is in the files, ticket by ticket.
+//! The node records the traffic of its sockets: the files contain each request and answer that callers exchanged.
 
 #![allow(
     missing_docs,
@@ -34,22 +34,23 @@
     format!("version: 1 recordings {{ name: \"node\" folder: \"{folder}\" file_bytes: 16000 files: 100 links: true }}")
 }
 
-/// A node that records into `folder`.
-fn play(folder: &Path) -> Vec<(usize, Said)> {
-    play_with(|context| {
+/// Runs a node that records into `folder`.
+fn run_node(folder: &Path) -> Vec<(usize, Said)> {
+    run_node_with(|context| {
         let settings = Settings::read(&settings(folder)).unwrap();
         recording::start(context, &settings.recording.unwrap()).unwrap();
     })
 }
 
-/// A node that records as told, twenty tickets on two connections, and what the callers saw.
-fn play_with(start: impl FnOnce(&NodeContext)) -> Vec<(usize, Said)> {
+/// Runs a node whose recording `start` configures, sends twenty requests on two connections, and returns the answers
+/// with the indices of their callers.
+fn run_node_with(start: impl FnOnce(&NodeContext)) -> Vec<(usize, Said)> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let mut seen = Vec::new();
-    let all = async {
+    let mut received = Vec::new();
+    let test = async {
         let mut config: Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
         let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
@@ -59,24 +60,22 @@
             listen().await,
             listen().await,
         );
-        for (key, of) in [
+        for (key, listener) in [
             ("listen", &node),
             ("agent", &agents),
             ("db", &below),
             ("announce", &announce),
         ] {
-            config[key] = json!(of.local_addr().unwrap().to_string());
+            config[key] = json!(listener.local_addr().unwrap().to_string());
         }
         let context =
             NodeContext::new(Config::read(config.to_string().as_bytes()).unwrap()).unwrap();
         start(&context);
-        let (addr, leave) = (node.local_addr().unwrap(), Rc::new(Notify::new()));
-        let left = leave.clone();
-        let ended = spawn_local(run(
-            context.clone(),
-            node,
-            async move { left.notified().await },
-        ));
+        let (addr, drain_signal) = (node.local_addr().unwrap(), Rc::new(Notify::new()));
+        let shutdown = drain_signal.clone();
+        let node_task = spawn_local(run(context.clone(), node, async move {
+            shutdown.notified().await
+        }));
         let mut agent = Agent::accept(&agents).await;
         agent.greet().await;
         while context.core.borrow().controller.is_none() {
@@ -85,14 +84,14 @@
         let mut callers = [Caller::connect(addr).await, Caller::connect(addr).await];
         let mut offset = 0;
         for n in 0..20u64 {
-            let which = n as usize % 2;
+            let index = n as usize % 2;
             let born = SystemTime::now()
                 .duration_since(SystemTime::UNIX_EPOCH)
                 .unwrap()
                 .as_millis()
                 .to_string();
             let trace = format!("{n:016x}");
-            // One in five names a tenant that is not known: an exception.
+            // Every fifth request names an unknown tenant, which is answered with an exception.
             let tenant = if n % 5 == 4 { "nobody" } else { "acme" };
             let fields = [
                 ("route", "check"),
@@ -103,7 +102,7 @@
                 ("client", "1"),
                 ("order", "0.5"),
             ];
-            callers[which]
+            callers[index]
                 .ask(&fields, format!("body {n}").as_bytes())
                 .await;
             if n % 5 != 4 {
@@ -126,26 +125,26 @@
                     .outcome(offset, &launch["req"], end, result.as_bytes())
                     .await;
             }
-            seen.push((which, callers[which].next().await.unwrap()));
+            received.push((index, callers[index].next().await.unwrap()));
         }
-        leave.notify_one();
+        drain_signal.notify_one();
         drop(callers);
-        ended.await.unwrap();
+        node_task.await.unwrap();
         drop(context);
     };
     let local = LocalSet::new();
     local.block_on(&runtime, async {
-        tokio::time::timeout(Duration::from_secs(60), all)
+        tokio::time::timeout(Duration::from_secs(60), test)
             .await
             .unwrap()
     });
-    // The recorder's last owners are the node's tasks.
+    // Drops the node's tasks, which are the last owners of the recorder.
     drop(local);
     drop(runtime);
-    seen
+    received
 }
 
-fn recorded(folder: &Path) -> (Vec<Ticket>, u64) {
+fn read_recording(folder: &Path) -> (Vec<Ticket>, u64) {
     let mut paths: Vec<_> = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path())
@@ -166,23 +165,23 @@
             ),
             (None, 0, 0)
         );
-        // The links to the agent and below speak otherwise.
+        // The links to the agent and downstream use other protocols.
         others += summary.tickets.lost_not_thrift + summary.tickets.lost_too_long;
     }
     (tickets, others)
 }
 
 #[test]
-fn recording_holds_what_callers_saw() {
+fn recorded_requests_match_what_callers_received() {
     let folder = tempfile::tempdir().unwrap();
-    let seen = play(folder.path());
-    let (mut tickets, others) = recorded(folder.path());
+    let received = run_node(folder.path());
+    let (mut tickets, others) = read_recording(folder.path());
     tickets.sort_by_key(|ticket| ticket.call.field("trace").to_owned());
     assert!(others > 0, "links are not in the files");
-    // A call whose answer stands in the next file is there without it, so at least the most are whole.
-    assert_eq!(tickets.len(), seen.len());
-    let mut whole = 0;
-    for (n, (ticket, (_, Said(seq, what, _)))) in tickets.iter().zip(&seen).enumerate() {
+    // A call whose answer is in the next file is read without it, so only most of the requests are complete.
+    assert_eq!(tickets.len(), received.len());
+    let mut complete = 0;
+    for (n, (ticket, (_, Said(seq, what, _)))) in tickets.iter().zip(&received).enumerate() {
         assert_eq!(
             (ticket.call.field("trace"), ticket.call.seq),
             (format!("{n:016x}").as_str(), *seq)
@@ -192,7 +191,7 @@
             rainstand_capture::hash(format!("body {n}").as_bytes())
         );
         if ticket.answered.is_some() {
-            whole += 1;
+            complete += 1;
             let same = match ticket.outcome.word() {
                 "honoured" => *what == "honoured",
                 "exception" => *what == "exception",
@@ -201,28 +200,31 @@
             assert!(same, "{n}: {:?} is not {what}", ticket.outcome);
         }
     }
-    assert!(whole >= 15, "{whole}");
+    assert!(complete >= 15, "{complete}");
 }
 
 #[test]
-fn missing_recording_folder_costs_no_request() {
+fn missing_recording_folder_fails_no_request() {
     let folder = tempfile::tempdir().unwrap();
-    let seen = play(&folder.path().join("gone"));
+    let received = run_node(&folder.path().join("gone"));
     assert_eq!(
-        seen.iter().filter(|(_, said)| said.1 == "honoured").count(),
+        received
+            .iter()
+            .filter(|(_, said)| said.1 == "honoured")
+            .count(),
         12
     );
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 0);
 }
 
-/// A disk that takes nothing, or that never comes back from a write until it is let go.
-struct Bad {
+/// A disk that is full, or whose writes block while `hangs` is set.
+struct FaultyDisk {
     hangs: Option<Arc<AtomicBool>>,
 }
 
-struct BadFile(Option<Arc<AtomicBool>>);
+struct FaultyFile(Option<Arc<AtomicBool>>);
 
-impl Write for BadFile {
+impl Write for FaultyFile {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let Some(hangs) = &self.0 else {
             return Err(std::io::ErrorKind::StorageFull.into());
@@ -238,9 +240,9 @@
     }
 }
 
-impl FileStore for Bad {
+impl FileStore for FaultyDisk {
     fn create(&mut self, _: u64) -> std::io::Result<Box<dyn Write>> {
-        Ok(Box::new(BadFile(self.hangs.clone())))
+        Ok(Box::new(FaultyFile(self.hangs.clone())))
     }
 
     fn remove(&mut self, _: u64) -> std::io::Result<()> {
@@ -249,23 +251,27 @@
 }
 
 #[test]
-fn full_or_hanging_recording_disk_costs_no_request() {
+fn full_or_hanging_recording_disk_fails_no_request() {
     let limits = Limits {
         file_bytes: 1 << 30,
         files: 2,
     };
     let hangs = Arc::new(AtomicBool::new(true));
-    for bad in [
-        Bad { hangs: None },
-        Bad {
+    for disk in [
+        FaultyDisk { hangs: None },
+        FaultyDisk {
             hangs: Some(hangs.clone()),
         },
     ] {
-        // With the second one the node answers, drains and ends though no write ever returns.
-        let seen =
-            play_with(|context| recording::start_with_store(context, bad, limits, true).unwrap());
+        // With the second disk the node answers, drains and ends although no write returns.
+        let received = run_node_with(|context| {
+            recording::start_with_store(context, disk, limits, true).unwrap()
+        });
         assert_eq!(
-            seen.iter().filter(|(_, said)| said.1 == "honoured").count(),
+            received
+                .iter()
+                .filter(|(_, said)| said.1 == "honoured")
+                .count(),
             12
         );
     }
@@ -273,7 +279,7 @@
 }
 
 #[test]
-fn invalid_settings_are_refused_in_one_line() {
+fn invalid_settings_are_reported_in_one_line() {
     let table = [
         (
             "version: 1 recordings { name: \"a\" folder: \"/x\" }",
@@ -286,9 +292,9 @@
         ("version: 1\nrecording { }", "2:1:"),
         ("version: 7", "knows version 1"),
     ];
-    for (text, wanted) in table {
-        let why = Settings::read(text).unwrap_err().to_string();
-        assert!(why.contains(wanted) && !why.contains('\n'), "{why}");
+    for (text, expected) in table {
+        let error = Settings::read(text).unwrap_err().to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     assert_eq!(
         Settings::read("version: 1 logs { form: JSON }")
@@ -299,42 +305,44 @@
 }
 
 #[test]
-fn program_logs_json_if_configured_and_refuses_invalid_settings() {
+fn program_logs_json_if_configured_and_rejects_invalid_settings() {
     let folder = tempfile::tempdir().unwrap();
-    let at = |name: &str| folder.path().join(name);
+    let path = |name: &str| folder.path().join(name);
     let mut config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
     (config["listen"], config["sede"]) = (json!("127.0.0.1:0"), json!(1));
-    std::fs::write(at("node.json"), config.to_string()).unwrap();
-    std::fs::write(at("bad.txtpb"), "version: 1\nlogs { from: JSON }").unwrap();
-    std::fs::write(at("good.txtpb"), "version: 1 logs { form: JSON }").unwrap();
+    std::fs::write(path("node.json"), config.to_string()).unwrap();
+    std::fs::write(path("bad.txtpb"), "version: 1\nlogs { from: JSON }").unwrap();
+    std::fs::write(path("good.txtpb"), "version: 1 logs { form: JSON }").unwrap();
     let node = |settings: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_rainstand-node"));
         command
-            .env("ROUTER_CONFIG", at("node.json"))
-            .env("RAINSTAND_SETTINGS", at(settings));
+            .env("ROUTER_CONFIG", path("node.json"))
+            .env("RAINSTAND_SETTINGS", path(settings));
         command.stderr(std::process::Stdio::piped());
         command
     };
-    let refused = node("bad.txtpb").output().unwrap();
-    let told = String::from_utf8(refused.stderr).unwrap();
+    let rejected = node("bad.txtpb").output().unwrap();
+    let stderr = String::from_utf8(rejected.stderr).unwrap();
     assert!(
-        !refused.status.success() && told.contains("bad.txtpb: 2:8:") && told.lines().count() == 1,
-        "{told}"
+        !rejected.status.success()
+            && stderr.contains("bad.txtpb: 2:8:")
+            && stderr.lines().count() == 1,
+        "{stderr}"
     );
     let mut running = node("good.txtpb").spawn().unwrap();
     let mut lines = std::io::BufReader::new(running.stderr.take().unwrap()).lines();
-    let told: Vec<Value> = lines
+    let events: Vec<Value> = lines
         .by_ref()
         .take(2)
         .map(|line| serde_json::from_str(&line.unwrap()).unwrap())
         .collect();
     assert_eq!(
-        (&told[0]["event"], &told[0]["key"]),
+        (&events[0]["event"], &events[0]["key"]),
         (&json!("config_key"), &json!("sede"))
     );
     assert_eq!(
-        (&told[1]["event"], &told[1]["name"]),
+        (&events[1]["event"], &events[1]["name"]),
         (&json!("start"), &json!("n1"))
     );
     running.kill().unwrap();
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! One node on loopback sockets, and listeners for all that it talks to; each test drives them step by step.
+//! One node on loopback sockets, with listeners for its peers; each test drives them step by step.
 #![allow(dead_code)]
-// each file of tests uses what it needs
+// each test file uses only a part
 
 #[path = "../../../../examples/toy/stand_ins.rs"]
 pub mod stand_ins;
@@ -21,10 +21,10 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// Only what hangs is caught by this; nothing is timed.
+/// Time limit of a test: only catches tests that hang.
 pub const HANGS: Duration = Duration::from_secs(60);
 
-/// One node, and listeners for all that it talks to.
+/// One node, with listeners for its peers.
 pub struct World {
     pub context: Rc<NodeContext>,
     pub addr: SocketAddr,
@@ -40,7 +40,7 @@
     serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap()
 }
 
-/// Plays a test with a node whose configuration was changed by `change`.
+/// Runs a test with a node whose configuration is modified by `change`.
 pub fn play<T: Future<Output = ()>>(
     change: impl FnOnce(&mut Value),
     test: impl FnOnce(World) -> T,
@@ -49,7 +49,7 @@
         .enable_all()
         .build()
         .unwrap();
-    let all = async {
+    let run_test = async {
         let mut config = example();
         let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
         let (node, agents, below, announce) = (
@@ -58,24 +58,22 @@
             listen().await,
             listen().await,
         );
-        for (key, of) in [
+        for (key, listener) in [
             ("listen", &node),
             ("agent", &agents),
             ("db", &below),
             ("announce", &announce),
         ] {
-            config[key] = json!(of.local_addr().unwrap().to_string());
+            config[key] = json!(listener.local_addr().unwrap().to_string());
         }
         change(&mut config);
         let context =
             NodeContext::new(Config::read(config.to_string().as_bytes()).unwrap()).unwrap();
         let (addr, leave) = (node.local_addr().unwrap(), Rc::new(Notify::new()));
-        let left = leave.clone();
-        let node = spawn_local(run(
-            context.clone(),
-            node,
-            async move { left.notified().await },
-        ));
+        let shutdown = leave.clone();
+        let node = spawn_local(run(context.clone(), node, async move {
+            shutdown.notified().await
+        }));
         test(World {
             context,
             addr,
@@ -88,8 +86,10 @@
         })
         .await;
     };
-    let done = LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, all).await });
-    done.expect("a test that ends");
+    let done = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(HANGS, run_test).await
+    });
+    done.expect("the test ends within its time limit");
 }
 
 pub fn born() -> String {
@@ -100,19 +100,23 @@
         .to_string()
 }
 
-/// The real program, as a process of its own.
-pub struct Program {
-    pub process: Child,
+/// The program, run as a child process.
+pub struct NodeProcess {
+    pub child: Child,
     log: Lines<BufReader<ChildStderr>>,
 }
 
-impl Program {
+impl NodeProcess {
     pub fn start(path: &Path) -> Self {
-        Self::begin(Command::new(env!("CARGO_BIN_EXE_rainstand-node")), path)
+        Self::spawn_command(Command::new(env!("CARGO_BIN_EXE_rainstand-node")), path)
     }
 
-    /// With so many descriptors, and perhaps a compiled configuration.
-    pub fn start_within(path: &Path, descriptors: usize, settings: Option<&Path>) -> Self {
+    /// Starts the program with a descriptor limit and, optionally, a compiled configuration.
+    pub fn start_with_descriptor_limit(
+        path: &Path,
+        descriptors: usize,
+        settings: Option<&Path>,
+    ) -> Self {
         let mut shell = Command::new("sh");
         shell.args([
             "-c",
@@ -124,22 +128,22 @@
         if let Some(settings) = settings {
             shell.env("RAINSTAND_SETTINGS", settings);
         }
-        Self::begin(shell, path)
+        Self::spawn_command(shell, path)
     }
 
-    fn begin(mut command: Command, path: &Path) -> Self {
-        let mut process = command
+    fn spawn_command(mut command: Command, path: &Path) -> Self {
+        let mut child = command
             .env("ROUTER_CONFIG", path)
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
             .unwrap();
-        let log = BufReader::new(process.stderr.take().unwrap()).lines();
-        Self { process, log }
+        let log = BufReader::new(child.stderr.take().unwrap()).lines();
+        Self { child, log }
     }
 
     pub fn pid(&self) -> i32 {
-        self.process.id().unwrap() as i32
+        self.child.id().unwrap() as i32
     }
 
     pub fn signal(&self, name: &str) {
@@ -151,15 +155,15 @@
             .success());
     }
 
-    /// Reads on to the line that begins so; the whole of it.
-    pub async fn says(&mut self, start: &str) -> String {
+    /// Reads the log up to the next line that starts with `start`, and returns it.
+    pub async fn wait_for_line(&mut self, start: &str) -> String {
         loop {
             let line = self
                 .log
                 .next_line()
                 .await
                 .unwrap()
-                .expect("a node that lives");
+                .expect("the node is running");
             if line.starts_with(start) {
                 return line;
             }
@@ -167,18 +171,18 @@
     }
 }
 
-/// Runs a test that makes its own world.
-pub fn alone<T: std::future::Future<Output = ()>>(test: T) {
+/// Runs a test that starts its nodes itself, with a time limit.
+pub fn run_with_timeout<T: std::future::Future<Output = ()>>(test: T) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let done =
         LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, test).await });
-    done.expect("a test that ends");
+    done.expect("the test ends within its time limit");
 }
 
-pub fn whole_ticket(seq: i32, trace: &str) -> Vec<u8> {
+pub fn complete_request(seq: i32, trace: &str) -> Vec<u8> {
     let born = born();
     let fields = [
         ("route", "check"),
@@ -198,7 +202,7 @@
 }
 
 impl World {
-    /// The agent's link, greeted, and a caller.
+    /// Accepts and greets the agent's link, and connects a caller.
     pub async fn up(&self) -> (Agent, Caller) {
         let mut agent = Agent::accept(&self.agents).await;
         agent.greet().await;
@@ -208,7 +212,7 @@
         (agent, Caller::connect(self.addr).await)
     }
 
-    /// A ticket with these fields beside those that all have, or in their place.
+    /// Sends a request with the default fields, overridden by `own`.
     pub async fn ask_with(&self, caller: &mut Caller, own: &[(&str, &str)], body: &[u8]) -> i32 {
         self.traces.set(self.traces.get() + 1);
         let (trace, born) = (format!("{:016x}", self.traces.get()), born());
@@ -247,7 +251,7 @@
         )
     }
 
-    /// The next command, which must be this one; the ticket's name in it.
+    /// Expects `cmd` as the next command, and returns its request id.
     pub async fn expect(&self, agent: &mut Agent, cmd: &str) -> Value {
         let command = agent.command().await.expect("a command");
         assert_eq!(command["cmd"], cmd, "{command}");
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,37 +1,38 @@
-//! Replies of HTTP/1.1, as a client needs them here: only bodies with a `Content-Length`, everything bounded.
+//! Parses HTTP/1.1 replies for a client. Supports only bodies with a `Content-Length`; all lengths are bounded.
 
 use std::ops::Range;
 
-/// The longest head that is accepted, in bytes: ten times what the tier below sends.
+/// The longest head that is accepted, in bytes: ten times what the downstream tier sends.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body that is accepted, in bytes: a reply is delivered to a run unchanged, and results end at 4 KiB.
+/// The longest body that is accepted, in bytes. A reply is delivered to a run unchanged, and results are limited to
+/// 4 KiB.
 pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Ends a head.
+/// The end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The bytes are no reply that this client understands.
+/// Reason code: the bytes are not a reply that this client supports.
 const UNREADABLE: &str = "reply_unreadable";
-/// The reply is longer than what is accepted.
+/// Reason code: the reply is too long.
 const TOO_LONG: &str = "reply_too_long";
 
-/// A complete reply at the front of the bytes.
+/// A complete reply at the start of the bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     /// Status code.
     pub status: u16,
-    /// Whether the call is proved not to have run.
+    /// Whether the server guarantees that the call did not run.
     pub never_started: bool,
-    /// Whether the connection serves no further call.
+    /// Whether the server closes the connection after the reply.
     pub closes: bool,
-    /// Where the body is in the bytes.
+    /// The body's position in the bytes.
     pub body: Range<usize>,
 }
 
-/// Reads the reply at the front of the bytes; `None` while it is not complete. Interim replies (status 1xx) are skipped.
+/// Reads the reply at the start of the bytes; `None` while it is incomplete. Interim replies (status 1xx) are skipped.
 ///
 /// # Errors
-/// The reason code, if it cannot be read or is too long.
+/// The reason code, if the reply cannot be read or is too long.
 ///
 /// ```
 /// use rainstand_protocol::http::reply;
@@ -67,7 +68,7 @@
     }
 }
 
-/// Parses a head without its last empty line, of a reply whose body starts at `body_start`.
+/// Parses a head, without its final empty line, of a reply whose body starts at `body_start`.
 fn parse_head(head: &[u8], body_start: usize) -> Result<Reply, &'static str> {
     let text = std::str::from_utf8(head).map_err(|_| UNREADABLE)?;
     let mut lines = text.split("\r\n");
@@ -106,7 +107,7 @@
     }
 }
 
-/// The headers that matter here.
+/// The headers that this client evaluates.
 #[derive(Default)]
 struct Headers {
     content_length: Option<usize>,
@@ -127,8 +128,8 @@
     fn add(&mut self, name: &str, value: &str) -> Result<(), &'static str> {
         if name.eq_ignore_ascii_case("Content-Length") {
             let length = digits(value).ok_or(UNREADABLE)?;
-            let before = self.content_length.replace(length);
-            if before.is_some_and(|before| before != length) {
+            let previous = self.content_length.replace(length);
+            if previous.is_some_and(|previous| previous != length) {
                 return Err(UNREADABLE);
             }
         } else if name.eq_ignore_ascii_case("Never-Started") {
@@ -142,7 +143,7 @@
     }
 }
 
-/// A number of digits and nothing else: no sign, no space.
+/// Parses a number that consists of digits only: no sign, no space.
 fn digits(text: &str) -> Option<usize> {
     text.bytes()
         .all(|b| b.is_ascii_digit())
--- a/crates/protocol/src/ring.rs
+++ b/crates/protocol/src/ring.rs
@@ -1,26 +1,26 @@
-//! The buffer of one direction of a connection: grows as it fills, releases its memory when it is empty.
+//! The buffer of one direction of a connection. It grows as needed, and releases its memory when it is empty.
 
 use std::collections::VecDeque;
 
-/// Memory that an empty ring retains, in bytes: one usual frame.
+/// Memory that an empty ring retains, in bytes: one frame of usual size.
 pub const RETAINED_BYTES: usize = 1024;
 
-/// Bytes in the order in which they were put. It has no bound of its own: its owner stops reading.
+/// A FIFO queue of bytes. It is unbounded: its owner has to stop reading in time.
 #[derive(Default)]
 pub struct Ring(VecDeque<u8>);
 
 impl Ring {
-    /// Number of bytes in it.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Memory that it holds, in bytes. Public for the test that it is released.
+    /// Allocated memory in bytes. Public for the test that memory is released.
     pub fn capacity(&self) -> usize {
         self.0.capacity()
     }
@@ -30,12 +30,12 @@
         self.0.extend(bytes);
     }
 
-    /// All its bytes, in one piece.
+    /// All bytes, as one contiguous slice.
     pub fn bytes(&mut self) -> &[u8] {
         self.0.make_contiguous()
     }
 
-    /// Its first bytes, as far as they lie in one piece; empty only if the ring is.
+    /// The longest contiguous slice from the start; empty only if the ring is.
     pub fn front(&self) -> &[u8] {
         self.0.as_slices().0
     }
--- a/crates/protocol/src/thrift.rs
+++ b/crates/protocol/src/thrift.rs
@@ -1,5 +1,5 @@
-//! Framed Thrift with the strict binary protocol, as the `Front` service speaks it. Readers borrow from the bytes and never
-//! read past their end; writers return complete frames with their length.
+//! Framed Thrift with the strict binary protocol, as used by the `Front` service. Readers borrow from the bytes and
+//! never read past their end; writers return complete frames with their length prefix.
 
 mod reader;
 mod writer;
@@ -11,9 +11,9 @@
     answer, backoff, exception, give_up, lost, probe, process, process_again, shutdown, Frame,
 };
 
-/// The longest frame that is accepted, in bytes without its length: a body of 2 KiB and its fields, twice over.
+/// The longest frame that is accepted, in bytes without its length prefix: twice a body of 2 KiB with its fields.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024;
-/// Bytes of the length in front of a frame.
+/// Size of a frame's length prefix, in bytes.
 pub const FRAME_HEADER_BYTES: usize = 4;
 
 /// Upper half of the first word of each message.
@@ -61,20 +61,20 @@
 /// Why a connection ends: the `code` in logs and counters.
 pub type ReasonCode = &'static str;
 
-/// The bytes are no message of this protocol.
+/// The bytes are not a message of this protocol.
 pub const FRAME_UNREADABLE: ReasonCode = "frame_unreadable";
-/// The frame is longer than what is accepted.
+/// The frame is too long.
 pub const FRAME_TOO_LONG: ReasonCode = "frame_too_long";
 
-/// A call or a oneway message; its arguments are still bytes.
+/// A call or a oneway message with unparsed arguments.
 pub struct Message<'a> {
     /// Whether no answer is expected.
     pub oneway: bool,
     /// Name of the method.
     pub name: &'a [u8],
-    /// Sequence number, repeated by the answer.
+    /// Sequence number, repeated in the answer.
     pub seq: i32,
-    /// The arguments, for the reader of the method.
+    /// The arguments, to be read by the method's reader.
     pub args: &'a [u8],
 }
 
@@ -90,7 +90,7 @@
     pub body: Option<&'a [u8]>,
 }
 
-/// A reply or an exception, read completely.
+/// A parsed reply or exception.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answered<'a> {
     /// Name of the method.
@@ -101,23 +101,23 @@
     pub what: What<'a>,
 }
 
-/// The answer to a call, in the wire's words.
+/// The answer to a call, with the names of the wire.
 #[derive(Debug, PartialEq, Eq)]
 pub enum What<'a> {
     /// Served.
     Answer {
         /// The result.
         body: &'a [u8],
-        /// Of a health check: whether the server is healthy.
+        /// For a health check: whether the server is healthy.
         good: bool,
     },
-    /// Rejected, with the fields beside it.
+    /// Rejected, with the answer's text fields.
     Backoff(Texts<'a>),
     /// Failed: it may have run.
     Lost,
     /// An application exception.
     Exception {
-        /// One of the codes above.
+        /// One of [`UNKNOWN_METHOD`], [`INTERNAL_ERROR`] and [`PROTOCOL_ERROR`].
         code: i32,
         /// Its text.
         why: &'a [u8],
--- a/crates/protocol/src/thrift/reader.rs
+++ b/crates/protocol/src/thrift/reader.rs
@@ -6,10 +6,10 @@
     FRAME_TOO_LONG, FRAME_UNREADABLE, MAX_FRAME_BYTES, ONEWAY, REPLY, VERSION, VERSION_MASK,
 };
 
-/// How deep a value that is skipped may nest: far past any real one, far within the stack.
+/// Maximum nesting of a skipped value: far deeper than any real value, and far within the stack.
 const MAX_DEPTH: u32 = 16;
 
-/// The length of the first frame, without its header; `None` while it is not complete.
+/// The length of the first frame, without its header; `None` while it is incomplete.
 ///
 /// # Errors
 /// If it is longer than [`MAX_FRAME_BYTES`].
@@ -24,7 +24,7 @@
     frame_within(bytes, MAX_FRAME_BYTES)
 }
 
-/// As [`frame`], with a bound of `max_bytes`: links among nodes carry batches.
+/// As [`frame`], with a limit of `max_bytes`: links between nodes carry batches.
 ///
 /// # Errors
 /// If the frame is longer.
@@ -42,21 +42,21 @@
 /// Reads a call or oneway message from a frame without its header.
 ///
 /// # Errors
-/// If it is none.
+/// If the frame holds no such message.
 pub fn message(frame: &[u8]) -> Result<Message<'_>, ReasonCode> {
-    let mut at = Bytes(frame);
-    let version = at.u32()?;
+    let mut cursor = Cursor(frame);
+    let version = cursor.u32()?;
     let kind = version as u8;
     if version & VERSION_MASK != VERSION || !matches!(kind, CALL | ONEWAY) {
         return Err(FRAME_UNREADABLE);
     }
-    let name = at.string()?;
-    let seq = at.i32()?;
+    let name = cursor.string()?;
+    let seq = cursor.i32()?;
     Ok(Message {
         oneway: kind == ONEWAY,
         name,
         seq,
-        args: at.0,
+        args: cursor.0,
     })
 }
 
@@ -65,63 +65,63 @@
 /// # Errors
 /// If they cannot be read.
 pub fn process_args(args: &[u8]) -> Result<ProcessArgs<'_>, ReasonCode> {
-    let mut read = ProcessArgs::default();
-    each_field(args, |id, kind, at| {
+    let mut parsed = ProcessArgs::default();
+    each_field(args, |id, kind, cursor| {
         match (id, kind) {
             (1, MAP) => {
-                read.fields = Some(at.texts()?);
+                parsed.fields = Some(cursor.texts()?);
             }
-            (2, STRING) => read.body = Some(at.string()?),
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (2, STRING) => parsed.body = Some(cursor.string()?),
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
-    Ok(read)
+    Ok(parsed)
 }
 
-/// Reads the arguments of `giveUp`: the sequence number of the cancelled call, `None` where it is absent.
+/// Reads the arguments of `giveUp`: the sequence number of the cancelled call, `None` if it is absent.
 ///
 /// # Errors
 /// If they cannot be read.
 pub fn give_up_args(args: &[u8]) -> Result<Option<i32>, ReasonCode> {
     let mut seq = None;
-    each_field(args, |id, kind, at| {
+    each_field(args, |id, kind, cursor| {
         match (id, kind) {
-            (1, I32) => seq = Some(at.i32()?),
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (1, I32) => seq = Some(cursor.i32()?),
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
     Ok(seq)
 }
 
-/// Reads the arguments of `probe`: whether it is thorough; absent means it is not.
+/// Reads the arguments of `probe`: whether it is thorough, false if absent.
 ///
 /// # Errors
 /// If they cannot be read.
 pub fn probe_args(args: &[u8]) -> Result<bool, ReasonCode> {
     let mut thorough = false;
-    each_field(args, |id, kind, at| {
+    each_field(args, |id, kind, cursor| {
         match (id, kind) {
-            (1, BOOL) => thorough = at.u8()? != 0,
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (1, BOOL) => thorough = cursor.u8()? != 0,
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
     Ok(thorough)
 }
 
-/// Which kind of message a frame holds, by its first bytes; `None` if it is no message.
+/// The kind of message in a frame, by its first bytes; `None` if it is not a message.
 pub fn kind(frame: &[u8]) -> Option<u8> {
     let version = u32::from_be_bytes(*frame.first_chunk()?);
     let kind = version as u8;
     (version & VERSION_MASK == VERSION && (CALL..=ONEWAY).contains(&kind)).then_some(kind)
 }
 
-/// Reads a reply or exception from a frame without its header: the other side of [`message`].
+/// Reads a reply or exception from a frame without its header: the counterpart of [`message`].
 ///
 /// # Errors
-/// If it is none.
+/// If the frame holds neither.
 ///
 /// ```
 /// use rainstand_protocol::thrift::{answered, backoff, What};
@@ -130,72 +130,72 @@
 /// assert_eq!((reply.seq, reply.what), (7, What::Backoff(vec![(b"pause", b"250")])));
 /// ```
 pub fn answered(frame: &[u8]) -> Result<Answered<'_>, ReasonCode> {
-    let mut at = Bytes(frame);
-    let version = at.u32()?;
+    let mut cursor = Cursor(frame);
+    let version = cursor.u32()?;
     let kind = version as u8;
     if version & VERSION_MASK != VERSION || !matches!(kind, REPLY | EXCEPTION) {
         return Err(FRAME_UNREADABLE);
     }
-    let name = at.string()?;
-    let seq = at.i32()?;
+    let name = cursor.string()?;
+    let seq = cursor.i32()?;
     let what = if kind == EXCEPTION {
-        exception(at.0)?
+        exception(cursor.0)?
     } else {
-        result(at.0)?
+        result(cursor.0)?
     };
     Ok(Answered { name, seq, what })
 }
 
 fn exception(args: &[u8]) -> Result<What<'_>, ReasonCode> {
     let (mut why, mut code): (&[u8], i32) = (&[], 0);
-    each_field(args, |id, kind, at| {
+    each_field(args, |id, kind, cursor| {
         match (id, kind) {
-            (1, STRING) => why = at.string()?,
-            (2, I32) => code = at.i32()?,
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (1, STRING) => why = cursor.string()?,
+            (2, I32) => code = cursor.i32()?,
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
     Ok(What::Exception { code, why })
 }
 
-/// The one field that is set tells which kind of result it is.
+/// Reads a result: the id of its only field tells its kind.
 fn result(args: &[u8]) -> Result<What<'_>, ReasonCode> {
     let mut what = None;
-    each_field(args, |id, kind, at| {
+    each_field(args, |id, kind, cursor| {
         match (id, kind) {
-            (0, STRUCT) => what = Some(answer_struct(at)?),
-            (1, STRUCT) => what = Some(What::Backoff(texts_struct(at)?)),
+            (0, STRUCT) => what = Some(answer_struct(cursor)?),
+            (1, STRUCT) => what = Some(What::Backoff(texts_struct(cursor)?)),
             (2, STRUCT) => {
-                texts_struct(at)?;
+                texts_struct(cursor)?;
                 what = Some(What::Lost);
             }
-            _ => at.skip(kind, MAX_DEPTH)?,
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
     what.ok_or(FRAME_UNREADABLE)
 }
 
-fn answer_struct<'a>(at: &mut Bytes<'a>) -> Result<What<'a>, ReasonCode> {
+fn answer_struct<'a>(cursor: &mut Cursor<'a>) -> Result<What<'a>, ReasonCode> {
     let (mut body, mut good): (&[u8], bool) = (&[], false);
-    at.fields(|id, kind, at| {
+    cursor.fields(|id, kind, cursor| {
         match (id, kind) {
-            (1, STRING) => body = at.string()?,
-            (3, BOOL) => good = at.u8()? != 0,
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (1, STRING) => body = cursor.string()?,
+            (3, BOOL) => good = cursor.u8()? != 0,
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
     Ok(What::Answer { body, good })
 }
 
-fn texts_struct<'a>(at: &mut Bytes<'a>) -> Result<Texts<'a>, ReasonCode> {
+fn texts_struct<'a>(cursor: &mut Cursor<'a>) -> Result<Texts<'a>, ReasonCode> {
     let mut texts = Vec::new();
-    at.fields(|id, kind, at| {
+    cursor.fields(|id, kind, cursor| {
         match (id, kind) {
-            (1, MAP) => texts = at.texts()?,
-            _ => at.skip(kind, MAX_DEPTH)?,
+            (1, MAP) => texts = cursor.texts()?,
+            _ => cursor.skip(kind, MAX_DEPTH)?,
         }
         Ok(())
     })?;
@@ -204,15 +204,15 @@
 
 fn each_field<'a>(
     args: &'a [u8],
-    take: impl FnMut(u16, u8, &mut Bytes<'a>) -> Result<(), ReasonCode>,
+    read_field: impl FnMut(u16, u8, &mut Cursor<'a>) -> Result<(), ReasonCode>,
 ) -> Result<(), ReasonCode> {
-    Bytes(args).fields(take)
+    Cursor(args).fields(read_field)
 }
 
-/// Bytes still to be read.
-struct Bytes<'a>(&'a [u8]);
+/// A cursor on the bytes still to be read.
+struct Cursor<'a>(&'a [u8]);
 
-impl<'a> Bytes<'a> {
+impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], ReasonCode> {
         let (head, rest) = self.0.split_at_checked(n).ok_or(FRAME_UNREADABLE)?;
         self.0 = rest;
@@ -245,7 +245,7 @@
         self.take(len as usize)
     }
 
-    /// Types of keys and values, and how many there are: never more than the bytes left could hold.
+    /// Types of keys and values, and the number of entries: at most the number of remaining bytes.
     fn map_head(&mut self) -> Result<(u8, u8, u32), ReasonCode> {
         let (keys, values, n) = (self.u8()?, self.u8()?, self.u32()?);
         if n as usize > self.0.len() {
@@ -254,10 +254,10 @@
         Ok((keys, values, n))
     }
 
-    /// The fields of a struct, up to its end.
+    /// Passes each field of a struct to `read_field`.
     fn fields(
         &mut self,
-        mut take: impl FnMut(u16, u8, &mut Self) -> Result<(), ReasonCode>,
+        mut read_field: impl FnMut(u16, u8, &mut Self) -> Result<(), ReasonCode>,
     ) -> Result<(), ReasonCode> {
         loop {
             let kind = self.u8()?;
@@ -265,11 +265,11 @@
                 return Ok(());
             }
             let id = self.u16()?;
-            take(id, kind, self)?;
+            read_field(id, kind, self)?;
         }
     }
 
-    /// A map of texts.
+    /// Reads a map of texts.
     fn texts(&mut self) -> Result<Texts<'a>, ReasonCode> {
         let (keys, values, n) = self.map_head()?;
         if n > 0 && (keys, values) != (STRING, STRING) {
@@ -280,9 +280,9 @@
             .collect()
     }
 
-    /// Reads past a value that nobody asks for.
+    /// Skips a value.
     fn skip(&mut self, kind: u8, max_depth: u32) -> Result<(), ReasonCode> {
-        let deeper = max_depth.checked_sub(1).ok_or(FRAME_UNREADABLE)?;
+        let remaining_depth = max_depth.checked_sub(1).ok_or(FRAME_UNREADABLE)?;
         match kind {
             BOOL | BYTE => drop(self.take(1)?),
             I16 => drop(self.take(2)?),
@@ -295,13 +295,13 @@
                     break;
                 }
                 self.u16()?;
-                self.skip(kind, deeper)?;
+                self.skip(kind, remaining_depth)?;
             },
             MAP => {
                 let (keys, values, n) = self.map_head()?;
                 for _ in 0..n {
-                    self.skip(keys, deeper)?;
-                    self.skip(values, deeper)?;
+                    self.skip(keys, remaining_depth)?;
+                    self.skip(values, remaining_depth)?;
                 }
             }
             SET | LIST => {
@@ -310,7 +310,7 @@
                     return Err(FRAME_UNREADABLE);
                 }
                 for _ in 0..n {
-                    self.skip(kind, deeper)?;
+                    self.skip(kind, remaining_depth)?;
                 }
             }
             _ => return Err(FRAME_UNREADABLE),
--- a/crates/protocol/src/thrift/writer.rs
+++ b/crates/protocol/src/thrift/writer.rs
@@ -3,11 +3,11 @@
 use super::field_type::{BOOL, I32, MAP, STOP, STRING, STRUCT};
 use super::{CALL, EXCEPTION, FRAME_HEADER_BYTES, ONEWAY, REPLY, VERSION};
 
-/// A frame that is being written; its length is set at the end.
+/// A frame under construction; its length prefix is set at the end.
 pub struct Frame(Vec<u8>);
 
 impl Frame {
-    /// Begins a message; `kind` is one of [`CALL`], [`REPLY`], [`EXCEPTION`] and [`ONEWAY`].
+    /// Starts a message; `kind` is one of [`CALL`], [`REPLY`], [`EXCEPTION`] and [`ONEWAY`].
     pub fn new(kind: u8, name: &[u8], seq: i32) -> Self {
         let mut frame = Self(vec![0; FRAME_HEADER_BYTES]);
         frame.u32(VERSION | u32::from(kind));
@@ -16,7 +16,7 @@
         frame
     }
 
-    /// Appends a word.
+    /// Appends a big-endian 32-bit word.
     pub fn u32(&mut self, n: u32) {
         self.0.extend_from_slice(&n.to_be_bytes());
     }
@@ -26,13 +26,13 @@
         self.0.push(n);
     }
 
-    /// Appends text or bytes with their length.
+    /// Appends text or bytes with their length prefix.
     pub fn string(&mut self, bytes: &[u8]) {
         self.u32(bytes.len() as u32);
         self.0.extend_from_slice(bytes);
     }
 
-    /// Appends the head of a field: its type and number.
+    /// Appends the header of a field: its type and id.
     pub fn field(&mut self, kind: u8, id: u16) {
         self.0.push(kind);
         self.0.extend_from_slice(&id.to_be_bytes());
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Ends as many structs as `stops` says, and sets the length.
+    /// Ends `stops` nested structs, sets the length prefix and returns the frame.
     pub fn end(mut self, stops: usize) -> Vec<u8> {
         self.0.resize(self.0.len() + stops, STOP);
         let len = self.0.len() as u32 - FRAME_HEADER_BYTES as u32;
@@ -58,7 +58,7 @@
     }
 }
 
-/// `Answer`: to a request that was served, or to a health check.
+/// `Answer`: the reply to a served request or to a health check.
 pub fn answer(name: &[u8], seq: i32, body: &[u8], good: bool) -> Vec<u8> {
     let mut frame = Frame::new(REPLY, name, seq);
     frame.field(STRUCT, 0);
@@ -70,7 +70,7 @@
     frame.end(2)
 }
 
-/// `Backoff`: to a request that was rejected.
+/// `Backoff`: the reply to a rejected request.
 pub fn backoff(seq: i32, texts: &[(&str, &str)]) -> Vec<u8> {
     let mut frame = Frame::new(REPLY, b"process", seq);
     frame.field(STRUCT, 1);
@@ -78,7 +78,7 @@
     frame.end(2)
 }
 
-/// `Lost`: to a request that failed.
+/// `Lost`: the reply to a failed request.
 pub fn lost(seq: i32) -> Vec<u8> {
     let mut frame = Frame::new(REPLY, b"process", seq);
     frame.field(STRUCT, 2);
@@ -96,7 +96,7 @@
     frame.end(1)
 }
 
-/// The oneway `shutdown`: the server drains, and wants nothing new on this connection.
+/// The oneway `shutdown`: the server drains, and nothing new should be sent on this connection.
 pub fn shutdown() -> Vec<u8> {
     Frame::new(ONEWAY, b"shutdown", 0).end(1)
 }
@@ -110,8 +110,8 @@
     frame.end(1)
 }
 
-/// A call of `process` that forwards another one: its own sequence number, the arguments unchanged as they were read
-/// ([`Message::args`](super::Message::args)). It adds no mark of a retry.
+/// A call of `process` that forwards another one, with its own sequence number and the unchanged
+/// [arguments](super::Message::args). It adds no retry mark.
 ///
 /// ```
 /// use rainstand_protocol::thrift::{message, process, process_again};
@@ -126,10 +126,10 @@
 }
 
 /// The oneway `giveUp`: cancels an earlier call.
-pub fn give_up(of: i32) -> Vec<u8> {
+pub fn give_up(cancelled_seq: i32) -> Vec<u8> {
     let mut frame = Frame::new(ONEWAY, b"giveUp", 0);
     frame.field(I32, 1);
-    frame.u32(of as u32);
+    frame.u32(cancelled_seq as u32);
     frame.end(1)
 }
 
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Thrift frames of both sides, byte for byte as the version that introduced each wrote them.
+//! Thrift frames of clients and servers, byte for byte as written by the version that introduced each.
 
 #![allow(
     missing_docs,
@@ -22,10 +22,10 @@
 
 fn frames() -> Vec<(&'static str, Vec<u8>)> {
     let call = process(7, &FIELDS, b"\0body");
-    let again = process_again(9, message(&call[4..]).unwrap().args);
+    let forwarded = process_again(9, message(&call[4..]).unwrap().args);
     vec![
         ("process", call),
-        ("process-again", again),
+        ("process-again", forwarded),
         ("give-up", give_up(7)),
         ("probe", probe(8, true)),
         ("answer", answer(b"process", 7, b"result", true)),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn frames_are_written_as_before() {
+fn written_frames_match_the_golden_file() {
     let written = frames()
         .into_iter()
         .map(|(name, bytes)| NamedBytes::new(name, bytes));
@@ -46,50 +46,50 @@
 }
 
 #[test]
-fn frames_of_before_are_read() {
+fn frames_of_the_golden_file_are_read() {
     let stored = read_bytes(FILE);
-    let of = |name: &str| &stored.iter().find(|one| one.name == name).unwrap().bytes[4..];
+    let frame = |name: &str| &stored.iter().find(|one| one.name == name).unwrap().bytes[4..];
     for (name, seq) in [("process", 7), ("process-again", 9)] {
-        let call = message(of(name)).unwrap();
+        let call = message(frame(name)).unwrap();
         assert_eq!(
             (call.name, call.seq, call.oneway),
             (&b"process"[..], seq, false)
         );
         let ProcessArgs { fields, body } = process_args(call.args).unwrap();
-        let wanted: Vec<_> = FIELDS
+        let expected: Vec<_> = FIELDS
             .iter()
             .map(|(key, value)| (key.as_bytes(), value.as_bytes()))
             .collect();
-        assert_eq!((fields, body), (Some(wanted), Some(&b"\0body"[..])));
+        assert_eq!((fields, body), (Some(expected), Some(&b"\0body"[..])));
     }
     assert_eq!(
-        give_up_args(message(of("give-up")).unwrap().args),
+        give_up_args(message(frame("give-up")).unwrap().args),
         Ok(Some(7))
     );
-    assert_eq!(probe_args(message(of("probe")).unwrap().args), Ok(true));
-    assert!(message(of("shutdown")).unwrap().oneway);
-    let told = |name| answered(of(name)).unwrap().what;
+    assert_eq!(probe_args(message(frame("probe")).unwrap().args), Ok(true));
+    assert!(message(frame("shutdown")).unwrap().oneway);
+    let read_answer = |name| answered(frame(name)).unwrap().what;
     assert_eq!(
-        told("answer"),
+        read_answer("answer"),
         What::Answer {
             body: b"result",
             good: true
         }
     );
     assert_eq!(
-        told("answer-probe"),
+        read_answer("answer-probe"),
         What::Answer {
             body: b"",
             good: false
         }
     );
     assert_eq!(
-        told("backoff"),
+        read_answer("backoff"),
         What::Backoff(vec![(b"pause", b"250"), (b"final", b"1")])
     );
-    assert_eq!(told("lost"), What::Lost);
+    assert_eq!(read_answer("lost"), What::Lost);
     assert_eq!(
-        told("exception"),
+        read_answer("exception"),
         What::Exception {
             code: 7,
             why: b"no route"
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,4 +1,4 @@
-//! Replies whose length or status does not fit are refused.
+//! Replies with an invalid length or status are rejected.
 
 #![allow(
     missing_docs,
@@ -10,7 +10,7 @@
 use rainstand_protocol::http::reply;
 
 #[test]
-fn lengths_and_states_that_do_not_fit_are_not_guessed_at() {
+fn replies_with_an_invalid_length_or_status_are_rejected() {
     let cases = [
         ("200 OK\r\nContent-Length: +3", false),
         ("200 OK\r\nContent-Length: -3", false),
@@ -26,14 +26,14 @@
         ("200\r\nContent-Length: 3", true),
         ("100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3", true),
     ];
-    for (head, good) in cases {
+    for (head, is_valid) in cases {
         let bytes = format!("HTTP/1.1 {head}\r\n\r\nrowHTTP/1.1 200 OK\r\n");
         let read = reply(bytes.as_bytes());
-        assert_eq!(read.is_ok(), good, "{head}: {read:?}");
-        let body = read.ok().flatten().map(|r| &bytes[r.body]);
-        assert_eq!(body, good.then_some("row"), "{head}");
+        assert_eq!(read.is_ok(), is_valid, "{head}: {read:?}");
+        let body = read.ok().flatten().map(|reply| &bytes[reply.body]);
+        assert_eq!(body, is_valid.then_some("row"), "{head}");
     }
-    // Words without an end are bounded like any other head.
-    let words = "HTTP/1.1 100 Continue\r\n\r\n".repeat(1_000);
-    assert_eq!(reply(words.as_bytes()), Err("reply_too_long"));
+    // A series of interim replies is bounded like any other head.
+    let interim_replies = "HTTP/1.1 100 Continue\r\n\r\n".repeat(1_000);
+    assert_eq!(reply(interim_replies.as_bytes()), Err("reply_too_long"));
 }
--- a/crates/protocol/tests/ring.rs
+++ b/crates/protocol/tests/ring.rs
@@ -1,4 +1,4 @@
-//! A ring keeps the order of its bytes and releases memory.
+//! A ring keeps its bytes in order and releases memory.
 
 #![allow(
     missing_docs,
@@ -10,7 +10,7 @@
 use rainstand_protocol::ring::{Ring, RETAINED_BYTES};
 
 #[test]
-fn bytes_come_out_in_order_and_room_is_let_go() {
+fn ring_keeps_byte_order_and_releases_memory_when_emptied() {
     let mut ring = Ring::default();
     for round in 0..50u8 {
         ring.put(&[round; 300]);
