--- a/crates/node/tests/descriptors.rs
+++ b/crates/node/tests/descriptors.rs
@@ -64,22 +64,22 @@
         settings: Option<&Path>,
     ) -> Self {
         let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
-        let (agents, below, service, own) = (
+        let (agents, below, announce_service, node_port) = (
             listen().await,
             listen().await,
             listen().await,
             listen().await,
         );
         let mut config = example();
-        for (key, of) in [
-            ("listen", &own),
+        for (key, listener) in [
+            ("listen", &node_port),
             ("agent", &agents),
             ("db", &below),
-            ("announce", &service),
+            ("announce", &announce_service),
         ] {
-            config[key] = json!(of.local_addr().unwrap().to_string());
+            config[key] = json!(listener.local_addr().unwrap().to_string());
         }
-        drop(own);
+        drop(node_port);
         if announce == AnnounceBehaviour::None {
             config["announce"] = Value::Null;
         }
@@ -95,7 +95,7 @@
             announce,
             AnnounceBehaviour::Silent | AnnounceBehaviour::Closes
         ) {
-            spawn_local(serve_announce(service, announce));
+            spawn_local(serve_announce(announce_service, announce));
         }
         let process = NodeProcess::start_with_descriptor_limit(&path, allowed, settings);
         let mut agent = Agent::accept(&agents).await;
@@ -234,11 +234,11 @@
 
 /// An announce service that never answers, until the end of the test.
 async fn serve_announce(service: TcpListener, announce: AnnounceBehaviour) {
-    let mut held = Vec::new();
+    let mut unanswered = Vec::new();
     loop {
         let http = Http::accept(&service).await;
         if announce == AnnounceBehaviour::Silent {
-            held.push(http);
+            unanswered.push(http);
         }
     }
 }
@@ -265,10 +265,10 @@
 
 /// The value of `key=value` in a line of counters.
 fn counter(line: &str, key: &str) -> usize {
-    let words = line.split(|c: char| c.is_whitespace() || "[]".contains(c));
-    let value = words
-        .filter_map(|word| word.split_once('='))
-        .find(|(word, _)| *word == key);
+    let fields = line.split(|c: char| c.is_whitespace() || "[]".contains(c));
+    let value = fields
+        .filter_map(|field| field.split_once('='))
+        .find(|(name, _)| *name == key);
     value
         .unwrap_or_else(|| panic!("{key} in {line}"))
         .1
@@ -391,30 +391,30 @@
 /// The limit is lowered while the node runs: it gets the descriptors that it needs by evicting idle clients.
 #[test]
 fn exhausted_descriptors_are_freed_from_idle_clients_for_connections_calls_and_files() {
-    const CROWD: usize = 20;
+    const CONNECTIONS: usize = 20;
     run_with_timeout(async {
         let mut node = LimitedNode::start("exhausted", [LIMIT; 2], AnnounceBehaviour::Closes).await;
         node.connect_idle_clients().await;
         node.exhaust_descriptors(0).await;
         node.process.signal("-STOP");
-        let mut crowd = Vec::new();
-        for _ in 0..CROWD {
+        let mut clients = Vec::new();
+        for _ in 0..CONNECTIONS {
             let mut caller = node.caller().await;
             caller.probe().await;
-            crowd.push(caller);
+            clients.push(caller);
         }
         node.process.signal("-CONT");
-        for caller in &mut crowd {
+        for caller in &mut clients {
             assert_eq!(caller.next().await, said(1, "probe", "good"));
         }
         // A downstream call.
         node.set_descriptor_limit(LIMIT as u64);
         let mut caller = node.caller().await;
-        node.exhaust_descriptors(CROWD + 1).await;
+        node.exhaust_descriptors(CONNECTIONS + 1).await;
         node.serve_request(&mut caller, 1).await;
         // A file to read.
         node.set_descriptor_limit(LIMIT as u64);
-        node.exhaust_descriptors(CROWD + 1).await;
+        node.exhaust_descriptors(CONNECTIONS + 1).await;
         node.process.signal("-HUP");
         let line = node.process.wait_for_line("reload").await;
         assert!(line.starts_with("reload agent="), "{line}");
@@ -469,19 +469,19 @@
 /// Accepts fail when listening ends: the system's accept backlog is still served.
 #[test]
 fn accept_backlog_is_served_after_end_of_listening_despite_accept_errors() {
-    const CROWD: usize = 32;
+    const CONNECTIONS: usize = 32;
     run_with_timeout(async {
         let mut node = LimitedNode::start("backlog", [LIMIT; 2], AnnounceBehaviour::Down).await;
         node.connect_idle_clients().await;
         node.exhaust_descriptors(0).await;
         node.process.signal("-STOP");
-        let mut crowd = Vec::new();
-        for n in 0..CROWD {
+        let mut clients = Vec::new();
+        for n in 0..CONNECTIONS {
             let mut caller = node.caller().await;
             caller
                 .send(&complete_request(1, &format!("{n:016x}")))
                 .await;
-            crowd.push(caller);
+            clients.push(caller);
         }
         node.process.signal("-TERM");
         node.process.signal("-CONT");
@@ -495,7 +495,7 @@
                 }
             }
         });
-        for (n, caller) in crowd.iter_mut().enumerate() {
+        for (n, caller) in clients.iter_mut().enumerate() {
             let answer = loop {
                 match caller.next().await {
                     Some(reply) if reply.1 == "shutdown" => {}
@@ -504,10 +504,10 @@
             };
             assert!(
                 answer.is_some(),
-                "connection {n} of {CROWD} in the backlog got no answer"
+                "connection {n} of {CONNECTIONS} in the backlog got no answer"
             );
         }
-        drop(crowd);
+        drop(clients);
         node.process.wait_for_line("drain ends").await;
         let counts = node.process.wait_for_line("counts").await;
         assert!(counter(&counts, "accept_errors") > 0, "{counts}");
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -114,7 +114,7 @@
 /// Many connections are in the system's accept backlog when listening ends.
 #[test]
 fn accept_backlog_is_served_after_end_of_listening() {
-    const CROWD: usize = 100;
+    const CONNECTIONS: usize = 100;
     play(
         |config| {
             config["stop_ms"] = json!(600_000);
@@ -124,29 +124,29 @@
             // The agent never greets, so no request runs. Without an await up to the end of listening, the node does not
             // run either, and all connections stay in the backlog.
             let request = complete_request(1, "00000000000000aa");
-            let crowd: Vec<std::net::TcpStream> = (0..CROWD)
+            let streams: Vec<std::net::TcpStream> = (0..CONNECTIONS)
                 .map(|n| {
                     let mut stream = std::net::TcpStream::connect(world.addr).unwrap();
                     let trace_start = request
                         .windows(16)
                         .position(|bytes| bytes == b"00000000000000aa")
                         .unwrap();
-                    let mut own = request.clone();
-                    own[trace_start..trace_start + 16]
+                    let mut with_trace = request.clone();
+                    with_trace[trace_start..trace_start + 16]
                         .copy_from_slice(format!("{n:016x}").as_bytes());
-                    stream.write_all(&own).unwrap();
+                    stream.write_all(&with_trace).unwrap();
                     stream.set_nonblocking(true).unwrap();
                     stream
                 })
                 .collect();
             world.context.stop_listening.notify_one();
             world.leave.notify_one();
-            for stream in crowd {
+            for stream in streams {
                 let mut caller = Caller::over(TcpStream::from_std(stream).unwrap());
                 let answer = loop {
                     match caller.next().await {
-                        Some(said) if said.1 == "shutdown" => {}
-                        other => break other.map(|said| said.1),
+                        Some(reply) if reply.1 == "shutdown" => {}
+                        other => break other.map(|reply| reply.1),
                     }
                 };
                 assert!(
@@ -164,8 +164,8 @@
 fn request_is_answered_by_its_deadline_when_the_policy_panics_at_each_tick() {
     play(
         |config| {
-            for kind in config["settings"]["requestClasses"].as_array_mut().unwrap() {
-                (kind["aimS"], kind["deadlineS"]) = (json!(0.8), json!(1.0));
+            for class in config["settings"]["requestClasses"].as_array_mut().unwrap() {
+                (class["aimS"], class["deadlineS"]) = (json!(0.8), json!(1.0));
             }
         },
         |world| async move {
@@ -291,15 +291,15 @@
 /// Settings that list classes and tenants in reverse order, and swap the effects and worths of the classes.
 fn reversed_settings(config: &Config) -> Config {
     let mut config = config.clone();
-    let all = &mut config.settings;
-    all["requestClasses"].as_array_mut().unwrap().reverse();
-    all["parties"].as_array_mut().unwrap().reverse();
-    for kind in all["requestClasses"].as_array_mut().unwrap() {
-        let free = kind["effect"] == "free";
-        kind["effect"] = json!(if free { "single_shot" } else { "free" });
+    let settings = &mut config.settings;
+    settings["requestClasses"].as_array_mut().unwrap().reverse();
+    settings["parties"].as_array_mut().unwrap().reverse();
+    for class in settings["requestClasses"].as_array_mut().unwrap() {
+        let is_free = class["effect"] == "free";
+        class["effect"] = json!(if is_free { "single_shot" } else { "free" });
     }
     // In the order of the new file: the class that was first is now last, and is worth nothing without its call.
-    all["familyInfo"]["classSkipWorth"] = json!([0.6, 0.0]);
+    settings["familyInfo"]["classSkipWorth"] = json!([0.6, 0.0]);
     config
 }
 
--- a/crates/node/tests/recording.rs
+++ b/crates/node/tests/recording.rs
@@ -150,11 +150,11 @@
         .map(|entry| entry.unwrap().path())
         .collect();
     paths.sort();
-    let (mut tickets, mut others) = (Vec::new(), 0);
+    let (mut requests, mut unparsed) = (Vec::new(), 0);
     for path in paths {
         let summary = read(std::fs::File::open(path).unwrap(), |event| {
-            if let Event::Ticket(ticket) = event {
-                tickets.push(ticket);
+            if let Event::Ticket(request) = event {
+                requests.push(request);
             }
         });
         assert_eq!(
@@ -165,39 +165,39 @@
             ),
             (None, 0, 0)
         );
-        // The links to the agent and downstream use other protocols.
-        others += summary.tickets.lost_not_thrift + summary.tickets.lost_too_long;
+        // The links to the agent and to the downstream tier use other protocols.
+        unparsed += summary.tickets.lost_not_thrift + summary.tickets.lost_too_long;
     }
-    (tickets, others)
+    (requests, unparsed)
 }
 
 #[test]
 fn recorded_requests_match_what_callers_received() {
     let folder = tempfile::tempdir().unwrap();
     let received = run_node(folder.path());
-    let (mut tickets, others) = read_recording(folder.path());
-    tickets.sort_by_key(|ticket| ticket.call.field("trace").to_owned());
-    assert!(others > 0, "links are not in the files");
+    let (mut requests, unparsed) = read_recording(folder.path());
+    requests.sort_by_key(|request| request.call.field("trace").to_owned());
+    assert!(unparsed > 0, "the links are not recorded");
     // A call whose answer is in the next file is read without it, so only most of the requests are complete.
-    assert_eq!(tickets.len(), received.len());
+    assert_eq!(requests.len(), received.len());
     let mut complete = 0;
-    for (n, (ticket, (_, Said(seq, what, _)))) in tickets.iter().zip(&received).enumerate() {
+    for (n, (request, (_, Said(seq, answer, _)))) in requests.iter().zip(&received).enumerate() {
         assert_eq!(
-            (ticket.call.field("trace"), ticket.call.seq),
+            (request.call.field("trace"), request.call.seq),
             (format!("{n:016x}").as_str(), *seq)
         );
         assert_eq!(
-            ticket.call.body_hash,
+            request.call.body_hash,
             rainstand_capture::hash(format!("body {n}").as_bytes())
         );
-        if ticket.answered.is_some() {
+        if request.answered.is_some() {
             complete += 1;
-            let same = match ticket.outcome.word() {
-                "honoured" => *what == "honoured",
-                "exception" => *what == "exception",
-                _ => *what != "honoured" && *what != "exception",
+            let matches = match request.outcome.word() {
+                "honoured" => *answer == "honoured",
+                "exception" => *answer == "exception",
+                _ => *answer != "honoured" && *answer != "exception",
             };
-            assert!(same, "{n}: {:?} is not {what}", ticket.outcome);
+            assert!(matches, "{n}: {:?} is not {answer}", request.outcome);
         }
     }
     assert!(complete >= 15, "{complete}");
@@ -280,7 +280,7 @@
 
 #[test]
 fn invalid_settings_are_reported_in_one_line() {
-    let table = [
+    let cases = [
         (
             "version: 1 recordings { name: \"a\" folder: \"/x\" }",
             "no folder, size or number",
@@ -292,7 +292,7 @@
         ("version: 1\nrecording { }", "2:1:"),
         ("version: 7", "knows version 1"),
     ];
-    for (text, expected) in table {
+    for (text, expected) in cases {
         let error = Settings::read(text).unwrap_err().to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -1,6 +1,6 @@
 //! One node on loopback sockets, with listeners for its peers; each test drives them step by step.
 #![allow(dead_code)]
-// each test file uses only a part
+// each test file uses only some of the helpers
 
 #[path = "../../../../examples/toy/stand_ins.rs"]
 pub mod stand_ins;
