--- a/crates/testbed/src/scale/control/events.rs
+++ b/crates/testbed/src/scale/control/events.rs
@@ -1,53 +1,53 @@
-//! Events of the virtual clock, and what each of them does.
+//! Events of the virtual clock and their handlers.
 
-use super::links::{delay_between, Link, Toward, FAR_DELAY, FRAME_HEAD_BYTES};
+use super::links::{delay_between, Destination, Link, FAR_DELAY, FRAME_HEAD_BYTES};
 use super::scenario::Outage;
-use super::{to_io_error, HollowFleet, MACHINES};
+use super::{to_io_error, HollowFleet, CONFIG_SERVERS};
 use bytes::Bytes;
 use rainstand_config_distribution::subscriber::Subscriber;
 use std::cmp::Reverse;
 use std::io;
 use std::time::Duration;
 
-/// For a process to put a change into force.
+/// Time that a node takes to put a change into force.
 pub(super) const APPLY_TIME: Duration = Duration::from_millis(50);
-/// For a process to give up on a machine that does not answer.
+/// Timeout of a node's connection attempt to a config server that does not respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two ticks of a machine, and two looks of a process for its machine.
+/// Interval between ticks of a config server, and between a node's checks of its config server.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Seeds of machines that were started again are past those of the first ones.
-const RESTARTED_SEED: u64 = 100;
+/// Offset of the seeds of restarted config servers, so that they differ from the initial seeds.
+const RESTARTED_SEED_OFFSET: u64 = 100;
 
-/// What happens, with the numbers of whom it happens to.
+/// An event, with the indices of the nodes, config servers or links that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     /// A change is committed.
     Commit,
-    /// A machine hears of all changes up to this number of them.
+    /// A config server receives all changes up to this number of changes.
     Committed(usize, usize),
-    /// A machine's clock ticks.
+    /// A config server ticks.
     Tick(usize),
-    /// A process dials.
+    /// A node starts to connect.
     Dial(usize),
-    /// A process's connection to a machine is open.
+    /// A node's connection attempt to a config server completes.
     Connected(usize, usize),
-    /// A process's connection could not be opened.
+    /// A node's connection attempt failed.
     ConnectFailed(usize),
-    /// A frame of this link reaches the process.
+    /// A frame on this link reaches the node.
     ArriveAtNode(usize, Bytes),
-    /// A frame of this link reaches the machine.
-    ArriveAtMachine(usize, Bytes),
-    /// The machine's end of this link is closed.
+    /// A frame on this link reaches the config server.
+    ArriveAtServer(usize, Bytes),
+    /// The node learns that the config server's end of this link is closed.
     LinkEnded(usize),
-    /// A process looks whether its machine is still there.
+    /// A node checks whether it has lost its config server.
     CheckServer(usize),
-    /// A process has put this version into force.
+    /// A node has put this version into force.
     Applied(usize, u64),
-    /// Machines are killed.
+    /// Config servers are killed.
     Kill,
-    /// All machines come back.
+    /// All config servers restart.
     Restart,
-    /// The regions reach each other again.
+    /// The partition between the regions ends.
     Heal,
 }
 
@@ -73,13 +73,13 @@
     fn handle(&mut self, event: Event) -> io::Result<()> {
         match event {
             Event::Commit => self.commit()?,
-            Event::Committed(machine, up_to) => self.on_committed(machine, up_to)?,
-            Event::Tick(machine) => self.tick(machine),
+            Event::Committed(server, up_to) => self.on_committed(server, up_to)?,
+            Event::Tick(server) => self.tick(server),
             Event::Dial(node) => self.dial(node),
-            Event::Connected(node, machine) => self.on_connected(node, machine),
+            Event::Connected(node, server) => self.on_connected(node, server),
             Event::ConnectFailed(node) => self.on_link_lost(node),
             Event::ArriveAtNode(link, frame) => self.on_frame_at_node(link, frame),
-            Event::ArriveAtMachine(link, frame) => self.on_frame_at_machine(link, frame),
+            Event::ArriveAtServer(link, frame) => self.on_frame_at_server(link, frame),
             Event::LinkEnded(link) => {
                 let node = self.links[link].node;
                 if self.nodes[node].link == Some(link) {
@@ -98,21 +98,21 @@
     fn commit(&mut self) -> io::Result<()> {
         self.publish()?;
         let changes = self.log.len();
-        for machine in 0..MACHINES {
-            if self.hears_commits(machine) {
-                let wait = delay_between(0, machine);
-                self.schedule(wait, Event::Committed(machine, changes));
+        for server in 0..CONFIG_SERVERS {
+            if self.receives_commits(server) {
+                let wait = delay_between(0, server);
+                self.schedule(wait, Event::Committed(server, changes));
             }
         }
         Ok(())
     }
 
-    fn on_committed(&mut self, machine: usize, up_to: usize) -> io::Result<()> {
-        let publisher = self.machines[machine].as_ref();
+    fn on_committed(&mut self, server: usize, up_to: usize) -> io::Result<()> {
+        let publisher = self.servers[server].as_ref();
         let known = publisher.map_or(0, |publisher| publisher.version() as usize);
         for delta in self.log.get(known..up_to).unwrap_or_default().to_vec() {
             let mut applied = Ok(());
-            self.call_machine(machine, |publisher, now| {
+            self.call_server(server, |publisher, now| {
                 applied = publisher.apply_committed(now, delta);
             });
             applied.map_err(to_io_error)?;
@@ -120,35 +120,35 @@
         Ok(())
     }
 
-    fn tick(&mut self, machine: usize) {
-        let is_current = self.hears_commits(machine);
-        self.call_machine(machine, |publisher, now| {
+    fn tick(&mut self, server: usize) {
+        let is_current = self.receives_commits(server);
+        self.call_server(server, |publisher, now| {
             if is_current {
                 publisher.mark_current(now);
             }
             publisher.tick(now);
         });
-        self.schedule(TICK_INTERVAL, Event::Tick(machine));
+        self.schedule(TICK_INTERVAL, Event::Tick(server));
     }
 
     fn dial(&mut self, node: usize) {
-        let Some(machine) = self.nodes[node].attachment.next_server(self.now) else {
+        let Some(server) = self.nodes[node].attachment.next_server(self.now) else {
             return;
         };
         self.close(node);
-        if self.are_parted(node, machine) {
+        if self.are_partitioned(node, server) {
             self.schedule(CONNECT_TIMEOUT, Event::ConnectFailed(node));
         } else {
-            let round_trip = delay_between(node, machine) * 2;
-            self.schedule(round_trip, Event::Connected(node, machine));
+            let round_trip = delay_between(node, server) * 2;
+            self.schedule(round_trip, Event::Connected(node, server));
         }
     }
 
-    fn on_connected(&mut self, node: usize, machine: usize) {
-        if self.machines[machine].is_none() || self.are_parted(node, machine) {
+    fn on_connected(&mut self, node: usize, server: usize) {
+        if self.servers[server].is_none() || self.are_partitioned(node, server) {
             return self.on_link_lost(node);
         }
-        self.links.push(Link::new(node, machine, self.now));
+        self.links.push(Link::new(node, server, self.now));
         self.nodes[node].link = Some(self.links.len() - 1);
         self.call_node(node, Subscriber::on_connected);
     }
@@ -168,9 +168,9 @@
         }
     }
 
-    fn on_frame_at_machine(&mut self, link: usize, frame: Bytes) {
+    fn on_frame_at_server(&mut self, link: usize, frame: Bytes) {
         if self.links[link].is_open {
-            self.call_machine(self.links[link].machine, |publisher, now| {
+            self.call_server(self.links[link].server, |publisher, now| {
                 publisher.on_frame(now, link as u64, frame);
             });
         }
@@ -183,21 +183,21 @@
         self.schedule(TICK_INTERVAL, Event::CheckServer(node));
     }
 
-    /// Notes how long each version took until it was confirmed.
+    /// Records how long each version took until it was confirmed.
     fn on_applied(&mut self, node: usize, version: u64) {
         self.call_node(node, |subscriber, _| subscriber.on_applied(version));
         let version = self.nodes[node].subscriber.version();
-        // The confirmation is as long under way as the change was.
+        // The confirmation takes as long to arrive as the change did.
         let link = self.nodes[node].link;
-        let way = link.map_or(Duration::ZERO, |link| {
-            delay_between(node, self.links[link].machine)
+        let delay = link.map_or(Duration::ZERO, |link| {
+            delay_between(node, self.links[link].server)
         });
         for confirmed in self.nodes[node].confirmed + 1..=version {
-            let committed = self.committed[confirmed as usize - 1];
-            // A parted region is measured from its return.
-            let healed = self.healed.filter(|_| node % 2 == 1);
-            let from = healed.map_or(committed, |healed| healed.max(committed));
-            let took = (self.now + way).saturating_sub(from);
+            let committed_at = self.committed_at[confirmed as usize - 1];
+            // In a partitioned region, time counts from the end of the partition.
+            let healed_at = self.healed_at.filter(|_| node % 2 == 1);
+            let from = healed_at.map_or(committed_at, |healed_at| healed_at.max(committed_at));
+            let took = (self.now + delay).saturating_sub(from);
             self.measurements.confirmed.push(took.as_secs_f32());
         }
         self.nodes[node].confirmed = version;
@@ -207,41 +207,41 @@
         let killed = if self.outage == Outage::OneKilled {
             0..1
         } else {
-            0..MACHINES
+            0..CONFIG_SERVERS
         };
-        for machine in killed {
-            if let Some(publisher) = self.machines[machine].take() {
+        for server in killed {
+            if let Some(publisher) = self.servers[server].take() {
                 let rejected = publisher.counters().rejected_attachments;
                 self.measurements.rejected_attachments += rejected;
             }
             for link in 0..self.links.len() {
-                if self.links[link].machine == machine && self.links[link].is_open {
-                    let wait = self.transit_time(link, Toward::Node);
+                if self.links[link].server == server && self.links[link].is_open {
+                    let wait = self.transit_time(link, Destination::Node);
                     self.schedule(wait, Event::LinkEnded(link));
                 }
             }
         }
     }
 
-    /// From the snapshot on each machine's disk, and the log behind it, which is its history again.
+    /// Restarts each config server from its snapshot on disk and the log after it, which restores its history.
     fn restart(&mut self) -> io::Result<()> {
-        for machine in 0..MACHINES {
-            let mut publisher = self.restored_publisher(RESTARTED_SEED + machine as u64)?;
+        for server in 0..CONFIG_SERVERS {
+            let mut publisher = self.restored_publisher(RESTARTED_SEED_OFFSET + server as u64)?;
             for delta in self.log.iter().skip(1) {
                 publisher
                     .apply_committed(self.now, delta.clone())
                     .map_err(to_io_error)?;
             }
-            self.machines[machine] = Some(publisher);
+            self.servers[server] = Some(publisher);
         }
         Ok(())
     }
 
     fn heal(&mut self) {
         self.is_partitioned = false;
-        self.healed = Some(self.now);
-        for machine in 0..MACHINES {
-            self.schedule(FAR_DELAY, Event::Committed(machine, self.log.len()));
+        self.healed_at = Some(self.now);
+        for server in 0..CONFIG_SERVERS {
+            self.schedule(FAR_DELAY, Event::Committed(server, self.log.len()));
         }
     }
 }
--- a/crates/testbed/src/scale/control/mod.rs
+++ b/crates/testbed/src/scale/control/mod.rs
@@ -1,10 +1,11 @@
-//! A configuration on its way to the whole fleet: hollow subscribers and control machines, the code that decides and the
-//! frames that it sends, on a virtual clock, without sockets. Times and bytes are the same on every run.
+//! Configuration distribution to a complete fleet: hollow (simulated) subscribers and config servers run the real
+//! protocol code and exchange real frames, on a virtual clock, without sockets. Virtual times and bytes are the same on
+//! every run.
 //!
-//! Assumed, and so no figure from here: how long a frame is under way (`NEAR_DELAY`, `FAR_DELAY`), how long a change
-//! takes to be known to a machine once it is committed (the same, once), how long a process takes to put a version into
-//! force (`APPLY_TIME`). Left out: sockets, headers below the frames, the group's log. Each machine is one of six places
-//! in two regions, each process in one of the six.
+//! Assumed and not measured: the delay of a frame (`NEAR_DELAY`, `FAR_DELAY`), the time until a committed change is
+//! known to a config server (the same delay, once), and the time a node takes to put a version into force
+//! (`APPLY_TIME`). Not included: sockets, headers below the frames, the group's log. There are six zones in two
+//! regions; each has one config server, and each node is in one of them.
 
 mod events;
 mod links;
@@ -12,7 +13,7 @@
 mod scenario;
 
 pub use rows::rows;
-pub use scenario::{watch, FleetSpec, Measurements, Outage};
+pub use scenario::{simulate, FleetSpec, Measurements, Outage};
 
 use crate::scale::measure::own_cpu;
 use bytes::Bytes;
@@ -30,58 +31,58 @@
 use std::io;
 use std::time::Duration;
 
-/// Machines that are kept for control.
-pub const MACHINES: usize = 6;
-/// A prime past all lists: changes come to things far from each other.
+/// Number of config servers.
+pub const CONFIG_SERVERS: usize = 6;
+/// A prime larger than the lists of a hollow fleet, used as a stride so that successive changes affect distant entries.
 const STRIDE: usize = 7919;
 
-/// A process that subscribes.
+/// A node that subscribes to the configuration.
 struct Node {
     subscriber: Subscriber,
     attachment: AttachmentPolicy,
-    /// Index of its link.
+    /// Index of its current link.
     link: Option<usize>,
     is_attached: bool,
-    /// The newest version that it confirmed.
+    /// Newest version that it has confirmed.
     confirmed: u64,
-    /// Of all frames, both ways.
+    /// Bytes of all frames sent and received.
     bytes: u64,
 }
 
-/// All machines and processes of a fleet.
+/// All config servers and nodes of a fleet.
 struct HollowFleet {
     now: Duration,
-    /// Events that were scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    /// None while a machine is away.
-    machines: Vec<Option<Publisher>>,
+    /// None while a config server is down.
+    servers: Vec<Option<Publisher>>,
     nodes: Vec<Node>,
-    /// All links that were ever opened.
+    /// All links that have ever been opened.
     links: Vec<Link>,
-    /// Times of each machine's last attachments.
+    /// Times of each config server's recent attachments.
     attachments: Vec<VecDeque<Duration>>,
     configuration: Configuration,
     state: ConfigState,
-    /// Changes, of which the first makes the first version.
+    /// All changes; the first one creates version 1.
     log: Vec<Delta>,
-    /// When each of them was committed.
-    committed: Vec<Duration>,
-    /// The first version, packed.
-    first: Bytes,
+    /// Commit time of each change.
+    committed_at: Vec<Duration>,
+    /// Snapshot of version 1.
+    first_snapshot: Bytes,
     is_partitioned: bool,
-    /// When the regions reached each other again.
-    healed: Option<Duration>,
+    /// When the partition between the regions ended.
+    healed_at: Option<Duration>,
     outage: Outage,
     measurements: Measurements,
 }
 
-/// Who a machine or a process is, by its number.
+/// Identity of a config server or node, by its index.
 fn identity(role: &str, number: usize) -> NodeIdentity {
     NodeIdentity {
         name: format!("{role}-{number}"),
         region: format!("region-{}", number % 2),
-        zone: format!("zone-{}", number % MACHINES),
+        zone: format!("zone-{}", number % CONFIG_SERVERS),
     }
 }
 
@@ -95,27 +96,27 @@
             now: Duration::ZERO,
             scheduled: 0,
             events: BinaryHeap::new(),
-            machines: Vec::new(),
+            servers: Vec::new(),
             nodes: Vec::new(),
             links: Vec::new(),
-            attachments: vec![VecDeque::new(); MACHINES],
+            attachments: vec![VecDeque::new(); CONFIG_SERVERS],
             configuration: configuration.clone(),
             state: ConfigState::default(),
             log: Vec::new(),
-            committed: Vec::new(),
-            first: Bytes::new(),
+            committed_at: Vec::new(),
+            first_snapshot: Bytes::new(),
             is_partitioned: false,
-            healed: None,
+            healed_at: None,
             outage: spec.outage,
             measurements: Measurements::default(),
         };
         fleet.publish()?;
         let first = snapshot::encode(1, &fleet.state).map_err(to_io_error)?;
-        fleet.first = Bytes::from(first);
-        for machine in 0..MACHINES {
-            let publisher = fleet.restored_publisher(machine as u64)?;
-            fleet.machines.push(Some(publisher));
-            fleet.schedule(Duration::ZERO, Event::Tick(machine));
+        fleet.first_snapshot = Bytes::from(first);
+        for server in 0..CONFIG_SERVERS {
+            let publisher = fleet.restored_publisher(server as u64)?;
+            fleet.servers.push(Some(publisher));
+            fleet.schedule(Duration::ZERO, Event::Tick(server));
         }
         for node in 0..spec.nodes {
             fleet.add_node(node);
@@ -123,20 +124,22 @@
         Ok(fleet)
     }
 
-    /// A publisher from the first version's snapshot.
+    /// A publisher restored from the snapshot of version 1.
     fn restored_publisher(&self, seed: u64) -> io::Result<Publisher> {
         let mut publisher = Publisher::new(self.now, PublisherLimits::default(), seed);
         publisher
-            .restore(self.now, self.first.clone())
+            .restore(self.now, self.first_snapshot.clone())
             .map_err(to_io_error)?;
         Ok(publisher)
     }
 
     fn add_node(&mut self, number: usize) {
-        let machines: Vec<NodeIdentity> = (0..MACHINES).map(|k| identity("control", k)).collect();
+        let servers: Vec<NodeIdentity> = (0..CONFIG_SERVERS)
+            .map(|k| identity("control", k))
+            .collect();
         let own = identity("node", number);
-        let attachment = AttachmentPolicy::new(self.now, &own, &machines, number as u64);
-        // As from its disk: what is sent at a start with nothing in hand has a row of its own.
+        let attachment = AttachmentPolicy::new(self.now, &own, &servers, number as u64);
+        // Starts with version 1, as if loaded from disk: the snapshot for a start without a version has its own row.
         let subscriber = Subscriber::with_version(self.now, own, 1, self.state.clone());
         self.nodes.push(Node {
             subscriber,
@@ -150,18 +153,18 @@
         self.schedule(Duration::ZERO, Event::CheckServer(number));
     }
 
-    /// One change: a tenant's share, now and then a member's weight.
+    /// Publishes one change: a tenant's share, or in every fourth version a member's weight.
     fn publish(&mut self) -> io::Result<()> {
         let version = self.log.len() as u64 + 1;
-        let at = version as usize * STRIDE;
+        let position = version as usize * STRIDE;
         let tenants = self.configuration.tenants.len().max(1);
         let pools = self.configuration.pools.len().max(1);
-        let pool = self.configuration.pools.get_mut(at % pools);
+        let pool = self.configuration.pools.get_mut(position % pools);
         if let Some(pool) = pool.filter(|_| version.is_multiple_of(4)) {
             if let Some(member) = pool.members.first_mut() {
                 member.weight = 1_000_000 + version;
             }
-        } else if let Some(tenant) = self.configuration.tenants.get_mut(at % tenants) {
+        } else if let Some(tenant) = self.configuration.tenants.get_mut(position % tenants) {
             tenant.share = 1 + version;
         }
         let delta = self
@@ -170,22 +173,22 @@
             .map_err(to_io_error)?;
         self.state.apply(&delta).map_err(to_io_error)?;
         self.log.push(delta);
-        self.committed.push(self.now);
+        self.committed_at.push(self.now);
         Ok(())
     }
 
-    /// Calls into a machine's publisher, and does what follows; its processor time is counted.
-    fn call_machine(&mut self, machine: usize, call: impl FnOnce(&mut Publisher, Duration)) {
+    /// Calls a config server's publisher and applies the effects; the call's processor time is counted.
+    fn call_server(&mut self, server: usize, call: impl FnOnce(&mut Publisher, Duration)) {
         let now = self.now;
-        if let Some(publisher) = &mut self.machines[machine] {
+        if let Some(publisher) = &mut self.servers[server] {
             let before = own_cpu();
             call(publisher, now);
-            self.measurements.machines_cpu += own_cpu().saturating_sub(before);
+            self.measurements.servers_cpu += own_cpu().saturating_sub(before);
         }
-        self.apply_publisher_effects(machine);
+        self.apply_publisher_effects(server);
     }
 
-    /// Calls into a process's subscriber, and does what follows; its processor time is counted.
+    /// Calls a node's subscriber and applies the effects; the call's processor time is counted.
     fn call_node(&mut self, node: usize, call: impl FnOnce(&mut Subscriber, Duration)) {
         let before = own_cpu();
         call(&mut self.nodes[node].subscriber, self.now);
@@ -193,18 +196,18 @@
         self.apply_subscriber_effects(node);
     }
 
-    /// Snapshots that all machines have sent.
+    /// Number of snapshots sent by the running config servers.
     fn snapshots(&self) -> u64 {
-        let machines = self.machines.iter().flatten();
-        machines
+        let servers = self.servers.iter().flatten();
+        servers
             .map(|publisher| publisher.counters().snapshots)
             .sum()
     }
 
-    /// Attachments that the machines of now have rejected.
+    /// Number of attachments rejected by the running config servers.
     fn rejected_attachments(&self) -> u64 {
-        let machines = self.machines.iter().flatten();
-        machines
+        let servers = self.servers.iter().flatten();
+        servers
             .map(|publisher| publisher.counters().rejected_attachments)
             .sum()
     }
--- a/crates/testbed/src/scale/control/rows.rs
+++ b/crates/testbed/src/scale/control/rows.rs
@@ -1,7 +1,7 @@
-//! Rows of the table: times, rates and costs of configuration distribution by size.
+//! Rows of configuration distribution: times, rates and costs.
 
-use super::scenario::{watch, FleetSpec, Measurements, Outage};
-use super::{identity, to_io_error, MACHINES, STRIDE};
+use super::scenario::{simulate, FleetSpec, Measurements, Outage};
+use super::{identity, to_io_error, CONFIG_SERVERS, STRIDE};
 use crate::scale::decisions::compiled;
 use crate::scale::fit::Growth;
 use crate::scale::measure::own_cpu;
@@ -15,17 +15,17 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Changes a minute, in a burst.
+/// Changes per minute in a burst.
 const BURST_PER_MINUTE: u32 = 100;
-/// Between two changes of a burst.
+/// Time between two changes of a burst.
 const BURST_INTERVAL: Duration = Duration::from_millis(600);
-/// The part of the configuration that hollow processes hold: what they do does not depend on it.
+/// Largest fraction of the configuration that hollow nodes load; distribution of changes does not depend on it.
 const MAX_HOLLOW_PART: f64 = 0.02;
-/// Attachments that a machine takes in a second.
+/// Limit of attachments per second to a config server.
 const MAX_ATTACHMENTS: f64 = 120.0;
-/// For how long all machines are away.
-const ALL_AWAY: Duration = Duration::from_secs(30);
-/// Changes of which the mean cost is taken.
+/// How long all config servers are down.
+const ALL_SERVERS_DOWN: Duration = Duration::from_secs(30);
+/// Number of changes that the mean cost is taken over.
 const MEASURED_CHANGES: u64 = 40;
 
 const DISTRIBUTION: &str =
@@ -37,11 +37,11 @@
     Quantity::new("node", what, unit, by)
 }
 
-fn of_machine<'a>(what: &'a str, unit: &'a str, by: &'a str) -> Quantity<'a> {
+fn of_server<'a>(what: &'a str, unit: &'a str, by: &'a str) -> Quantity<'a> {
     Quantity::new("control machine", what, unit, by)
 }
 
-/// Runs of a fleet in each of the situations that have rows.
+/// Measurements of a fleet in each scenario that has rows.
 struct Runs {
     at_rest: Measurements,
     burst: Measurements,
@@ -50,13 +50,13 @@
     partitioned: Measurements,
 }
 
-/// How large the fleets are that are played.
-struct Scale {
+/// Size of the simulated fleets.
+struct FleetSize {
     nodes: usize,
     changes: usize,
 }
 
-impl Scale {
+impl FleetSize {
     fn of(sizes: &Sizes, effort: &Effort) -> Self {
         let nodes = if effort.counts_only {
             sizes.nodes.min(60)
@@ -73,19 +73,19 @@
         Self { nodes, changes }
     }
 
-    fn play(&self, sizes: &Sizes, configuration: &Configuration) -> io::Result<Runs> {
-        let run = |changes, every, outage| {
+    fn run_all(&self, sizes: &Sizes, configuration: &Configuration) -> io::Result<Runs> {
+        let run = |changes, interval, outage| {
             let nodes = self.nodes;
             let spec = FleetSpec {
                 nodes,
                 changes,
-                every,
+                interval,
                 outage,
             };
-            watch(&spec, configuration)
+            simulate(&spec, configuration)
         };
         let changes = self.changes;
-        // At rest: the changes of a day, spread over it.
+        // At rest: the changes of a day, spread evenly.
         let day = Duration::from_secs_f64(limits::DAY_S / sizes.changes.max(1) as f64);
         Ok(Runs {
             at_rest: run((changes / 20).max(4), day, Outage::None)?,
@@ -94,7 +94,7 @@
             all_killed: run(
                 changes.min(100),
                 BURST_INTERVAL,
-                Outage::AllKilled(ALL_AWAY),
+                Outage::AllKilled(ALL_SERVERS_DOWN),
             )?,
             partitioned: run((changes / 24).max(4), day, Outage::Partitioned)?,
         })
@@ -104,38 +104,43 @@
 /// All rows of configuration distribution.
 ///
 /// # Errors
-/// If a fleet does not come to hold one version.
+/// If a fleet does not converge on one version.
 pub fn rows(sizes: &Sizes, effort: &Effort, _: &Paths) -> io::Result<Vec<Row>> {
     let part = effort.parts[0].min(MAX_HOLLOW_PART);
-    let small = compiled(&sizes.configuration(part, Limited::Tenants))?;
-    let scale = Scale::of(sizes, effort);
-    let runs = scale.play(sizes, &small)?;
+    let hollow_configuration = compiled(&sizes.configuration(part, Limited::Tenants))?;
+    let fleet_size = FleetSize::of(sizes, effort);
+    let runs = fleet_size.run_all(sizes, &hollow_configuration)?;
     let plain = |quantity: &Quantity<'_>, measured: Option<f64>| {
-        Row::plain(quantity, sizes.nodes as f64, scale.nodes as f64, measured)
+        Row::plain(
+            quantity,
+            sizes.nodes as f64,
+            fleet_size.nodes as f64,
+            measured,
+        )
     };
     let mut rows = Vec::new();
     rows.extend(time_rows(&runs, &plain));
     rows.extend(byte_rows(&runs, &plain));
-    rows.extend(machine_rows(&runs, &plain));
+    rows.extend(server_rows(&runs, &plain));
     measure_snapshots(sizes, effort, &mut rows)?;
     if !effort.counts_only {
-        measure_by_nodes(sizes, &small, scale.changes, &mut rows)?;
+        measure_by_nodes(sizes, &hollow_configuration, fleet_size.changes, &mut rows)?;
         measure_costs(sizes, effort, &mut rows)?;
     }
     Ok(rows)
 }
 
-/// A time until changes are confirmed.
+/// A row of the time until changes are confirmed.
 struct TimeRow<'r> {
     what: &'static str,
-    /// The part of all confirmations.
+    /// Fraction of the confirmations within that time.
     part: f64,
     run: &'r Measurements,
     note: &'static str,
     has_limit: bool,
 }
 
-/// The times that have rows.
+/// All rows of confirmation times.
 fn times_of(runs: &Runs) -> [TimeRow<'_>; 8] {
     let time = |what, part, run, note| TimeRow {
         what,
@@ -205,7 +210,7 @@
         let quantity = of_node(time.what, "s", "nodes").maybe_limit(limit);
         plain(
             &quantity.note(time.note).counted(),
-            time.run.within(time.part),
+            time.run.confirmation_time(time.part),
         )
     };
     times_of(runs).map(row).into()
@@ -231,20 +236,20 @@
             .limit(limits::CONTROL_BYTES)
             .note(DISTRIBUTION)
             .counted();
-        plain(&quantity, Some(run.most_bytes))
+        plain(&quantity, Some(run.max_bytes_per_second))
     };
     rates.into_iter().map(row).collect()
 }
 
-fn machine_rows(runs: &Runs, plain: &impl Fn(&Quantity<'_>, Option<f64>) -> Row) -> Vec<Row> {
+fn server_rows(runs: &Runs, plain: &impl Fn(&Quantity<'_>, Option<f64>) -> Row) -> Vec<Row> {
     let attachments = |what, run: &Measurements| {
-        let quantity = of_machine(what, "a second", "nodes")
+        let quantity = of_server(what, "a second", "nodes")
             .limit(MAX_ATTACHMENTS)
             .note(ATTACHMENT)
             .counted();
-        plain(&quantity, Some(run.most_attached as f64))
+        plain(&quantity, Some(run.max_attachments_per_second as f64))
     };
-    let snapshots = of_machine(
+    let snapshots = of_server(
         "snapshots sent in a burst to those who were not behind",
         "snapshots",
         "nodes",
@@ -265,7 +270,7 @@
     ]
 }
 
-/// A snapshot at each change, to compare with: packed bytes by size.
+/// Rows of the size of a snapshot, and of sending one at each change, for comparison with deltas.
 fn measure_snapshots(sizes: &Sizes, effort: &Effort, rows: &mut Vec<Row>) -> io::Result<()> {
     let mut points = Vec::new();
     for part in effort.parts.iter().copied() {
@@ -303,36 +308,36 @@
     Ok(())
 }
 
-/// Processor time of the deciding code by the fleet's size.
+/// Rows of the protocol code's processor time, by number of nodes.
 fn measure_by_nodes(
     sizes: &Sizes,
-    small: &Configuration,
+    hollow_configuration: &Configuration,
     changes: usize,
     rows: &mut Vec<Row>,
 ) -> io::Result<()> {
-    let (mut machines, mut nodes) = (Vec::new(), Vec::new());
+    let (mut servers, mut nodes) = (Vec::new(), Vec::new());
     for part in [0.15, 0.35, 0.6, 1.0] {
-        let count = ((sizes.nodes as f64 * part) as usize).max(MACHINES);
+        let count = ((sizes.nodes as f64 * part) as usize).max(CONFIG_SERVERS);
         let spec = FleetSpec {
             nodes: count,
             changes: changes.min(200),
-            every: BURST_INTERVAL,
+            interval: BURST_INTERVAL,
             outage: Outage::None,
         };
-        let run = watch(&spec, small)?;
-        let seconds = run.lasted.as_secs_f64();
+        let run = simulate(&spec, hollow_configuration)?;
+        let seconds = run.simulated_time.as_secs_f64();
         let percent = |cpu: Duration, of: usize| cpu.as_secs_f64() / seconds / of as f64 * 100.0;
-        machines.push((count as f64, percent(run.machines_cpu, MACHINES)));
+        servers.push((count as f64, percent(run.servers_cpu, CONFIG_SERVERS)));
         nodes.push((count as f64, percent(run.nodes_cpu, count)));
     }
     let size = sizes.nodes as f64;
-    let machine = of_machine(
+    let server = of_server(
         "a burst of 100 changes a minute: time of the deciding code, a machine of six",
         "% of a core",
         "nodes",
     )
     .note("hollow: the deciding code and its frames, without sockets; crates/config-distribution/src/publisher/mod.rs");
-    rows.push(Row::fitted(&machine, &machines, size, Growth::Linear, 1.0));
+    rows.push(Row::fitted(&server, &servers, size, Growth::Linear, 1.0));
     let node = of_node(
         "a burst of 100 changes a minute: time of the deciding code, a process",
         "% of a core",
@@ -346,7 +351,7 @@
     Ok(())
 }
 
-/// What a change, a pack and an unpack cost, by the size of the whole.
+/// Rows of the cost of a change, and of encoding and decoding a snapshot, by size of the configuration.
 fn measure_costs(sizes: &Sizes, effort: &Effort, rows: &mut Vec<Row>) -> io::Result<()> {
     let (mut change, mut pack, mut unpack) = (Vec::new(), Vec::new(), Vec::new());
     for part in effort.parts.iter().copied() {
@@ -371,7 +376,7 @@
     )
     .note("crates/config-distribution/src/delta/mod.rs");
     rows.push(Row::fitted(&cost, &change, size, Growth::Constant, 1.0));
-    let pack_cost = of_machine("the whole packed, once in 256 versions", "ms", "tenants");
+    let pack_cost = of_server("the whole packed, once in 256 versions", "ms", "tenants");
     rows.push(Row::fitted(
         &pack_cost.note(SNAPSHOT),
         &pack,
@@ -394,7 +399,7 @@
     Ok(())
 }
 
-/// Processor time that a subscriber takes for changes of one tenant each.
+/// Processor time of a subscriber for `MEASURED_CHANGES` changes of one tenant each.
 fn cost_of_changes(
     mut configuration: Configuration,
     mut state: ConfigState,
@@ -403,8 +408,8 @@
     let mut subscriber = Subscriber::with_version(Duration::ZERO, own, 1, state.clone());
     let mut took = Duration::ZERO;
     for version in 2..2 + MEASURED_CHANGES {
-        let at = version as usize * STRIDE % configuration.tenants.len().max(1);
-        if let Some(tenant) = configuration.tenants.get_mut(at) {
+        let position = version as usize * STRIDE % configuration.tenants.len().max(1);
+        if let Some(tenant) = configuration.tenants.get_mut(position) {
             tenant.share = version;
         }
         let delta = state
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,4 +1,4 @@
-//! What runs in this process: the cost of a decision, and the size of compiled forms.
+//! In-process measurements: the cost of a routing decision, and the size of compiled configurations.
 
 use super::fit::Growth;
 use super::measure::own_cpu;
@@ -12,18 +12,18 @@
 use std::io;
 use std::time::Duration;
 
-/// Decisions of one repetition, and repetitions, of which the cheapest counts: others share the caches.
+/// Decisions per repetition, and repetitions. The cheapest repetition is used: other processes share the caches.
 const DECISIONS: usize = 20_000;
 const REPETITIONS: usize = 5;
-/// Different requests, which are decided on in turn.
+/// Number of different requests, which are used in turn.
 const DRAWN_REQUESTS: usize = 4_096;
-/// Between two requests; each has ended after half of that.
+/// Time between two requests; each ends after half of it.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(20);
 
-/// A generated configuration, compiled.
+/// Compiles a generated configuration.
 ///
 /// # Errors
-/// With the first finding, if it does not compile.
+/// The first finding, if it does not compile.
 pub fn compiled(size: &Size) -> io::Result<Configuration> {
     let outcome = rainstand_config::load(&Memory::new([("a.rain", size.rain())]), "a.rain");
     outcome.configuration.ok_or_else(|| {
@@ -33,7 +33,7 @@
     })
 }
 
-/// A drawn request.
+/// A randomly drawn request.
 struct DrawnRequest {
     tenant: Option<u16>,
     entity: String,
@@ -52,13 +52,13 @@
     (0..DRAWN_REQUESTS).map(|_| draw()).collect()
 }
 
-/// Nanoseconds of one whole decision: route, limits, member, and its end.
+/// Processor time of one decision (route, limits, member, and handling of the outcome), in nanoseconds.
 fn cost_of_decision(configuration: &Configuration, size: &Size) -> io::Result<f64> {
     let mut fleet = Fleet::new(configuration, "z0", 1, Duration::ZERO)
         .map_err(|error| io::Error::other(error.to_string()))?;
     let requests = draw_requests(&fleet, size);
     let class = fleet.table().request_class("check");
-    let class = class.ok_or_else(|| io::Error::other("no type"))?;
+    let class = class.ok_or_else(|| io::Error::other("the configuration has no type `check`"))?;
     let (mut cheapest, mut now) = (Duration::MAX, Duration::ZERO);
     for _ in 0..REPETITIONS {
         let before = own_cpu();
@@ -82,7 +82,7 @@
     Ok(cheapest.as_nanos() as f64 / DECISIONS as f64)
 }
 
-/// Rows of what a configuration is by itself.
+/// Rows of the compiled configuration and of routing decisions.
 ///
 /// # Errors
 /// If a generated configuration does not compile.
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,67 +1,67 @@
-//! A straight line through what was measured at several sizes, and a refusal of what is none. Pure.
+//! Linear fit through values measured at several sizes, which rejects nonlinear quantities. Pure.
 //!
-//! A line that is carried past what was measured is worth nothing if the quantity bends: one that grows with
-//! the square, a table that doubles, a list that is walked for each request. So a fit says what it leaves
-//! over, and is refused where that, or a second power, matters against what the quantity moved by.
+//! Extrapolating a line is meaningless if the quantity is nonlinear: it grows quadratically, it is the capacity of a
+//! table that doubles, or a list is scanned for each request. So a fit reports its residual, and fails if the residual
+//! or a quadratic term is large compared with the quantity's range.
 
 use serde::Serialize;
 
-/// The most that any one point may be off a line, of what the quantity moved by.
+/// Largest allowed deviation of a point from the line, as a fraction of the quantity's range.
 pub const MAX_RESIDUAL: f64 = 0.12;
-/// The most that a second power may lift the middle off a line, of what the quantity moved by.
+/// Largest allowed offset of a quadratic term in the middle of the line, as a fraction of the quantity's range.
 pub const MAX_CURVATURE: f64 = 0.10;
-/// A quantity that moves by less than this part of itself is constant, and what is left over is judged against that:
-/// counts, and what is read off a machine that others share.
+/// A quantity whose range is less than this fraction of itself counts as constant; its residual is compared with that
+/// fraction. First for counts, then for values measured on a shared machine.
 pub const CONSTANT_WITHIN: [f64; 2] = [0.10, 0.30];
-/// A cost of one request may at most double while what it is asked of grows fourfold: caches fill up, lists
-/// that are walked grow as fast as the size.
+/// The cost of one request may at most double while the size grows fourfold (`GROWTH_SPAN`). Growth of that order comes
+/// from caches that fill up; the cost of scanning a list grows as fast as the size.
 const MAX_GROWTH: f64 = 2.0;
 const GROWTH_SPAN: f64 = 4.0;
-/// Different sizes that a line takes.
+/// Minimum number of distinct sizes for a fit.
 pub const MIN_SIZES: usize = 3;
 
 /// How a quantity is expected to grow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Growth {
-    /// With the size.
+    /// Linearly with the size.
     Linear,
-    /// Not with the size: the cost of one request.
+    /// Independently of the size, such as the cost of one request.
     Constant,
 }
 
-/// `y = intercept + slope x`, as good as it goes.
+/// Least-squares line `y = intercept + slope x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// At size 0.
+    /// Value at size 0.
     pub intercept: f64,
-    /// By one of the size.
+    /// Increase per unit of size.
     pub slope: f64,
-    /// The most that a point is off, as a part of what the quantity moved by.
+    /// Largest deviation of a point, as a fraction of the quantity's range.
     pub residual: f64,
-    /// How far a second power lifts the middle off the straight way, as a part of the same.
+    /// Offset of a quadratic term in the middle of the line, as a fraction of the quantity's range.
     pub curve: f64,
-    /// The largest size.
+    /// Largest measured size.
     pub up_to: f64,
 }
 
 impl Line {
-    /// The quantity at a size.
+    /// Value at size `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// Why there is no line.
+/// Why no line was fitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FitError {
-    /// Fewer than [`MIN_SIZES`] sizes, or what is no number.
+    /// Fewer than [`MIN_SIZES`] distinct sizes, or a value that is not finite.
     TooFew,
-    /// A point is off the line by this part of what the quantity moved by.
+    /// A point deviates from the line by this fraction of the quantity's range.
     Residual(f64),
-    /// A second power lifts the middle by this part of what the quantity moved by.
+    /// A quadratic term offsets the middle by this fraction of the quantity's range.
     Curvature(f64),
-    /// One request costs so many times more at the largest size than at the smallest.
+    /// One request costs this many times as much at the largest size as at the smallest.
     Grows(f64),
 }
 
@@ -85,80 +85,82 @@
     }
 }
 
-/// The least-squares line, whatever it leaves over; none for fewer than two sizes.
+/// Intercept and slope of the least-squares line, regardless of the residual; none for fewer than two distinct sizes.
 fn least_squares(points: &[(f64, f64)]) -> Option<(f64, f64)> {
-    let n = points.len() as f64;
-    let (mx, my) = (
-        mean(points.iter().map(|p| p.0), n),
-        mean(points.iter().map(|p| p.1), n),
+    let count = points.len() as f64;
+    let (mean_x, mean_y) = (
+        mean(points.iter().map(|p| p.0), count),
+        mean(points.iter().map(|p| p.1), count),
     );
-    let spread: f64 = points.iter().map(|p| (p.0 - mx).powi(2)).sum();
-    let both: f64 = points.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum();
-    (spread > 0.0).then(|| (my - both / spread * mx, both / spread))
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    (sum_xx > 0.0).then(|| (mean_y - sum_xy / sum_xx * mean_x, sum_xy / sum_xx))
 }
 
-fn mean(all: impl Iterator<Item = f64>, n: f64) -> f64 {
-    all.sum::<f64>() / n
+fn mean(values: impl Iterator<Item = f64>, count: f64) -> f64 {
+    values.sum::<f64>() / count
 }
 
-/// The factor of the second power of a least-squares parabola.
-fn second_power(points: &[(f64, f64)]) -> f64 {
-    // Of the part of x² that no line explains, how much of y's remainder goes with it.
+/// Quadratic coefficient of the least-squares parabola.
+fn quadratic_coefficient(points: &[(f64, f64)]) -> f64 {
+    // Regression of the residual of y on the residual of x², each after its linear fit.
     let squares: Vec<(f64, f64)> = points.iter().map(|p| (p.0, p.0 * p.0)).collect();
     let (Some((a, b)), Some((c, d))) = (least_squares(&squares), least_squares(points)) else {
         return 0.0;
     };
-    let (mut both, mut spread) = (0.0, 0.0);
+    let (mut sum_xy, mut sum_xx) = (0.0, 0.0);
     for (x, y) in points {
-        let rest = x * x - a - b * x;
-        both += rest * (y - c - d * x);
-        spread += rest * rest;
+        let residual = x * x - a - b * x;
+        sum_xy += residual * (y - c - d * x);
+        sum_xx += residual * residual;
     }
-    if spread > 0.0 {
-        both / spread
+    if sum_xx > 0.0 {
+        sum_xy / sum_xx
     } else {
         0.0
     }
 }
 
-/// Sizes that differ, by falling or rising.
-fn sizes(points: &[(f64, f64)]) -> usize {
-    let mut all: Vec<f64> = points.iter().map(|p| p.0).collect();
-    all.sort_unstable_by(f64::total_cmp);
-    all.dedup();
-    all.len()
+/// Number of distinct sizes.
+fn distinct_sizes(points: &[(f64, f64)]) -> usize {
+    let mut sizes: Vec<f64> = points.iter().map(|p| p.0).collect();
+    sizes.sort_unstable_by(f64::total_cmp);
+    sizes.dedup();
+    sizes.len()
 }
 
-/// The line through points of size and quantity; `counted`: they are the same on every run.
+/// Fits a line through points of size and value; `counted` means that they are the same on every run.
 ///
 /// # Errors
-/// Why it is none, with the line that was refused where there is one.
+/// Why the fit failed, with the rejected line if there is one.
 pub fn fit(
     points: &[(f64, f64)],
     growth: Growth,
     counted: bool,
 ) -> Result<Line, (FitError, Option<Line>)> {
-    if sizes(points) < MIN_SIZES || points.iter().any(|p| !p.0.is_finite() || !p.1.is_finite()) {
+    if distinct_sizes(points) < MIN_SIZES
+        || points.iter().any(|p| !p.0.is_finite() || !p.1.is_finite())
+    {
         return Err((FitError::TooFew, None));
     }
     let Some((intercept, slope)) = least_squares(points) else {
         return Err((FitError::TooFew, None));
     };
-    let ends = |pick: fn(&(f64, f64)) -> f64| {
-        let all = || points.iter().map(pick);
+    let bounds = |pick: fn(&(f64, f64)) -> f64| {
+        let values = || points.iter().map(pick);
         (
-            all().fold(f64::INFINITY, f64::min),
-            all().fold(f64::NEG_INFINITY, f64::max),
+            values().fold(f64::INFINITY, f64::min),
+            values().fold(f64::NEG_INFINITY, f64::max),
         )
     };
-    let ((first, last), (low, high)) = (ends(|p| p.0), ends(|p| p.1));
-    let still = CONSTANT_WITHIN[usize::from(!counted)];
-    let moved = (high - low)
-        .max(still * high.abs().max(low.abs()))
+    let ((first, last), (low, high)) = (bounds(|p| p.0), bounds(|p| p.1));
+    let constant_within = CONSTANT_WITHIN[usize::from(!counted)];
+    let range = (high - low)
+        .max(constant_within * high.abs().max(low.abs()))
         .max(f64::MIN_POSITIVE);
-    let off = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
-    let residual = points.iter().map(off).fold(0.0, f64::max) / moved;
-    let curve = second_power(points).abs() * ((last - first) / 2.0).powi(2) / moved;
+    let deviation = |p: &(f64, f64)| (p.1 - intercept - slope * p.0).abs();
+    let residual = points.iter().map(deviation).fold(0.0, f64::max) / range;
+    let curve = quadratic_coefficient(points).abs() * ((last - first) / 2.0).powi(2) / range;
     let line = Line {
         intercept,
         slope,
@@ -167,11 +169,11 @@
         up_to: last,
     };
     if growth == Growth::Constant {
-        // Whether the line is straight does not matter where it should lie flat.
-        let times = line.at(last) / line.at(first).max(f64::MIN_POSITIVE);
-        let may = MAX_GROWTH.powf((last / first).ln() / GROWTH_SPAN.ln());
-        return if times > may {
-            Err((FitError::Grows(times), Some(line)))
+        // Linearity does not matter if the quantity should be constant.
+        let growth_factor = line.at(last) / line.at(first).max(f64::MIN_POSITIVE);
+        let max_factor = MAX_GROWTH.powf((last / first).ln() / GROWTH_SPAN.ln());
+        return if growth_factor > max_factor {
+            Err((FitError::Grows(growth_factor), Some(line)))
         } else {
             Ok(line)
         };
--- a/crates/testbed/src/scale/forwarders.rs
+++ b/crates/testbed/src/scale/forwarders.rs
@@ -1,4 +1,4 @@
-//! `rainstand forward` and `rainstand config check` as processes, by routes and tenants.
+//! Measures `rainstand forward` and `rainstand config check` as processes, by routes and tenants.
 
 use super::decisions::compiled;
 use super::fit::Growth;
@@ -14,20 +14,20 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// What the rows of this module are measured against.
+/// The size that the rows of this module are measured against.
 const BY: &str = "tenants, routes with them";
-/// Where limits per tenant stand on each route, far smaller sizes too: what is refused at a tenth may start at a
-/// hundredth.
+/// Additional, far smaller fractions of the requested size, used where each route has limits per tenant: a
+/// configuration that is refused at a tenth may start at a hundredth.
 const SMALL_PARTS: [f64; 2] = [0.01, 0.025];
 
-/// What one forwarder came to.
+/// Measurements of one forwarder; memory in bytes.
 struct Measurements {
     start_rss: f64,
     start_cpu: Duration,
     reloaded_rss: f64,
-    /// Of one reload, in the mean.
+    /// Mean processor time of a reload.
     reload_cpu: Duration,
-    /// Half of the reloads took longer.
+    /// Median time until a reload is in force.
     reload_time: Duration,
 }
 
@@ -44,7 +44,7 @@
     )?))
 }
 
-/// Starts a forwarder with this configuration.
+/// Starts a forwarder with the configuration at `path`.
 fn start(path: &Path, paths: &Paths) -> io::Result<MeasuredProcess> {
     let mut command = rainstand(paths)?;
     command
@@ -56,14 +56,14 @@
     Ok(process)
 }
 
-/// Starts a forwarder with a file, and has it read the file again, which differs in one rate each time.
+/// Starts a forwarder and reloads its configuration, which differs in one latency objective each time.
 fn measure_forwarder(size: &Size, reloads: usize, paths: &Paths) -> io::Result<Measurements> {
     let text = size.rain();
     let other = text.replacen("goal: 3.1 s", "goal: 3.2 s", 1);
     let path = write(&paths.folder, "forwarder.rain", text.as_bytes())?;
     let mut process = start(&path, paths)?;
-    // In ticks: what reads a file is a thread of its own, and has ended.
-    let (start_rss, start_cpu) = (process.rss()?, process.ticks()?);
+    // Includes ended threads: the thread that read the file has ended.
+    let (start_rss, start_cpu) = (process.rss()?, process.cpu_of_all_threads()?);
     let mut times = Vec::new();
     for reload in 1..=reloads {
         fs::write(&path, if reload % 2 == 1 { &other } else { &text })?;
@@ -72,8 +72,9 @@
         process.wait_for_output("event=\"version\"", reload)?;
         times.push(started.elapsed());
     }
-    // Of all reloads together: one alone is some ticks.
-    let reload_cpu = process.ticks()?.saturating_sub(start_cpu) / reloads.max(1) as u32;
+    // The mean over all reloads: a single one takes only a few clock ticks.
+    let reload_cpu =
+        process.cpu_of_all_threads()?.saturating_sub(start_cpu) / reloads.max(1) as u32;
     times.sort_unstable();
     Ok(Measurements {
         start_rss,
@@ -92,7 +93,7 @@
     MeasuredProcess::start(command, &paths.folder.join("check.log"))?.wait_for_end()
 }
 
-/// Memory of a forwarder that starts with the compiled form, and not with the text.
+/// Memory of a forwarder that starts from a compiled configuration instead of the text, in bytes.
 fn measure_compiled(size: &Size, paths: &Paths) -> io::Result<f64> {
     let binary = schema::to_binary(&compiled(size)?);
     let path = write(&paths.folder, "forwarder.pb", &binary)?;
@@ -102,9 +103,9 @@
 /// All rows of forwarders.
 ///
 /// # Errors
-/// What could not be started; a configuration that is refused is a row.
+/// If a process cannot be started. A configuration that is refused is a row and no error.
 pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
-    // The same process with one route: what is above it is the configuration's.
+    // Baseline with one route: memory above it belongs to the configuration.
     let one_route = Size {
         services: 1,
         routes: 1,
@@ -117,7 +118,7 @@
     let with_limits = Series::measure(sizes, effort, paths, Limited::Tenants, base)?;
     let mut rows = with_limits.memory_rows(sizes, "limits on tenants");
     rows.extend(with_limits.time_rows(sizes));
-    // What has no limits says how much of the rest is theirs: left out where time is short.
+    // Without limits, to show how much of the memory the limits take; skipped in quick runs.
     if effort.parts.len() >= Effort::full().parts.len() {
         let without = Series::measure(sizes, effort, paths, Limited::None, base)?;
         rows.extend(without.memory_rows(sizes, "no limits"));
@@ -127,7 +128,7 @@
     Ok(rows)
 }
 
-/// Measurements of forwarders by their number of tenants.
+/// Measurements of forwarders by number of tenants.
 #[derive(Default)]
 struct Series {
     start_rss: Vec<(f64, f64)>,
@@ -138,7 +139,7 @@
 }
 
 impl Series {
-    /// Memory is that above `base`.
+    /// Measures at each size; memory is relative to `base`.
     fn measure(
         sizes: &Sizes,
         effort: &Effort,
@@ -150,25 +151,25 @@
         for part in &effort.parts {
             let size = sizes.configuration(*part, limited);
             let tenants = size.tenants as f64;
-            let seen = measure_forwarder(&size, effort.reloads, paths)?;
-            series.start_rss.push((tenants, seen.start_rss - base));
+            let measured = measure_forwarder(&size, effort.reloads, paths)?;
+            series.start_rss.push((tenants, measured.start_rss - base));
             series
                 .reloaded_rss
-                .push((tenants, seen.reloaded_rss - base));
-            let reload_cpu = seen.reload_cpu.as_secs_f64();
+                .push((tenants, measured.reloaded_rss - base));
+            let reload_cpu = measured.reload_cpu.as_secs_f64();
             series.reload_cpu.push((tenants, reload_cpu));
-            let reload_time = seen.reload_time.as_secs_f64();
+            let reload_time = measured.reload_time.as_secs_f64();
             series.reload_time.push((tenants, reload_time));
             series
                 .start_cpu
-                .push((tenants, seen.start_cpu.as_secs_f64()));
+                .push((tenants, measured.start_cpu.as_secs_f64()));
         }
         Ok(series)
     }
 
-    fn memory_rows(&self, sizes: &Sizes, limits_in_words: &str) -> Vec<Row> {
+    fn memory_rows(&self, sizes: &Sizes, limits_label: &str) -> Vec<Row> {
         let row = |what: &str, points: &[(f64, f64)]| {
-            let what = format!("{what}, {limits_in_words}");
+            let what = format!("{what}, {limits_label}");
             let quantity = of_forwarder(&what, "MB").limit(limits::CONTROL_MB);
             let size = sizes.tenants as f64;
             Row::fitted(&quantity, points, size, Growth::Linear, 1e-6)
@@ -213,7 +214,7 @@
     )
 }
 
-/// Forwarders that start from the compiled form, and checks of the text.
+/// Rows of forwarders that start from a compiled configuration, and of `config check` of the text.
 fn compiled_and_check_rows(
     sizes: &Sizes,
     effort: &Effort,
@@ -257,7 +258,7 @@
     ])
 }
 
-/// Whether a forwarder starts where each route limits by tenant, and up to which size.
+/// Whether a forwarder starts when each route has limits per tenant, and up to which size.
 fn limits_on_routes(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Row> {
     let (mut up_to, mut refusal) = (0.0, String::new());
     let mut rss = Vec::new();
@@ -268,11 +269,11 @@
     for part in parts {
         let size = sizes.configuration(part, Limited::PerTenantOnRoutes);
         match measure_forwarder(&size, 1, paths) {
-            Ok(seen) => {
+            Ok(measured) => {
                 up_to = size.tenants as f64;
-                rss.push((up_to, seen.start_rss));
+                rss.push((up_to, measured.start_rss));
             }
-            // It says why, and ends.
+            // The forwarder logged the reason and exited.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => {
                 refusal = describe_refusal(&size, &error, &paths.folder);
             }
@@ -295,7 +296,7 @@
     Ok(row)
 }
 
-/// What a forwarder said that did not start, without the run's folder.
+/// The last output of a forwarder that did not start, without the path of the run's folder.
 fn describe_refusal(size: &Size, error: &io::Error, folder: &Path) -> String {
     let text = error.to_string();
     let words = text.split(": ").skip(1).collect::<Vec<_>>().join(": ");
--- a/crates/testbed/src/scale/groups.rs
+++ b/crates/testbed/src/scale/groups.rs
@@ -1,4 +1,4 @@
-//! Members of a group as processes at rest, and hollow ones of the same number beside them.
+//! Measures idle groups of real processes, and compares them with hollow groups of the same number of members.
 
 use super::fit::Growth;
 use super::hollow::{
@@ -28,43 +28,43 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// For each shard to have a leader.
+/// Time for each shard to elect a leader.
 const ELECTION_DEADLINE: Duration = Duration::from_secs(30);
-/// Between two looks whether each has one.
+/// Interval between checks for leaders.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// After that, for whoever leads to be who should.
+/// Time after that for leaders to move to the preferred members.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// For a member to answer.
+/// Timeout of a status request to a member.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest answer that is read.
+/// Longest status response that is read.
 const MAX_STATUS_BYTES: usize = 16 << 20;
-/// Attempts at ports: other processes may have taken them meanwhile.
+/// Attempts to start a group: other processes may take its ports before the members bind them.
 const PORT_ATTEMPTS: usize = 3;
-/// Descriptors that a member may have, by its file.
+/// Limit of descriptors in a member's settings.
 const SOCKETS: usize = 1_024;
 
-/// What a group of processes came to, in a second at rest.
+/// Measurements of an idle group of processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Measurements {
-    /// Complete frames on the links of all members together.
+    /// Complete frames per second on the links of all members.
     pub frames: f64,
-    /// Bytes that all members together sent.
+    /// Bytes per second sent by all members.
     pub bytes: f64,
     /// Seconds from when all had started until each shard had a leader.
-    pub formed: f64,
-    /// Processor time of all members together, of one core.
+    pub election_seconds: f64,
+    /// Processor time of all members, as a fraction of one core.
     pub cpu: f64,
-    /// The most of one member.
-    pub worst_cpu: f64,
-    /// Bytes of memory that are a member's own, the most of any.
-    pub own: f64,
-    /// Descriptors of a member, the most of any.
+    /// The largest processor time of any member, as a fraction of one core.
+    pub max_member_cpu: f64,
+    /// The largest private memory of any member, in bytes.
+    pub private_memory: f64,
+    /// The largest number of open descriptors of any member.
     pub descriptors: f64,
 }
 
-/// Where a member listens.
+/// Addresses that a member listens on: for callers, and for other members.
 struct Ports {
-    front: SocketAddr,
+    listen: SocketAddr,
     peers: SocketAddr,
 }
 
@@ -72,13 +72,13 @@
 struct Members {
     processes: Vec<MeasuredProcess>,
     ports: Vec<Ports>,
-    /// The links, each through a proxy that counts, if they are to be counted.
+    /// Proxies that count frames, one for each link; empty if frames are not counted.
     proxies: BTreeMap<(usize, usize), Rc<Proxy>>,
     folder: PathBuf,
 }
 
 impl Members {
-    /// Starts all members, and waits until each is up.
+    /// Starts all members and waits until each has started.
     async fn start(
         count: usize,
         counts_frames: bool,
@@ -90,7 +90,7 @@
         fs::create_dir_all(&folder)?;
         let ports = || -> io::Result<Ports> {
             Ok(Ports {
-                front: free_port()?,
+                listen: free_port()?,
                 peers: free_port()?,
             })
         };
@@ -134,8 +134,8 @@
         let group = self.folder.join(format!("{n}.txtpb"));
         fs::write(&group, schema::to_text(&self.configuration(n)))?;
         let node = self.folder.join(format!("{n}.json"));
-        let front = self.ports[n].front;
-        let settings = settings::node(&name(n), front, agent, 1, SOCKETS, limits::REQUESTS);
+        let listen = self.ports[n].listen;
+        let settings = settings::node(&name(n), listen, agent, 1, SOCKETS, limits::REQUESTS);
         fs::write(&node, settings.to_string())?;
         let mut command = Command::new(program("rainstand-node", paths.programs.as_deref())?);
         command
@@ -144,7 +144,7 @@
         MeasuredProcess::start(command, &self.folder.join(format!("{n}.log")))
     }
 
-    /// The group as member `n` sees it: the others through its own links to them.
+    /// The configuration for member `n`, which reaches the other members through its own proxies.
     fn configuration(&self, n: usize) -> Configuration {
         let member = |k: usize| {
             let proxy = self.proxies.get(&(n, k));
@@ -153,7 +153,7 @@
                 name: name(k),
                 site: String::new(),
                 address: address.to_string(),
-                folder: disk_of(&self.folder, k),
+                folder: disk_folder(&self.folder, k),
             }
         };
         let group = schema::Group {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// What a member reports of this subject.
+    /// Requests a member's status report on `subject`.
     async fn status(&self, n: usize, subject: &str) -> io::Result<serde_json::Value> {
         let request = async {
             let mut stream = TcpStream::connect(self.ports[n].peers).await?;
@@ -206,14 +206,14 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                let reason = format!("{led} of {SHARDS} shards are led");
+                let reason = format!("{led} of {SHARDS} shards have a leader");
                 return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Bytes that all members sent on their links so far, by their own count.
+    /// Bytes sent by all members on their links so far, by their own counters.
     async fn sent(&self) -> io::Result<u64> {
         let mut sum = 0;
         for n in 0..self.ports.len() {
@@ -234,17 +234,17 @@
         self.processes.iter().map(MeasuredProcess::cpu).collect()
     }
 
-    /// The most of any member.
-    fn most(&self, of: impl Fn(&MeasuredProcess) -> io::Result<f64>) -> io::Result<f64> {
-        let mut most = 0.0;
+    /// The largest value of any member.
+    fn max_of(&self, of: impl Fn(&MeasuredProcess) -> io::Result<f64>) -> io::Result<f64> {
+        let mut largest = 0.0;
         for process in &self.processes {
-            most = f64::max(most, of(process)?);
+            largest = f64::max(largest, of(process)?);
         }
-        Ok(most)
+        Ok(largest)
     }
 
-    /// Watches the members for a while, which rest.
-    async fn measure(&self, formed: f64, window: Duration) -> io::Result<Measurements> {
+    /// Measures the idle members for `window`.
+    async fn measure(&self, election_seconds: f64, window: Duration) -> io::Result<Measurements> {
         let (sent, frames, cpu) = (self.sent().await?, self.frames(), self.cpu()?);
         let started = Instant::now();
         sleep(window).await;
@@ -258,21 +258,21 @@
         Ok(Measurements {
             frames: (frames_now - frames) as f64 / seconds,
             bytes: (sent_now - sent) as f64 / started.elapsed().as_secs_f64(),
-            formed,
+            election_seconds,
             cpu: used.iter().sum(),
-            worst_cpu: used.into_iter().fold(0.0, f64::max),
-            own: self.most(MeasuredProcess::private_memory)?,
-            descriptors: self.most(|process| Ok(process.descriptors()? as f64))?,
+            max_member_cpu: used.into_iter().fold(0.0, f64::max),
+            private_memory: self.max_of(MeasuredProcess::private_memory)?,
+            descriptors: self.max_of(|process| Ok(process.descriptors()? as f64))?,
         })
     }
 }
 
-fn disk_of(folder: &Path, member: usize) -> String {
+fn disk_folder(folder: &Path, member: usize) -> String {
     let disk = folder.join(format!("disk-{member}"));
     disk.display().to_string()
 }
 
-/// Starts members, waits until they rest, and watches them for a while.
+/// Starts a group, waits until it is idle, and measures it for `window`.
 async fn measure_at_rest(
     members: usize,
     counts_frames: bool,
@@ -280,7 +280,7 @@
     agent: SocketAddr,
     paths: &Paths,
 ) -> io::Result<Measurements> {
-    let mut group = Err(io::Error::other("no try"));
+    let mut group = Err(io::Error::other("no attempt was made"));
     for _ in 0..PORT_ATTEMPTS {
         group = Members::start(members, counts_frames, agent, paths).await;
         if group.is_ok() {
@@ -290,9 +290,9 @@
     let group = group?;
     let started = Instant::now();
     group.wait_for_leaders().await?;
-    let formed = started.elapsed().as_secs_f64();
+    let election_seconds = started.elapsed().as_secs_f64();
     sleep(SETTLE_TIME).await;
-    group.measure(formed, window).await
+    group.measure(election_seconds, window).await
 }
 
 fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
@@ -302,30 +302,30 @@
     LocalSet::new().block_on(&runtime, future)
 }
 
-/// A hollow group beside as many processes, each at rest, of all members together.
+/// Totals of an idle hollow group and of an idle group of as many processes.
 #[derive(Clone, Copy, Debug)]
 pub struct Comparison {
-    /// What the hollow group came to.
+    /// Measurements of the hollow group.
     pub hollow: hollow::Measurements,
-    /// For how long each of them was watched.
+    /// How long each group was measured.
     pub window: Duration,
-    /// What the processes came to.
+    /// Measurements of the processes.
     pub real: Measurements,
 }
 
-/// One quantity of both.
+/// One quantity of both groups.
 #[derive(Clone, Copy, Debug)]
 pub struct ComparedQuantity {
-    /// What it is.
+    /// Name of the quantity.
     pub what: &'static str,
-    /// Of the hollow group.
+    /// Value of the hollow group.
     pub hollow: f64,
-    /// Of the processes.
+    /// Value of the processes.
     pub real: f64,
 }
 
 impl Comparison {
-    /// All quantities that are compared.
+    /// All compared quantities.
     pub fn quantities(&self) -> [ComparedQuantity; 4] {
         let seconds = self.window.as_secs_f64();
         let (hollow, real) = (&self.hollow, &self.real);
@@ -333,12 +333,12 @@
         [
             quantity(
                 "frames a second",
-                hollow.rest.frames as f64 / seconds,
+                hollow.idle.frames as f64 / seconds,
                 real.frames,
             ),
             quantity(
                 "bytes a second",
-                hollow.rest.bytes as f64 / seconds,
+                hollow.idle.bytes as f64 / seconds,
                 real.bytes,
             ),
             quantity(
@@ -348,22 +348,22 @@
             ),
             quantity(
                 "time until each shard is led",
-                hollow.formed.as_secs_f64(),
-                real.formed,
+                hollow.election_time.as_secs_f64(),
+                real.election_seconds,
             ),
         ]
     }
 }
 
-/// How far a hollow group is from as many processes.
+/// Measures a hollow group and a group of as many processes.
 ///
 /// # Errors
-/// What could not be started.
+/// If a group cannot be started.
 pub fn compare(members: usize, window: Duration, paths: &Paths) -> io::Result<Comparison> {
     let agent = serve_agent()?;
     let real = block_on(measure_at_rest(members, true, window, agent, paths))?;
     Ok(Comparison {
-        hollow: hollow::watch(&GroupSpec::of(members, window))?,
+        hollow: hollow::simulate(&GroupSpec::of(members, window))?,
         window,
         real,
     })
@@ -372,7 +372,7 @@
 /// All rows of groups.
 ///
 /// # Errors
-/// What could not be started.
+/// If a group cannot be started.
 pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
     let agent = serve_agent()?;
     let mut groups = Vec::new();
@@ -387,7 +387,7 @@
     Ok(rows)
 }
 
-/// Rows of groups by their number of members.
+/// Rows of idle groups by number of members.
 fn rows_at_rest(sizes: &Sizes, groups: &[(f64, Measurements)]) -> Vec<Row> {
     let nodes = sizes.nodes as f64;
     let points = |of: &dyn Fn(&Measurements) -> f64| -> Vec<(f64, f64)> {
@@ -397,7 +397,9 @@
     let row = |quantity: &Quantity<'_>, points: &[(f64, f64)], times: f64| {
         Row::fitted(quantity, points, nodes, Growth::Linear, times)
     };
-    let smallest = groups.first().map_or(0.0, |(_, group)| group.own);
+    let smallest = groups
+        .first()
+        .map_or(0.0, |(_, group)| group.private_memory);
     let links = "crates/cluster/src/transport.rs, each linked to each";
     let time = of_node(
         "group at rest, 16 shards: processor time a member",
@@ -420,12 +422,16 @@
     vec![
         row(&time, &points(&|group| group.cpu), 100.0 / nodes),
         row(&bytes, &points(&|group| group.bytes), 1.0 / nodes),
-        row(&memory, &points(&|group| group.own - smallest), 1e-6),
+        row(
+            &memory,
+            &points(&|group| group.private_memory - smallest),
+            1e-6,
+        ),
         row(&descriptors, &points(&|group| group.descriptors), 1.0),
     ]
 }
 
-/// How far a hollow group is from as many processes.
+/// Rows that compare a hollow group with as many processes.
 fn comparison_rows(members: usize, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
     let comparison = compare(members, effort.window, paths)?;
     let row = |compared: ComparedQuantity| {
@@ -443,7 +449,7 @@
     Ok(comparison.quantities().map(row).into())
 }
 
-/// Whether the checker accepts a group of so many members.
+/// Whether the configuration checker accepts a group with this number of members.
 fn is_accepted(members: usize) -> bool {
     let mut text = "rain 1\ngroup g {\n".to_owned();
     for k in 0..members {
@@ -459,7 +465,7 @@
     outcome.configuration.is_some()
 }
 
-/// The most members that the checker accepts, found by halving.
+/// The largest group that the configuration checker accepts, found by bisection.
 fn largest_group_row(sizes: &Sizes) -> Row {
     let (mut accepted, mut refused) = (3, sizes.nodes.max(4));
     if is_accepted(refused) {
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,8 +1,8 @@
-//! Members of a group by the hundred in one process: the code that decides and the frames that it sends, on a
-//! virtual clock, without sockets and disks. What is counted is the same on every run.
+//! Hollow groups: up to hundreds of group members simulated in one process. The members run the real protocol code and
+//! encode real frames, on a virtual clock, without sockets and disks. All counts are the same on every run.
 //!
-//! Left out, and so not in any figure from here: sockets, the runtime, the disk's thread, flushes. How far
-//! the counts are from those of real processes is shown by [`super::groups`].
+//! Not included in any figure: sockets, the runtime, the disk thread, flushes. [`super::groups`] compares the counts
+//! with those of real processes.
 
 use super::fit::Growth;
 use super::measure::own_cpu;
@@ -21,29 +21,29 @@
 use std::io;
 use std::time::Duration;
 
-/// Shards of a group whose configuration says nothing else.
+/// Default number of shards of a group.
 pub const SHARDS: u16 = 16;
-/// Replicas of a shard of such a group.
+/// Default number of replicas of a shard.
 pub const REPLICAS_PER_SHARD: usize = 3;
-/// Between two heartbeats of such a group.
+/// Default interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// The shortest and the longest election timeout of such a group.
+/// Default shortest and longest election timeout.
 pub const ELECTION_TIMEOUTS: [Duration; 2] =
     [Duration::from_millis(300), Duration::from_millis(600)];
-/// A frame on its way.
+/// Delay of a frame between two members.
 const TRANSIT_TIME: Duration = Duration::from_micros(200);
-/// A write on its way to the disk.
+/// Time until a write is flushed to disk.
 const FLUSH_TIME: Duration = Duration::from_millis(1);
-/// The shortest and the longest sleep of a member, as on sockets.
+/// Shortest and longest sleep of a member, the same as in a real process.
 const MIN_SLEEP: Duration = Duration::from_micros(200);
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// For each shard to have a leader, in virtual time.
+/// Virtual time for each shard to elect a leader.
 const ELECTION_DEADLINE: Duration = Duration::from_mins(1);
-/// After that, for whoever leads to be who should.
+/// Virtual time after that for leaders to move to the preferred members.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Of a frame's length, before the frame.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
-/// What each tenant is charged with, in microseconds.
+/// Time charged to each tenant, in microseconds.
 const CHARGE_US: u64 = 40_000;
 
 /// A group to be measured.
@@ -53,39 +53,39 @@
     pub members: usize,
     /// Shards of the group.
     pub shards: u16,
-    /// Tenants that each member has charged, and gossips of.
-    pub charged: usize,
-    /// For how long the group is measured at rest.
+    /// Tenants that each member has charged, and includes in its gossip.
+    pub charged_tenants: usize,
+    /// How long the idle group is measured, in virtual time.
     pub window: Duration,
-    /// Of identities and election timeouts.
+    /// Seed of identities and election timeouts.
     pub seed: u64,
 }
 
 impl GroupSpec {
-    /// A group whose configuration says nothing else.
+    /// A group with default settings.
     pub fn of(members: usize, window: Duration) -> Self {
         Self {
             members,
             shards: SHARDS,
-            charged: 0,
+            charged_tenants: 0,
             window,
             seed: 1,
         }
     }
 }
 
-/// What a whole group sent and wrote.
+/// Frames and writes of all members of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Frames of all kinds.
     pub frames: u64,
-    /// Their bytes.
+    /// Bytes of these frames, with length prefixes.
     pub bytes: u64,
-    /// Greetings among them.
-    pub greetings: u64,
-    /// Gossip among them.
+    /// Hello frames.
+    pub hellos: u64,
+    /// Gossip frames.
     pub gossip: u64,
-    /// Bytes of the gossip.
+    /// Bytes of the gossip frames.
     pub gossip_bytes: u64,
     /// Batches of writes.
     pub writes: u64,
@@ -96,7 +96,7 @@
         Self {
             frames: self.frames - before.frames,
             bytes: self.bytes - before.bytes,
-            greetings: self.greetings - before.greetings,
+            hellos: self.hellos - before.hellos,
             gossip: self.gossip - before.gossip,
             gossip_bytes: self.gossip_bytes - before.gossip_bytes,
             writes: self.writes - before.writes,
@@ -104,32 +104,32 @@
     }
 }
 
-/// What gossip a member retains.
+/// Size of the gossip that a member retains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RetainedGossip {
-    /// Reports of nodes.
+    /// Reports of other nodes.
     pub reports: usize,
-    /// Tenants of the largest of them.
+    /// Tenants in the largest report.
     pub tenants: usize,
 }
 
-/// A group from its first start on.
+/// Measurements of a group from its first start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Measurements {
-    /// Until each shard had a leader.
+    /// Counts until each shard had a leader.
     pub start: Counts,
-    /// How long that took.
-    pub formed: Duration,
-    /// In the window, at rest.
-    pub rest: Counts,
-    /// Of the code that decides, encodes and decodes, in the window: the one thing here that is not counted.
+    /// Virtual time until each shard had a leader.
+    pub election_time: Duration,
+    /// Counts within the window, while idle.
+    pub idle: Counts,
+    /// Processor time of protocol code, encoding and decoding within the window; only this value differs between runs.
     pub cpu: Duration,
-    /// The most gossip that a member retains.
+    /// The largest gossip that any member retains.
     pub retained: RetainedGossip,
 }
 
 enum Event {
-    /// A member wakes, unless it was put off.
+    /// A member's timer fires, unless it was rescheduled.
     Wake(usize),
     /// A frame reaches a member.
     Arrive {
@@ -141,20 +141,20 @@
     Flushed { member: usize, number: u64 },
 }
 
-/// A group that is played.
+/// A simulated group.
 struct HollowGroup {
     members: Vec<GroupMember>,
-    /// When each member wakes next.
+    /// Next wake-up time of each member.
     wakes: Vec<Duration>,
-    /// Times and numbers of events.
+    /// Times and numbers of pending events.
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Events by their number.
     events: HashMap<u64, Event>,
-    /// Events that were scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
     now: Duration,
     counts: Counts,
-    /// Shards that have a leader.
+    /// Number of shards that have a leader.
     led: usize,
 }
 
@@ -202,7 +202,7 @@
         self.events.insert(self.scheduled, event);
     }
 
-    /// Calls into a member, and does what follows from it.
+    /// Calls a member and applies the effects of the call.
     fn call_member(&mut self, index: usize, call: impl FnOnce(&mut GroupMember, Duration)) {
         let member = &mut self.members[index];
         let led_before = member.led_shard_count();
@@ -229,7 +229,7 @@
         self.counts.frames += 1;
         self.counts.bytes += bytes;
         match &outgoing.frame.body {
-            Some(FrameBody::Hello(_)) => self.counts.greetings += 1,
+            Some(FrameBody::Hello(_)) => self.counts.hellos += 1,
             Some(FrameBody::Gossip(_)) => {
                 self.counts.gossip += 1;
                 self.counts.gossip_bytes += bytes;
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Plays until the time, or until `is_done`.
-    fn play(&mut self, until: Duration, is_done: impl Fn(&Self) -> bool) -> io::Result<()> {
+    /// Handles events up to the time `until`, or until `is_done` returns true.
+    fn run_until(&mut self, until: Duration, is_done: impl Fn(&Self) -> bool) -> io::Result<()> {
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > until {
                 self.queue.push(Reverse((at, number)));
@@ -273,7 +273,7 @@
     fn handle(&mut self, event: Event) -> io::Result<()> {
         match event {
             Event::Wake(index) => {
-                // Else it was put off by an earlier one.
+                // Otherwise it was replaced by an earlier wake-up.
                 if self.wakes[index] == self.now {
                     self.call_member(index, GroupMember::tick);
                 }
@@ -321,7 +321,7 @@
         compaction_entries: DEFAULT_COMPACTION_ENTRIES,
         seed: spec.seed.wrapping_add(index as u64),
     };
-    // As wide as those that a disk draws: numbers on the wire are as long as they are large.
+    // Drawn from the full 64 bits, as a real disk does: the encoded length of a number depends on its value.
     let mut random = WyRand::new_seed(spec.seed << 20 | index as u64);
     let (disk, nonce) = (random.generate::<u64>().max(1), random.generate());
     let recovered = RecoveredState {
@@ -331,59 +331,59 @@
         ..RecoveredState::default()
     };
     let mut member = GroupMember::new(config, recovered, Duration::ZERO);
-    for tenant in 0..spec.charged {
+    for tenant in 0..spec.charged_tenants {
         member.add_charge(&format!("t{tenant}"), CHARGE_US);
     }
     member
 }
 
-/// Plays a group from its start until it rests, and for a window then.
+/// Simulates a group from its start until it is idle, and then for the window.
 ///
 /// # Errors
-/// If a shard is not led in time.
-pub fn watch(spec: &GroupSpec) -> io::Result<Measurements> {
+/// If a shard does not elect a leader in time.
+pub fn simulate(spec: &GroupSpec) -> io::Result<Measurements> {
     let mut group = HollowGroup::new(spec);
     let shards = usize::from(spec.shards);
-    group.play(ELECTION_DEADLINE, |group| group.led >= shards)?;
+    group.run_until(ELECTION_DEADLINE, |group| group.led >= shards)?;
     if group.led < shards {
         return Err(io::Error::other(format!(
-            "{} of {shards} shards are led after {ELECTION_DEADLINE:?}",
+            "{} of {shards} shards have a leader after {ELECTION_DEADLINE:?}",
             group.led
         )));
     }
-    let (start, formed) = (group.counts, group.now);
-    group.play(group.now + SETTLE_TIME, |_| false)?;
+    let (start, election_time) = (group.counts, group.now);
+    group.run_until(group.now + SETTLE_TIME, |_| false)?;
     let (counts, cpu) = (group.counts, own_cpu());
-    group.play(group.now + spec.window, |_| false)?;
+    group.run_until(group.now + spec.window, |_| false)?;
     let retained = group.retained_gossip();
     Ok(Measurements {
         start,
-        formed,
-        rest: group.counts.since(&counts),
+        election_time,
+        idle: group.counts.since(&counts),
         cpu: own_cpu().saturating_sub(cpu),
         retained,
     })
 }
 
-/// Rows of groups past what real processes are started for.
+/// Rows of groups that are larger than the groups of real processes.
 ///
 /// # Errors
-/// If a group does not form.
+/// If a shard of a group does not elect a leader in time.
 pub fn rows(sizes: &Sizes, effort: &Effort, _: &Paths) -> io::Result<Vec<Row>> {
     let seconds = effort.hollow_window.as_secs_f64();
     let nodes = sizes.nodes as f64;
-    let (mut rest, mut cpu, mut start) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut idle, mut cpu, mut start) = (Vec::new(), Vec::new(), Vec::new());
     for members in effort.hollow.iter().copied() {
-        let seen = watch(&GroupSpec::of(members, effort.hollow_window))?;
+        let measured = simulate(&GroupSpec::of(members, effort.hollow_window))?;
         let count = members as f64;
-        let bytes = seen.rest.bytes as f64 / seconds / count;
-        let percent = seen.cpu.as_secs_f64() / seconds / count * 100.0;
-        // Heartbeats are shared out among more members: what grows with them is what all send to all.
-        rest.push((count, bytes * count));
+        let bytes = measured.idle.bytes as f64 / seconds / count;
+        let percent = measured.cpu.as_secs_f64() / seconds / count * 100.0;
+        // A member's share of the heartbeats shrinks as members are added, so the group's totals are fitted.
+        idle.push((count, bytes * count));
         cpu.push((count, percent * count));
-        start.push((count, seen.start.greetings as f64 / count));
+        start.push((count, measured.start.hellos as f64 / count));
     }
-    let greetings = of_node(
+    let hellos = of_node(
         "group: greetings that a member sends until each shard is led, all started at once",
         "greetings",
         "members",
@@ -407,9 +407,9 @@
     .note("hollow; heartbeats of shards, crates/raft/src/replica.rs")
     .counted();
     Ok(vec![
-        Row::fitted(&greetings, &start, nodes, Growth::Linear, 1.0),
+        Row::fitted(&hellos, &start, nodes, Growth::Linear, 1.0),
         Row::fitted(&time, &cpu, nodes, Growth::Linear, 1.0 / nodes),
-        Row::fitted(&bytes, &rest, nodes, Growth::Linear, 1.0),
+        Row::fitted(&bytes, &idle, nodes, Growth::Linear, 1.0),
         gossip_row(sizes, effort)?,
         dropped_gossip_row(sizes, effort)?,
         shards_row(sizes, effort)?,
@@ -420,18 +420,18 @@
     Quantity::new("node", what, unit, by)
 }
 
-/// Gossip, by peers times charged tenants.
+/// Row of gossip bytes, by peers times charged tenants.
 fn gossip_row(sizes: &Sizes, effort: &Effort) -> io::Result<Row> {
     let seconds = effort.hollow_window.as_secs_f64();
     let mut points = Vec::new();
     for (members, tenants) in [(5, 100), (5, 250), (9, 200), (9, 450), (13, 400)] {
         let spec = GroupSpec {
-            charged: tenants,
+            charged_tenants: tenants,
             ..GroupSpec::of(members, effort.hollow_window)
         };
-        let seen = watch(&spec)?;
+        let measured = simulate(&spec)?;
         let size = ((members - 1) * tenants) as f64;
-        let bytes = seen.rest.gossip_bytes as f64;
+        let bytes = measured.idle.gossip_bytes as f64;
         points.push((size, bytes / seconds / members as f64));
     }
     let size = ((sizes.nodes - 1) * sizes.tenants) as f64;
@@ -446,14 +446,14 @@
     Ok(Row::fitted(&quantity, &points, size, Growth::Linear, 1.0))
 }
 
-/// How many tenants of a report are dropped, of all.
+/// Row of the number of tenants that receivers drop from a report.
 fn dropped_gossip_row(sizes: &Sizes, effort: &Effort) -> io::Result<Row> {
     let window = Duration::from_millis(1_500).min(effort.hollow_window);
-    let seen = watch(&GroupSpec {
-        charged: sizes.tenants,
+    let measured = simulate(&GroupSpec {
+        charged_tenants: sizes.tenants,
         ..GroupSpec::of(3, window)
     })?;
-    let dropped = sizes.tenants.saturating_sub(seen.retained.tenants);
+    let dropped = sizes.tenants.saturating_sub(measured.retained.tenants);
     let quantity = of_node(
         "tenants' charged time: tenants of a report that the others do not keep",
         "tenants",
@@ -463,22 +463,22 @@
     .counted();
     let tenants = sizes.tenants as f64;
     let mut row = Row::plain(&quantity, tenants, tenants, Some(dropped as f64));
-    // No ratio to a limit of none.
+    // There is no ratio to a limit of zero.
     row.limit = Some(0.0);
     row.holds = Some(dropped == 0);
     Ok(row)
 }
 
-/// Heartbeats, by shards.
+/// Row of frames (heartbeats) of an idle group, by shards.
 fn shards_row(sizes: &Sizes, effort: &Effort) -> io::Result<Row> {
     let seconds = effort.hollow_window.as_secs_f64();
     let mut points = Vec::new();
     for shards in [4u16, 11, 16, 27] {
-        let seen = watch(&GroupSpec {
+        let measured = simulate(&GroupSpec {
             shards,
             ..GroupSpec::of(9, effort.hollow_window)
         })?;
-        points.push((f64::from(shards), seen.rest.frames as f64 / seconds));
+        points.push((f64::from(shards), measured.idle.frames as f64 / seconds));
     }
     let quantity = of_node(
         "group at rest, 9 members: frames a second of all together, one shard a node",
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! Child processes whose time and memory are counted. Each is bounded, and ended by its own number.
+//! Child processes with measured processor time and memory. Waits are bounded, and each child is killed by its PID.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, OpenOptions};
@@ -7,16 +7,16 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// For a process to write what it is waited for.
+/// Timeout for expected output of a process, and for its end.
 pub const OUTPUT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two looks at a process.
+/// Interval between polls of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The system's unit in `stat`.
+/// Unit of processor time in `/proc/PID/stat`.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
-/// A page of memory.
+/// Bytes of a memory page.
 const PAGE_BYTES: u64 = 4_096;
 
-/// A child whose time and memory are read; it ends with this process.
+/// A child process whose time and memory are measured; it is killed when this value is dropped.
 pub struct MeasuredProcess {
     child: Child,
     pid: Pid,
@@ -31,7 +31,7 @@
 }
 
 impl MeasuredProcess {
-    /// Starts a child; all its output goes to `log`, which begins empty.
+    /// Starts a child; all its output goes to `log`, which is truncated first.
     ///
     /// # Errors
     /// If it cannot be started.
@@ -47,7 +47,7 @@
             .stderr(out);
         let child = command.spawn()?;
         let pid = Pid::from_raw(child.id().cast_signed())
-            .ok_or_else(|| io::Error::other("no process number"))?;
+            .ok_or_else(|| io::Error::other("no process ID"))?;
         Ok(Self {
             child,
             pid,
@@ -55,53 +55,53 @@
         })
     }
 
-    /// What it has written so far.
+    /// Its output so far.
     pub fn output(&self) -> String {
         String::from_utf8_lossy(&fs::read(&self.log).unwrap_or_default()).into_owned()
     }
 
-    /// Waits until it has written `word` so many times.
+    /// Waits until `text` occurs in its output at least `times` times.
     ///
     /// # Errors
-    /// With what it wrote last, if it ended or took too long.
-    pub fn wait_for_output(&mut self, word: &str, times: usize) -> io::Result<()> {
-        let until = Instant::now() + OUTPUT_TIMEOUT;
+    /// If the process ended first, with its last line of output, or if it took too long.
+    pub fn wait_for_output(&mut self, text: &str, times: usize) -> io::Result<()> {
+        let deadline = Instant::now() + OUTPUT_TIMEOUT;
         loop {
-            if self.output().matches(word).count() >= times {
+            if self.output().matches(text).count() >= times {
                 return Ok(());
             }
             if let Some(status) = self.child.try_wait()? {
-                let said = self.output();
-                let last = said.lines().last().unwrap_or("nothing was said").to_owned();
+                let output = self.output();
+                let last = output.lines().last().unwrap_or("no output").to_owned();
                 return Err(io::Error::new(
                     io::ErrorKind::BrokenPipe,
-                    format!("ended, {status}: {last}"),
+                    format!("the process ended, {status}: {last}"),
                 ));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(io::Error::new(
                     io::ErrorKind::TimedOut,
-                    format!("`{word}` was not said"),
+                    format!("`{text}` was not written in time"),
                 ));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Sends a signal; none is needed by a process that has ended.
+    /// Sends a signal; does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // Its number is its own until it was waited for.
+        // The PID is not reused before the process has been waited for.
         let _ = kill_process(self.pid, signal);
     }
 
-    fn proc(&self, file: &str) -> io::Result<String> {
+    fn read_proc(&self, file: &str) -> io::Result<String> {
         fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))
     }
 
-    /// Processor time so far, of threads that live: to the nanosecond where the system counts so.
+    /// Processor time so far of live threads, in nanosecond resolution if the system supports it.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process does not exist.
     pub fn cpu(&self) -> io::Result<Duration> {
         let mut sum = 0;
         let mut counted = false;
@@ -114,17 +114,17 @@
         if counted && sum > 0 {
             return Ok(Duration::from_nanos(sum));
         }
-        self.ticks()
+        self.cpu_of_all_threads()
     }
 
-    /// Processor time of all threads, also those that ended, to 10 ms; also of a process that ended and was not waited
-    /// for.
+    /// Processor time of all threads including ended ones, in units of 10 ms. Also works for a process that has ended
+    /// but has not been waited for.
     ///
     /// # Errors
-    /// If the process is gone.
-    pub fn ticks(&self) -> io::Result<Duration> {
-        let stat = self.proc("stat")?;
-        // The name may hold anything; fields count from its end.
+    /// If the process does not exist.
+    pub fn cpu_of_all_threads(&self) -> io::Result<Duration> {
+        let stat = self.read_proc("stat")?;
+        // The process name may contain any character, so fields are counted from its end.
         let fields: Vec<&str> = stat
             .rsplit(')')
             .next()
@@ -138,13 +138,13 @@
         Ok(CLOCK_TICK * ticks)
     }
 
-    /// Bytes in memory.
+    /// Resident memory, in bytes.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process does not exist.
     pub fn rss(&self) -> io::Result<f64> {
         let pages = self
-            .proc("statm")?
+            .read_proc("statm")?
             .split(' ')
             .nth(1)
             .and_then(|n| n.parse::<u64>().ok())
@@ -152,36 +152,36 @@
         Ok((pages * PAGE_BYTES) as f64)
     }
 
-    /// Bytes of memory that are of no file: what a further process of the same program would take again.
+    /// Anonymous memory in bytes: what each additional process of the same program takes.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process does not exist.
     pub fn private_memory(&self) -> io::Result<f64> {
-        Ok(kilobytes(&self.proc("smaps_rollup")?, "Pss_Anon:"))
+        Ok(kilobytes(&self.read_proc("smaps_rollup")?, "Pss_Anon:"))
     }
 
-    /// Open descriptors.
+    /// Number of open descriptors.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process does not exist.
     pub fn descriptors(&self) -> io::Result<usize> {
         Ok(fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
-    /// Waits for its end; what it used until then.
+    /// Waits for the process to exit, and returns its resource usage.
     ///
     /// # Errors
-    /// If it does not end well, or takes too long.
+    /// If it fails or takes too long.
     pub fn wait_for_end(mut self) -> io::Result<Usage> {
         let deadline = Instant::now() + OUTPUT_TIMEOUT;
         let mut usage = Usage::default();
         loop {
-            // A process that has ended keeps its times until it was waited for, but no memory.
+            // Until it is waited for, an ended process keeps its times but not its memory.
             usage.cpu = usage
                 .cpu
                 .max(self.cpu().unwrap_or_default())
-                .max(self.ticks().unwrap_or_default());
-            let status = self.proc("status").unwrap_or_default();
+                .max(self.cpu_of_all_threads().unwrap_or_default());
+            let status = self.read_proc("status").unwrap_or_default();
             usage.peak_memory = usage.peak_memory.max(kilobytes(&status, "VmHWM:"));
             if let Some(status) = self.child.try_wait()? {
                 return if status.success() {
@@ -194,14 +194,17 @@
                 };
             }
             if Instant::now() > deadline {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "did not end"));
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "the process did not end in time",
+                ));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// A figure of a file of `/proc` that is in kilobytes, in bytes.
+/// Converts a value in a `/proc` file from kilobytes to bytes.
 fn kilobytes(text: &str, key: &str) -> f64 {
     let line = text.lines().find_map(|line| line.strip_prefix(key));
     line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok())
@@ -209,12 +212,12 @@
         * 1_024.0
 }
 
-/// What a process used until its end.
+/// Resources that a process used until it exited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Its processor time.
+    /// Processor time.
     pub cpu: Duration,
-    /// The most memory that was seen, in bytes.
+    /// Peak resident memory, in bytes.
     pub peak_memory: f64,
 }
 
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,22 +1,22 @@
-//! `rainstand-testbed scale`: what the program costs by size, measured here and worked out at a size asked for.
+//! `rainstand-testbed scale`: measures resource costs at several sizes and extrapolates them to a requested size.
 //!
 //! | module | what it is | I/O |
 //! | --- | --- | --- |
-//! | [`mod@fit`] | a line through points, or why there is none | none |
+//! | [`mod@fit`] | linear fit through points, or why there is none | none |
 //! | [`mod@measure`] | child processes with their processor time and memory from `/proc` | processes |
-//! | [`settings`] | a node's file with a number of tenants | none |
+//! | [`settings`] | a node's settings with a number of tenants | none |
 //! | [`forwarders`] | `rainstand forward` and `config check` by routes and tenants | processes |
-//! | [`nodes`] | `rainstand-node` by tenants, connections | processes, sockets |
-//! | [`decisions`] | cost of a decision; compiled forms | none |
-//! | [`hollow`] | members of a group by the hundred in one process, on a virtual clock | none |
-//! | [`control`] | a configuration on its way to hollow subscribers, on a virtual clock | none |
-//! | [`groups`] | members of a group as processes at rest, and hollow ones beside them | processes, sockets |
-//! | [`table`] | rows as text, as JSON and for a page | none |
+//! | [`nodes`] | `rainstand-node` by tenants, connections and requests | processes, sockets |
+//! | [`decisions`] | cost of a routing decision; size of compiled configurations | none |
+//! | [`hollow`] | hollow (simulated) groups of up to hundreds of members, on a virtual clock | none |
+//! | [`control`] | configuration distribution to hollow (simulated) subscribers, on a virtual clock | none |
+//! | [`groups`] | idle groups of real processes, compared with hollow groups | processes, sockets |
+//! | [`table`] | rows as text, JSON and Markdown | none |
 //!
-//! **A further module's rows.** A module of its own offers
-//! `pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>>`: add it to `PARTS`. Rows are made
-//! with [`Row::fitted`] from points that it measured, or [`Row::plain`] where there is no slope; the order of the table
-//! (worst ratio first) and its forms come from here.
+//! **Adding rows.** A new module exports
+//! `pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>>` and is added to `PARTS`. It
+//! creates rows with [`Row::fitted`] from measured points, or with [`Row::plain`] where there is no slope. This module
+//! sorts the rows (worst ratio first) and prints them.
 
 pub mod control;
 pub mod decisions;
@@ -36,25 +36,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Limits of the operators' size in two years.
+/// Limits and load at the operators' expected size in two years.
 pub mod limits {
-    /// Added to a request, milliseconds, for 99 in 100.
+    /// Latency added to a request, 99th percentile, in milliseconds.
     pub const ADDED_MS: f64 = 1.6;
-    /// Of a core, for control a node.
+    /// Processor time of the control plane on each node, in percent of a core.
     pub const CONTROL_CPU: f64 = 2.3;
-    /// MB (10^6 bytes), for control a node.
+    /// Memory of the control plane on each node, in MB (10^6 bytes).
     pub const CONTROL_MB: f64 = 32.0;
-    /// Bytes a second, for control a node.
+    /// Control traffic of each node, in bytes per second.
     pub const CONTROL_BYTES: f64 = 6_000.0;
-    /// Seconds for a change to be in force.
+    /// Time until a change is in force, in seconds.
     pub const IN_FORCE_S: f64 = 17.0;
-    /// Requests a second of the whole fleet.
+    /// Requests per second of the whole fleet.
     pub const REQUESTS: f64 = 52_000.0;
-    /// Seconds of a day.
+    /// Seconds in a day.
     pub const DAY_S: f64 = 86_400.0;
 }
 
-/// The size asked for.
+/// The requested size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sizes {
     /// Nodes of the fleet.
@@ -67,7 +67,7 @@
     pub routes: usize,
     /// Tenants of the configuration.
     pub tenants: usize,
-    /// Changes of the configuration, a day.
+    /// Configuration changes per day.
     pub changes: usize,
 }
 
@@ -85,47 +85,47 @@
 }
 
 impl Sizes {
-    /// A configuration of this size, or of a part of it.
+    /// A configuration of this size, scaled by `part`.
     pub fn configuration(&self, part: f64, limits: Limited) -> Size {
-        let whole = Size {
+        let full = Size {
             services: self.services,
             routes: self.routes,
             tenants: self.tenants,
             zones: 6,
-            // As the generator's own size has it: seven members a pool.
+            // Seven members per pool, as in the generator's own size.
             pools: (self.nodes / 7).max(1),
             members: self.nodes,
             limits,
         };
-        whole.part(part)
+        full.part(part)
     }
 }
 
-/// How much is measured.
+/// The sizes, repetitions and windows of the measurements.
 #[derive(Clone, Debug)]
 pub struct Effort {
-    /// Of the size asked for. Not by powers of two: a table that doubles would look like a line.
+    /// Fractions of the requested size. Not powers of two: a table that doubles its capacity would look linear.
     pub parts: Vec<f64>,
-    /// Reloads of one process; the cheapest counts.
+    /// Reloads of one process. Used are the cheapest (nodes), or mean processor time and median time (forwarders).
     pub reloads: usize,
-    /// Idle connections.
+    /// Numbers of idle connections.
     pub idle: Vec<usize>,
-    /// Requests on one connection, and on one each.
+    /// Numbers of requests, each sent over one shared connection and over one connection per request.
     pub requests: Vec<usize>,
-    /// Members of real groups.
+    /// Sizes of groups of real processes.
     pub members: Vec<usize>,
-    /// For how long each of them is watched at rest.
+    /// How long each of them is measured while idle.
     pub window: Duration,
-    /// Members of hollow ones.
+    /// Sizes of hollow groups.
     pub hollow: Vec<usize>,
-    /// Virtual time for which those are watched.
+    /// How long those are measured, in virtual time.
     pub hollow_window: Duration,
-    /// Only what runs in this process, and decides on counts.
+    /// Runs only in-process measurements, and leaves out those of processor time in decisions and distribution.
     pub counts_only: bool,
 }
 
 impl Effort {
-    /// All sizes, for the page.
+    /// All sizes, for docs/CAPACITY.md.
     pub fn full() -> Self {
         Self {
             parts: vec![0.1, 0.25, 0.45, 0.7, 1.0],
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Within 50 s also where other work shares the machine.
+    /// Finishes within 50 s, even on a machine that is shared with other work.
     pub fn quick() -> Self {
         Self {
             parts: vec![0.05, 0.12, 0.2, 0.3],
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Small, in this process alone, and the same every time: for tests.
+    /// Small, in-process and deterministic in its counts: for tests.
     pub fn counts() -> Self {
         Self {
             counts_only: true,
@@ -166,77 +166,77 @@
     }
 }
 
-/// Where the programs lie, and where files are made.
+/// Folders of the programs and of temporary files.
 #[derive(Clone, Debug)]
 pub struct Paths {
-    /// Folder of the programs; beside this one if not quantity.
+    /// Folder of the programs; the folder of this program if not given.
     pub programs: Option<PathBuf>,
-    /// Where files are made.
+    /// Folder for files that a measurement creates.
     pub folder: PathBuf,
 }
 
-/// One requirement and what it comes to.
+/// One requirement with its measured and extrapolated values.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// Whose quantity it is.
+    /// Component that the quantity belongs to.
     pub role: String,
-    /// The quantity.
+    /// Name of the quantity.
     pub what: String,
-    /// Its unit.
+    /// Unit of the quantity.
     pub unit: String,
-    /// What the quantity was measured against.
+    /// The size that the quantity is measured against.
     pub by: String,
-    /// Of its line, by one of `by`.
+    /// Slope of the fitted line, per unit of `by`.
     pub slope: Option<f64>,
-    /// Of its line.
+    /// Intercept of the fitted line.
     pub intercept: Option<f64>,
-    /// At the size asked for; none where it cannot be told.
+    /// Value at the requested size; none if it cannot be determined.
     pub at_size: Option<f64>,
-    /// The most that it may be.
+    /// Upper limit of the value.
     pub limit: Option<f64>,
-    /// None where there is no limit, or nothing to hold against it.
+    /// Whether the value is within the limit; none if either is missing.
     pub holds: Option<bool>,
-    /// Of the quantity to its limit.
+    /// Ratio of the value to the limit.
     pub ratio: Option<f64>,
-    /// Of `by`.
+    /// Largest measured size, in units of `by`.
     pub measured_up_to: f64,
-    /// Of `by`, as asked.
+    /// Requested size, in units of `by`.
     pub size: f64,
-    /// The most that a point is off the line, as a part of what the quantity moved by.
+    /// Largest deviation of a point from the line, as a fraction of the quantity's range.
     pub residual: Option<f64>,
-    /// Why there is no line.
+    /// Why no line was fitted.
     pub bends: Option<String>,
-    /// What the measured quantity was multiplied with: parts of a day, parts of the fleet.
+    /// Factor that the measured values were multiplied by, such as changes per second or one over the nodes.
     pub times: f64,
-    /// What was measured, by size, so multiplied.
+    /// Sizes and measured values, multiplied by `times`.
     pub points: Vec<(f64, f64)>,
-    /// The quantity's mechanism or what else is to be known.
+    /// The mechanism behind the quantity, or other remarks.
     pub note: String,
-    /// Not a time: the same on every run.
+    /// A count, which is the same on every run, and not a time.
     pub counted: bool,
 }
 
-/// What a quantity is called and held against.
+/// Name, unit and limit of a quantity.
 #[derive(Clone, Debug)]
 pub struct Quantity<'a> {
-    /// Whose it is.
+    /// Component that it belongs to.
     pub role: &'a str,
-    /// What it is.
+    /// Name.
     pub what: &'a str,
-    /// Its unit.
+    /// Unit.
     pub unit: &'a str,
-    /// What it is measured against.
+    /// The size that it is measured against.
     pub by: &'a str,
-    /// The most that it may be.
+    /// Upper limit.
     pub limit: Option<f64>,
-    /// Its mechanism or what else is to be known.
+    /// The mechanism behind it, or other remarks.
     pub note: &'a str,
-    /// Not a time: the same on every run.
+    /// A count, which is the same on every run, and not a time.
     pub counted: bool,
 }
 
 impl<'a> Quantity<'a> {
-    /// A quantity without a limit, which may differ from run to run.
+    /// A quantity without a limit that may differ between runs.
     pub fn new(role: &'a str, what: &'a str, unit: &'a str, by: &'a str) -> Self {
         Self {
             role,
@@ -249,27 +249,27 @@
         }
     }
 
-    /// With the most that it may be.
+    /// Sets the upper limit.
     #[must_use]
     pub fn limit(self, limit: f64) -> Self {
         self.maybe_limit(Some(limit))
     }
 
-    /// With the most that it may be, if there is one.
+    /// Sets the upper limit, if there is one.
     #[must_use]
     pub fn maybe_limit(mut self, limit: Option<f64>) -> Self {
         self.limit = limit;
         self
     }
 
-    /// With its mechanism or what else is to be known.
+    /// Sets the note: the mechanism behind it, or other remarks.
     #[must_use]
     pub fn note(mut self, note: &'a str) -> Self {
         self.note = note;
         self
     }
 
-    /// The same on every run.
+    /// Marks the quantity as a count, which is the same on every run.
     #[must_use]
     pub fn counted(mut self) -> Self {
         self.counted = true;
@@ -278,7 +278,7 @@
 }
 
 impl Row {
-    /// From points of size and quantity; `times` makes the row's quantity of the measured one.
+    /// A row with a line fitted through points of size and value; the values are multiplied by `times` first.
     pub fn fitted(
         quantity: &Quantity<'_>,
         points: &[(f64, f64)],
@@ -299,7 +299,7 @@
         let (line, bends, at_size): (Option<Line>, _, _) =
             match fit(&points, growth, quantity.counted) {
                 Ok(line) => (Some(line), None, measured(size).or(Some(line.at(size)))),
-                // What bends is told where it was measured, and not carried further.
+                // A nonlinear quantity is reported only at sizes that were measured, and not extrapolated.
                 Err((why, line)) => (line, Some(why.to_string()), measured(size)),
             };
         let mut row = Self::plain(quantity, size, up_to, at_size);
@@ -310,7 +310,7 @@
         row
     }
 
-    /// Without a slope.
+    /// A row without a fitted line.
     pub fn plain(quantity: &Quantity<'_>, size: f64, up_to: f64, at_size: Option<f64>) -> Self {
         let ratio = at_size.zip(quantity.limit).map(|(at, limit)| at / limit);
         Self {
@@ -336,24 +336,24 @@
     }
 }
 
-/// What a line of an earlier run predicts for the largest size that this one measured.
+/// What the fitted line of an earlier run predicts for the largest size that this run measured.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Prediction {
-    /// Whose quantity it is.
+    /// Component that the quantity belongs to.
     pub role: String,
-    /// The quantity.
+    /// Name of the quantity.
     pub what: String,
-    /// The size.
+    /// The size predicted for.
     pub size: f64,
-    /// By the earlier line.
+    /// Value by the earlier line.
     pub predicted: f64,
-    /// By this run.
+    /// Value measured by this run.
     pub measured: f64,
 }
 
 impl Prediction {
-    /// The larger over the smaller, less one.
-    pub fn off(&self) -> f64 {
+    /// Relative difference: the larger value over the smaller, minus one.
+    pub fn relative_difference(&self) -> f64 {
         let low = self.predicted.min(self.measured);
         let high = self.predicted.max(self.measured);
         if low > 0.0 {
@@ -366,7 +366,7 @@
     }
 }
 
-/// Lines of an earlier run against points of another; what bends or has no slope predicts nothing.
+/// Compares lines of an earlier run with points of this run. Rows that are nonlinear or have no slope predict nothing.
 pub fn compare_predictions(earlier: &[Row], now: &[Row]) -> Vec<Prediction> {
     now.iter().filter_map(|row| predict(earlier, row)).collect()
 }
@@ -376,7 +376,7 @@
     let old = earlier.iter().find(is_same)?;
     let points = row.points.iter().copied();
     let (size, measured) = points.max_by(|a, b| a.0.total_cmp(&b.0))?;
-    // Each run multiplies by its own parts of the fleet and of the day.
+    // Each run has its own factor: its shares of the fleet and of the day may differ.
     let predicted = (old.intercept? + old.slope? * size) * row.times / old.times;
     Some(Prediction {
         role: row.role.clone(),
@@ -387,10 +387,10 @@
     })
 }
 
-/// One part of the measurements.
+/// One module of measurements.
 struct Part {
     name: &'static str,
-    /// It runs in this process alone and gives counts.
+    /// It runs in this process alone and yields counts.
     is_in_process: bool,
     measure: fn(&Sizes, &Effort, &Paths) -> io::Result<Vec<Row>>,
 }
@@ -429,11 +429,10 @@
     },
 ];
 
-/// All rows, worst ratio first. `on_part` hears of each part before it is measured; one that cannot be measured fails
-/// the whole.
+/// Measures all rows, sorted by worst ratio first. `on_part` is called with each part's name before it is measured.
 ///
 /// # Errors
-/// Which part could not be measured.
+/// If any part cannot be measured; the error names it.
 pub fn measure(
     sizes: &Sizes,
     effort: &Effort,
@@ -451,6 +450,6 @@
             |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", part.name));
         rows.extend(measured.map_err(in_part)?);
     }
-    table::put_in_order(&mut rows);
+    table::sort_rows(&mut rows);
     Ok(rows)
 }
--- a/crates/testbed/src/scale/nodes.rs
+++ b/crates/testbed/src/scale/nodes.rs
@@ -1,4 +1,4 @@
-//! `rainstand-node` as a process: by tenants, by connections, by requests.
+//! Measures `rainstand-node` as a process, by tenants, connections and requests; also idle connections of a forwarder.
 
 use super::fit::Growth;
 use super::measure::MeasuredProcess;
@@ -15,23 +15,24 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// For one request, and for a connection to open.
+/// Timeout of a request, and of opening a connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two requests to a node that serves none yet.
+/// Delay between requests to a node that does not serve any yet.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Descriptors that this process keeps back from idle connections.
+/// Descriptors that this process reserves for uses other than idle connections.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Descriptors that a node may have, by its file; where connections are counted, and elsewhere.
+/// Limits of descriptors in a node's settings: where idle connections are measured, and elsewhere.
 const MANY_SOCKETS: usize = 20_000;
 const SOCKETS: usize = 1_024;
-/// Repetitions of a run of requests, of which the cheapest counts.
+/// Repetitions of a run of requests; the cheapest is used.
 const REPETITIONS: usize = 3;
-/// Attempts at a port: another process may have taken it meanwhile.
+/// Attempts to start a node: another process may take its port before the node binds it.
 const PORT_ATTEMPTS: usize = 5;
-/// The longest answer that is read.
+/// Longest response that is read.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// An agent on a thread of its own that finishes each launch at once with its own body; where it listens.
+/// Starts a fake agent on its own thread, which completes each launch immediately and echoes the payload. Returns its
+/// address.
 ///
 /// # Errors
 /// If it cannot listen.
@@ -41,7 +42,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                // A link that breaks is the node's to open again.
+                // Errors are ignored: the node reconnects after a broken link.
                 let _ = serve_link(stream);
             });
         }
@@ -74,7 +75,7 @@
     Ok(())
 }
 
-/// A running node and its file.
+/// A running node, with the path of its settings.
 struct Node {
     process: MeasuredProcess,
     address: SocketAddr,
@@ -84,7 +85,7 @@
 
 impl Node {
     fn start(tenants: usize, sockets: usize, agent: SocketAddr, paths: &Paths) -> io::Result<Self> {
-        let mut last_error = io::Error::other("no try");
+        let mut last_error = io::Error::other("no attempt was made");
         for _ in 0..PORT_ATTEMPTS {
             let address = free_port()?;
             let path = paths.folder.join("node.json");
@@ -104,14 +105,14 @@
                         agent,
                     })
                 }
-                // Another process took the port meanwhile.
+                // Another process may have taken the port meanwhile.
                 Err(error) => last_error = error,
             }
         }
         Err(last_error)
     }
 
-    /// Until the agent has greeted, requests are rejected.
+    /// Waits until a request is served: requests are rejected until the agent has sent its greeting.
     fn wait_until_served(&self) -> io::Result<()> {
         let deadline = Instant::now() + REQUEST_TIMEOUT;
         let mut stream = connect(self.address)?;
@@ -122,14 +123,14 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                let reason = "a node honours nothing";
+                let reason = "the node served no request in time";
                 return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
             }
             std::thread::sleep(RETRY_DELAY);
         }
     }
 
-    /// Processor time of the cheapest of some reloads, each with another rate.
+    /// Processor time of the cheapest of `reloads` reloads, each of which changes the rate.
     fn cheapest_reload(&mut self, tenants: usize, reloads: usize) -> io::Result<Duration> {
         let mut cheapest = Duration::MAX;
         for reload in 1..=reloads {
@@ -138,7 +139,7 @@
             fs::write(&self.path, file.to_string())?;
             let before = self.process.cpu()?;
             self.process.signal(Signal::HUP);
-            // The last of two lines that a reload writes.
+            // The second of the two lines that a reload logs.
             self.process.wait_for_output("reload agent=", reload)?;
             cheapest = cheapest.min(self.process.cpu()?.saturating_sub(before));
         }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Sends a request on a connection and waits for the answer; whether it was served.
+/// Sends a request on a connection and waits for the response; returns whether it was served.
 fn send_request(stream: &mut TcpStream, sequence: i32) -> io::Result<bool> {
     let trace = format!("{sequence:016x}");
     let unix = SystemTime::now()
@@ -182,7 +183,7 @@
 /// All rows of nodes.
 ///
 /// # Errors
-/// What could not be started or asked.
+/// If a process cannot be started, or a request fails.
 pub fn rows(sizes: &Sizes, effort: &Effort, paths: &Paths) -> io::Result<Vec<Row>> {
     let agent = serve_agent()?;
     let in_part = |part: &'static str| {
@@ -190,7 +191,7 @@
     };
     let mut rows = rows_by_tenants(sizes, effort, paths, agent)?;
     let idle = idle_rows(sizes, effort, paths, agent);
-    rows.extend(idle.map_err(in_part("connections at rest"))?);
+    rows.extend(idle.map_err(in_part("idle connections"))?);
     let requests = rows_by_requests(sizes, effort, paths, agent);
     rows.extend(requests.map_err(in_part("requests"))?);
     Ok(rows)
@@ -229,7 +230,7 @@
     let reload = of_node("each change read as a whole: processor time", "% of a core")
         .limit(limits::CONTROL_CPU);
     let mut file = row(of_node("its file", "MB"), &file_bytes, 1e-6);
-    // It is judged as a time is, though it is the same on every run.
+    // Marked as a count only after the fit, so the fit uses the tolerance for times.
     file.counted = true;
     Ok(vec![
         row(
@@ -248,14 +249,14 @@
     ])
 }
 
-/// Descriptors that may be opened here.
+/// Descriptors that this process may open for connections.
 fn available_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     let limit = limit.current.unwrap_or(1 << 20);
     limit.saturating_sub(RESERVED_DESCRIPTORS) as usize
 }
 
-/// Idle connections that each had a request, at a node and at a forwarder.
+/// Rows of idle connections at a node and at a forwarder; each connection has carried one request.
 fn idle_rows(
     sizes: &Sizes,
     effort: &Effort,
@@ -271,13 +272,13 @@
         note: "crates/node/src/connections.rs",
     };
     let at_node = idle_row(sizes, effort, server)?;
-    let behind = TestServerOptions {
+    let member = TestServerOptions {
         forget_runs: true,
         ..TestServerOptions::default()
     }
     .start();
-    let at_forwarder = idle_row(sizes, effort, start_forwarder(behind.addr, paths)?)?;
-    behind.kill();
+    let at_forwarder = idle_row(sizes, effort, start_forwarder(member.addr, paths)?)?;
+    member.kill();
     Ok(vec![at_node, at_forwarder])
 }
 
@@ -321,7 +322,7 @@
     Ok(row)
 }
 
-/// A forwarder before one member.
+/// Starts a forwarder with one member.
 fn start_forwarder(member: SocketAddr, paths: &Paths) -> io::Result<Server> {
     let text = format!(
         "rain 1\ntype check {{ repeat: rerunnable; goal: 3 s; outer-limit: 7 s }}\n\
@@ -343,28 +344,29 @@
     Ok(Server {
         role: "forwarder",
         process,
-        address: address.ok_or_else(|| io::Error::other("a forwarder says no address"))?,
+        address: address
+            .ok_or_else(|| io::Error::other("the forwarder printed no listen address"))?,
         note: "crates/forwarder/src/listener.rs",
     })
 }
 
-/// What one run of requests came to.
+/// Measurements of one run of requests.
 struct RequestRun {
     cpu: Duration,
-    /// Until the answer, of 99 in 100.
+    /// Time until the response, 99th percentile.
     latency: Duration,
 }
 
-/// Which connection a request goes over.
+/// How connections are assigned to requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Connections {
-    /// One for all requests.
+    /// One connection for all requests.
     Shared,
-    /// One for each.
-    OfItsOwn,
+    /// A new connection for each request.
+    PerRequest,
 }
 
-/// One request after the other.
+/// Sends `count` requests, one after the other.
 fn run_requests(node: &Node, count: usize, connections: Connections) -> io::Result<RequestRun> {
     let mut shared = connect(node.address)?;
     send_request(&mut shared, 1)?;
@@ -375,11 +377,11 @@
         let started = Instant::now();
         let is_served = match connections {
             Connections::Shared => send_request(&mut shared, sequence)?,
-            Connections::OfItsOwn => send_request(&mut connect(node.address)?, sequence)?,
+            Connections::PerRequest => send_request(&mut connect(node.address)?, sequence)?,
         };
         times.push(started.elapsed());
         if !is_served {
-            return Err(io::Error::other("a request was not honoured"));
+            return Err(io::Error::other("a request was not served"));
         }
     }
     times.sort_unstable();
@@ -389,7 +391,7 @@
     })
 }
 
-/// A handshake for each request against none: processor time at the node, and time added.
+/// Rows that compare a handshake per request with a shared connection: processor time of the node, and added latency.
 fn rows_by_requests(
     sizes: &Sizes,
     effort: &Effort,
@@ -398,20 +400,20 @@
 ) -> io::Result<Vec<Row>> {
     let node = Node::start(1, SOCKETS, agent, paths)?;
     node.wait_until_served()?;
-    let (mut shared_cpu, mut own_cpu, mut added) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut shared_cpu, mut per_request_cpu, mut added) = (Vec::new(), Vec::new(), Vec::new());
     for count in effort.requests.iter().copied() {
         let size = count as f64;
-        let (mut cheapest_shared, mut cheapest_own) = (f64::INFINITY, f64::INFINITY);
+        let (mut cheapest_shared, mut cheapest_per_request) = (f64::INFINITY, f64::INFINITY);
         for _ in 0..REPETITIONS {
             let shared = run_requests(&node, count, Connections::Shared)?;
-            let own = run_requests(&node, count, Connections::OfItsOwn)?;
+            let per_request = run_requests(&node, count, Connections::PerRequest)?;
             cheapest_shared = cheapest_shared.min(shared.cpu.as_secs_f64());
-            cheapest_own = cheapest_own.min(own.cpu.as_secs_f64());
-            let longer = own.latency.saturating_sub(shared.latency);
-            added.push((size, longer.as_secs_f64() * 1e3));
+            cheapest_per_request = cheapest_per_request.min(per_request.cpu.as_secs_f64());
+            let added_latency = per_request.latency.saturating_sub(shared.latency);
+            added.push((size, added_latency.as_secs_f64() * 1e3));
         }
         shared_cpu.push((size, cheapest_shared));
-        own_cpu.push((size, cheapest_own));
+        per_request_cpu.push((size, cheapest_per_request));
     }
     Ok(vec![
         cpu_row(
@@ -422,19 +424,19 @@
         cpu_row(
             sizes,
             "its part of the requests, a handshake for each: processor time",
-            &own_cpu,
+            &per_request_cpu,
         ),
         added_latency_row(added),
     ])
 }
 
-/// Processor time of this node's part of the fleet's requests, in a second.
+/// Row of the processor time that one node's share of the fleet's requests takes.
 fn cpu_row(sizes: &Sizes, what: &str, points: &[(f64, f64)]) -> Row {
     let rate = limits::REQUESTS / sizes.nodes as f64;
     let quantity = Quantity::new("node", what, "% of a core", "requests")
         .note("the line's slope times the requests of a second; crates/node/src/connections.rs");
     let mut row = Row::fitted(&quantity, points, rate, Growth::Linear, 100.0);
-    // Of the requests of a second alone, without what a run of them costs once.
+    // Only the cost of the requests of one second, without the fixed cost of a run.
     let slope = row.slope.filter(|_| row.bends.is_none());
     row.at_size = slope.map(|slope| slope * rate);
     row
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,9 +1,9 @@
-//! A node's file, with so many tenants.
+//! Settings of a node with a given number of tenants.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Tenants with equal shares of this rate; no downstream tier and no service registry.
+/// Tenants have equal shares of `rate` requests per second. There is no downstream tier and no service registry.
 pub fn node(
     name: &str,
     listen: SocketAddr,
--- a/crates/testbed/src/scale/table.rs
+++ b/crates/testbed/src/scale/table.rs
@@ -1,4 +1,4 @@
-//! `rainstand-testbed scale`: its options, and rows as people and programs read them.
+//! `rainstand-testbed scale`: its options, and its output as text, Markdown and JSON.
 
 use super::{compare_predictions, measure, Effort, Paths, Row, Sizes};
 use clap::Args;
@@ -10,7 +10,7 @@
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The largest sizes that are taken.
+/// Largest size that most options accept.
 const MAX_SIZE: u64 = 1_000_000;
 
 /// `rainstand-testbed scale`.
@@ -77,7 +77,7 @@
     }
 }
 
-/// What is read of an earlier run.
+/// The output of an earlier run with `--json`, as far as it is read.
 #[derive(Deserialize)]
 struct EarlierRun {
     sizes: Sizes,
@@ -86,7 +86,7 @@
 
 fn read(path: &Path) -> io::Result<EarlierRun> {
     let text = fs::read(path)
-        .map_err(|why| io::Error::new(why.kind(), format!("{}: {why}", path.display())))?;
+        .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", path.display())))?;
     Ok(serde_json::from_slice(&text)?)
 }
 
@@ -99,7 +99,7 @@
         tenants: options.tenants as usize,
         changes: options.changes as usize,
     };
-    // Wrong use is reported before anything is measured.
+    // An unreadable file is reported before anything is measured.
     if let Some(earlier) = &options.against {
         read(earlier)?;
     }
@@ -114,10 +114,10 @@
     Ok((sizes, rows))
 }
 
-/// Measures and prints.
+/// Measures, or reads an earlier run, and prints the rows.
 ///
 /// # Errors
-/// What could not be measured.
+/// If a part cannot be measured, or a file cannot be read.
 pub fn run(options: &Options) -> io::Result<bool> {
     let (sizes, rows) = match &options.from {
         Some(path) => read(path).map(|earlier| (earlier.sizes, earlier.rows))?,
@@ -126,8 +126,8 @@
     if let Some(earlier) = &options.against {
         for prediction in compare_predictions(&read(earlier)?.rows, &rows) {
             eprintln!(
-                "{:.0} % off: {}: {}: at {} told {}, measured {}",
-                prediction.off() * 100.0,
+                "{:.0} % off: {}: {}: at {} predicted {}, measured {}",
+                prediction.relative_difference() * 100.0,
                 prediction.role,
                 prediction.what,
                 figure(prediction.size),
@@ -145,8 +145,9 @@
     Ok(true)
 }
 
-/// Sorts rows: what breaks its limit, worst first; then what bends, what holds, and what has no limit.
-pub fn put_in_order(rows: &mut [Row]) {
+/// Sorts rows: first those over their limit, worst ratio first; then those with a limit but no value, those within
+/// their limit, and those without a limit.
+pub fn sort_rows(rows: &mut [Row]) {
     let key = |row: &Row| match (row.holds, row.ratio) {
         (Some(false), ratio) => (0, ratio.unwrap_or(f64::INFINITY)),
         (_, None) if row.limit.is_some() => (1, 0.0),
@@ -197,7 +198,7 @@
     }
 }
 
-/// Up to where it was run, and how much further the figure is carried.
+/// The largest measured size, and the factor by which the value is extrapolated beyond it.
 fn reach(row: &Row) -> String {
     let run = format!("{} {}", figure(row.measured_up_to), row.by);
     if row.size > row.measured_up_to * 1.001 && row.at_size.is_some() && row.slope.is_some() {
@@ -210,7 +211,7 @@
 }
 
 fn cells(row: &Row) -> [String; 8] {
-    let or = |n: Option<f64>| n.map_or(String::new(), figure);
+    let figure_or_empty = |n: Option<f64>| n.map_or(String::new(), figure);
     let at = match (&row.bends, row.at_size) {
         (_, Some(at)) => format!("{} {}", figure(at), row.unit),
         (Some(_), None) => "not told".into(),
@@ -232,7 +233,7 @@
         row.what.clone(),
         at,
         limit,
-        or(row.ratio),
+        figure_or_empty(row.ratio),
         holds(row).into(),
         reach(row),
         note,
@@ -250,7 +251,7 @@
     "what is behind it",
 ];
 
-/// The head table of the page, ready to be pasted.
+/// The head table of docs/CAPACITY.md.
 pub fn markdown(rows: &[Row]) -> String {
     let mut text = format!(
         "| {} |\n|{}\n",
@@ -280,10 +281,10 @@
         }
         let _ = writeln!(text, "\n    run up to {reach}");
         if let (Some(slope), Some(intercept)) = (row.slope, row.intercept) {
-            let left = row.residual.unwrap_or(0.0) * 100.0;
+            let residual_percent = row.residual.unwrap_or(0.0) * 100.0;
             let _ = writeln!(
                 text,
-                "    {intercept:.4} + {slope:.6} {} for each of {}; at most {left:.0} % left over",
+                "    {intercept:.4} + {slope:.6} {} for each of {}; at most {residual_percent:.0} % left over",
                 row.unit, row.by
             );
         }
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `rainstand-testbed scale`: fits that refuse what bends, and a small run whose verdicts stand on counts alone.
+//! `rainstand-testbed scale`: fits that reject nonlinear quantities, and a small run judged by deterministic counts.
 
 #![allow(
     missing_docs,
@@ -8,14 +8,14 @@
 )]
 
 use rainstand_testbed::scale::fit::{fit, FitError, Growth};
-use rainstand_testbed::scale::hollow::{watch, GroupSpec};
+use rainstand_testbed::scale::hollow::{simulate, GroupSpec};
 use rainstand_testbed::scale::{
     compare_predictions, decisions, measure, table, Effort, Paths, Quantity, Row, Sizes,
 };
 use std::process::{Command, Output};
 use std::time::Duration;
 
-/// Sizes of a full and of a quick run.
+/// Fractions of the requested size in a full and in a quick run.
 const PARTS: [&[f64]; 2] = [&[0.1, 0.25, 0.45, 0.7, 1.0], &[0.05, 0.12, 0.2, 0.3]];
 
 fn points(parts: &[f64], of: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
@@ -25,23 +25,23 @@
         .collect()
 }
 
-/// Entries looked at by as many requests as the list has entries: each walks it to the one that it wants.
-fn walked(size: f64) -> f64 {
+/// Total cost of one lookup per list entry, where each lookup scans the list up to its entry.
+fn linear_scan_cost(size: f64) -> f64 {
     let list: Vec<u64> = (0..size as u64 / 50).collect();
     list.iter()
         .map(|wanted| list.iter().take_while(|entry| *entry != wanted).count() as f64 + 1.0)
         .sum()
 }
 
-/// Room of a table that doubles.
-fn doubles(size: f64) -> f64 {
+/// Capacity of a table that doubles when it is full.
+fn doubling_capacity(size: f64) -> f64 {
     let mut list: Vec<u8> = Vec::new();
     (0..size as usize).for_each(|_| list.push(0));
     list.capacity() as f64
 }
 
 #[test]
-fn a_line_is_found_and_what_bends_is_refused() {
+fn fit_accepts_lines_and_rejects_nonlinear_growth() {
     for parts in PARTS {
         let line = fit(&points(parts, |n| 900.0 + 3.0 * n), Growth::Linear, true).expect("a line");
         assert!(
@@ -49,8 +49,8 @@
             "{line:?}"
         );
         assert!(line.residual < 1e-6 && line.curve < 1e-6, "{line:?}");
-        // A little off to both sides is still a line.
-        let rough = |n: f64| {
+        // Small deviations to both sides are still a line.
+        let noisy = |n: f64| {
             900.0
                 + 3.0
                     * n
@@ -60,7 +60,7 @@
                         0.98
                     }
         };
-        fit(&points(parts, rough), Growth::Linear, true).expect("a rough line");
+        fit(&points(parts, noisy), Growth::Linear, true).expect("a line with noise");
         let refused = |of: &dyn Fn(f64) -> f64| {
             fit(&points(parts, of), Growth::Linear, true).map_err(|(why, _)| why)
         };
@@ -70,35 +70,36 @@
             refused(&|n| n * n)
         );
         assert!(
-            matches!(refused(&walked), Err(FitError::Curvature(_))),
+            matches!(refused(&linear_scan_cost), Err(FitError::Curvature(_))),
             "{:?}",
-            refused(&walked)
+            refused(&linear_scan_cost)
         );
         assert!(
             matches!(
-                refused(&doubles),
+                refused(&doubling_capacity),
                 Err(FitError::Curvature(_) | FitError::Residual(_))
             ),
             "{:?}",
-            refused(&doubles)
+            refused(&doubling_capacity)
         );
-        let one = |n: f64| walked(n) / (n / 50.0);
-        let still = fit(&points(parts, one), Growth::Constant, true).map_err(|(why, _)| why);
-        assert!(matches!(still, Err(FitError::Grows(_))), "{still:?}");
+        let cost_per_lookup = |n: f64| linear_scan_cost(n) / (n / 50.0);
+        let lookup =
+            fit(&points(parts, cost_per_lookup), Growth::Constant, true).map_err(|(why, _)| why);
+        assert!(matches!(lookup, Err(FitError::Grows(_))), "{lookup:?}");
         fit(
             &points(parts, |n| 1.0 + n.log2() / 10.0),
             Growth::Constant,
             true,
         )
-        .expect("a tree is not walked");
+        .expect("logarithmic cost counts as constant");
     }
-    // What a shared machine adds to a quantity that stands still does not make it bend; in a count it would.
-    let still: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 4.0]
+    // Noise of a shared machine in a constant quantity is accepted; the same deviation in a count is rejected.
+    let constant: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 4.0]
         .iter()
         .map(|n| (*n, 100.0 + 3.0 * (n % 2.0)))
         .collect();
-    fit(&still, Growth::Linear, false).expect("what stands still");
-    fit(&still, Growth::Linear, true).expect_err("a count that goes up and down");
+    fit(&constant, Growth::Linear, false).expect("a constant quantity with noise");
+    fit(&constant, Growth::Linear, true).expect_err("a count that goes up and down");
     let few =
         fit(&[(1.0, 1.0), (1.0, 1.1), (2.0, 2.0)], Growth::Linear, true).map_err(|(why, _)| why);
     assert_eq!(few, Err(FitError::TooFew));
@@ -111,7 +112,7 @@
     assert_eq!(none, Err(FitError::TooFew));
 }
 
-fn named(limit: f64) -> Quantity<'static> {
+fn quantity(limit: f64) -> Quantity<'static> {
     Quantity {
         role: "node",
         what: "a quantity",
@@ -124,29 +125,29 @@
 }
 
 #[test]
-fn what_bends_is_not_carried_past_what_was_measured() {
+fn nonlinear_quantity_is_not_extrapolated() {
     let square: Vec<(f64, f64)> = [1.0, 2.0, 3.0, 5.0].iter().map(|n| (*n, n * n)).collect();
-    let row = Row::fitted(&named(20.0), &square, 10.0, Growth::Linear, 1.0);
+    let row = Row::fitted(&quantity(20.0), &square, 10.0, Growth::Linear, 1.0);
     assert_eq!((row.at_size, row.holds, row.ratio), (None, None, None));
     assert!(row.bends.is_some() && table::plain(std::slice::from_ref(&row)).contains("bends"));
-    // Where it was measured itself it is told, whatever its shape.
-    let row = Row::fitted(&named(20.0), &square, 5.0, Growth::Linear, 1.0);
+    // At a measured size the value is reported even if the quantity is nonlinear.
+    let row = Row::fitted(&quantity(20.0), &square, 5.0, Growth::Linear, 1.0);
     assert_eq!((row.at_size, row.holds), (Some(25.0), Some(false)));
     let line: Vec<(f64, f64)> = [1.0, 2.0, 3.0].iter().map(|n| (*n, 2.0 * n)).collect();
-    let row = Row::fitted(&named(20.0), &line, 9.0, Growth::Linear, 1.0);
+    let row = Row::fitted(&quantity(20.0), &line, 9.0, Growth::Linear, 1.0);
     assert_eq!((row.holds, row.measured_up_to), (Some(true), 3.0));
     assert!(table::markdown(&[row]).contains("carried 3.0 times further"));
 }
 
 #[test]
-fn the_worst_ratio_stands_first() {
+fn rows_are_sorted_by_worst_ratio_first() {
     let line = |slope: f64| {
         [1.0, 2.0, 3.0]
             .iter()
             .map(|n| (*n, slope * n))
             .collect::<Vec<_>>()
     };
-    let row = |slope: f64| Row::fitted(&named(20.0), &line(slope), 10.0, Growth::Linear, 1.0);
+    let row = |slope: f64| Row::fitted(&quantity(20.0), &line(slope), 10.0, Growth::Linear, 1.0);
     let mut rows = vec![row(1.0), row(9.0), row(3.0), row(0.5)];
     rows.push(Row {
         limit: None,
@@ -154,7 +155,7 @@
         holds: None,
         ..row(100.0)
     });
-    table::put_in_order(&mut rows);
+    table::sort_rows(&mut rows);
     let slopes: Vec<f64> = rows
         .iter()
         .map(|row| row.slope.unwrap_or(0.0).round())
@@ -168,55 +169,55 @@
 
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// Three copies of each shard, heartbeats every 50 ms: two frames to two followers, and as many back.
+/// Three replicas of each shard and a heartbeat every 50 ms: one frame to each of two followers, and as many replies.
 #[test]
-fn a_hollow_group_at_rest_sends_its_heartbeats_and_nothing_else() {
+fn idle_hollow_group_sends_only_heartbeats() {
     for (members, shards) in [(5, 16), (9, 16), (9, 5), (24, 16)] {
         let spec = GroupSpec {
             shards,
             ..GroupSpec::of(members, WINDOW)
         };
-        let seen = watch(&spec).expect("a group");
-        let beats = u64::from(shards) * 2 * 2 * 40;
+        let measured = simulate(&spec).expect("a group");
+        let expected_frames = u64::from(shards) * 2 * 2 * 40;
         assert!(
-            seen.rest.frames.abs_diff(beats) <= beats / 50,
+            measured.idle.frames.abs_diff(expected_frames) <= expected_frames / 50,
             "{members}, {shards}: {:?}",
-            seen.rest
+            measured.idle
         );
         assert_eq!(
-            (seen.rest.greetings, seen.rest.gossip),
+            (measured.idle.hellos, measured.idle.gossip),
             (0, 0),
             "{members}, {shards}"
         );
         // The same on every run, to the byte.
-        let again = watch(&spec).expect("a group");
+        let again = simulate(&spec).expect("a group");
         assert_eq!(
-            (seen.start, seen.rest, seen.formed),
-            (again.start, again.rest, again.formed)
+            (measured.start, measured.idle, measured.election_time),
+            (again.start, again.idle, again.election_time)
         );
     }
 }
 
-/// Twice a second, the whole of it, to each other member.
+/// Each member sends all its charged tenants to each other member, twice a second.
 #[test]
-fn charged_time_is_told_whole_to_each() {
-    for (members, charged) in [(4, 50), (7, 300)] {
-        let seen = watch(&GroupSpec {
-            charged,
+fn gossip_sends_all_charged_tenants_to_each_member() {
+    for (members, charged_tenants) in [(4, 50), (7, 300)] {
+        let measured = simulate(&GroupSpec {
+            charged_tenants,
             ..GroupSpec::of(members, WINDOW)
         })
         .expect("a group");
         let reports = (members * (members - 1)) as u64 * 4;
         assert!(
-            seen.rest.gossip.abs_diff(reports) <= reports / 4,
+            measured.idle.gossip.abs_diff(reports) <= reports / 4,
             "{members}: {:?}",
-            seen.rest
+            measured.idle
         );
-        let each = seen.rest.gossip_bytes / seen.rest.gossip / charged as u64;
-        // A name, a number of some bytes, and what holds them together.
+        let each = measured.idle.gossip_bytes / measured.idle.gossip / charged_tenants as u64;
+        // A name, a number of some bytes, and their encoding overhead.
         assert!((8..=16).contains(&each), "{each} bytes a tenant");
-        let retained = (seen.retained.reports, seen.retained.tenants);
-        assert_eq!(retained, (members - 1, charged));
+        let retained = (measured.retained.reports, measured.retained.tenants);
+        assert_eq!(retained, (members - 1, charged_tenants));
     }
 }
 
@@ -230,9 +231,9 @@
     rows.into_iter().filter(|row| row.counted).collect()
 }
 
-/// Lines of one fleet against what is counted in a smaller one.
+/// Lines fitted for one fleet are compared with the counts of a smaller one.
 #[test]
-fn lines_tell_what_is_counted_at_another_size_within_a_quarter() {
+fn fitted_lines_predict_counts_at_another_size_within_25_percent() {
     let two_years = counted(&Sizes::default());
     let other = Sizes {
         nodes: 200,
@@ -241,12 +242,12 @@
         tenants: 7_000,
         ..Sizes::default()
     };
-    let met = compare_predictions(&two_years, &counted(&other));
-    assert!(met.len() >= 4, "{met:?}");
-    for one in &met {
-        assert!(one.off() <= 0.25, "{one:?}");
+    let predictions = compare_predictions(&two_years, &counted(&other));
+    assert!(predictions.len() >= 4, "{predictions:?}");
+    for prediction in &predictions {
+        assert!(prediction.relative_difference() <= 0.25, "{prediction:?}");
     }
-    // And past what they were drawn from: a compiled form twelve times as large as the small run's largest.
+    // Extrapolation: a compiled configuration 12 times as large as the largest one that the line was fitted to.
     let part = 0.25;
     let size = Sizes::default().configuration(part, rainstand_test_servers::size::Limited::Tenants);
     let configuration = decisions::compiled(&size).expect("a configuration");
@@ -255,14 +256,15 @@
         .iter()
         .find(|row| row.what == "a version's compiled form")
         .expect("its row");
-    let told = row.intercept.expect("a line") + row.slope.expect("a line") * size.tenants as f64;
+    let predicted =
+        row.intercept.expect("a line") + row.slope.expect("a line") * size.tenants as f64;
     assert!(
-        (told / bytes - 1.0).abs() < 0.25,
-        "told {told} MB, made {bytes} MB"
+        (predicted / bytes - 1.0).abs() < 0.25,
+        "predicted {predicted} MB, encoded {bytes} MB"
     );
 }
 
-fn rig(arguments: &[&str]) -> Output {
+fn run_scale(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rainstand-testbed"));
     command
         .arg("scale")
@@ -272,7 +274,7 @@
 }
 
 #[test]
-fn one_object_is_printed_with_what_programs_read() {
+fn json_output_is_one_object_with_the_expected_fields() {
     let size = [
         "--nodes",
         "40",
@@ -283,15 +285,15 @@
         "--services",
         "60",
     ];
-    let out = rig(&[&["--counts", "--json"][..], &size].concat());
+    let out = run_scale(&[&["--counts", "--json"][..], &size].concat());
     assert_eq!(
         out.status.code(),
         Some(0),
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let told: serde_json::Value = serde_json::from_slice(&out.stdout).expect("one object");
-    let rows = told["rows"].as_array().expect("rows");
+    let output: serde_json::Value = serde_json::from_slice(&out.stdout).expect("one object");
+    let rows = output["rows"].as_array().expect("rows");
     assert!(rows.len() >= 8, "{} rows", rows.len());
     for row in rows {
         for text in ["role", "what", "unit", "by"] {
@@ -308,18 +310,18 @@
         }
         assert!(row["measured_up_to"].is_number(), "{row}");
         assert!(row["holds"].is_boolean() || row["holds"].is_null(), "{row}");
-        let held = row["at_size"]
+        let within_limit = row["at_size"]
             .as_f64()
             .zip(row["limit"].as_f64())
             .map(|(at, limit)| at <= limit);
-        if let Some(held) = held {
-            assert_eq!(row["holds"].as_bool(), Some(held), "{row}");
+        if let Some(within_limit) = within_limit {
+            assert_eq!(row["holds"].as_bool(), Some(within_limit), "{row}");
         }
     }
 }
 
 #[test]
-fn wrong_use_is_told_by_2() {
+fn invalid_arguments_exit_with_2() {
     for arguments in [
         &["--nodes", "none"][..],
         &["--nodes", "0"],
@@ -328,7 +330,7 @@
         &["--and", "what"],
         &["--counts", "--against", "/nowhere/at-all.json"],
     ] {
-        let out = rig(arguments);
+        let out = run_scale(arguments);
         assert_eq!(out.status.code(), Some(2), "{arguments:?}");
         assert!(out.stdout.is_empty(), "{arguments:?}");
     }
