--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,4 +1,4 @@
-//! `rainstand ask`: what a running forwarder reports of itself, as it came or as a table.
+//! `rainstand ask`: prints what a running forwarder reports about itself, unchanged or as a table.
 
 use crate::error::{CommandError, CommandResult};
 use crate::output::{bytes, line, ExitStatus};
@@ -8,9 +8,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// For connecting, and for each read of the response.
+/// Time limit for connecting and for each read of the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of the longest response that is read: decisions and metrics of a thousand members.
+/// Enough for the decisions and metrics of a thousand members.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 /// Columns of the table of members; the last one holds notes.
 const MEMBER_COLUMNS: [&str; 7] = ["pool", "member", "address", "standing", "open", "limit", ""];
@@ -61,7 +61,7 @@
 /// Runs one subcommand.
 ///
 /// # Errors
-/// If nobody answers at the address, or standard output cannot be written.
+/// If no forwarder responds at the address, or standard output cannot be written.
 pub(crate) fn run(options: &Options) -> CommandResult {
     match &options.query {
         Query::Status(target) => show_status(target)?,
@@ -87,7 +87,7 @@
     Ok(line(&text)?)
 }
 
-/// Prints a response of one JSON object a line as a table, or as it is.
+/// Prints a response of one JSON object per line as a table, or unchanged with `--json`.
 fn show_table(
     target: &Target,
     path: &str,
@@ -106,7 +106,7 @@
     Ok(print_table(columns, &rows)?)
 }
 
-/// A value as a cell; a dash for one that is not there.
+/// A value as a cell of a table; a dash for a missing one.
 fn cell(object: &Value, key: &str) -> String {
     match &object[key] {
         Value::Null => "-".into(),
@@ -137,16 +137,16 @@
     row.extend(["type", "tenant", "route", "pool"].map(|key| cell(decision, key)));
     let mut notes = Vec::new();
     if let Some(reason) = decision["turned"].as_str() {
-        row.push(format!("dismissed: {reason}"));
-        notes.push(format!("told {} ms", decision["told_ms"]));
+        row.push(format!("rejected: {reason}"));
+        notes.push(format!("retry after {} ms", decision["told_ms"]));
     } else {
         row.push(cell(decision, "member"));
         let attempt = decision["tried"].as_u64().unwrap_or(1);
         if attempt > 1 {
-            notes.push(format!("try {attempt}"));
+            notes.push(format!("attempt {attempt}"));
         }
         notes.push(format!(
-            "{}, one of {}, {} in hand",
+            "{}, one of {}, {} in flight",
             cell(decision, "how"),
             decision["of"],
             decision["in_hand"]
@@ -172,7 +172,7 @@
     notes
 }
 
-/// Columns as wide as their widest cell.
+/// Prints each column as wide as its widest cell.
 fn print_table(header: &[&str], rows: &[Vec<String>]) -> io::Result<()> {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
@@ -199,7 +199,7 @@
     get(target.at, path).map_err(|error| CommandError::unusable(target.at, error))
 }
 
-/// The body of a response over HTTP.
+/// Sends an HTTP GET request and returns the body of the response.
 fn get(address: SocketAddr, path: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
@@ -210,7 +210,7 @@
         .read_to_string(&mut response)?;
     let (head, body) = response
         .split_once("\r\n\r\n")
-        .ok_or_else(|| io::Error::other("no answer over HTTP"))?;
+        .ok_or_else(|| io::Error::other("the response is not HTTP"))?;
     if head.split(' ').nth(1) == Some("200") {
         return Ok(body.to_owned());
     }
--- a/crates/cli/src/cluster_client.rs
+++ b/crates/cli/src/cluster_client.rs
@@ -5,16 +5,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// For connecting, and for each read of the response. A member that is reachable responds well within it.
+/// Time limit for connecting and for each read of the response; a reachable member responds much faster.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Bytes of the longest response that is read: the status of a thousand shards with some peers each.
+/// Enough for the status of a thousand shards with a few peers each.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Sends a message, and returns the response without its length prefix.
 ///
 /// # Errors
 ///
-/// If the member cannot be reached, does not respond in time, or responds with more than is read.
+/// If the member cannot be reached, does not respond in time, or its response exceeds [`MAX_RESPONSE_BYTES`].
 pub(crate) fn exchange(member: SocketAddr, message: &[u8]) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect_timeout(&member, RESPONSE_TIMEOUT)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
@@ -23,7 +23,9 @@
     stream.read_exact(&mut length_prefix)?;
     let length = u32::from_be_bytes(length_prefix) as usize;
     if length > MAX_RESPONSE_BYTES {
-        return Err(io::Error::other(format!("an answer of {length} bytes")));
+        return Err(io::Error::other(format!(
+            "the response of {length} bytes is too long"
+        )));
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
--- a/crates/cli/src/config/build.rs
+++ b/crates/cli/src/config/build.rs
@@ -1,4 +1,4 @@
-//! `rainstand config build`: compiles a configuration to the form that programs are given.
+//! `rainstand config build`: compiles a configuration to the protobuf formats that servers load.
 
 use crate::config_file::{read, replace};
 use crate::error::{CommandError, CommandResult};
--- a/crates/cli/src/config/check.rs
+++ b/crates/cli/src/config/check.rs
@@ -1,4 +1,4 @@
-//! `rainstand config check`: reads configurations and prints what is wrong with them.
+//! `rainstand config check`: reads configurations and prints their findings.
 
 use super::for_each_file;
 use crate::config_file::{count_of, read, LoadedConfiguration};
@@ -35,7 +35,7 @@
     })
 }
 
-/// What a good configuration was made of.
+/// The number of files, lines and warnings of a valid configuration.
 fn summary(loaded: &LoadedConfiguration) -> String {
     format!(
         "{}, {}, {}",
--- a/crates/cli/src/config/diff.rs
+++ b/crates/cli/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! `rainstand config diff`: prints what changed in meaning between two configurations.
+//! `rainstand config diff`: prints the semantic changes between two configurations.
 
 use crate::config_file::{print_changes, read, LoadedConfiguration};
 use crate::error::{CommandError, CommandResult};
@@ -16,11 +16,11 @@
 }
 
 pub(super) fn run(options: &Options) -> CommandResult {
-    // The findings of both are printed before those of either end the program.
+    // Print the findings of both files before errors in either end the command.
     let old = read_or_report(&options.old, options.json)?;
     let new = read_or_report(&options.new, options.json)?;
     let (Some(old), Some(new)) = (old, new) else {
-        // There was no comparison, so never the status that means "differs".
+        // Nothing was compared, so the status must not mean "differs".
         return Ok(ExitStatus::Unusable);
     };
     let changes = diff(&old.configuration, &new.configuration);
@@ -32,7 +32,7 @@
     })
 }
 
-/// None if the configuration cannot be read or has errors, which is printed.
+/// Reads a configuration. Prints why it cannot be used and returns `None` if it cannot be read or has errors.
 fn read_or_report(path: &str, as_json: bool) -> Result<Option<LoadedConfiguration>, CommandError> {
     match read(path, as_json) {
         Ok(loaded) => Ok(Some(loaded)),
--- a/crates/cli/src/config/explain.rs
+++ b/crates/cli/src/config/explain.rs
@@ -1,4 +1,4 @@
-//! `rainstand config explain`: which route a request takes, and why not another.
+//! `rainstand config explain`: shows which route takes a request, and why the routes before it don't.
 
 use crate::config_file::read;
 use crate::error::{CommandError, CommandResult};
@@ -82,7 +82,7 @@
     })
 }
 
-/// The names of a configuration that options refer to.
+/// Looks up the names that the options refer to.
 struct Names<'a> {
     file: &'a str,
     configuration: &'a Configuration,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Whether the pools and members that cannot be used are known.
+    /// Checks that the excluded pools and members exist.
     fn check_excluded(&self, options: &Options) -> Result<(), CommandError> {
         let mut pools = options.pools_out.iter();
         if let Some(name) = pools.find(|name| self.table.pool(name).is_none()) {
@@ -162,7 +162,7 @@
     }
 }
 
-/// The time budget of the route that takes the request, if the route has one.
+/// The time budget of the route that takes the request, if it has one.
 fn budget_times(
     configuration: &Configuration,
     table: &Table,
@@ -170,19 +170,19 @@
     explanation: &Explanation,
 ) -> Option<Times> {
     explanation.placement.as_ref().ok()?;
-    // The route that takes the request is the last one that was tried.
+    // The steps end with the route that takes the request.
     let route = explanation.steps.len().checked_sub(1)?;
     let has_budget = *configuration.routes[route].budget != *"";
     has_budget.then(|| table.times(route as u16, request.request_class))
 }
 
 fn print_stages(times: &Times) -> io::Result<()> {
-    let ends = STAGES.map(|stage| {
+    let deadlines = STAGES.map(|stage| {
         let left = times.left(stage, Duration::ZERO);
         let name = format!("{stage:?}").to_lowercase();
         format!("{name} by {left:?}")
     });
-    output::line(&format!("  stages over: {}", ends.join(", ")))
+    output::line(&format!("  stages over: {}", deadlines.join(", ")))
 }
 
 fn placement_text(reason: PlacementReason) -> String {
--- a/crates/cli/src/config/fmt.rs
+++ b/crates/cli/src/config/fmt.rs
@@ -1,4 +1,4 @@
-//! `rainstand config fmt`: writes files in their one form.
+//! `rainstand config fmt`: writes files in the canonical format.
 
 use super::for_each_file;
 use crate::config_file::replace;
@@ -32,7 +32,7 @@
         };
         let is_formatted = formatted == text;
         if options.check {
-            return report_form(file, is_formatted);
+            return report_format(file, is_formatted);
         }
         if file == "-" {
             output::bytes(formatted.as_bytes())?;
@@ -44,7 +44,7 @@
     })
 }
 
-fn report_form(file: &str, is_formatted: bool) -> CommandResult {
+fn report_format(file: &str, is_formatted: bool) -> CommandResult {
     if is_formatted {
         return Ok(ExitStatus::Success);
     }
--- a/crates/cli/src/config/mod.rs
+++ b/crates/cli/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `rainstand config …`: one module a subcommand; each reads files, calls the libraries, and prints.
+//! `rainstand config …`: one module per subcommand; each reads files, calls the libraries, and prints.
 
 mod build;
 mod check;
@@ -79,12 +79,12 @@
     }
 }
 
-/// Runs a subcommand for each file. A file that cannot be read does not stop it; the worst status counts.
+/// Runs a subcommand for each file, also after a file that cannot be read. Returns the most severe status.
 fn for_each_file(files: &[String], mut run: impl FnMut(&str) -> CommandResult) -> CommandResult {
     let mut worst = ExitStatus::Success;
     for file in files {
         let status = match run(file) {
-            // Nothing more can be printed.
+            // Standard output cannot be written.
             Err(error @ CommandError::Io(_)) => return Err(error),
             Err(error) => error.print(),
             Ok(status) => status,
--- a/crates/cli/src/config/why.rs
+++ b/crates/cli/src/config/why.rs
@@ -6,7 +6,7 @@
 use rainstand_config::codes::{Code, Examples};
 use rainstand_config::formatter::format;
 
-/// The first line of each file; examples go without it.
+/// The first line of each file, left out of the examples.
 const FIRST_LINE: &str = "rain 1\n";
 
 #[derive(Args)]
@@ -48,7 +48,7 @@
             continue;
         }
         lines.extend([String::new(), format!("{name}:")]);
-        // In the form that people write.
+        // Formatted as by `config fmt`.
         let formatted = format(&format!("{FIRST_LINE}{example}"));
         let shown = match &formatted {
             Ok(formatted) => formatted.trim_start_matches(FIRST_LINE),
--- a/crates/cli/src/config_file.rs
+++ b/crates/cli/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Configuration files: read in any of their forms, replaced in one step, and what a change of one says.
+//! Reads configuration files in each of their formats, replaces files atomically, and prints changes.
 
 use crate::error::CommandError;
 use crate::output::{self, ExitStatus};
@@ -14,26 +14,26 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// Permissions of a file that was not there before: for whoever may read its folder.
+/// Permissions of a new file: readable by all users who can read its folder.
 const NEW_FILE_MODE: u32 = 0o644;
 
 /// A configuration as it was read from a file.
 pub(crate) struct LoadedConfiguration {
     pub(crate) configuration: Configuration,
-    /// The `.rain` files that it came from; empty for a compiled one.
+    /// The `.rain` files that it was read from; empty for a compiled one.
     pub(crate) sources: SourceMap,
-    /// Warnings that were printed.
+    /// Number of printed warnings.
     pub(crate) warnings: usize,
 }
 
-/// A file's form, by its name.
-enum FileForm {
+/// A file's format, by its name.
+enum FileFormat {
     Rain,
     CompiledText,
     CompiledBinary,
 }
 
-impl FileForm {
+impl FileFormat {
     fn of(path: &str) -> Self {
         let extension = Path::new(path)
             .extension()
@@ -47,15 +47,15 @@
     }
 }
 
-/// Reads a configuration in any of its three forms. Findings are printed.
+/// Reads a configuration in any of its three formats and prints the findings.
 ///
 /// # Errors
-/// If the file cannot be read, is no configuration, or has errors.
+/// If the file cannot be read, is not a configuration, or has errors.
 pub(crate) fn read(path: &str, as_json: bool) -> Result<LoadedConfiguration, CommandError> {
-    let configuration = match FileForm::of(path) {
-        FileForm::Rain => return read_rain(path, as_json),
-        FileForm::CompiledText => read_compiled_text(path)?,
-        FileForm::CompiledBinary => read_compiled_binary(path)?,
+    let configuration = match FileFormat::of(path) {
+        FileFormat::Rain => return read_rain(path, as_json),
+        FileFormat::CompiledText => read_compiled_text(path)?,
+        FileFormat::CompiledBinary => read_compiled_binary(path)?,
     };
     Ok(LoadedConfiguration {
         configuration,
@@ -84,7 +84,7 @@
     Err(CommandError::Reported(ExitStatus::Found))
 }
 
-/// Whether a finding is about the first file as such, and not about something in it.
+/// Whether a finding is about the first file itself and not about its contents.
 fn is_unreadable_first_file(finding: &Finding) -> bool {
     let is_about_reading = matches!(
         finding.code,
@@ -104,17 +104,17 @@
 
 fn read_compiled_binary(path: &str) -> Result<Configuration, CommandError> {
     let bytes = fs::read(path).map_err(|error| CommandError::unusable(path, error))?;
-    checked(path, schema::from_binary(&bytes))
+    check_routable(path, schema::from_binary(&bytes))
 }
 
 fn read_compiled_text(path: &str) -> Result<Configuration, CommandError> {
     let bytes = fs::read(path).map_err(|error| CommandError::unusable(path, error))?;
     let text = std::str::from_utf8(&bytes).map_err(|error| CommandError::unusable(path, error))?;
-    checked(path, schema::from_text(text))
+    check_routable(path, schema::from_text(text))
 }
 
-/// A configuration that can be routed by.
-fn checked(
+/// Checks that a routing table can be built from a configuration.
+fn check_routable(
     path: &str,
     decoded: Result<Configuration, schema::DecodeError>,
 ) -> Result<Configuration, CommandError> {
@@ -128,11 +128,11 @@
     })
 }
 
-/// Replaces a file in one step: a reader sees the old one or the new one, complete. Links stay links, and the
-/// permissions stay.
+/// Replaces a file atomically: a reader sees either the complete old file or the complete new one. Symbolic links and
+/// permissions are preserved.
 ///
 /// # Errors
-/// If a file cannot be written in the same folder, or cannot take the other's place.
+/// If the new file cannot be written in the same folder, or cannot be renamed to `path`.
 pub(crate) fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let path = fs::canonicalize(path).unwrap_or_else(|_| path.to_owned());
     let folder = path
@@ -151,7 +151,7 @@
     Ok(())
 }
 
-/// Prints what changed in meaning, one change a line.
+/// Prints semantic changes, one per line.
 pub(crate) fn print_changes(changes: &[Change], as_json: bool) -> io::Result<()> {
     for change in changes {
         if as_json {
--- a/crates/cli/src/control/client.rs
+++ b/crates/cli/src/control/client.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a server's status is not available.
+/// Why a server's state cannot be queried.
 #[derive(Debug, Error)]
 pub(super) enum QueryError {
     #[error(transparent)]
@@ -21,18 +21,18 @@
     Snapshot(#[from] UpdateError),
     /// The server's replica may be behind: no leader confirmed it with a majority.
     #[error(
-        "no majority confirms which version is the newest; ask another machine, or again later"
+        "no majority confirms which version is the newest; query another server, or retry later"
     )]
     Unconfirmed,
-    #[error("this machine holds no copy of the versions; ask another one")]
+    #[error("this server holds no copy of the versions; query another one")]
     NoReplica,
-    /// The server's own words.
+    /// An error message from the server.
     #[error("{0}")]
     Server(String),
 }
 
-/// A server's view of the versions and of the processes that are attached to it. All but the name and the members is
-/// missing on a server that holds no copy of the versions.
+/// A server's view of the versions and of its subscribers. All fields except the name and the members are missing if
+/// the server holds no copy of the versions.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct VersionsResponse {
@@ -41,15 +41,15 @@
     /// Whether the server holds a copy of the versions.
     #[serde(rename = "here")]
     pub(super) has_copy: Option<bool>,
-    /// Whether a leader confirmed with a majority that the version was the newest when the server was asked.
+    /// Whether a leader confirmed with a majority that the version was the newest at the time of the request.
     pub(super) current: Option<bool>,
     /// Newest version.
     pub(super) version: Option<u64>,
     pub(super) digest: Option<String>,
-    /// Number of attached processes.
+    /// Number of subscribers.
     pub(super) attached: Option<u64>,
     pub(super) versions: Vec<VersionProgress>,
-    /// Versions that attached processes rejected, as they are printed with `--json`.
+    /// Versions that subscribers rejected, as printed with `--json`.
     #[serde(rename = "refusals")]
     pub(super) rejections: Vec<Value>,
 }
@@ -61,7 +61,7 @@
     pub(super) address: String,
 }
 
-/// How far one version was rolled out to the processes of one server.
+/// Rollout progress of one version among the subscribers of one server.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct VersionProgress {
@@ -75,17 +75,17 @@
     #[serde(rename = "refused")]
     pub(super) rejected: u64,
     pub(super) behind: u64,
-    pub(super) slowest: Option<SlowestProcess>,
+    pub(super) slowest: Option<SlowestSubscriber>,
 }
 
-/// A process that does not hold a version, ordered by the version that it holds.
+/// A subscriber that is behind a version, ordered by the version that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
-pub(super) struct SlowestProcess {
+pub(super) struct SlowestSubscriber {
     pub(super) version: u64,
     pub(super) name: String,
 }
 
-/// The newest `count` versions on a server, and their progress.
+/// The newest `count` versions on a server, with their rollout progress.
 pub(super) fn query_versions(
     server: SocketAddr,
     count: usize,
@@ -100,8 +100,8 @@
 
 /// The newest committed version, from a server's replica; version 0, which is empty, if there is none.
 ///
-/// The contents are never older than the version that was confirmed just before: "nothing changes" and "made from
-/// another version" are said of what the group has committed, not of what one machine has applied.
+/// The contents are never older than the version that was confirmed just before, so "nothing changes" and "made from
+/// another version" refer to what the group has committed, not to what one server has applied.
 ///
 /// # Errors
 /// [`QueryError::Unconfirmed`] if the server cannot say which version is the newest.
@@ -114,14 +114,14 @@
         return Err(QueryError::Unconfirmed);
     }
     let newest = fetch_replica(server)?;
-    // The machine may have started over with an empty disk since it answered.
+    // The server may have restarted with an empty disk since its first response.
     if Some(newest.version) < response.version {
         return Err(QueryError::Unconfirmed);
     }
     Ok(newest)
 }
 
-/// What a server's replica holds.
+/// The version in a server's replica.
 fn fetch_replica(server: SocketAddr) -> Result<DecodedSnapshot, QueryError> {
     let compressed = exchange(server, &status::encode_question("whole"))?;
     if compressed.is_empty() {
--- a/crates/cli/src/control/events.rs
+++ b/crates/cli/src/control/events.rs
@@ -1,9 +1,9 @@
-//! Log lines of a config server. The names are documented in `docs/control.md` and `docs/copies.md`.
+//! Log events of a config server. Their names are documented in `docs/control.md` and `docs/copies.md`.
 
 use rainstand_config_distribution::publisher::Event;
 use rainstand_replicated_state::member::GroupEvent;
 
-/// Logs an event of the cluster. The names are those that nodes use for the same events.
+/// Logs an event of the cluster under the name that nodes use for the same event.
 pub(super) fn log_group_event(event: &GroupEvent) {
     match event {
         GroupEvent::Bootstrapped { members } => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Logs an event of an attached process.
+/// Logs an event of a subscriber.
 pub(super) fn log_publisher_event(event: &Event) {
     match event {
         Event::Attached { name, version } => {
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -22,7 +22,7 @@
 use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, LocalSet};
 
-/// How long a server that was told to end tries to hand over the leadership of its shards.
+/// Time limit for handing over the leadership of its shards when a server shuts down.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Args)]
@@ -65,10 +65,7 @@
     let signals = Signals::install(&runtime)?;
     let configuration = read(&options.config, false)?.configuration;
     let group = configuration.groups.into_iter().next().ok_or_else(|| {
-        CommandError::unusable(
-            &options.config,
-            "no `group` block names the control machines",
-        )
+        CommandError::unusable(&options.config, "no `group` block names the config servers")
     })?;
     log::init();
     let member_options = MemberOptions {
@@ -110,7 +107,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Takes over the members from the configuration file at each SIGHUP.
+/// Applies the members in the configuration file at each SIGHUP.
 async fn reload_on_hangup(member: Rc<ClusterMember>, path: String, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match reload_members(&member, &path) {
--- a/crates/cli/src/control/publish.rs
+++ b/crates/cli/src/control/publish.rs
@@ -35,24 +35,25 @@
     json: bool,
 }
 
-/// What became of a configuration that was to be published. Each variant is a JSON object with one key.
+/// Outcome of publishing a configuration. Each variant is a JSON object with one key.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum PublishOutcome {
     /// Committed as this version.
     Committed(u64),
-    /// Equal to this version, which the group confirmed as the newest.
+    /// The configuration equals this version, which the group confirmed as the newest.
     Unchanged(u64),
-    /// A dry run: it would become this version.
+    /// A dry run: the configuration would become this version.
     #[serde(rename = "would")]
     WouldCommit(u64),
-    /// It was made from another version than the newest.
+    /// The configuration is not based on the newest version.
     Conflict(String),
     #[serde(rename = "refused")]
     Rejected(String),
-    /// Which version is the newest, or whether this one is committed, is not known.
+    /// It is not known which version is the newest, or whether this one was committed.
     Unknown(String),
-    /// An answer of another release of the server, printed as it is: what became of the version is not known.
+    /// A response from a different release of the server, printed unchanged: it is not known whether the version was
+    /// committed.
     #[serde(untagged)]
     Other(Value),
 }
@@ -63,7 +64,7 @@
 /// If it cannot be read, has errors, or the server cannot be reached.
 pub(crate) fn publish(options: &Publishing) -> CommandResult {
     let configuration = read(&options.file, options.json)?.configuration;
-    // A configuration that the attached processes would reject is rejected here.
+    // Reject what subscribers would reject.
     if let Err(error) = Table::new(&configuration) {
         eprintln!("rainstand: {}: {error}", options.file);
         return Ok(ExitStatus::Found);
@@ -107,7 +108,7 @@
     if options.dry_run {
         return Ok(PublishOutcome::WouldCommit(from + 1));
     }
-    // After an error it is not known whether the request arrived.
+    // After an error, the request may or may not have arrived.
     let outcome = send(options.at, &request);
     Ok(outcome.unwrap_or_else(|error| PublishOutcome::Unknown(error.to_string())))
 }
@@ -140,7 +141,7 @@
         PublishOutcome::Conflict(reason) => eprintln!("rainstand: conflict: {reason}"),
         PublishOutcome::Rejected(reason) => eprintln!("rainstand: refused: {reason}"),
         PublishOutcome::Unknown(error) => print_unknown(error),
-        PublishOutcome::Other(answer) => print_unknown(&format!("another answer came: {answer}")),
+        PublishOutcome::Other(answer) => print_unknown(&format!("unexpected response: {answer}")),
     }
     Ok(code)
 }
--- a/crates/cli/src/control/versions.rs
+++ b/crates/cli/src/control/versions.rs
@@ -1,6 +1,6 @@
-//! `rainstand config versions`: how far the newest versions were rolled out, over all config servers.
+//! `rainstand config versions`: shows the rollout progress of the newest versions, over all config servers.
 
-use super::client::{query_versions, QueryError, SlowestProcess, VersionsResponse};
+use super::client::{query_versions, QueryError, SlowestSubscriber, VersionsResponse};
 use crate::error::{CommandError, CommandResult};
 use crate::output::{json as json_line, line, ExitStatus};
 use clap::Args;
@@ -21,13 +21,13 @@
     json: bool,
 }
 
-/// A server's answer, or why there is none.
+/// A server's response, or why there is none.
 struct ServerReport {
     name: String,
     response: Result<VersionsResponse, QueryError>,
 }
 
-/// Progress of one version over all servers that answered.
+/// Rollout progress of one version over all servers that responded.
 #[derive(Default)]
 struct VersionSummary {
     version: u64,
@@ -37,13 +37,13 @@
     acknowledged: u64,
     rejected: u64,
     behind: u64,
-    slowest: Option<SlowestProcess>,
+    slowest: Option<SlowestSubscriber>,
 }
 
 /// Prints the progress of the newest versions.
 ///
 /// # Errors
-/// If the server cannot be reached or does not say what it holds.
+/// If the server cannot be reached or its response is not valid.
 pub(crate) fn versions(options: &Versions) -> CommandResult {
     let first = query_versions(options.at, options.last)
         .map_err(|error| CommandError::unusable(options.at, error))?;
@@ -66,11 +66,11 @@
     Ok(exit_code(&reports, rejections.is_empty()))
 }
 
-/// One confirmed answer is enough to know the newest version.
-fn exit_code(reports: &[ServerReport], nobody_rejects: bool) -> ExitStatus {
+/// One confirmed response is enough to know the newest version.
+fn exit_code(reports: &[ServerReport], none_rejected: bool) -> ExitStatus {
     let newest_is_known = responses(reports).any(|response| response.current == Some(true));
-    let all_answered = reports.iter().all(|report| report.response.is_ok());
-    match (newest_is_known, all_answered && nobody_rejects) {
+    let all_responded = reports.iter().all(|report| report.response.is_ok());
+    match (newest_is_known, all_responded && none_rejected) {
         (false, _) => ExitStatus::Unknown,
         (true, true) => ExitStatus::Success,
         (true, false) => ExitStatus::Found,
@@ -131,7 +131,7 @@
             .iter()
             .find(|progress| progress.version == self.version);
         let Some(progress) = progress else {
-            // On a server that does not have the version yet, all attached processes are behind.
+            // On a server that does not have the version yet, all subscribers are behind.
             if response.version.unwrap_or(0) < self.version {
                 self.behind += response.attached.unwrap_or(0);
             }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand cannot do its work, and the exit status that says so.
+//! Errors of subcommands, and the exit statuses that they lead to.
 
 use crate::output::ExitStatus;
 use rainstand_config::schema;
@@ -6,10 +6,10 @@
 use std::fmt::Display;
 use std::io;
 
-/// How a subcommand ended.
+/// The result of a subcommand.
 pub(crate) type CommandResult = Result<ExitStatus, CommandError>;
 
-/// Why a subcommand cannot do its work.
+/// An error that ends a subcommand.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     /// A file, an address or an argument cannot be used.
@@ -19,22 +19,22 @@
         subject: String,
         reason: Box<dyn Error>,
     },
-    /// A file is no compiled configuration.
+    /// A file is not a valid compiled configuration.
     #[error("{path}:{error}")]
     MalformedConfiguration {
         path: String,
         error: schema::DecodeError,
     },
-    /// The findings are printed already.
+    /// The findings were printed already.
     #[error("findings were printed")]
     Reported(ExitStatus),
-    /// Standard output cannot be written, or the system lacks something.
+    /// Standard output cannot be written, or another system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
 impl CommandError {
-    /// The subject of an error, and what is wrong with it.
+    /// Creates a [`CommandError::Unusable`].
     pub(crate) fn unusable(subject: impl Display, reason: impl Into<Box<dyn Error>>) -> Self {
         Self::Unusable {
             subject: subject.to_string(),
@@ -42,11 +42,12 @@
         }
     }
 
-    /// Prints the error on standard error, unless that was done or is of no use; the status to end with.
+    /// Prints the error on standard error unless it was reported before or the reader has closed our output.
+    /// Returns the exit status.
     pub(crate) fn print(&self) -> ExitStatus {
         match self {
             Self::Reported(status) => return *status,
-            // Somebody closed our output, such as `head`: they have what they wanted.
+            // The reader closed our output, as `head` does once it has enough lines: not an error.
             Self::Io(error) if error.kind() == io::ErrorKind::BrokenPipe => {
                 return ExitStatus::Success;
             }
--- a/crates/cli/src/forward/attachment.rs
+++ b/crates/cli/src/forward/attachment.rs
@@ -1,4 +1,4 @@
-//! A forwarder's attachment to config servers: its options, how a version is applied, and how it is stored on disk.
+//! A forwarder's attachment to config servers: its options, how versions are applied, and how the last one is stored.
 
 use crate::config_file::replace;
 use clap::Args;
@@ -24,10 +24,9 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_blocking, spawn_local, JoinError};
 
-/// File in the version folder that holds the last version.
+/// File in the control folder that holds the last version.
 const SNAPSHOT_FILE: &str = "version.packed";
-/// Minimum time between two writes of that file: each compresses the full version, on a thread beside the one that
-/// serves.
+/// Minimum time between two writes of that file: each compresses the full version on a background thread.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Args, Clone, Default)]
@@ -47,7 +46,7 @@
     region: String,
 }
 
-/// The attachment of a process: to which servers, and as which process.
+/// The identity with which a process attaches, and the servers that it attaches to.
 pub(crate) struct AttachmentPlan {
     identity: NodeIdentity,
     servers: Vec<ControlMember>,
@@ -57,28 +56,28 @@
     seed: u64,
 }
 
-/// A version that was read from the disk at the start.
+/// A version read from disk at the start.
 pub(crate) struct StoredVersion {
     pub(crate) snapshot: DecodedSnapshot,
     /// The snapshot's state as a configuration.
     pub(crate) configuration: Configuration,
 }
 
-/// An attachment was asked for by options that do not say enough.
+/// Config servers are given, but the process has no name.
 #[derive(Debug, thiserror::Error)]
-#[error("with control machines, `--name` says which process this is")]
+#[error("config servers are given, but `--name` is missing")]
 pub(crate) struct MissingName;
 
-/// Why the configuration that an update leads to is not known.
+/// Why the configuration after an update cannot be determined.
 #[derive(Debug, thiserror::Error)]
 enum PendingError {
-    #[error("nothing is pending")]
+    #[error("no update is pending")]
     NothingPending,
     #[error(transparent)]
     Update(#[from] UpdateError),
 }
 
-/// Why a version is not on the disk.
+/// Why a version cannot be stored.
 #[derive(Debug, thiserror::Error)]
 enum StoreError {
     #[error(transparent)]
@@ -90,7 +89,7 @@
 }
 
 impl Options {
-    /// The attachment that the options and the `control` block ask for; `None` if neither names a config server.
+    /// The attachment that the options and the `control` block specify; `None` if neither names a config server.
     ///
     /// # Errors
     /// If there are config servers and this process has no name.
@@ -136,7 +135,7 @@
 }
 
 impl AttachmentPlan {
-    /// The version that was in force before this start. One that cannot be read is logged and ignored.
+    /// The version in force before this start. If it cannot be read, the error is logged and `None` returned.
     pub(crate) fn stored_version(&self) -> Option<StoredVersion> {
         let path = self.folder.as_ref()?.join(SNAPSHOT_FILE);
         let bytes = match std::fs::read(&path) {
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Starts the attachment in the background, from the `stored` version on if there is one.
+    /// Starts the attachment in the background, from the `stored` version if there is one.
     pub(crate) fn start(self, context: &Rc<ForwarderContext>, stored: Option<DecodedSnapshot>) {
         let identity = self.identity.clone();
         let subscriber = match stored {
@@ -197,12 +196,12 @@
     })
 }
 
-/// Applies the pending update to the forwarder: a delta by its own cost where that is possible, and the full
-/// configuration otherwise.
+/// Applies the pending update to the forwarder: as a delta if possible, at a cost proportional to its size, or else as a
+/// full configuration.
 fn apply_callback(context: Rc<ForwarderContext>, forwarder_number: usize) -> ApplyCallback {
     Box::new(move |subscriber| {
         if let Some(PendingUpdate::Delta(delta)) = subscriber.pending() {
-            // The first version is a full configuration, whatever it is sent as.
+            // The first version is applied as a full configuration even if it is sent as a delta.
             if subscriber.version() > 0 {
                 let changes = table_changes(subscriber.state(), delta, forwarder_number)
                     .map_err(ApplyError::new)?;
@@ -223,7 +222,7 @@
     })
 }
 
-/// The full configuration that the pending update leads to.
+/// The full configuration after the pending update.
 fn pending_configuration(subscriber: &Subscriber) -> Result<Configuration, PendingError> {
     let configuration = match subscriber.pending() {
         Some(PendingUpdate::Snapshot { state, .. }) => state.configuration(),
@@ -236,8 +235,8 @@
     Ok(configuration?)
 }
 
-/// Writes the version in force to `folder`, at most once in [`SNAPSHOT_INTERVAL`] and when the attachment ends. One write
-/// runs at a time.
+/// Writes the version in force to `folder`, at most once per [`SNAPSHOT_INTERVAL`] and when the attachment ends. One
+/// write runs at a time.
 fn store_callback(folder: Option<PathBuf>, stored_version: u64) -> StatusCallback {
     let mut stored_version = stored_version;
     let mut stored_at = None::<Instant>;
@@ -296,7 +295,7 @@
     }
 }
 
-/// Logs an event of the attachment. The names are documented in `docs/control.md`.
+/// Logs an event of the attachment. Event names are documented in `docs/control.md`.
 fn log_event(event: &AttachmentEvent, subscriber: &Subscriber) {
     let holds = subscriber.version();
     match event {
--- a/crates/cli/src/forward/background_read.rs
+++ b/crates/cli/src/forward/background_read.rs
@@ -1,7 +1,8 @@
-//! Reads the forwarder's configuration on a thread of its own.
+//! Reads the forwarder's configuration on a separate thread.
 //!
-//! A file of 154,000 lines takes a third of a second, for which requests would wait, and many times the memory of what
-//! it says, all of which is freed when nothing of that thread is left. So the result comes over as bytes.
+//! Reading a file of 154,000 lines takes a third of a second, which would delay requests, and many times the memory of
+//! the configuration. All of that memory is freed once no allocation of the thread is left, so the thread returns
+//! the result as bytes.
 
 use crate::config_file::read;
 use crate::error::CommandError;
@@ -15,15 +16,15 @@
 /// Why a configuration cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// What is wrong with it is printed already.
+    /// The findings were printed already.
     #[error("the configuration has errors")]
     Reported(ExitStatus),
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The thread ended without a result.
-    #[error("reading it broke off")]
-    BrokenOff,
-    /// The thread's bytes cannot be decoded.
+    #[error("the reading thread ended without a result")]
+    NoResult,
+    /// The bytes that the thread returned cannot be decoded.
     #[error(transparent)]
     Malformed(#[from] schema::DecodeError),
 }
@@ -43,32 +44,32 @@
 }
 
 impl BackgroundRead {
-    /// Starts to read a file. Each pool keeps the members that the forwarder of this number knows.
+    /// Starts to read a file. Each pool is reduced to the subset of members that the forwarder of this number uses.
     ///
     /// # Errors
-    /// If there can be no further thread.
+    /// If the thread cannot be started.
     pub(super) fn start(path: &str, forwarder_number: usize) -> io::Result<Self> {
         let (sender, encoded) = oneshot::channel();
         let path = path.to_owned();
         thread::Builder::new().name("read".into()).spawn(move || {
-            // Nobody waits for it if the program ends.
+            // The receiver is gone if the program is exiting.
             let _ = sender.send(read_encoded(&path, forwarder_number));
         })?;
         Ok(Self { encoded })
     }
 
-    /// The configuration, once it is read.
+    /// Waits until the configuration is read.
     ///
     /// # Errors
     /// If it cannot be read or has errors.
     pub(super) async fn finish(self) -> Result<Configuration, ReadError> {
-        decode(self.encoded.await.map_err(|_| ReadError::BrokenOff)?)
+        decode(self.encoded.await.map_err(|_| ReadError::NoResult)?)
     }
 
-    /// The same, where nothing else runs yet.
+    /// Like [`Self::finish`], but blocking: for use before the runtime runs.
     pub(super) fn finish_blocking(self) -> Result<Configuration, ReadError> {
         let encoded = self.encoded.blocking_recv();
-        decode(encoded.map_err(|_| ReadError::BrokenOff)?)
+        decode(encoded.map_err(|_| ReadError::NoResult)?)
     }
 }
 
--- a/crates/cli/src/forward/mod.rs
+++ b/crates/cli/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! `rainstand forward`: a forwarder by a configuration, until it is told to leave.
+//! `rainstand forward`: runs a forwarder until a signal stops it.
 
 mod attachment;
 mod background_read;
@@ -59,7 +59,7 @@
     attachment: attachment::Options,
 }
 
-/// Why the configuration file is not in force after SIGHUP.
+/// Why the configuration file was not applied after SIGHUP.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -68,11 +68,11 @@
     Rejected(#[from] ConfigurationError),
 }
 
-/// What the forwarder starts with.
+/// The forwarder's state before it serves.
 struct InitialState {
     context: Rc<ForwarderContext>,
     attachment: Option<AttachmentPlan>,
-    /// The version in force, if it came from the disk.
+    /// The version in force, if it was read from disk.
     stored: Option<DecodedSnapshot>,
 }
 
@@ -99,7 +99,7 @@
     })
 }
 
-/// The forwarder with the version on its disk, or else with the file's configuration.
+/// Creates the forwarder with the version stored on disk, or else with the file's configuration.
 fn initial_state(
     options: &Options,
     configuration: Configuration,
@@ -137,7 +137,7 @@
     (configuration, snapshot)
 }
 
-/// Another one at each start: the standard library's maps are keyed by what the system draws.
+/// A different seed at each start: [`RandomState`] takes its keys from the operating system's random numbers.
 fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
@@ -187,12 +187,12 @@
     }
 }
 
-/// Puts the configuration file into force at each SIGHUP. One that cannot be used changes nothing.
+/// Applies the configuration file at each SIGHUP. A file that cannot be used changes nothing.
 struct Reload {
     context: Rc<ForwarderContext>,
     path: String,
     forwarder_number: usize,
-    /// Versions come from control machines, and the file is not read.
+    /// Config servers provide the versions, and the file is not read again.
     is_attached: bool,
 }
 
@@ -200,7 +200,7 @@
     async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             if self.is_attached {
-                let why = "control machines tell the versions";
+                let why = "config servers provide the versions";
                 tracing::warn!(event = "version_rejected", why);
                 continue;
             }
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The number of the new version in this forwarder.
+    /// Returns the number of the new version in this forwarder.
     async fn reload(&self) -> Result<u64, ReloadError> {
         let read = BackgroundRead::start(&self.path, self.forwarder_number);
         let configuration = read.map_err(ReadError::from)?.finish().await?;
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,8 +1,8 @@
-//! The log of a server: events with their fields, a line each, on standard error.
+//! The log of a server: one event with its fields per line, on standard error.
 
 use std::io;
 
-/// Starts logging. That nobody reads the lines any more is no reason to end, nor to complain.
+/// Starts logging. Failed writes to standard error are ignored, because its reader may have closed it.
 pub(crate) fn init() {
     tracing_subscriber::fmt()
         .with_writer(io::stderr)
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Results to standard output, findings to standard error, and how the program ends.
+//! Writes results to standard output and findings to standard error, and defines the exit statuses.
 
 use rainstand_config::codes::Severity;
 use rainstand_config::source::SourceMap;
@@ -8,16 +8,16 @@
 use std::process::ExitCode;
 use termcolor::{ColorChoice, StandardStream};
 
-/// The stated exit codes, the worst last.
+/// The documented exit codes, the most severe last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ExitStatus {
-    /// All went well.
+    /// The command succeeded.
     Success,
-    /// Errors in a configuration, differences, a file that is not in its form, a request without a route.
+    /// Errors in a configuration, differences, a file that is not formatted, a request without a route.
     Found,
-    /// Wrong use, or a file that cannot be read.
+    /// Invalid arguments, or a file that cannot be read.
     Unusable,
-    /// A machine answered, but cannot say what its group has committed.
+    /// A server responded but does not know what its group has committed.
     Unknown,
 }
 
@@ -27,9 +27,9 @@
     }
 }
 
-/// A place in a configuration's sources, as JSON.
+/// A location in a configuration's sources, as JSON.
 #[derive(Serialize)]
-struct PlaceJson<'a> {
+struct LocationJson<'a> {
     file: &'a str,
     line: usize,
     column: usize,
@@ -40,23 +40,23 @@
 #[derive(Serialize)]
 struct FindingJson<'a> {
     #[serde(flatten)]
-    place: PlaceJson<'a>,
+    location: LocationJson<'a>,
     code: &'a str,
     severity: &'a str,
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    also: Vec<PlaceJson<'a>>,
+    also: Vec<LocationJson<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     help: Option<&'a str>,
 }
 
-/// Prints one object as a line.
+/// Prints one JSON object as a line.
 pub(crate) fn json(value: &impl Serialize) -> io::Result<()> {
     let mut line = serde_json::to_vec(value)?;
     line.push(b'\n');
     bytes(&line)
 }
 
-/// Prints bytes as they are.
+/// Prints bytes unchanged.
 pub(crate) fn bytes(bytes: &[u8]) -> io::Result<()> {
     let mut out = io::stdout().lock();
     out.write_all(bytes)?;
@@ -68,8 +68,7 @@
     bytes(format!("{text}\n").as_bytes())
 }
 
-/// Prints findings with the lines they are about: in colour on a terminal's standard error, or as JSON on standard
-/// output.
+/// Prints findings with their source lines: in colour if standard error is a terminal, or as JSON on standard output.
 pub(crate) fn findings(sources: &SourceMap, findings: &[Finding], as_json: bool) -> io::Result<()> {
     if as_json {
         return findings
@@ -85,10 +84,10 @@
 }
 
 fn finding_json<'a>(sources: &'a SourceMap, finding: &'a Finding) -> FindingJson<'a> {
-    let place = |at, message| {
-        let (line, column) = sources.line_column(at);
-        PlaceJson {
-            file: sources.path(at.file),
+    let location = |span, message| {
+        let (line, column) = sources.line_column(span);
+        LocationJson {
+            file: sources.path(span.file),
             line,
             column,
             message,
@@ -99,13 +98,13 @@
         Severity::Warning => "warning",
     };
     FindingJson {
-        place: place(finding.span, &finding.message),
+        location: location(finding.span, &finding.message),
         code: finding.code.id(),
         severity,
         also: finding
             .labels
             .iter()
-            .map(|label| place(label.span, &label.message))
+            .map(|label| location(label.span, &label.message))
             .collect(),
         help: finding.help.as_deref(),
     }
--- a/crates/cli/src/replica.rs
+++ b/crates/cli/src/replica.rs
@@ -1,4 +1,5 @@
-//! `rainstand replica`: shows what a group's members report of their replicas, and recovers from the loss of a majority.
+//! `rainstand replica`: shows what a group's members report about their replicas, and recovers from the loss of a
+//! majority.
 
 use crate::cluster_client::exchange;
 use crate::output::{bytes, line, ExitStatus};
@@ -11,7 +12,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-// Options of all subcommands that ask a running member. Doc comments here and below are help texts.
+// Options of all subcommands that query a running member. Doc comments here and below are help texts.
 #[derive(Args, Clone)]
 pub(crate) struct Target {
     /// The address of a member in its `group` block
@@ -87,7 +88,7 @@
     }
 }
 
-/// The response to a query; none if there is none, which is reported on standard error.
+/// Queries a member. On an error, prints it on standard error and returns `None`.
 fn query(target: &Target, words: &str) -> Option<String> {
     let response = exchange(target.member, &status::encode_question(words))
         .and_then(|body| String::from_utf8(body).map_err(io::Error::other));
@@ -100,7 +101,7 @@
     }
 }
 
-/// Prints a JSON response as it is, or, without `--json`, by the given function.
+/// Prints a JSON response unchanged with `--json`, or else with the given function.
 fn show(
     target: &Target,
     response: &str,
@@ -178,7 +179,7 @@
     }
 }
 
-/// A JSON value as a cell of a table: strings without quotes, and a dash for what is missing.
+/// A JSON value as a cell of a table: strings without quotes, and a dash for a missing value.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
@@ -187,12 +188,12 @@
     }
 }
 
-/// The elements of a JSON array; none if it is something else.
+/// The elements of a JSON array; none if the value is not an array.
 fn elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// A row of the table of shards.
+/// A row of the shard table.
 struct ShardRow {
     shard: String,
     role: String,
@@ -252,7 +253,7 @@
     }
 }
 
-/// A member of a shard: its name, whether it is a learner, and, from the leader, how far behind it is.
+/// A member of a shard: its name, whether it is a learner, and, if the leader responds, its lag in entries.
 fn describe_shard_member(shard: &Value, member: &Value) -> String {
     let learner_mark = if member["votes"] == true {
         ""
@@ -302,7 +303,7 @@
             "no link"
         };
         let stale_mark = if peer["old_copy"] == true {
-            "  came with an old copy of its disk"
+            "  connected with a stale copy of its disk"
         } else {
             ""
         };
@@ -334,8 +335,8 @@
     }
     if mode == RecoveryMode::AcceptLoss {
         line(&format!(
-            "generation {}: the group begins anew from this disk. Start its node; disks of before that come back are \
-             set aside and learn anew.",
+            "generation {}: the group restarts from this disk. Start its node; older disks that return are \
+             quarantined and receive a new copy.",
             report.generation
         ))
     } else {
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,27 +1,27 @@
-//! The signals of a server.
+//! The signals that a server handles.
 
 use std::io;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals that a server handles.
+/// A stream for each handled signal.
 pub(crate) struct Signals {
-    /// SIGTERM: drain and end.
+    /// SIGTERM: drain and exit.
     pub(crate) terminate: Signal,
     /// SIGINT: the same.
     pub(crate) interrupt: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub(crate) hangup: Signal,
     /// SIGUSR1: print the counters.
     pub(crate) print_counts: Signal,
 }
 
 impl Signals {
-    /// Handles the signals from here on. To be called before the configuration is read, which may take seconds: the
-    /// system ends a process by a SIGHUP that it does not handle yet.
+    /// Installs the handlers. To be called before the configuration is read, which may take seconds: a SIGHUP
+    /// without a handler terminates the process.
     ///
     /// # Errors
-    /// If the system has no room for a handler.
+    /// If a handler cannot be installed.
     pub(crate) fn install(runtime: &Runtime) -> io::Result<Self> {
         let _guard = runtime.enter();
         Ok(Self {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -13,7 +13,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The store that a command is about, and the form of its output.
+/// The store that a command reads, and its output format.
 #[derive(Args)]
 pub(crate) struct StoreArgs {
     /// The folder of the disk; its node must be stopped
@@ -91,8 +91,8 @@
     ))
 }
 
-/// Reports on standard error what is wrong with the folder.
-fn wrong_use(args: &StoreArgs, reason: &dyn std::fmt::Display) -> ExitStatus {
+/// Prints on standard error why the folder cannot be used.
+fn report_unusable(args: &StoreArgs, reason: &dyn std::fmt::Display) -> ExitStatus {
     eprintln!("{}: {reason}", args.folder.display());
     ExitStatus::Unusable
 }
@@ -101,7 +101,7 @@
     match repair(disk) {
         Ok(None) => line("nothing to mend").map(|()| ExitStatus::Success),
         Ok(Some(damage)) => report_repair(args, &damage).map(|()| ExitStatus::Found),
-        Err(error) => Ok(wrong_use(args, &error)),
+        Err(error) => Ok(report_unusable(args, &error)),
     }
 }
 
@@ -109,16 +109,16 @@
     if args.json {
         return json(&json!({"file": damage.file, "offset": damage.offset, "why": damage.reason}));
     }
-    line(&format!("taken off from there on: {damage}"))?;
-    line("what this copy confirmed may be gone: it must come back as a new member, or not at all")
+    line(&format!("removed from this position on: {damage}"))?;
+    line("entries that this copy confirmed may be lost: it must rejoin as a new member, or not at all")
 }
 
-/// How much of a good store is printed as text.
+/// How much is printed as text of a store without damage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Detail {
-    /// Only that it is good.
+    /// Only that it has no damage.
     Verdict,
-    /// Its identity and its shards too.
+    /// Its identity and its shards as well.
     Shards,
 }
 
@@ -128,14 +128,14 @@
         Err(OpenError::Damaged(damage)) => {
             return report_damage(args, &damage).map(|()| ExitStatus::Found)
         }
-        Err(OpenError::Io(error)) => return Ok(wrong_use(args, &error)),
+        Err(OpenError::Io(error)) => return Ok(report_unusable(args, &error)),
     };
     let StoreContents {
         identity,
         recovered,
     } = contents;
     let Some(identity) = identity else {
-        return Ok(wrong_use(args, &"no store"));
+        return Ok(report_unusable(args, &"no store"));
     };
     if args.json {
         json(&contents_json(&identity, &recovered))?;
@@ -204,13 +204,13 @@
     }) = &recovered.truncated_tail
     {
         line(&format!(
-            "{file} was cut short at byte {offset}: {bytes} bytes that nobody confirmed will be taken off"
+            "{file} was cut short at byte {offset}: {bytes} unconfirmed bytes will be removed"
         ))?;
     }
     line("good")
 }
 
-/// Prints the last records of the log, and what cannot be read of it.
+/// Prints the last records of the log, and where it cannot be read.
 fn dump(disk: &mut FolderDisk, args: &StoreArgs, last: usize) -> io::Result<ExitStatus> {
     let mut rows = VecDeque::new();
     let mut code = ExitStatus::Success;
