--- a/crates/cli/benches/connections.rs
+++ b/crates/cli/benches/connections.rs
@@ -1,5 +1,5 @@
-//! Memory and CPU of `rainstand forward` as a process: with 8,000 connections that each had a ticket, and under load.
-//! `cargo bench -p rainstand-cli --bench connections`; `CONNECTIONS=10000` where descriptors allow it.
+//! Memory and CPU time of a `rainstand forward` process, with 8,000 connections after one request each, and under load.
+//! `cargo bench -p rainstand-cli --bench connections`; `CONNECTIONS=10000` if the descriptor limit allows it.
 
 #![allow(
     missing_docs,
@@ -15,6 +15,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A value in the process's `/proc/PID/status`.
 fn status(child: &Child, key: &str) -> String {
     let text = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with(key));
@@ -23,8 +24,8 @@
     })
 }
 
-/// CPU used so far, in ticks of 10 ms.
-fn cpu(child: &Child) -> u64 {
+/// User and system CPU time so far, in ticks of 10 ms.
+fn cpu_ticks(child: &Child) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
     let fields: Vec<&str> = text
         .rsplit(')')
@@ -34,35 +35,36 @@
         .collect();
     [11, 12]
         .iter()
-        .filter_map(|k| fields.get(*k)?.parse::<u64>().ok())
+        .filter_map(|index| fields.get(*index)?.parse::<u64>().ok())
         .sum()
 }
 
-fn call(stream: &mut TcpStream, seq: i32) -> bool {
+/// Sends a request and reads its response; returns whether it was served.
+fn call(stream: &mut TcpStream, sequence_number: i32) -> bool {
     let fields = [
         ("route", "check"),
         ("customer", "acme"),
         ("trace", "9b1f03aa5c7e2d41"),
     ];
     if stream
-        .write_all(&thrift::process(seq, &fields, &[7; 200]))
+        .write_all(&thrift::process(sequence_number, &fields, &[7; 200]))
         .is_err()
     {
         return false;
     }
-    let mut head = [0; 4];
-    if stream.read_exact(&mut head).is_err() {
+    let mut length_prefix = [0; 4];
+    if stream.read_exact(&mut length_prefix).is_err() {
         return false;
     }
-    let mut frame = vec![0; u32::from_be_bytes(head) as usize];
+    let mut frame = vec![0; u32::from_be_bytes(length_prefix) as usize];
     stream.read_exact(&mut frame).is_ok()
-        && matches!(thrift::answered(&frame), Ok(told) if matches!(told.what, thrift::What::Answer { .. }))
+        && matches!(thrift::answered(&frame), Ok(response) if matches!(response.what, thrift::What::Answer { .. }))
 }
 
 fn main() {
-    let many: usize = std::env::var("CONNECTIONS")
+    let connection_count: usize = std::env::var("CONNECTIONS")
         .ok()
-        .and_then(|n| n.parse().ok())
+        .and_then(|count| count.parse().ok())
         .unwrap_or(8_000);
     let nodes: Vec<_> = (0..3)
         .map(|_| {
@@ -76,9 +78,9 @@
     let members: String = nodes
         .iter()
         .enumerate()
-        .map(|(k, node)| format!("member n{k} {{ address: \"{}\" }}\n", node.addr))
+        .map(|(index, node)| format!("member n{index} {{ address: \"{}\" }}\n", node.addr))
         .collect();
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create a temporary folder");
     let path = folder.path().join("main.rain");
     let text = format!(
         "rain 1
@@ -88,59 +90,64 @@
 pool p {{ health: h\n{members} }}
 route r {{ to: p }}"
     );
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write the configuration");
     let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand"))
         .args(["forward", "--listen", "127.0.0.1:0", "--config"])
         .arg(&path)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program");
-    let lines = BufReader::new(child.stderr.take().expect("its lines")).lines();
+        .expect("start the forwarder");
+    let lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
     let start = lines
         .map_while(Result::ok)
         .find(|line| line.contains("listen="))
-        .expect("a line at its start");
-    let at = start
+        .expect("the forwarder logs its start");
+    let address = start
         .split("listen=")
         .nth(1)
         .and_then(|rest| rest.split_whitespace().next())
-        .expect("an address");
-    let at: SocketAddr = at.trim_matches('"').parse().expect("an address");
+        .expect("the start event has an address");
+    let address: SocketAddr = address
+        .trim_matches('"')
+        .parse()
+        .expect("the start event has an address");
     println!("at the start: {}", status(&child, "VmRSS:"));
-    let mut all = Vec::new();
-    let mut good = 0;
-    for _ in 0..many {
-        let Ok(mut stream) = TcpStream::connect(at) else {
+    let mut connections = Vec::new();
+    let mut served = 0;
+    for _ in 0..connection_count {
+        let Ok(mut stream) = TcpStream::connect(address) else {
             break;
         };
         let _ = stream.set_nodelay(true);
-        good += usize::from(call(&mut stream, 1));
-        all.push(stream);
+        served += usize::from(call(&mut stream, 1));
+        connections.push(stream);
     }
     println!(
-        "{} connections, {good} honoured: {}",
-        all.len(),
+        "{} connections, {served} served: {}",
+        connections.len(),
         status(&child, "VmRSS:")
     );
-    drop(all);
-    let (before, began, mut asked) = (cpu(&child), Instant::now(), 0u32);
-    let mut lanes: Vec<_> = (0..8)
-        .map(|_| TcpStream::connect(at).expect("a connection"))
+    drop(connections);
+    let (ticks_before, started, mut sent) = (cpu_ticks(&child), Instant::now(), 0u32);
+    let mut connections: Vec<_> = (0..8)
+        .map(|_| TcpStream::connect(address).expect("connect to the forwarder"))
         .collect();
-    lanes.iter().for_each(|lane| drop(lane.set_nodelay(true)));
-    // One at a time on each of eight connections: no tickets that come together.
-    while began.elapsed() < Duration::from_secs(5) {
-        for lane in &mut lanes {
-            asked += 1;
-            call(lane, asked as i32);
+    connections
+        .iter()
+        .for_each(|connection| drop(connection.set_nodelay(true)));
+    // One request at a time over eight connections: no two requests are concurrent.
+    while started.elapsed() < Duration::from_secs(5) {
+        for connection in &mut connections {
+            sent += 1;
+            call(connection, sent as i32);
         }
     }
-    let used = (cpu(&child) - before) as f64 * 10_000.0;
+    let used_us = (cpu_ticks(&child) - ticks_before) as f64 * 10_000.0;
     println!(
-        "{asked} tickets one at a time: {:.0} us of CPU a ticket",
-        used / f64::from(asked)
+        "{sent} requests one at a time: {:.0} us of CPU time per request",
+        used_us / f64::from(sent)
     );
-    println!("after it: {}", status(&child, "VmRSS:"));
+    println!("after the load: {}", status(&child, "VmRSS:"));
     let _ = child.kill();
     let _ = child.wait();
 }
--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -163,11 +163,11 @@
     let mut notes: Vec<String> = skipped
         .filter_map(|skipped| {
             let (member, reason) = (skipped[0].as_str()?, skipped[1].as_str()?);
-            Some(format!("not {member} ({reason})"))
+            Some(format!("skipped {member} ({reason})"))
         })
         .collect();
     if let Some(more) = decision["more_passed_over"].as_u64() {
-        notes.push(format!("nor {more} more"));
+        notes.push(format!("skipped {more} more"));
     }
     notes
 }
--- a/crates/cli/src/control/client.rs
+++ b/crates/cli/src/control/client.rs
@@ -104,7 +104,7 @@
 /// another version" refer to what the group has committed, not to what one server has applied.
 ///
 /// # Errors
-/// [`QueryError::Unconfirmed`] if the server cannot say which version is the newest.
+/// [`QueryError::Unconfirmed`] if the server does not know which version is the newest.
 pub(super) fn fetch_newest(server: SocketAddr) -> Result<DecodedSnapshot, QueryError> {
     let response = query_versions(server, 1)?;
     if response.has_copy == Some(false) {
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line as an operator uses it: exit codes, what goes where, files that stay as they are.
+//! The command line as an operator uses it: exit codes, output streams, and files that must not change.
 
 #![allow(
     missing_docs,
@@ -35,7 +35,7 @@
 }
 ";
 
-fn folder(files: &[(&str, &str)]) -> tempfile::TempDir {
+fn folder_with(files: &[(&str, &str)]) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     for (name, text) in files {
         std::fs::write(folder.path().join(name), text).unwrap();
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn exit_codes_and_streams() {
+fn each_command_has_its_exit_code_and_writes_to_the_right_stream() {
     let bad = GOOD.replace("3 s", "3 tickets/s");
     let spaced = GOOD.replace("  to: hall", "to:hall");
     let unused = GOOD.replace("route all", "limits l { rate: 5 tickets/s }\nroute all");
-    let files = folder(&[
+    let files = folder_with(&[
         ("good.rain", GOOD),
         ("bad.rain", &bad),
         ("spaced.rain", &spaced),
         ("unused.rain", &unused),
     ]);
-    let at = files.path();
+    let folder = files.path();
     let table: [(&[&str], i32, &str, &str); 17] = [
         (
             &["config", "check", "good.rain"],
@@ -145,79 +145,79 @@
         (&["config", "why", "M999"], 2, "", "config why --all"),
         (&["completions", "bash"], 0, "_rainstand", ""),
     ];
-    for (arguments, code, out, err) in table {
-        let (found, stdout, stderr) = run(at, arguments, "");
-        assert_eq!(found, code, "{arguments:?}\n{stdout}{stderr}");
+    for (arguments, expected_code, expected_stdout, expected_stderr) in table {
+        let (code, stdout, stderr) = run(folder, arguments, "");
+        assert_eq!(code, expected_code, "{arguments:?}\n{stdout}{stderr}");
         assert!(
-            stdout.contains(out) && stderr.contains(err),
+            stdout.contains(expected_stdout) && stderr.contains(expected_stderr),
             "{arguments:?}\n{stdout}{stderr}"
         );
         assert!(
-            !out.is_empty() || stdout.is_empty(),
+            !expected_stdout.is_empty() || stdout.is_empty(),
             "{arguments:?} prints {stdout}"
         );
     }
 }
 
 #[test]
-fn every_json_line_is_an_object_with_its_place() {
+fn each_json_finding_has_its_location() {
     let bad = GOOD
         .replace("goal: 3 s", "goal: 8 s")
         .replace("to: hall", "to: hal");
-    let files = folder(&[("bad.rain", &bad)]);
+    let files = folder_with(&[("bad.rain", &bad)]);
     let (code, stdout, stderr) = run(files.path(), &["config", "check", "--json", "bad.rain"], "");
     assert_eq!((code, stderr.as_str()), (1, ""));
-    let lines: Vec<serde_json::Value> = stdout
+    let findings: Vec<serde_json::Value> = stdout
         .lines()
-        .map(|l| serde_json::from_str(l).unwrap())
+        .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    let told: Vec<_> = lines
+    let locations: Vec<_> = findings
         .iter()
-        .map(|l| {
+        .map(|finding| {
             (
-                l["code"].as_str().unwrap(),
-                l["line"].as_u64().unwrap(),
-                l["column"].as_u64().unwrap(),
+                finding["code"].as_str().unwrap(),
+                finding["line"].as_u64().unwrap(),
+                finding["column"].as_u64().unwrap(),
             )
         })
         .collect();
-    assert_eq!(told, [("M405", 5, 9), ("N305", 20, 7)]);
-    assert_eq!(lines[0]["also"][0]["line"], 6);
-    assert_eq!(lines[1]["help"], "perhaps `hall`?");
-    assert!(lines
+    assert_eq!(locations, [("M405", 5, 9), ("N305", 20, 7)]);
+    assert_eq!(findings[0]["also"][0]["line"], 6);
+    assert_eq!(findings[1]["help"], "perhaps `hall`?");
+    assert!(findings
         .iter()
-        .all(|l| l["file"] == "bad.rain" && l["severity"] == "error"));
+        .all(|finding| finding["file"] == "bad.rain" && finding["severity"] == "error"));
 }
 
 #[test]
-fn the_formatter_writes_in_one_step_and_leaves_broken_files() {
+fn formatter_replaces_files_atomically_and_leaves_invalid_files_unchanged() {
     let spaced = GOOD.replace("  to: hall", "to:hall # where else");
     let broken = "rain 1\npool {\n";
-    let files = folder(&[("a.rain", &spaced), ("broken.rain", broken)]);
-    let at = files.path();
-    std::os::unix::fs::symlink("a.rain", at.join("link.rain")).unwrap();
-    let (code, _, stderr) = run(at, &["config", "fmt", "broken.rain", "link.rain"], "");
+    let files = folder_with(&[("a.rain", &spaced), ("broken.rain", broken)]);
+    let folder = files.path();
+    std::os::unix::fs::symlink("a.rain", folder.join("link.rain")).unwrap();
+    let (code, _, stderr) = run(folder, &["config", "fmt", "broken.rain", "link.rain"], "");
     assert_eq!(code, 1);
     assert!(
         stderr.contains("P104") && stderr.contains("left as it is"),
         "{stderr}"
     );
     assert_eq!(
-        std::fs::read_to_string(at.join("broken.rain")).unwrap(),
+        std::fs::read_to_string(folder.join("broken.rain")).unwrap(),
         broken
     );
     assert_eq!(
-        std::fs::read_to_string(at.join("a.rain")).unwrap(),
+        std::fs::read_to_string(folder.join("a.rain")).unwrap(),
         GOOD.replace("to: hall", "to: hall # where else")
     );
-    assert!(at
+    assert!(folder
         .join("link.rain")
         .symlink_metadata()
         .unwrap()
         .is_symlink());
-    // Nothing is left beside them.
-    assert_eq!(std::fs::read_dir(at).unwrap().count(), 3);
-    let (code, stdout, _) = run(at, &["config", "fmt", "-"], &spaced);
+    // No temporary files are left.
+    assert_eq!(std::fs::read_dir(folder).unwrap().count(), 3);
+    let (code, stdout, _) = run(folder, &["config", "fmt", "-"], &spaced);
     assert_eq!(
         (code, stdout),
         (0, GOOD.replace("to: hall", "to: hall # where else"))
@@ -225,15 +225,15 @@
 }
 
 #[test]
-fn all_three_forms_are_one_configuration() {
-    let files = folder(&[("a.rain", GOOD)]);
-    let at = files.path();
-    let (code, text, _) = run(at, &["config", "build", "a.rain"], "");
+fn all_three_file_formats_hold_the_same_configuration() {
+    let files = folder_with(&[("a.rain", GOOD)]);
+    let folder = files.path();
+    let (code, text, _) = run(folder, &["config", "build", "a.rain"], "");
     assert_eq!(code, 0);
-    std::fs::write(at.join("a.txtpb"), &text).unwrap();
+    std::fs::write(folder.join("a.txtpb"), &text).unwrap();
     assert_eq!(
         run(
-            at,
+            folder,
             &["config", "build", "a.txtpb", "--binary", "--out", "a.pb"],
             ""
         )
@@ -241,17 +241,17 @@
         0
     );
     assert_eq!(
-        run(at, &["config", "build", "a.pb"], ""),
+        run(folder, &["config", "build", "a.pb"], ""),
         (0, text.clone(), String::new())
     );
     for (old, new) in [("a.rain", "a.pb"), ("a.pb", "a.txtpb")] {
         assert_eq!(
-            run(at, &["config", "diff", old, new], ""),
+            run(folder, &["config", "diff", old, new], ""),
             (0, String::new(), String::new())
         );
     }
     let (code, stdout, _) = run(
-        at,
+        folder,
         &["config", "diff", "a.pb", "-"],
         &GOOD.replace("3 s", "2 s"),
     );
@@ -259,25 +259,28 @@
         (code, stdout.as_str()),
         (1, "~ type check: goal: `3 s` -> `2 s`\n")
     );
-    assert_eq!(run(at, &["config", "diff", "a.pb", "gone.rain"], "").0, 2);
-    std::fs::write(at.join("odd.txtpb"), text.replace("goal_ns", "gaol_ns")).unwrap();
-    let (code, _, stderr) = run(at, &["config", "build", "odd.txtpb"], "");
+    assert_eq!(
+        run(folder, &["config", "diff", "a.pb", "gone.rain"], "").0,
+        2
+    );
+    std::fs::write(folder.join("odd.txtpb"), text.replace("goal_ns", "gaol_ns")).unwrap();
+    let (code, _, stderr) = run(folder, &["config", "build", "odd.txtpb"], "");
     assert_eq!(code, 1);
     assert!(
         stderr.contains("odd.txtpb:7:3:") && stderr.contains("gaol_ns"),
         "{stderr}"
     );
     std::fs::write(
-        at.join("cut.pb"),
-        &std::fs::read(at.join("a.pb")).unwrap()[..20],
+        folder.join("cut.pb"),
+        &std::fs::read(folder.join("a.pb")).unwrap()[..20],
     )
     .unwrap();
-    assert_eq!(run(at, &["config", "build", "cut.pb"], "").0, 1);
+    assert_eq!(run(folder, &["config", "build", "cut.pb"], "").0, 1);
 }
 
 #[test]
-fn a_reader_that_goes_away_is_no_error() {
-    let files = folder(&[("a.rain", GOOD)]);
+fn closed_standard_output_is_not_an_error() {
+    let files = folder_with(&[("a.rain", GOOD)]);
     let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand"))
         .args(["config", "schema"])
         .current_dir(files.path())
@@ -286,6 +289,6 @@
         .spawn()
         .unwrap();
     drop(child.stdout.take());
-    let ended = child.wait_with_output().unwrap();
-    assert!(ended.status.success() && ended.stderr.is_empty());
+    let output = child.wait_with_output().unwrap();
+    assert!(output.status.success() && output.stderr.is_empty());
 }
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,6 +1,7 @@
-//! Control machines and forwarders as processes: versions are published, confirmed, refused, and outlive machines.
+//! Config servers and forwarders as processes: versions are published, confirmed and rejected, and survive the loss of
+//! servers.
 //!
-//! Verdicts go by events in the processes' logs and by answers; [`HANGS`] only catches what hangs.
+//! Checks use log events and responses; [`HANG_TIMEOUT`] only detects hangs.
 
 #![allow(
     missing_docs,
@@ -12,7 +13,7 @@
 mod control_world;
 mod program;
 
-use control_world::{World, HANGS};
+use control_world::{TestCluster, HANG_TIMEOUT};
 use rainstand_cluster::status;
 use rainstand_config::schema::Configuration;
 use rainstand_config_distribution::delta::ConfigState;
@@ -21,81 +22,88 @@
 use std::time::Instant;
 
 #[test]
-fn versions_reach_forwarders_and_outlive_machines() {
-    let mut world = World::new();
-    let (mut one, one_at) = world.forwarder("f1", "z0");
-    let (mut two, two_at) = world.forwarder("f2", "z1");
-    // The nearest first: each zone has a machine.
-    for (forwarder, machine) in [(&mut one, "c1"), (&mut two, "c2")] {
-        forwarder.says(&["event=\"attached\"", machine]);
+fn published_versions_reach_forwarders_and_survive_the_loss_of_servers() {
+    let mut cluster = TestCluster::new();
+    let (mut first, first_admin) = cluster.start_forwarder("f1", "z0");
+    let (mut second, second_admin) = cluster.start_forwarder("f2", "z1");
+    // Each forwarder attaches to the server in its zone.
+    for (forwarder, server) in [(&mut first, "c1"), (&mut second, "c2")] {
+        forwarder.wait_for_line(&["event=\"attached\"", server]);
     }
 
-    // Publish: all confirm, whichever machine is asked.
-    let (code, told) = world.publish("first.rain", 2, &[]);
+    // All forwarders confirm a version, whichever server it is published at.
+    let (code, output) = cluster.publish("first.rain", 2, &[]);
     assert!(
-        code == 0 && told.contains("version 1 is committed"),
-        "{told}"
+        code == 0 && output.contains("version 1 is committed"),
+        "{output}"
+    );
+    first.wait_for_line(&["version_applied", "version=1"]);
+    second.wait_for_line(&["version_applied", "version=1"]);
+    let versions = cluster.wait_until_confirmed(0, 1, 2);
+    assert!(
+        versions["versions"][0]["at_ms"].as_u64() > Some(0),
+        "{versions}"
     );
-    one.says(&["version_applied", "version=1"]);
-    two.says(&["version_applied", "version=1"]);
-    let told = world.confirmed(0, 1, 2);
-    assert!(told["versions"][0]["at_ms"].as_u64() > Some(0), "{told}");
 
-    // What is wrong is refused before it is sent, an old one as a conflict, and nothing is committed.
-    let (code, told) = world.publish("bad.rain", 0, &[]);
-    assert!(code == 1 && told.contains("nowhere"), "{told}");
-    let (code, told) = world.publish("second.rain", 0, &["--from", "0"]);
+    // An invalid configuration is rejected before it is sent, one based on an old version as a conflict; nothing is
+    // committed.
+    let (code, output) = cluster.publish("bad.rain", 0, &[]);
+    assert!(code == 1 && output.contains("nowhere"), "{output}");
+    let (code, output) = cluster.publish("second.rain", 0, &["--from", "0"]);
     assert!(
-        code == 1 && told.contains("conflict: made from version 0, but version 1 is there"),
-        "{told}"
+        code == 1 && output.contains("conflict: made from version 0, but version 1 is there"),
+        "{output}"
     );
-    let (code, told) = world.publish("second.rain", 0, &["--dry-run"]);
+    let (code, output) = cluster.publish("second.rain", 0, &["--dry-run"]);
     assert!(
-        code == 0 && told.contains("share") && told.contains("would be version 2"),
-        "{told}"
+        code == 0 && output.contains("share") && output.contains("would be version 2"),
+        "{output}"
     );
-    let (code, told) = world.publish("first.rain", 0, &[]);
-    assert!(code == 0 && told.contains("nothing changes"), "{told}");
-    assert_eq!(world.versions(1)["version"], 1);
+    let (code, output) = cluster.publish("first.rain", 0, &[]);
+    assert!(code == 0 && output.contains("nothing changes"), "{output}");
+    assert_eq!(cluster.versions(1)["version"], 1);
 
-    // The machine itself refuses it too, as when two publish at once.
-    let late = Configuration {
+    // The server itself reports the conflict, too, as for two concurrent publishers.
+    let stale = Configuration {
         version: 1,
         ..Configuration::default()
     };
-    let late =
-        Publish::from_configuration(&ConfigState::from_configuration(&late).unwrap(), 0, &late)
+    let stale =
+        Publish::from_configuration(&ConfigState::from_configuration(&stale).unwrap(), 0, &stale)
             .unwrap();
-    let told = world.ask(2, &status::encode_publish(&late));
-    assert!(told["conflict"].is_string(), "{told}");
+    let response = cluster.request(2, &status::encode_publish(&stale));
+    assert!(response["conflict"].is_string(), "{response}");
 
-    // The change as a change, in force at both with one digest.
-    let (code, told) = world.publish("second.rain", 0, &["--from", "1"]);
-    assert!(code == 0 && told.contains("share"), "{told}");
-    one.says(&["version_applied", "version=2"]);
-    two.says(&["version_applied", "version=2"]);
-    let told = world.confirmed(2, 2, 2);
-    for at in [&one_at, &two_at] {
-        let status = world.status(at);
+    // A change is sent as a delta and is in force at both forwarders with the same digest.
+    let (code, output) = cluster.publish("second.rain", 0, &["--from", "1"]);
+    assert!(code == 0 && output.contains("share"), "{output}");
+    first.wait_for_line(&["version_applied", "version=2"]);
+    second.wait_for_line(&["version_applied", "version=2"]);
+    let versions = cluster.wait_until_confirmed(2, 2, 2);
+    for admin in [&first_admin, &second_admin] {
+        let status = cluster.forwarder_status(admin);
         assert_eq!(
             (&status["version"], &status["digest"]),
-            (&2.into(), &told["machines"][0]["digest"])
+            (&2.into(), &versions["machines"][0]["digest"])
         );
     }
 
-    // The machine that the first is attached to goes: it comes to another one and hears of the next version there.
-    world.machines[0] = None;
-    one.says(&["server_disconnected", "c1"]);
-    one.says(&["event=\"attached\"", "version=2"]);
-    let begun = Instant::now();
-    while matches!(world.publish("third.rain", 1, &[]).0, 2 | 3) {
-        assert!(begun.elapsed() < HANGS, "no majority of the two");
+    // The first forwarder's server is killed: the forwarder attaches to another one and gets the next version there.
+    cluster.servers[0] = None;
+    first.wait_for_line(&["server_disconnected", "c1"]);
+    first.wait_for_line(&["event=\"attached\"", "version=2"]);
+    let started = Instant::now();
+    while matches!(cluster.publish("third.rain", 1, &[]).0, 2 | 3) {
+        assert!(
+            started.elapsed() < HANG_TIMEOUT,
+            "the remaining two servers commit nothing"
+        );
     }
-    one.says(&["version_applied", "version=3"]);
-    two.says(&["version_applied", "version=3"]);
+    first.wait_for_line(&["version_applied", "version=3"]);
+    second.wait_for_line(&["version_applied", "version=3"]);
 
-    // Changes were applied as changes.
-    for forwarder in [&one, &two] {
+    // Changes were applied as deltas.
+    for forwarder in [&first, &second] {
         let lines = forwarder.lines.0.lock().unwrap();
         assert!(
             !lines.iter().any(|line| line.contains("delta_not_applied")),
@@ -103,35 +111,41 @@
         );
     }
 
-    // All machines gone: both run on with what they have and say how old it is.
-    world.machines.clear();
-    one.says(&["server_disconnected"]);
-    two.says(&["server_disconnected"]);
-    let status = world.status(&one_at);
+    // All servers are killed: both forwarders continue with the version that they have and report its age.
+    cluster.servers.clear();
+    first.wait_for_line(&["server_disconnected"]);
+    second.wait_for_line(&["server_disconnected"]);
+    let status = cluster.forwarder_status(&first_admin);
     assert_eq!(
         (&status["version"], &status["machine"]),
         (&3.into(), &Value::Null)
     );
-    let later = world.status(&one_at);
+    let later = cluster.forwarder_status(&first_admin);
     assert!(
         later["age_ms"].as_u64() > status["age_ms"].as_u64(),
         "{status} {later}"
     );
 
-    // A restart with nobody there begins with the last version from the disk.
-    let kept = world.folder.path().join("kept-f2").join("version.packed");
-    let begun = Instant::now();
-    let held = || {
-        rainstand_config_distribution::snapshot::decode(&std::fs::read(&kept).unwrap_or_default())
+    // Without a server, a forwarder restarts with the last version stored on disk.
+    let snapshot_path = cluster
+        .folder
+        .path()
+        .join("control-f2")
+        .join("version.packed");
+    let started = Instant::now();
+    let stored_snapshot = || {
+        rainstand_config_distribution::snapshot::decode(
+            &std::fs::read(&snapshot_path).unwrap_or_default(),
+        )
     };
-    while held().map(|kept| kept.version) != Ok(3) {
-        assert!(begun.elapsed() < HANGS, "version 3 is not kept");
+    while stored_snapshot().map(|snapshot| snapshot.version) != Ok(3) {
+        assert!(started.elapsed() < HANG_TIMEOUT, "version 3 is not stored");
         std::thread::yield_now();
     }
-    drop(two);
-    let (mut two, two_at) = world.forwarder("f2", "z1");
-    two.says(&["event=\"start\""]);
-    let status = world.status(&two_at);
+    drop(second);
+    let (mut second, second_admin) = cluster.start_forwarder("f2", "z1");
+    second.wait_for_line(&["event=\"start\""]);
+    let status = cluster.forwarder_status(&second_admin);
     assert_eq!(
         (&status["version"], &status["digest"]),
         (&later["version"], &later["digest"])
--- a/crates/cli/tests/control_world/mod.rs
+++ b/crates/cli/tests/control_world/mod.rs
@@ -1,4 +1,4 @@
-//! Three control machines and their forwarders as processes, and the commands that operators give them.
+//! A group of three config servers and their forwarders as processes, and the operators' commands for them.
 
 #![allow(
     missing_docs,
@@ -19,13 +19,14 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-pub const HANGS: Duration = Duration::from_secs(60);
+/// Limit after which a wait counts as hung; nothing is timed.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process, and the lines that it wrote so far. It ends with this.
+/// A process and the lines that it has logged so far. Killed when dropped.
 pub struct Process {
     pub child: Child,
     pub lines: Arc<(Mutex<Vec<String>>, Condvar)>,
-    read: usize,
+    read_lines: usize,
 }
 
 impl Drop for Process {
@@ -45,35 +46,35 @@
             .spawn()
             .unwrap();
         let lines: Arc<(Mutex<Vec<String>>, Condvar)> = Arc::default();
-        let (said, out) = (lines.clone(), BufReader::new(child.stderr.take().unwrap()));
+        let (log, stderr) = (lines.clone(), BufReader::new(child.stderr.take().unwrap()));
         std::thread::spawn(move || {
-            for line in out.lines().map_while(Result::ok) {
-                said.0.lock().unwrap().push(line);
-                said.1.notify_all();
+            for line in stderr.lines().map_while(Result::ok) {
+                log.0.lock().unwrap().push(line);
+                log.1.notify_all();
             }
         });
         Self {
             child,
             lines,
-            read: 0,
+            read_lines: 0,
         }
     }
 
-    /// The next line, after the last one that was waited for, that has all of these words.
-    pub fn says(&mut self, words: &[&str]) -> String {
-        let begun = Instant::now();
+    /// Waits for a line with all of these words, after the line that the previous call returned.
+    pub fn wait_for_line(&mut self, words: &[&str]) -> String {
+        let started = Instant::now();
         let mut lines = self.lines.0.lock().unwrap();
         loop {
-            let found = lines[self.read..]
+            let found = lines[self.read_lines..]
                 .iter()
                 .position(|line| words.iter().all(|word| line.contains(word)));
-            if let Some(at) = found {
-                self.read += at + 1;
-                return lines[self.read - 1].clone();
+            if let Some(position) = found {
+                self.read_lines += position + 1;
+                return lines[self.read_lines - 1].clone();
             }
             assert!(
-                begun.elapsed() < HANGS,
-                "nothing says {words:?}; all:\n{}",
+                started.elapsed() < HANG_TIMEOUT,
+                "no line has {words:?}; all lines:\n{}",
                 lines.join("\n")
             );
             lines = self
@@ -86,13 +87,14 @@
     }
 }
 
-/// Addresses that nobody listens on just now.
-pub fn addresses<const N: usize>() -> [String; N] {
+/// Addresses on which no process listens now.
+pub fn unused_addresses<const N: usize>() -> [String; N] {
     let listeners: [TcpListener; N] =
         std::array::from_fn(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     listeners.map(|listener| listener.local_addr().unwrap().to_string())
 }
 
+/// A configuration whose tenant has this share, in percent.
 pub fn configuration(share: u32) -> String {
     format!(
         "rain 1\ntype check {{ repeat: rerunnable; goal: 3 s; outer-limit: 7 s }}\n\
@@ -101,35 +103,36 @@
     )
 }
 
-pub struct World {
+pub struct TestCluster {
     pub folder: tempfile::TempDir,
-    pub at: [String; 3],
-    pub machines: Vec<Option<Process>>,
+    /// Of the servers c1 to c3.
+    pub addresses: [String; 3],
+    pub servers: Vec<Option<Process>>,
 }
 
-impl World {
+impl TestCluster {
     pub fn new() -> Self {
-        let (folder, at) = (tempfile::tempdir().unwrap(), addresses::<3>());
-        let member = |(k, at): (usize, &String)| {
+        let (folder, addresses) = (tempfile::tempdir().unwrap(), unused_addresses::<3>());
+        let member = |(index, address): (usize, &String)| {
             format!(
-                "  member c{} {{ site: s{k}; address: \"{at}\"; folder: \"c{}\" }}\n",
-                k + 1,
-                k + 1
+                "  member c{} {{ site: s{index}; address: \"{address}\"; folder: \"c{}\" }}\n",
+                index + 1,
+                index + 1
             )
         };
-        let members: String = at.iter().enumerate().map(member).collect();
+        let members: String = addresses.iter().enumerate().map(member).collect();
         let group = format!("rain 1\ngroup fleet {{\n  shards: 1\n{members}}}\n");
         std::fs::write(folder.path().join("control.rain"), group).unwrap();
         for (name, share) in [("first.rain", 10), ("second.rain", 20), ("third.rain", 30)] {
             std::fs::write(folder.path().join(name), configuration(share)).unwrap();
         }
-        let member = |(k, at): (usize, &String)| {
+        let member = |(index, address): (usize, &String)| {
             format!(
-                "  member c{} {{ region: north; zone: z{k}; address: \"{at}\" }}\n",
-                k + 1
+                "  member c{} {{ region: north; zone: z{index}; address: \"{address}\" }}\n",
+                index + 1
             )
         };
-        let members: String = at.iter().enumerate().map(member).collect();
+        let members: String = addresses.iter().enumerate().map(member).collect();
         let start = format!("{}control fleet {{\n{members}}}\n", configuration(5));
         std::fs::write(folder.path().join("start.rain"), start).unwrap();
         std::fs::write(
@@ -137,30 +140,30 @@
             "rain 1\nroute r { to: nowhere }\n",
         )
         .unwrap();
-        let mut world = Self {
+        let mut cluster = Self {
             folder,
-            at,
-            machines: Vec::new(),
+            addresses,
+            servers: Vec::new(),
         };
-        for k in 0..3 {
-            let name = format!("c{}", k + 1);
-            let machine = world.start(&["control", "--config", "control.rain", "--name", &name]);
-            world.machines.push(Some(machine));
+        for index in 0..3 {
+            let name = format!("c{}", index + 1);
+            let server = cluster.start(&["control", "--config", "control.rain", "--name", &name]);
+            cluster.servers.push(Some(server));
         }
-        for machine in world.machines.iter_mut().flatten() {
-            machine.says(&["group_bootstrapped"]);
+        for server in cluster.servers.iter_mut().flatten() {
+            server.wait_for_line(&["group_bootstrapped"]);
         }
-        world
+        cluster
     }
 
     pub fn start(&self, arguments: &[&str]) -> Process {
-        std::fs::create_dir_all(self.folder.path().join("kept")).unwrap();
+        std::fs::create_dir_all(self.folder.path().join("control")).unwrap();
         Process::start(self.folder.path(), arguments)
     }
 
-    /// A forwarder, and where it is asked.
-    pub fn forwarder(&self, name: &str, zone: &str) -> (Process, String) {
-        let folder = format!("kept-{name}");
+    /// Starts a forwarder; returns it and its admin address.
+    pub fn start_forwarder(&self, name: &str, zone: &str) -> (Process, String) {
+        let folder = format!("control-{name}");
         std::fs::create_dir_all(self.folder.path().join(&folder)).unwrap();
         let mut process = self.start(&[
             "forward",
@@ -179,65 +182,78 @@
             "--control-folder",
             &folder,
         ]);
-        let line = process.says(&["event=\"admin\""]);
-        let at = line.split("admin=").last().unwrap().trim().to_owned();
-        (process, at)
+        let line = process.wait_for_line(&["event=\"admin\""]);
+        let admin = line.split("admin=").last().unwrap().trim().to_owned();
+        (process, admin)
     }
 
-    pub fn publish(&self, file: &str, at: usize, more: &[&str]) -> (i32, String) {
-        let mut arguments = vec!["config", "publish", file, "--at", &self.at[at]];
-        arguments.extend(more);
-        let (code, lines, told) = run(self.folder.path(), &arguments);
+    /// Publishes a file at a server; returns the exit code and the output of both streams.
+    pub fn publish(&self, file: &str, server: usize, options: &[&str]) -> (i32, String) {
+        let mut arguments = vec!["config", "publish", file, "--at", &self.addresses[server]];
+        arguments.extend(options);
+        let (code, lines, stderr) = run(self.folder.path(), &arguments);
         let lines: Vec<String> = lines
             .iter()
             .map(|line| line.as_str().unwrap_or("").to_owned())
             .collect();
-        (code, format!("{}\n{told}", lines.join("\n")))
+        (code, format!("{}\n{stderr}", lines.join("\n")))
     }
 
-    pub fn versions(&self, at: usize) -> Value {
-        let (_, lines, told) = run(
+    /// The output of `config versions` at a server.
+    pub fn versions(&self, server: usize) -> Value {
+        let (_, lines, stderr) = run(
             self.folder.path(),
-            &["config", "versions", "--at", &self.at[at], "--json"],
+            &[
+                "config",
+                "versions",
+                "--at",
+                &self.addresses[server],
+                "--json",
+            ],
         );
-        assert_eq!(lines.len(), 1, "{told}");
+        assert_eq!(lines.len(), 1, "{stderr}");
         lines[0].clone()
     }
 
-    /// What a machine answers to a frame.
-    pub fn ask(&self, at: usize, message: &[u8]) -> Value {
-        let mut stream = TcpStream::connect(&self.at[at]).unwrap();
-        stream.set_read_timeout(Some(HANGS)).unwrap();
+    /// Sends a message to a server and returns its response.
+    pub fn request(&self, server: usize, message: &[u8]) -> Value {
+        let mut stream = TcpStream::connect(&self.addresses[server]).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         stream.write_all(&with_length_prefix(message)).unwrap();
-        let mut head = [0; 4];
-        stream.read_exact(&mut head).unwrap();
-        let mut body = vec![0; u32::from_be_bytes(head) as usize];
+        let mut length_prefix = [0; 4];
+        stream.read_exact(&mut length_prefix).unwrap();
+        let mut body = vec![0; u32::from_be_bytes(length_prefix) as usize];
         stream.read_exact(&mut body).unwrap();
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// Until each machine has the version and so many confirmed it. A machine that follows has it a heartbeat later.
-    pub fn confirmed(&self, at: usize, version: u64, by: u64) -> Value {
-        let begun = Instant::now();
+    /// Waits until each server has the version and `subscribers` confirmed it. Followers apply a version one heartbeat
+    /// after the leader.
+    pub fn wait_until_confirmed(&self, server: usize, version: u64, subscribers: u64) -> Value {
+        let started = Instant::now();
         loop {
-            let told = self.versions(at);
-            let newest = &told["versions"][0];
-            let machines = told["machines"].as_array().unwrap();
-            let all = machines.iter().all(|machine| machine["version"] == version);
-            if all
+            let versions = self.versions(server);
+            let newest = &versions["versions"][0];
+            let servers = versions["machines"].as_array().unwrap();
+            let all_have_it = servers.iter().all(|server| server["version"] == version);
+            if all_have_it
                 && newest["version"] == version
-                && newest["confirmed"] == by
+                && newest["confirmed"] == subscribers
                 && newest["behind"] == 0
             {
-                return told;
+                return versions;
             }
-            assert!(begun.elapsed() < HANGS, "{told}");
+            assert!(started.elapsed() < HANG_TIMEOUT, "{versions}");
         }
     }
 
-    pub fn status(&self, at: &str) -> Value {
-        let (code, lines, told) = run(self.folder.path(), &["ask", "status", "--at", at, "--json"]);
-        assert_eq!(code, 0, "{told}");
+    /// What a forwarder reports about its attachment.
+    pub fn forwarder_status(&self, admin: &str) -> Value {
+        let (code, lines, stderr) = run(
+            self.folder.path(),
+            &["ask", "status", "--at", admin, "--json"],
+        );
+        assert_eq!(code, 0, "{stderr}");
         lines[0]["control"].clone()
     }
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptors run out, in a forwarder of its own process with a low limit: idle clients rest at it, and what the forwarder
-//! needs itself it still has. Whoever rests makes room; every ticket gets its answer.
+//! A forwarder process with a low limit of file descriptors runs out of them: it closes idle client connections to get
+//! the descriptors that it needs itself, and answers every request.
 
 #![allow(
     missing_docs,
@@ -19,27 +19,28 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Descriptors of the forwarder.
-const LIMIT: u64 = 128;
-/// More than it has for itself with few links.
-const OWN: u64 = 16;
-/// More clients than it can have.
-const IDLE: usize = 300;
-/// Only what hangs is caught by this; nothing is timed.
-const HANGS: Duration = Duration::from_secs(60);
+/// Descriptor limit of the forwarder.
+const DESCRIPTOR_LIMIT: u64 = 128;
+/// More descriptors than the forwarder itself uses with few links.
+const OWN_DESCRIPTORS: u64 = 16;
+/// More idle callers than the limit allows.
+const IDLE_CALLERS: usize = 300;
+/// Limit after which a wait counts as hung; nothing is timed.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn play(test: impl Future<Output = ()>) {
+fn run_with_timeout(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let done =
-        LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, test).await });
-    done.expect("a test that ends");
+    let done = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(HANG_TIMEOUT, test).await
+    });
+    done.expect("the test should end in time");
 }
 
-/// One forwarder before two pools of one member each: the links to the second are opened when a test wants them.
-struct Squeezed {
+/// A forwarder with two pools of one member each. Links to the second pool are opened by requests of type `register`.
+struct LimitedForwarder {
     process: Child,
     log: Receiver<String>,
     listen: SocketAddr,
@@ -49,14 +50,14 @@
     _folder: tempfile::TempDir,
 }
 
-impl Drop for Squeezed {
+impl Drop for LimitedForwarder {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
-impl Squeezed {
+impl LimitedForwarder {
     fn start() -> Self {
         let nodes = [test_server("honour"), test_server("honour")];
         let text = format!(
@@ -75,7 +76,10 @@
         let path = folder.path().join("a.rain");
         std::fs::write(&path, text).unwrap();
         let mut process = Command::new("sh")
-            .args(["-c", &format!("ulimit -n {LIMIT}; exec \"$0\" \"$@\"")])
+            .args([
+                "-c",
+                &format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\" \"$@\""),
+            ])
             .args([
                 env!("CARGO_BIN_EXE_rainstand"),
                 "forward",
@@ -87,17 +91,17 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (put, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(process.stderr.take().unwrap()).lines();
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .try_for_each(|line| put.send(line))
+                .try_for_each(|line| sender.send(line))
         });
         let address = |key: &str| {
-            let line = says(&log, key);
-            let at = line.split(key).nth(1).unwrap();
-            at.split_whitespace().next().unwrap().parse().unwrap()
+            let line = wait_for_log(&log, key);
+            let value = line.split(key).nth(1).unwrap();
+            value.split_whitespace().next().unwrap().parse().unwrap()
         };
         let (admin, listen) = (address("admin="), address("listen="));
         Self {
@@ -111,10 +115,10 @@
         }
     }
 
-    /// A client that was of use once and rests from then on.
-    async fn one_that_rests(&self) -> Caller {
+    /// A caller that has sent one request and is idle from then on.
+    async fn idle_caller(&self) -> Caller {
         let mut caller = Caller::new(self.listen).await.unwrap();
-        asks(&mut caller, "check").await;
+        send_request(&mut caller, "check").await;
         assert!(matches!(
             caller.next_reply().await.unwrap().1,
             Reply::Served(_)
@@ -122,10 +126,10 @@
         caller
     }
 
-    async fn fill(&mut self) {
-        for _ in 0..IDLE {
-            let one = self.one_that_rests().await;
-            self.idle.push(one);
+    async fn open_idle_connections(&mut self) {
+        for _ in 0..IDLE_CALLERS {
+            let caller = self.idle_caller().await;
+            self.idle.push(caller);
         }
     }
 
@@ -141,17 +145,17 @@
             .success());
     }
 
-    fn says(&self, what: &str) -> String {
-        says(&self.log, what)
+    fn wait_for_log(&self, text: &str) -> String {
+        wait_for_log(&self.log, text)
     }
 
-    fn counted(&self, key: &str) -> u64 {
+    fn counter(&self, key: &str) -> u64 {
         self.signal("-USR1");
-        counted(&self.says("counts"), key)
+        parse_counter(&self.wait_for_log("counts"), key)
     }
 
-    /// Those that the forwarder has open, by number.
-    fn open(&self) -> Vec<u64> {
+    /// The forwarder's open descriptors, in ascending order.
+    fn open_descriptors(&self) -> Vec<u64> {
         let folder = std::fs::read_dir(format!("/proc/{}/fd", self.pid())).unwrap();
         let mut open: Vec<u64> = folder
             .filter_map(|entry| entry.unwrap().file_name().to_str()?.parse().ok())
@@ -160,73 +164,73 @@
         open
     }
 
-    /// From here on the forwarder can open none, unless it closes one. What it has open stays.
-    async fn squeeze(&mut self) {
-        self.allow(LIMIT);
+    /// Lowers the limit so that the forwarder cannot open a descriptor before it closes one. Open ones stay open.
+    async fn exhaust_descriptors(&mut self) {
+        self.set_limit(DESCRIPTOR_LIMIT);
         loop {
-            let open = self.open();
+            let open = self.open_descriptors();
             let first_free = (0..)
                 .zip(&open)
-                .find(|(n, fd)| n != *fd)
-                .map_or(open.len() as u64, |(n, _)| n);
-            // Among those before it many must be clients' that rest.
-            if first_free >= OWN + 30 {
-                return self.allow(first_free);
+                .find(|(number, descriptor)| number != *descriptor)
+                .map_or(open.len() as u64, |(number, _)| number);
+            // Many of the descriptors below it must belong to idle callers.
+            if first_free >= OWN_DESCRIPTORS + 30 {
+                return self.set_limit(first_free);
             }
-            // The next takes the first that is free.
-            let one = self.one_that_rests().await;
-            self.idle.push(one);
+            // The next connection takes the first free descriptor.
+            let caller = self.idle_caller().await;
+            self.idle.push(caller);
         }
     }
 
-    fn allow(&self, descriptors: u64) {
+    fn set_limit(&self, descriptors: u64) {
         let limit = Rlimit {
             current: Some(descriptors),
-            maximum: Some(LIMIT),
+            maximum: Some(DESCRIPTOR_LIMIT),
         };
         prlimit(Pid::from_raw(self.pid()), Resource::Nofile, limit).unwrap();
     }
 
-    /// What operators read.
-    fn members(&self) -> String {
+    /// The admin endpoint's response to `/members`.
+    fn members_response(&self) -> String {
         let mut stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(HANGS)).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         stream.write_all(b"GET /members HTTP/1.1\r\n\r\n").unwrap();
-        let mut told = String::new();
-        stream.read_to_string(&mut told).unwrap();
-        told
+        let mut response = String::new();
+        stream.read_to_string(&mut response).unwrap();
+        response
     }
 }
 
-fn says(log: &Receiver<String>, what: &str) -> String {
+fn wait_for_log(log: &Receiver<String>, text: &str) -> String {
     loop {
         let line = log
-            .recv_timeout(HANGS)
-            .unwrap_or_else(|_| panic!("a forwarder that lives and says {what}"));
-        if line.contains(what) {
+            .recv_timeout(HANG_TIMEOUT)
+            .unwrap_or_else(|_| panic!("the forwarder ended or hung before it logged {text}"));
+        if line.contains(text) {
             return line;
         }
     }
 }
 
-/// `key=value` in a line of counters.
-fn counted(line: &str, key: &str) -> u64 {
+/// The value of `key=value` in a line of counters.
+fn parse_counter(line: &str, key: &str) -> u64 {
     let value = line
         .split_whitespace()
         .filter_map(|word| word.split_once('='))
         .find(|(word, _)| *word == key);
     value
-        .unwrap_or_else(|| panic!("{key} in {line}"))
+        .unwrap_or_else(|| panic!("no {key} in {line}"))
         .1
         .trim_matches('"')
         .parse()
         .unwrap()
 }
 
-async fn asks(caller: &mut Caller, route: &str) {
+async fn send_request(caller: &mut Caller, request_class: &str) {
     caller
         .send(&Call {
-            request_class: route,
+            request_class,
             ..Call::default()
         })
         .await
@@ -234,98 +238,104 @@
 }
 
 #[test]
-fn who_rests_at_the_limit_leaves_the_forwarder_its_own() {
-    play(async {
-        let mut s = Squeezed::start();
-        s.fill().await;
-        // Links break and are opened anew.
-        s.nodes[0].set_script("reset");
-        let mut caller = Caller::new(s.listen).await.unwrap();
-        asks(&mut caller, "check").await;
+fn idle_connections_at_the_limit_leave_the_forwarder_its_own_descriptors() {
+    run_with_timeout(async {
+        let mut forwarder = LimitedForwarder::start();
+        forwarder.open_idle_connections().await;
+        // Broken links are opened again.
+        forwarder.nodes[0].set_script("reset");
+        let mut caller = Caller::new(forwarder.listen).await.unwrap();
+        send_request(&mut caller, "check").await;
         caller.next_reply().await.unwrap();
-        s.nodes[0].set_script("honour");
-        let links = s.counted("links");
+        forwarder.nodes[0].set_script("honour");
+        let links = forwarder.counter("links");
         loop {
-            asks(&mut caller, "check").await;
+            send_request(&mut caller, "check").await;
             if matches!(caller.next_reply().await.unwrap().1, Reply::Served(_)) {
                 break;
             }
         }
-        assert!(s.counted("links") > links);
-        asks(&mut caller, "register").await;
+        assert!(forwarder.counter("links") > links);
+        send_request(&mut caller, "register").await;
         assert!(matches!(
             caller.next_reply().await.unwrap().1,
             Reply::Served(_)
         ));
-        // Files are read, and operators answered.
-        s.signal("-HUP");
-        let told = s.says("event=\"version");
-        assert!(told.contains("version=2"), "{told}");
-        assert!(s.members().starts_with("HTTP/1.1 200 OK"));
-        let (room, out) = (s.counted("made_room"), s.counted("descriptors_out"));
-        assert!(room >= IDLE as u64 - LIMIT && out == 0, "{room} {out}");
-        // What is in hand at the notice is answered.
-        s.nodes[0].set_script("hold");
-        asks(&mut caller, "check").await;
-        while s.nodes[0].observations().running == 0 {
+        // The forwarder can read files and answer operators.
+        forwarder.signal("-HUP");
+        let line = forwarder.wait_for_log("event=\"version");
+        assert!(line.contains("version=2"), "{line}");
+        assert!(forwarder.members_response().starts_with("HTTP/1.1 200 OK"));
+        let (closed_idle, exhausted) = (
+            forwarder.counter("made_room"),
+            forwarder.counter("descriptors_out"),
+        );
+        assert!(
+            closed_idle >= IDLE_CALLERS as u64 - DESCRIPTOR_LIMIT && exhausted == 0,
+            "{closed_idle} {exhausted}"
+        );
+        // Requests in flight at SIGTERM are answered.
+        forwarder.nodes[0].set_script("hold");
+        send_request(&mut caller, "check").await;
+        while forwarder.nodes[0].observations().running == 0 {
             tokio::task::yield_now().await;
         }
-        s.signal("-TERM");
-        s.nodes[0].release();
+        forwarder.signal("-TERM");
+        forwarder.nodes[0].release();
         assert!(matches!(
             caller.next_reply().await.unwrap().1,
             Reply::Served(_)
         ));
         drop(caller);
-        assert!(s.process.wait().unwrap().success());
+        assert!(forwarder.process.wait().unwrap().success());
     });
 }
 
-/// The system takes descriptors back from a forwarder that runs: it has its own by closing who rests.
+/// The descriptor limit of a running forwarder is lowered: it closes idle connections to get the descriptors it needs.
 #[test]
-fn where_none_is_left_links_operators_and_a_crowd_have_theirs_from_who_rests() {
-    const CROWD: usize = 20;
-    play(async {
-        let mut s = Squeezed::start();
-        s.fill().await;
+fn links_operators_and_the_backlog_get_descriptors_of_idle_connections_when_none_is_left() {
+    const BACKLOG: usize = 20;
+    run_with_timeout(async {
+        let mut forwarder = LimitedForwarder::start();
+        forwarder.open_idle_connections().await;
         // The first link to a member.
-        s.squeeze().await;
-        let mut caller = s.idle.pop().unwrap();
-        asks(&mut caller, "register").await;
+        forwarder.exhaust_descriptors().await;
+        let mut caller = forwarder.idle.pop().unwrap();
+        send_request(&mut caller, "register").await;
         assert!(matches!(
             caller.next_reply().await.unwrap().1,
             Reply::Served(_)
         ));
-        s.squeeze().await;
-        let room = s.counted("made_room");
-        assert!(s.members().starts_with("HTTP/1.1 200 OK"));
+        forwarder.exhaust_descriptors().await;
+        let closed_idle = forwarder.counter("made_room");
+        assert!(forwarder.members_response().starts_with("HTTP/1.1 200 OK"));
         assert!(
-            s.counted("made_room") > room,
-            "an operator waited for somebody who went by himself"
+            forwarder.counter("made_room") > closed_idle,
+            "no idle connection was closed for the operator: a caller disconnected by itself"
         );
-        s.squeeze().await;
-        // A crowd that waits with the system when the listening ends.
-        s.signal("-STOP");
-        let mut crowd = Vec::new();
-        for _ in 0..CROWD {
-            let mut caller = Caller::new(s.listen).await.unwrap();
-            asks(&mut caller, "check").await;
-            crowd.push(caller);
+        forwarder.exhaust_descriptors().await;
+        // Connections that wait in the listen backlog when the forwarder stops listening.
+        forwarder.signal("-STOP");
+        let mut backlog = Vec::new();
+        for _ in 0..BACKLOG {
+            let mut caller = Caller::new(forwarder.listen).await.unwrap();
+            send_request(&mut caller, "check").await;
+            backlog.push(caller);
         }
-        s.signal("-TERM");
-        s.signal("-CONT");
-        for (n, caller) in crowd.iter_mut().enumerate() {
+        forwarder.signal("-TERM");
+        forwarder.signal("-CONT");
+        for (index, caller) in backlog.iter_mut().enumerate() {
             assert!(
                 caller.next_reply().await.is_ok(),
-                "{n} of {CROWD} that the system accepted has no answer"
+                "connection {index} of {BACKLOG} in the backlog got no answer"
             );
         }
-        drop(crowd);
-        let counts = s.says("counts");
+        drop(backlog);
+        let counts = forwarder.wait_for_log("counts");
         assert!(
-            counted(&counts, "descriptors_out") > CROWD as u64 / 2,
+            parse_counter(&counts, "descriptors_out") > BACKLOG as u64 / 2,
             "{counts}"
         );
-        assert!(s.process.wait().unwrap().success());
+        assert!(forwarder.process.wait().unwrap().success());
     });
 }
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -1,5 +1,5 @@
-//! The pages under `docs/` hold what is true: examples can be used as they are written, commands exist, the picture
-//! of the crates is that of the manifests, types of the glossary are in the code.
+//! Checks that the pages under `docs/` match the code: example configurations are valid, commands exist, the diagram of
+//! the crates matches the manifests, and types in the glossary exist.
 
 #![allow(
     missing_docs,
@@ -14,14 +14,14 @@
 use std::process::{Command, Stdio};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_rainstand");
-/// Help of each command, as the golden file has it.
+/// Help texts of all commands, from the golden file.
 const HELP: &str = include_str!("golden/help.txt");
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All pages: name and text.
+/// Name and text of each page.
 fn pages() -> Vec<(String, String)> {
     let mut paths = vec![root().join("README.md"), root().join("CONTRIBUTING.md")];
     for folder in ["docs", "docs/design"] {
@@ -40,7 +40,7 @@
     paths.into_iter().map(read).collect()
 }
 
-/// Code blocks of a page, indented by four spaces or fenced.
+/// Code blocks of a page: fenced, or indented by four spaces.
 fn blocks(text: &str) -> Vec<String> {
     let (mut all, mut block) = (Vec::new(), String::new());
     let (mut fenced, mut before_is_blank) = (false, true);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn examples_of_configurations_are_good() {
+fn example_configurations_are_valid() {
     let mut checked = 0;
     for (page, text) in pages() {
         for block in blocks(&text) {
@@ -94,7 +94,7 @@
                 );
                 continue;
             };
-            // A session may follow behind its file, each command with a dollar sign.
+            // A shell session may follow the configuration; its commands begin with a dollar sign.
             let lines = block[start..]
                 .lines()
                 .take_while(|line| !line.starts_with("$ "));
@@ -111,16 +111,19 @@
                 .unwrap()
                 .write_all(configuration.as_bytes())
                 .unwrap();
-            let ended = child.wait_with_output().unwrap();
-            let errors = String::from_utf8_lossy(&ended.stderr).into_owned();
-            assert!(ended.status.success(), "{page}:\n{configuration}\n{errors}");
+            let output = child.wait_with_output().unwrap();
+            let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert!(
+                output.status.success(),
+                "{page}:\n{configuration}\n{errors}"
+            );
             checked += 1;
         }
     }
     assert!(checked >= 8, "only {checked} examples were found");
 }
 
-/// Commands by their words, each with its help.
+/// The help text of each command, by the command's words.
 fn commands() -> BTreeMap<Vec<&'static str>, &'static str> {
     let sections = HELP.split("$ rainstand ").skip(1);
     let parse = |section: &'static str| {
@@ -134,7 +137,7 @@
 }
 
 #[test]
-fn commands_of_examples_exist_with_their_flags() {
+fn commands_in_examples_exist_with_their_flags() {
     let commands = commands();
     let mut checked = 0;
     for (page, text) in pages() {
@@ -142,25 +145,26 @@
             let line = line
                 .trim_start_matches("$ ")
                 .trim_start_matches("target/release/");
-            for one in line
+            for command in line
                 .split(" && ")
-                .filter_map(|one| one.strip_prefix("rainstand "))
+                .filter_map(|part| part.strip_prefix("rainstand "))
             {
-                let code = one
+                let code = command
                     .split([' '])
                     .take_while(|word| !["|", "#", ">", "<"].contains(word));
                 let words: Vec<&str> = code.filter(|word| !word.is_empty()).collect();
-                // `info|check` stands for either.
-                let first: Vec<&str> = words
+                // `info|check` means either; the first is looked up.
+                let first_choices: Vec<&str> = words
                     .iter()
                     .map(|word| word.split('|').next().unwrap())
                     .collect();
-                let known = (0..=first.len())
+                let known_words = (0..=first_choices.len())
                     .rev()
-                    .find(|n| commands.contains_key(&first[..*n]));
-                let known = known.filter(|n| *n > 0);
-                let known = known.unwrap_or_else(|| panic!("{page}: no such command: {line}"));
-                let help = commands[&first[..known]];
+                    .find(|count| commands.contains_key(&first_choices[..*count]));
+                let known_words = known_words.filter(|count| *count > 0);
+                let known_words =
+                    known_words.unwrap_or_else(|| panic!("{page}: no such command: {line}"));
+                let help = commands[&first_choices[..known_words]];
                 for flag in words.iter().filter(|word| word.starts_with("--")) {
                     assert!(help.contains(flag), "{page}: no {flag}: {line}");
                 }
@@ -171,7 +175,7 @@
     assert!(checked >= 25, "only {checked} commands were found");
 }
 
-/// What each crate depends on among the workspace's own, all by their short names.
+/// The dependencies of each crate on other crates of the workspace, by short name.
 fn dependencies() -> BTreeMap<String, BTreeSet<String>> {
     let short = |name: &str| name.strip_prefix("rainstand-").unwrap_or(name).to_owned();
     let mut manifests = vec![root().join("Cargo.toml")];
@@ -196,7 +200,8 @@
     manifests.iter().map(parse).collect()
 }
 
-fn reached(from: &str, edges: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+/// All crates that `from` depends on, directly or indirectly.
+fn reachable(from: &str, edges: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
     let (mut all, mut open) = (BTreeSet::new(), vec![from.to_owned()]);
     while let Some(next) = open.pop() {
         for to in edges.get(&next).into_iter().flatten() {
@@ -209,7 +214,7 @@
 }
 
 #[test]
-fn the_picture_of_the_crates_is_that_of_the_manifests() {
+fn diagram_of_the_crates_matches_the_manifests() {
     let text = std::fs::read_to_string(root().join("docs/ARCHITECTURE.md")).unwrap();
     let mut drawn: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for line in text.lines() {
@@ -224,12 +229,12 @@
     for name in manifests.keys() {
         assert!(
             text.lines().any(|line| line.trim() == name),
-            "{name} is not in the picture"
+            "{name} is not in the diagram"
         );
         assert_eq!(
-            reached(name, &drawn),
-            reached(name, &manifests),
-            "below {name}"
+            reachable(name, &drawn),
+            reachable(name, &manifests),
+            "dependencies of {name}"
         );
     }
     for (from, all) in &drawn {
@@ -242,8 +247,8 @@
     }
 }
 
-/// All words of the Rust sources behind a word that defines something.
-fn defined() -> BTreeSet<String> {
+/// All names in the Rust sources that follow a keyword such as `struct` or `fn`.
+fn defined_names() -> BTreeSet<String> {
     let (mut all, mut open) = (
         BTreeSet::new(),
         vec![root().join("src"), root().join("crates")],
@@ -258,8 +263,8 @@
                 let words: Vec<&str> = text
                     .split(|c: char| !c.is_alphanumeric() && c != '_')
                     .collect();
-                let kinds = ["struct", "enum", "trait", "type", "fn", "mod"];
-                for pair in words.windows(2).filter(|pair| kinds.contains(&pair[0])) {
+                let keywords = ["struct", "enum", "trait", "type", "fn", "mod"];
+                for pair in words.windows(2).filter(|pair| keywords.contains(&pair[0])) {
                     all.insert(pair[1].to_owned());
                 }
             }
@@ -269,8 +274,8 @@
 }
 
 #[test]
-fn types_of_the_glossary_are_in_the_code() {
-    let defined = defined();
+fn types_in_the_glossary_exist_in_the_code() {
+    let defined = defined_names();
     let text = std::fs::read_to_string(root().join("docs/glossary.md")).unwrap();
     let mut checked = 0;
     for row in text
@@ -287,7 +292,7 @@
     assert!(checked >= 40, "only {checked} names were found");
 }
 
-/// Paths of source files that a text names between backticks or as they are.
+/// Paths of source files in a text, with or without backticks.
 fn source_paths(text: &str) -> Vec<&str> {
     let is_part = |c: char| c.is_alphanumeric() || "/_-.".contains(c);
     let words = text.split(|c: char| !is_part(c));
@@ -303,11 +308,11 @@
 }
 
 #[test]
-fn source_files_that_pages_name_are_there() {
+fn source_files_named_in_pages_exist() {
     let mut checked = 0;
     for (page, text) in pages() {
         for path in source_paths(&text) {
-            assert!(root().join(path).exists(), "{page}: {path}");
+            assert!(root().join(path).exists(), "{page}: {path} does not exist");
             checked += 1;
         }
     }
--- a/crates/cli/tests/early_signals.rs
+++ b/crates/cli/tests/early_signals.rs
@@ -1,9 +1,8 @@
-//! A signal to reload that comes while a server still reads its configuration.
+//! SIGHUP while a server still reads its configuration.
 //!
-//! What happened: in a soak (seed 39 of 60) a control machine that had just been started again was gone, without a line
-//! in its log, and two of three were left. Why: servers handled SIGHUP only once the configuration was read, which takes
-//! a forwarder seconds where it is large; until then the system ends a process by it. What showed it: the log of the
-//! other two machines tells of no third one after the start, and the soak's next step was a series of SIGHUP to it.
+//! Guards against a server that installs its signal handlers only after it has read the configuration, which takes
+//! seconds for a large one: until then SIGHUP terminates the process without a log line. Found by a soak test (seed 39
+//! of 60), which sent SIGHUP to a config server right after its restart.
 
 #![allow(
     missing_docs,
@@ -20,19 +19,20 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-const HANGS: Duration = Duration::from_secs(60);
+/// Limit after which a wait counts as hung; nothing is timed.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Tenants of a configuration that takes much longer to understand than to read.
+/// Number of tenants; with so many, a configuration takes much longer to parse than to read from disk.
 const TENANTS: usize = 20_000;
 
-/// Bytes that a process has read so far.
+/// The number of bytes that a process has read so far.
 fn read_bytes(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/io")).unwrap_or_default();
     let read = text.lines().find_map(|line| line.strip_prefix("rchar: "));
     read.and_then(|bytes| bytes.parse().ok()).unwrap_or(0)
 }
 
-/// Starts a server with a large configuration, signals it once it has read that, and waits for its start.
+/// Starts a server with a large configuration, sends SIGHUP once the file is read, and checks that the server starts.
 fn signal_while_reading(folder: &Path, text: &str, arguments: &[&str]) {
     let tenants: String = (0..TENANTS)
         .map(|number| format!("tenant t{number} {{ share: 0.001 % }}\n"))
@@ -48,29 +48,32 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     while read_bytes(child.id()) < text.len() as u64 {
-        assert!(begun.elapsed() < HANGS, "it does not read its file");
+        assert!(
+            started.elapsed() < HANG_TIMEOUT,
+            "the server does not read its configuration file"
+        );
         std::thread::yield_now();
     }
     let pid = Pid::from_raw(child.id() as i32).unwrap();
     kill_process(pid, Signal::HUP).unwrap();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    let said: Vec<String> = lines
+    let log: Vec<String> = lines
         .map_while(Result::ok)
-        .scan(false, |started, line| {
-            let ended = std::mem::replace(started, line.contains("event=\"start\""));
-            (!ended).then_some(line)
+        .scan(false, |start_seen, line| {
+            let is_after_start = std::mem::replace(start_seen, line.contains("event=\"start\""));
+            (!is_after_start).then_some(line)
         })
         .collect();
     kill_process(pid, Signal::KILL).ok();
     let status = child.wait().unwrap();
-    let has_started = said.iter().any(|line| line.contains("event=\"start\""));
-    assert!(has_started, "{arguments:?}: {status}: {said:?}");
+    let has_started = log.iter().any(|line| line.contains("event=\"start\""));
+    assert!(has_started, "{arguments:?}: {status}: {log:?}");
 }
 
 #[test]
-fn a_signal_to_reload_does_not_end_a_control_machine_that_reads_its_configuration() {
+fn sighup_does_not_end_a_config_server_that_reads_its_configuration() {
     let folder = tempfile::tempdir().unwrap();
     let members: String = (1..4)
         .map(|number| {
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn a_signal_to_reload_does_not_end_a_forwarder_that_reads_its_configuration() {
+fn sighup_does_not_end_a_forwarder_that_reads_its_configuration() {
     let folder = tempfile::tempdir().unwrap();
     let forwarder = "rain 1\ntype check { repeat: rerunnable; goal: 3 s; outer-limit: 7 s }\n\
          tenant acme { share: 10 % }\n\
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The command line as other programs see it: help, JSON output, exit codes and metric names as an earlier version
-//! had them.
+//! The command line as other programs see it: help, JSON output, exit codes and metric names match the golden files of
+//! an earlier version.
 
 #![allow(
     missing_docs,
@@ -22,15 +22,15 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Only what hangs is caught by this; nothing is timed.
-const HANGS: Duration = Duration::from_secs(60);
+/// Limit after which a wait counts as hung; nothing is timed.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
 
 fn golden(name: &str) -> String {
     format!("{FOLDER}/{name}")
 }
 
-/// Help of a command and of all below it, those that are hidden too.
+/// Appends the help of a command and of all its subcommands to `all`.
 fn help(command: &[&str], all: &mut String) {
     let mut arguments = command.to_vec();
     arguments.push("--help");
@@ -39,7 +39,7 @@
     writeln!(all, "$ rainstand {}\n{text}", arguments.join(" ")).unwrap();
     let commands = text.split("Commands:\n").nth(1).unwrap_or("");
     let names = commands.lines().take_while(|line| !line.is_empty());
-    // A name stands behind two spaces; its text, where it is broken, behind more.
+    // A name is indented by two spaces, and the wrapped lines of its description by more.
     let names = names.filter_map(|line| {
         line.strip_prefix("  ")
             .filter(|line| !line.starts_with(' '))
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn help_is_as_before() {
+fn help_matches_the_golden_file() {
     let mut all = String::new();
     help(&[], &mut all);
     for name in [
@@ -85,14 +85,14 @@
 route all { to: hall; limits: checks }
 ";
 
-/// Each command with its exit code and what it printed.
+/// Each command with its exit code and output.
 fn transcript(folder: &Path, commands: &[&[&str]]) -> String {
     let mut all = String::new();
     for arguments in commands {
-        let (code, out, errors) = run(folder, arguments);
+        let (code, stdout, stderr) = run(folder, arguments);
         writeln!(
             all,
-            "$ rainstand {}\nexit {code}\n{out}--\n{errors}",
+            "$ rainstand {}\nexit {code}\n{stdout}--\n{stderr}",
             arguments.join(" ")
         )
         .unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn output_of_configurations_is_as_before() {
+fn output_of_config_commands_matches_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let write = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
     write("good.rain", CONFIGURATION);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn output_of_captures_and_experiments_is_as_before() {
+fn output_of_pcap_and_lab_commands_matches_the_golden_files() {
     let folder = tempfile::tempdir().unwrap();
     let calls = [
         (0, 0, "one", "e1"),
@@ -211,15 +211,16 @@
         ],
     );
     assert_text(golden("pcap.txt"), &transcript);
-    let (code, out, _) = run(folder.path(), &["lab", "run", "small.rain", "--json"]);
+    let (code, stdout, _) = run(folder.path(), &["lab", "run", "small.rain", "--json"]);
     assert_eq!(code, 0);
     let mut shapes = BTreeSet::new();
-    out.lines()
+    stdout
+        .lines()
         .for_each(|line| shape("", &serde_json::from_str(line).unwrap(), &mut shapes));
     assert_text(golden("lab.txt"), &lines(&shapes));
 }
 
-/// The paths of a value, each with the kind of what stands there.
+/// Adds the path of each scalar in a JSON value, with its type, to `all`.
 fn shape(path: &str, value: &Value, all: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -243,21 +244,21 @@
         .fold(String::new(), |text, line| text + line + "\n")
 }
 
-/// A program that goes on; it ends with this.
-struct Running {
+/// A server process, killed when dropped.
+struct RunningServer {
     child: Child,
-    /// Held so that the program can go on writing.
+    /// Kept open so that the process can go on logging.
     log: BufReader<std::process::ChildStderr>,
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Running {
+impl RunningServer {
     fn start(folder: &Path, arguments: &[&str]) -> Self {
         let mut command = Command::new(PROGRAM);
         let mut child = command
@@ -270,12 +271,12 @@
         Self { child, log }
     }
 
-    fn says(&mut self, words: &str) -> String {
+    fn wait_for_line(&mut self, words: &str) -> String {
         loop {
             let mut line = String::new();
             assert!(
                 self.log.read_line(&mut line).unwrap() > 0,
-                "ended before it said {words}"
+                "the process ended before it logged {words}"
             );
             if line.contains(words) {
                 return line;
@@ -294,9 +295,9 @@
     lines(&described)
 }
 
-/// Looks at a member's folder of before.
+/// Reads the store of a member that an earlier version wrote.
 #[test]
-fn output_of_disks_is_as_before() {
+fn output_of_store_and_recover_commands_matches_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let member = Path::new(concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -307,14 +308,14 @@
         let file = file.unwrap();
         std::fs::copy(file.path(), folder.path().join("n1").join(file.file_name())).unwrap();
     }
-    let mut disk = String::new();
+    let mut all = String::new();
     for command in ["info", "check", "dump"] {
         for json in [&[][..], &["--json"][..]] {
             let arguments = [&["store", command, "n1"][..], json].concat();
-            disk += &transcript(folder.path(), &[&arguments]);
+            all += &transcript(folder.path(), &[&arguments]);
         }
     }
-    disk += &transcript(
+    all += &transcript(
         folder.path(),
         &[
             &["replica", "recover", "n1", "--name", "n1"],
@@ -324,79 +325,83 @@
             &["store", "info", "gone"],
         ],
     );
-    assert_text(golden("disk.txt"), &disk);
+    assert_text(golden("disk.txt"), &all);
 }
 
-/// Three control machines, and a forwarder that is attached to one of them.
+/// Three config servers, and a forwarder that is attached to one of them.
 #[test]
-fn what_running_programs_tell_has_the_shape_of_before() {
+fn reports_of_running_servers_have_the_golden_shapes_and_metrics() {
     let folder = tempfile::tempdir().unwrap();
     let listeners: [TcpListener; 3] =
         std::array::from_fn(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let addresses = listeners.map(|listener| listener.local_addr().unwrap().to_string());
-    let (mut members, mut machines) = (String::new(), String::new());
+    let (mut members, mut servers) = (String::new(), String::new());
     for (number, address) in (1..).zip(&addresses) {
         writeln!(
             members,
             "member c{number} {{ address: \"{address}\"; folder: \"c{number}\" }}"
         )
         .unwrap();
-        writeln!(machines, "member c{number} {{ address: \"{address}\" }}").unwrap();
+        writeln!(servers, "member c{number} {{ address: \"{address}\" }}").unwrap();
     }
     std::fs::write(
         folder.path().join("control.rain"),
         format!("rain 1\ngroup test {{ shards: 1\n{members}}}\n"),
     )
     .unwrap();
-    let start = format!("{CONFIGURATION}control fleet {{\n{machines}}}\n");
+    let start = format!("{CONFIGURATION}control fleet {{\n{servers}}}\n");
     std::fs::write(folder.path().join("start.rain"), start).unwrap();
-    std::fs::create_dir(folder.path().join("kept")).unwrap();
-    let mut control = ["c1", "c2", "c3"].map(|name| {
-        Running::start(
+    std::fs::create_dir(folder.path().join("control")).unwrap();
+    let mut config_servers = ["c1", "c2", "c3"].map(|name| {
+        RunningServer::start(
             folder.path(),
             &["control", "--config", "control.rain", "--name", name],
         )
     });
-    control
+    config_servers
         .iter_mut()
-        .for_each(|machine| drop(machine.says("event=\"start\"")));
+        .for_each(|server| drop(server.wait_for_line("event=\"start\"")));
     let at = addresses[0].clone();
     let listen = ["--listen", "127.0.0.1:0", "--admin", "127.0.0.1:0"];
-    let attach = ["--name", "f1", "--control-folder", "kept"];
+    let attach = ["--name", "f1", "--control-folder", "control"];
     let arguments = [&["forward", "--config", "start.rain"][..], &listen, &attach].concat();
-    let mut forwarder = Running::start(folder.path(), &arguments);
+    let mut forwarder = RunningServer::start(folder.path(), &arguments);
     let admin = forwarder
-        .says("event=\"admin\"")
+        .wait_for_line("event=\"admin\"")
         .split("admin=")
         .last()
         .unwrap()
         .trim()
         .to_owned();
-    forwarder.says("event=\"attached\"");
+    forwarder.wait_for_line("event=\"attached\"");
     std::fs::write(
         folder.path().join("next.rain"),
         CONFIGURATION.replace("40 %", "30 %"),
     )
     .unwrap();
     let publish = ["config", "publish", "next.rain", "--at", &at, "--json"];
-    let begun = Instant::now();
-    // No majority has come together yet.
+    let started = Instant::now();
+    // Publishing fails until a majority is connected.
     while matches!(run(folder.path(), &publish).0, 2 | 3) {
-        assert!(begun.elapsed() < HANGS, "it is not committed");
+        assert!(
+            started.elapsed() < HANG_TIMEOUT,
+            "the version is not committed in time"
+        );
     }
-    forwarder.says("version_applied");
+    forwarder.wait_for_line("version_applied");
 
     let mut shapes = BTreeSet::new();
     let mut add = |name: &str, arguments: &[&str]| {
-        let (_, out, errors) = run(folder.path(), arguments);
-        assert!(!out.is_empty(), "{name}: {errors}");
-        out.lines()
+        let (_, stdout, stderr) = run(folder.path(), arguments);
+        assert!(!stdout.is_empty(), "{name}: {stderr}");
+        stdout
+            .lines()
             .for_each(|line| shape(name, &serde_json::from_str(line).unwrap(), &mut shapes));
     };
     add("versions", &["config", "versions", "--at", &at, "--json"]);
     add("forwarder", &["ask", "status", "--at", &admin, "--json"]);
     add("standing", &["ask", "members", "--at", &admin, "--json"]);
-    // Only the leader tells how far the others are: all are asked.
+    // Only the leader reports the progress of the others, so all are queried.
     for address in &addresses {
         add("status", &["replica", "status", "--at", address, "--json"]);
         add(
--- a/crates/cli/tests/program/mod.rs
+++ b/crates/cli/tests/program/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the program as an operator does, and returns what came of it.
+//! Runs the program as an operator does, and returns its exit code and output.
 
 #![allow(
     missing_docs,
@@ -15,12 +15,12 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rainstand");
 
-/// Exit code, standard output, standard error.
+/// Returns the exit code, standard output and standard error.
 pub fn run(folder: &Path, arguments: &[&str]) -> (i32, String, String) {
-    texts(command(folder, arguments).output().unwrap())
+    exit_code_and_output(command(folder, arguments).output().unwrap())
 }
 
-/// The same of a program that reads standard input.
+/// Like [`run`], with text for standard input.
 pub fn run_with_input(folder: &Path, arguments: &[&str], input: &str) -> (i32, String, String) {
     let mut child = command(folder, arguments)
         .stdin(Stdio::piped())
@@ -30,10 +30,10 @@
         .unwrap();
     // A command that does not read its input may have ended already.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
-    texts(child.wait_with_output().unwrap())
+    exit_code_and_output(child.wait_with_output().unwrap())
 }
 
-/// The same with standard output line by line: as JSON, or as a string where it is none.
+/// Like [`run`], with standard output line by line: each parsed as JSON, or as a string if it is not JSON.
 pub fn run_lines(folder: &Path, arguments: &[&str]) -> (i32, Vec<Value>, String) {
     let (code, stdout, stderr) = run(folder, arguments);
     let lines = stdout
@@ -49,7 +49,7 @@
     command
 }
 
-fn texts(output: Output) -> (i32, String, String) {
+fn exit_code_and_output(output: Output) -> (i32, String, String) {
     (
         output.status.code().unwrap(),
         String::from_utf8(output.stdout).unwrap(),
--- a/crates/cli/tests/publish.rs
+++ b/crates/cli/tests/publish.rs
@@ -1,14 +1,10 @@
-//! Publishing at any of the control machines: what a command says about the newest version is true of the group.
+//! Publishing at any config server: what a command reports about the newest version holds for the group.
 //!
-//! What happened: of 40 real changes that were published at one machine after the other, only about 15 became versions,
-//! and a dozen commands answered "nothing changes: version K says the same" with exit code 0, where K was not the
-//! newest version. A machine that was alone, both others stopped, gave the same answer.
-//!
-//! Why: the command compared the file with what the machine that it asked had applied. A machine that follows applies a
-//! version a heartbeat after the leader has answered "committed", so it was one version behind in each turn, and by turns
-//! that version said the same as the file. What showed it: the version in each
-//! false answer was the one before the newest, or 0, at a machine that follows.
-//! Now the machine has its leader confirm the read with a majority and waits until it has applied what was committed.
+//! Guards against stale reads. A follower applies a version one heartbeat after the leader has responded "committed".
+//! The command compared the file with what its server had applied: of 40 changes published at each server in turn, only
+//! about 15 became versions, and a dozen commands at followers reported "nothing changes: version K says the same" with
+//! exit code 0, where K was the version before the newest, or 0. A server without a majority responded in the same way.
+//! Now a server has its leader confirm the read with a majority and waits until it has applied what was committed.
 
 #![allow(
     missing_docs,
@@ -20,14 +16,14 @@
 mod control_world;
 mod program;
 
-use control_world::{run, Process, World, HANGS};
+use control_world::{run, Process, TestCluster, HANG_TIMEOUT};
 use rainstand_cluster::framing::with_length_prefix;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Instant;
 
-/// Exit code of a command that cannot say what is committed.
+/// Exit code of a command that does not know what is committed.
 const NOT_KNOWN: i32 = 3;
 
 fn send_signal(process: &Process, signal: Signal) {
@@ -35,154 +31,169 @@
     kill_process(pid, signal).unwrap();
 }
 
-fn pause(world: &World, machine: usize) {
-    send_signal(world.machines[machine].as_ref().unwrap(), Signal::STOP);
+fn pause(cluster: &TestCluster, server: usize) {
+    send_signal(cluster.servers[server].as_ref().unwrap(), Signal::STOP);
 }
 
-fn resume(world: &World, machine: usize) {
-    send_signal(world.machines[machine].as_ref().unwrap(), Signal::CONT);
+fn resume(cluster: &TestCluster, server: usize) {
+    send_signal(cluster.servers[server].as_ref().unwrap(), Signal::CONT);
 }
 
 /// Publishes until a leader is elected and the version is committed.
-fn publish_first_version(world: &World, file: &str) {
-    let begun = Instant::now();
+fn publish_first_version(cluster: &TestCluster, file: &str) {
+    let started = Instant::now();
     loop {
-        let (code, told) = world.publish(file, 0, &[]);
-        if code == 0 && told.contains("version 1 is committed") {
+        let (code, output) = cluster.publish(file, 0, &[]);
+        if code == 0 && output.contains("version 1 is committed") {
             return;
         }
-        assert!(code >= 2, "{told}");
-        assert!(begun.elapsed() < HANGS, "no version is committed: {told}");
+        assert!(code >= 2, "{output}");
+        assert!(
+            started.elapsed() < HANG_TIMEOUT,
+            "no version is committed: {output}"
+        );
     }
 }
 
-/// Publishes two files by turns, each at the machine that `machine_of` names: each is a change, and becomes a version.
-fn publish_by_turns(machine_of: impl Fn(usize) -> usize) {
-    let world = World::new();
-    publish_first_version(&world, "first.rain");
+/// Publishes two files alternately, each at the server that `server_of` selects: each is a change and must become a
+/// version.
+fn publish_alternately(server_of: impl Fn(usize) -> usize) {
+    let cluster = TestCluster::new();
+    publish_first_version(&cluster, "first.rain");
     for turn in 0..40 {
         let file = ["second.rain", "first.rain"][turn % 2];
-        let (code, told) = world.publish(file, machine_of(turn), &[]);
+        let (code, output) = cluster.publish(file, server_of(turn), &[]);
         let expected = format!("version {} is committed", turn + 2);
         assert!(
-            code == 0 && told.contains(&expected),
-            "turn {turn} at machine {}: exit code {code}, expected: {expected}\n{told}",
-            machine_of(turn)
+            code == 0 && output.contains(&expected),
+            "turn {turn} at server {}: exit code {code}, expected: {expected}\n{output}",
+            server_of(turn)
         );
     }
 }
 
 #[test]
-fn changes_published_at_each_machine_in_turn_all_become_versions() {
-    publish_by_turns(|turn| (turn + 1) % 3);
+fn changes_published_at_each_server_in_turn_all_become_versions() {
+    publish_alternately(|turn| (turn + 1) % 3);
 }
 
 #[test]
-fn changes_published_at_one_machine_all_become_versions() {
-    // One of the three leads at most: at least two of these are played at a follower.
-    for machine in 0..3 {
-        publish_by_turns(|_| machine);
+fn changes_published_at_one_server_all_become_versions() {
+    // At most one of the three is the leader, so at least two runs publish at a follower.
+    for server in 0..3 {
+        publish_alternately(|_| server);
     }
 }
 
 #[test]
-fn a_machine_without_a_majority_says_that_it_does_not_know() {
-    let world = World::new();
-    publish_first_version(&world, "first.rain");
-    world.confirmed(2, 1, 0);
-    pause(&world, 0);
-    pause(&world, 1);
-    let commands: [&[&str]; 4] = [&[], &["--dry-run"], &["--from", "1"], &["--from", "7"]];
-    for more in commands {
-        let (code, told) = world.publish("first.rain", 2, more);
+fn server_without_a_majority_reports_that_the_version_is_not_known() {
+    let cluster = TestCluster::new();
+    publish_first_version(&cluster, "first.rain");
+    cluster.wait_until_confirmed(2, 1, 0);
+    pause(&cluster, 0);
+    pause(&cluster, 1);
+    let option_lists: [&[&str]; 4] = [&[], &["--dry-run"], &["--from", "1"], &["--from", "7"]];
+    for options in option_lists {
+        let (code, output) = cluster.publish("first.rain", 2, options);
         assert!(
-            code == NOT_KNOWN && told.contains("not known"),
-            "{more:?}: exit code {code}: {told}"
+            code == NOT_KNOWN && output.contains("not known"),
+            "{options:?}: exit code {code}: {output}"
         );
     }
-    let why = ["replica", "why", "check/4", "--at", &world.at[2], "--json"];
-    let (code, lines, told) = run(world.folder.path(), &why);
+    let why = [
+        "replica",
+        "why",
+        "check/4",
+        "--at",
+        &cluster.addresses[2],
+        "--json",
+    ];
+    let (code, lines, stderr) = run(cluster.folder.path(), &why);
     let explanation = lines.first().map(ToString::to_string).unwrap_or_default();
     assert!(
         code != 0 && explanation.contains("not known"),
-        "exit code {code}: {explanation} {told}"
+        "exit code {code}: {explanation} {stderr}"
     );
-    resume(&world, 0);
-    resume(&world, 1);
+    resume(&cluster, 0);
+    resume(&cluster, 1);
 }
 
-/// Answers one message on each connection, in turn.
-fn stand_in<const N: usize>(answers: [&'static [u8]; N]) -> String {
+/// Starts a server that answers the first message of each connection with the next of the responses. Returns its
+/// address.
+fn fake_server<const N: usize>(responses: [&'static [u8]; N]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
-        for answer in answers {
+        for response in responses {
             let (mut stream, _) = listener.accept().unwrap();
             let mut length_prefix = [0; 4];
             stream.read_exact(&mut length_prefix).unwrap();
             let mut message = vec![0; u32::from_be_bytes(length_prefix) as usize];
             stream.read_exact(&mut message).unwrap();
-            stream.write_all(&with_length_prefix(answer)).unwrap();
+            stream.write_all(&with_length_prefix(response)).unwrap();
         }
     });
     address
 }
 
 #[test]
-fn an_answer_of_another_release_is_not_taken_for_success() {
+fn response_of_another_release_is_not_treated_as_success() {
     let folder = tempfile::tempdir().unwrap();
     let file = "rain 1\ntype check { repeat: rerunnable; goal: 3 s; outer-limit: 7 s }\n";
     std::fs::write(folder.path().join("file.rain"), file).unwrap();
     let versions: &[u8] = br#"{"name":"c1","here":true,"current":true,"version":0}"#;
-    let at = stand_in([versions, b"", br#"{"postponed":1}"#]);
-    let publish = ["config", "publish", "file.rain", "--at", &at];
-    let (code, _, told) = run(folder.path(), &publish);
+    let address = fake_server([versions, b"", br#"{"postponed":1}"#]);
+    let publish = ["config", "publish", "file.rain", "--at", &address];
+    let (code, _, stderr) = run(folder.path(), &publish);
     assert!(
-        code == NOT_KNOWN && told.contains("postponed"),
-        "exit code {code}: {told}"
+        code == NOT_KNOWN && stderr.contains("postponed"),
+        "exit code {code}: {stderr}"
     );
-    // One that does not say that its version was confirmed does not know.
+    // A server that does not report its version as confirmed does not know.
     let unconfirmed: &[u8] = br#"{"name":"c1","here":true,"version":0}"#;
-    let at = stand_in([unconfirmed]);
+    let address = fake_server([unconfirmed]);
     let (code, ..) = run(
         folder.path(),
-        &["config", "publish", "file.rain", "--at", &at],
+        &["config", "publish", "file.rain", "--at", &address],
     );
     assert_eq!(code, NOT_KNOWN);
-    // Nor does one that started over with less in between.
+    // Nor does one that restarted with an older version between two requests.
     let ahead: &[u8] = br#"{"name":"c1","here":true,"current":true,"version":4}"#;
-    let at = stand_in([ahead, b""]);
+    let address = fake_server([ahead, b""]);
     let (code, ..) = run(
         folder.path(),
-        &["config", "publish", "file.rain", "--at", &at],
+        &["config", "publish", "file.rain", "--at", &address],
     );
     assert_eq!(code, NOT_KNOWN);
 }
 
 #[test]
-fn a_machine_that_was_stopped_does_not_answer_from_before() {
-    let world = World::new();
-    publish_first_version(&world, "first.rain");
-    world.confirmed(2, 1, 0);
+fn resumed_server_does_not_respond_with_a_stale_version() {
+    let cluster = TestCluster::new();
+    publish_first_version(&cluster, "first.rain");
+    cluster.wait_until_confirmed(2, 1, 0);
     for round in 0..5_u64 {
-        pause(&world, 2);
+        pause(&cluster, 2);
         let committed = 2 + 2 * round;
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            // If the stopped machine led, another one is elected first.
-            let (code, told) = world.publish("second.rain", 0, &[]);
-            if code == 0 && told.contains(&format!("version {committed} is committed")) {
+            // If the stopped server was the leader, another one is elected first.
+            let (code, output) = cluster.publish("second.rain", 0, &[]);
+            if code == 0 && output.contains(&format!("version {committed} is committed")) {
                 break;
             }
-            assert!(begun.elapsed() < HANGS && code >= 2, "{code}: {told}");
+            assert!(
+                started.elapsed() < HANG_TIMEOUT && code >= 2,
+                "{code}: {output}"
+            );
         }
-        resume(&world, 2);
-        // Version `committed - 1`, which this machine has, says what is published now.
-        let (code, told) = world.publish("first.rain", 2, &[]);
+        resume(&cluster, 2);
+        // The file equals version `committed - 1`, which this server still has: a stale server would report no change.
+        let (code, output) = cluster.publish("first.rain", 2, &[]);
         let expected = format!("version {} is committed", committed + 1);
         assert!(
-            code == 0 && told.contains(&expected),
-            "round {round}: exit code {code}: {told}"
+            code == 0 && output.contains(&expected),
+            "round {round}: exit code {code}: {output}"
         );
     }
 }
--- a/crates/cli/tests/size.rs
+++ b/crates/cli/tests/size.rs
@@ -1,4 +1,4 @@
-//! The configuration of two years in a real process: it starts, answers, takes itself again, and leaves.
+//! A forwarder process with a configuration of the size expected in two years starts, reloads it and drains.
 
 #![allow(
     missing_docs,
@@ -11,7 +11,7 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 
-/// Ended when dropped.
+/// Killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -21,15 +21,15 @@
     }
 }
 
-fn signal(to: &Child, name: &str) {
+fn send_signal(process: &Child, name: &str) {
     let sent = Command::new("kill")
-        .args([&format!("-{name}"), &to.id().to_string()])
+        .args([&format!("-{name}"), &process.id().to_string()])
         .status();
     assert!(sent.is_ok_and(|status| status.success()), "kill -{name}");
 }
 
 #[test]
-fn limits_by_tenant_on_5_400_routes_for_23_000_tenants_start() {
+fn forwarder_starts_and_reloads_with_limits_per_tenant_on_5_400_routes_for_23_000_tenants() {
     let folder = tempfile::tempdir().unwrap();
     let config = folder.path().join("main.rain");
     let size = Size {
@@ -43,24 +43,24 @@
         .stderr(Stdio::piped())
         .spawn();
     let mut process = Process(child.unwrap());
-    let mut told = BufReader::new(process.0.stderr.take().unwrap())
+    let mut log = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // The process's end ends the lines: nothing is waited for that cannot come.
-    let mut wait = |what: &str| {
+    // The log ends with the process, so this never waits for a line that cannot come.
+    let mut wait_for_log = |text: &str| {
         let mut all = Vec::new();
-        for line in told.by_ref() {
+        for line in log.by_ref() {
             all.push(line);
-            if all.last().is_some_and(|line| line.contains(what)) {
+            if all.last().is_some_and(|line| line.contains(text)) {
                 return;
             }
         }
-        panic!("no {what}: {all:?}");
+        panic!("the log ended without {text}: {all:?}");
     };
-    wait("event=\"start\"");
-    signal(&process.0, "HUP");
-    wait("event=\"version\" version=2");
-    signal(&process.0, "TERM");
-    wait("event=\"counts\"");
+    wait_for_log("event=\"start\"");
+    send_signal(&process.0, "HUP");
+    wait_for_log("event=\"version\" version=2");
+    send_signal(&process.0, "TERM");
+    wait_for_log("event=\"counts\"");
     assert!(process.0.wait().unwrap().success());
 }
