--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -1,28 +1,28 @@
-//! Whether a history keeps the rules. It reads the history alone and knows nothing of the run that made it.
+//! Checks whether a history satisfies the invariants. Reads the history only, and nothing of the run that made it.
 //!
-//! | check | rule | what breaks it |
+//! | check | invariant | violation |
 //! | --- | --- | --- |
-//! | `asked-twice` | 1 | two requests of one caller under one name |
-//! | `answer-missing` | 1 | a request was asked and nothing final was ever seen |
-//! | `answer-late` | 1 | its final line stands past its due time, whatever it says |
-//! | `answer-twice` | 1 | two final lines of one request |
-//! | `answer-to-nothing` | 1 | a final line of a request that was not asked by then |
-//! | `body-changed` | 1 | a key ran with a body that nobody had asked for by then |
-//! | `result-of-no-run` | 1 | an answered keyed request whose result no run of this key and body had made by then |
-//! | `result-of-another-type` | 1 | requests of one key and two types, both answered |
-//! | `result-contradicted` | 2 | two answers of one key with different results |
-//! | `ran-twice` | 2 | a second run of one key, wherever |
-//! | `ran-unasked` | 2 | a run of a key that nobody had asked for by then |
-//! | `dismissed-though-ran` | 2 | a run that can only have been of requests that were rejected |
+//! | `asked-twice` | 1 | two requests of one caller have the same name |
+//! | `answer-missing` | 1 | a request was sent and its end never recorded |
+//! | `answer-late` | 1 | a request ended after its deadline, in whatever way |
+//! | `answer-twice` | 1 | a request ended twice |
+//! | `answer-to-nothing` | 1 | the end of a request that had not been sent by then |
+//! | `body-changed` | 1 | a key ran with a body that no request had by then |
+//! | `result-of-no-run` | 1 | a keyed answer has a result that no run of this key and body had produced by then |
+//! | `result-of-another-type` | 1 | requests with one key and two request classes were both answered |
+//! | `result-contradicted` | 2 | two answers for one key have different results |
+//! | `ran-twice` | 2 | a second run of one key, on any node |
+//! | `ran-unasked` | 2 | a run of a key that no request had by then |
+//! | `dismissed-though-ran` | 2 | a run whose possible requests were all rejected |
 //!
-//! **Whose a run is.** A run tells its key, not its request. It is of one of the requests with its key and body that
-//! were asked before it; among these of those asked at the node whose agent ran it (`agent-n2` for `n2`), where there
-//! are any. If all that it can be of were rejected, one was rejected though it ran.
+//! **Attribution of runs.** A run records its key, not its request. Its candidates are the requests with its key and
+//! body that were sent before it; if some of them were sent to the node whose agent ran it (`agent-n2` for `n2`), only
+//! these. If all candidates were rejected, a request was rejected although it ran.
 //!
-//! **Linearizable per key.** A key is a register that is written once, by its run, and read by answers. Such a history
+//! **Linearizability per key.** A key is a register that is written once, by its run, and read by answers. A history
 //! is linearizable if and only if there is at most one write, every answer returns it, and none returns it before it
-//! was written: `ran-twice`, `result-contradicted` and `result-of-no-run`. So one pass decides what a search over
-//! orders (exponential in the worst case) would; a test holds the two side by side.
+//! was written: `ran-twice`, `result-contradicted` and `result-of-no-run`. So one pass gives the same result as a
+//! search over all orders, which is exponential in the worst case; a test compares the two.
 
 mod invariants;
 mod keys;
@@ -32,45 +32,45 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Lines that show one violation: the requests of a key may be many.
+/// Maximum number of lines listed for one violation, as a key may have many requests.
 const MAX_LINES_SHOWN: usize = 12;
 
-/// One check, and the rule that it guards.
+/// One check, and the invariant that it verifies.
 #[derive(Clone, Copy)]
 struct Check {
     rule: u8,
     name: &'static str,
 }
 
-/// A check of rule 1: every request has one end, in time and true.
-const fn rule_1(name: &'static str) -> Check {
+/// A check of invariant 1: every request ends once, by its deadline and with a correct outcome.
+const fn invariant_1(name: &'static str) -> Check {
     Check { rule: 1, name }
 }
 
-/// A check of rule 2: a key runs once at most.
-const fn rule_2(name: &'static str) -> Check {
+/// A check of invariant 2: a key runs at most once.
+const fn invariant_2(name: &'static str) -> Check {
     Check { rule: 2, name }
 }
 
-/// A rule that was broken, and the lines that show it.
+/// A violation of an invariant, and the lines that show it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Number of the rule.
+    /// Number of the invariant.
     pub rule: u8,
     /// Name of the check that found it.
     pub check: &'static str,
-    /// When it was seen to be broken, in nanoseconds on the history's clock.
+    /// When it was detected, in nanoseconds on the history's clock.
     pub at: u64,
-    /// The request that it is about.
+    /// The request that it concerns.
     #[serde(rename = "ticket", skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// The idempotency key that it is about.
+    /// The idempotency key that it concerns.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// What was seen.
+    /// Description of the violation.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Numbers of lines, from 1.
+    /// Line numbers, from 1.
     pub lines: Vec<usize>,
 }
 
@@ -87,10 +87,10 @@
     }
 }
 
-/// How many requests, ends, runs and keys a history holds.
+/// Counts of the requests, ends, runs and keys in a history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// Requests.
+    /// All requests.
     #[serde(rename = "asked")]
     pub requests: usize,
     /// Requests with an idempotency key.
@@ -104,13 +104,13 @@
     /// Ends by a failure.
     #[serde(rename = "given_up")]
     pub failed: usize,
-    /// Requests that their callers left.
+    /// Requests abandoned by their callers.
     #[serde(rename = "gone")]
     pub abandoned: usize,
-    /// Runs that agents saw.
+    /// Runs recorded by agents.
     #[serde(rename = "ran")]
     pub runs: usize,
-    /// Different keys.
+    /// Distinct keys.
     pub keys: usize,
 }
 
@@ -125,17 +125,17 @@
     }
 }
 
-/// What a check of a history came to.
+/// Result of the check of a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// What the history holds.
+    /// Counts of the events in the history.
     pub tally: Tally,
-    /// All that broke, in the order of its time.
+    /// All violations, in order of time.
     pub violations: Vec<Violation>,
 }
 
 impl Verdict {
-    /// What broke first.
+    /// The earliest violation.
     pub fn first(&self) -> Option<&Violation> {
         self.violations.first()
     }
@@ -163,7 +163,7 @@
     result: Option<&'h str>,
 }
 
-/// A run, as its agent saw it.
+/// A run, as recorded by its agent.
 struct Run<'h> {
     at: u64,
     line: usize,
@@ -173,7 +173,7 @@
     result: Option<&'h str>,
 }
 
-/// The request, the key, or both that a violation is about.
+/// The request, the key, or both that a violation concerns.
 #[derive(Clone, Copy)]
 struct Subject<'s> {
     request: Option<&'s str>,
@@ -215,18 +215,18 @@
     }
 }
 
-/// What has been read of a history, in the order of its times.
+/// State of the check: the part of a history read so far, in order of time.
 #[derive(Default)]
 struct HistoryChecker<'h> {
     tally: Tally,
     requests: Vec<Request<'h>>,
-    /// Index of a request by caller and name: two callers may count alike.
+    /// Index of a request by caller and name: two callers may use the same names.
     by_name: HashMap<(&'h str, &'h str), usize>,
     runs: Vec<Run<'h>>,
     violations: Violations,
 }
 
-/// Checks a whole history; the order of its observations means nothing.
+/// Checks a complete history; the order of its observations is irrelevant.
 pub fn check(history: &[Observation]) -> Verdict {
     let mut checker = HistoryChecker::default();
     for observation in in_order(history) {
@@ -235,7 +235,7 @@
     checker.finish()
 }
 
-/// Observations by time; those of one moment in the order in which they can have happened.
+/// Observations by time; those with equal times in the order of request, run, end.
 fn in_order(history: &[Observation]) -> Vec<&Observation> {
     let rank = |event: &Event| match event {
         Event::Requested { .. } => 0,
@@ -243,13 +243,13 @@
         Event::Ended { .. } => 2,
     };
     let mut sorted: Vec<&Observation> = history.iter().collect();
-    sorted.sort_by_key(|seen| (seen.at, rank(&seen.event), seen.line));
+    sorted.sort_by_key(|observation| (observation.at, rank(&observation.event), observation.line));
     sorted
 }
 
 impl<'h> HistoryChecker<'h> {
-    fn record(&mut self, seen: &'h Observation) {
-        match &seen.event {
+    fn record(&mut self, observation: &'h Observation) {
+        match &observation.event {
             Event::Requested {
                 request,
                 request_class,
@@ -258,10 +258,10 @@
                 node,
                 deadline,
             } => self.on_request(
-                &seen.observer,
+                &observation.observer,
                 Request {
-                    at: seen.at,
-                    line: seen.line,
+                    at: observation.at,
+                    line: observation.line,
                     name: request,
                     class: request_class.as_deref(),
                     key: key.as_deref(),
@@ -274,9 +274,9 @@
             Event::Ran { key, body, result } => {
                 self.tally.runs += 1;
                 self.runs.push(Run {
-                    at: seen.at,
-                    line: seen.line,
-                    agent: &seen.observer,
+                    at: observation.at,
+                    line: observation.line,
+                    agent: &observation.observer,
                     key: key.as_deref(),
                     body: body.as_deref(),
                     result: result.as_deref(),
@@ -287,11 +287,11 @@
                 end,
                 result,
             } => self.on_end(
-                &seen.observer,
+                &observation.observer,
                 request,
                 End {
-                    at: seen.at,
-                    line: seen.line,
+                    at: observation.at,
+                    line: observation.line,
                     kind: *end,
                     result: result.as_deref(),
                 },
@@ -303,13 +303,13 @@
         self.tally.requests += 1;
         self.tally.keyed += usize::from(request.key.is_some());
         let index = self.requests.len();
-        if let Some(before) = self.by_name.insert((caller, request.name), index) {
+        if let Some(previous) = self.by_name.insert((caller, request.name), index) {
             self.violations.report(
-                rule_1("asked-twice"),
+                invariant_1("asked-twice"),
                 request.at,
                 request.subject(),
-                "asked twice under one name: a repeat is a further ticket",
-                vec![self.requests[before].line, request.line],
+                "a second request has the same name: a repeat must be a separate request",
+                vec![self.requests[previous].line, request.line],
             );
         }
         self.requests.push(request);
@@ -323,22 +323,22 @@
                 key: None,
             };
             self.violations.report(
-                rule_1("answer-to-nothing"),
+                invariant_1("answer-to-nothing"),
                 end.at,
                 subject,
-                "a final line of a ticket that was not asked by then",
+                "the end of a request that had not been sent by then",
                 vec![end.line],
             );
             return;
         };
         let request = &mut self.requests[index];
-        if let Some(first) = request.end {
+        if let Some(first_end) = request.end {
             self.violations.report(
-                rule_1("answer-twice"),
+                invariant_1("answer-twice"),
                 end.at,
                 request.subject(),
-                "a second final line",
-                vec![request.line, first.line, end.line],
+                "the request ended a second time",
+                vec![request.line, first_end.line, end.line],
             );
             return;
         }
@@ -346,10 +346,10 @@
         if end.at > request.deadline {
             let late = end.at - request.deadline;
             self.violations.report(
-                rule_1("answer-late"),
+                invariant_1("answer-late"),
                 end.at,
                 request.subject(),
-                format!("its final line stands {late} ns past its due time"),
+                format!("the request ended {late} ns after its deadline"),
                 vec![request.line, end.line],
             );
         }
@@ -368,12 +368,12 @@
     }
 
     fn report_missing_ends(&mut self) {
-        for request in self.requests.iter().filter(|one| one.end.is_none()) {
+        for request in self.requests.iter().filter(|request| request.end.is_none()) {
             self.violations.report(
-                rule_1("answer-missing"),
+                invariant_1("answer-missing"),
                 request.deadline,
                 request.subject(),
-                "nothing final by its due time, nor ever",
+                "the request never ended",
                 vec![request.line],
             );
         }
--- a/crates/testbed/src/check/invariants.rs
+++ b/crates/testbed/src/check/invariants.rs
@@ -1,4 +1,4 @@
-//! The four rules as all other runs of the project are held to them, over the same history.
+//! Checks the history against the four invariants, with the checker that all other runs of the project use.
 
 use super::{Check, Request, Run, Subject, Violations};
 use crate::history::RequestEnd;
@@ -6,7 +6,7 @@
 use rainstand_invariants::{Answer, InvariantChecker, Kind, Step};
 use std::time::Duration;
 
-/// A step of a request, and what orders it: its time, its rank within one moment, its request.
+/// A step of a request, with its sort key: its time, its rank among steps of the same time, and its request.
 struct TimedStep {
     at: u64,
     rank: u8,
@@ -14,7 +14,7 @@
     step: Step,
 }
 
-/// Finds what the other checks overlooked; what they found is reported once.
+/// Reports violations only if the other checks found none, so that none is reported twice.
 pub(super) fn check(requests: &[Request<'_>], runs: &[Run<'_>], violations: &mut Violations) {
     if !violations.0.is_empty() {
         return;
@@ -53,7 +53,7 @@
     violations.report(check, at, subject, violation.reason, lines);
 }
 
-/// All requests as the steps that the invariants know.
+/// Translates all requests into the steps of the invariant checker.
 fn steps_of(requests: &[Request<'_>], runs: &[Run<'_>]) -> Vec<TimedStep> {
     let ran: HashMap<&str, u64> = runs
         .iter()
@@ -74,16 +74,16 @@
         } else {
             Kind::Rerunnable
         };
-        let asked = Step::Asked {
+        let sent = Step::Asked {
             kind,
             due: Duration::from_nanos(request.deadline),
             front: 0,
         };
-        push(request.at, 0, asked);
+        push(request.at, 0, sent);
         let Some(end) = request.end else {
             continue;
         };
-        // Agents report the runs of keys alone; a request without one is served by a run that is not seen here.
+        // Agents record only runs with a key; a request without one is served by a run that is not recorded.
         let has_run = |key| ran.get(key).is_some_and(|ran| *ran <= end.at);
         if request.key.is_none_or(has_run) {
             push(end.at, 1, Step::Shared);
--- a/crates/testbed/src/check/keys.rs
+++ b/crates/testbed/src/check/keys.rs
@@ -1,17 +1,17 @@
-//! What is seen of each idempotency key: its runs against its requests, and its answers against its runs.
+//! Checks each idempotency key: its runs against its requests, and its answers against its runs.
 
-use super::{rule_1, rule_2, End, Request, Run, Subject, Violations, MAX_LINES_SHOWN};
+use super::{invariant_1, invariant_2, End, Request, Run, Subject, Violations, MAX_LINES_SHOWN};
 use crate::history::RequestEnd;
 use foldhash::{HashMap, HashMapExt};
 
-/// What is seen of one key, in the order of its times.
+/// Requests and runs of one key, each in order of time.
 struct Key<'a, 'h> {
     name: &'h str,
     requests: Vec<&'a Request<'h>>,
     runs: Vec<&'a Run<'h>>,
 }
 
-/// Checks each key by itself; returns how many there are.
+/// Checks each key independently; returns the number of keys.
 pub(super) fn check(
     requests: &[Request<'_>],
     runs: &[Run<'_>],
@@ -53,12 +53,12 @@
     keys
 }
 
-/// Whether two sides that know of the same thing may mean the same: what one leaves out is no contradiction.
+/// Whether two optional values do not contradict each other: a missing value agrees with any.
 fn consistent(one: Option<&str>, other: Option<&str>) -> bool {
     one.is_none() || other.is_none() || one == other
 }
 
-/// A request that was answered with a result, and the line that says so.
+/// A request that was answered with a result, and the line that records it.
 struct Answer<'a, 'h> {
     request: &'a Request<'h>,
     end: End<'h>,
@@ -71,7 +71,7 @@
 }
 
 impl<'a, 'h> Key<'a, 'h> {
-    /// What a violation by a run is about: a run names no request.
+    /// Subject of a violation by a run: the key only, as a run names no request.
     fn subject(&self) -> Subject<'_> {
         Subject {
             request: None,
@@ -83,7 +83,7 @@
         for pair in self.runs.windows(2) {
             let (first, second) = (pair[0], pair[1]);
             violations.report(
-                rule_2("ran-twice"),
+                invariant_2("ran-twice"),
                 second.at,
                 self.subject(),
                 format!("it ran again, by {} after {}", second.agent, first.agent),
@@ -92,11 +92,11 @@
         }
     }
 
-    /// The requests that a run may be of; see the head of the parent module.
+    /// The candidate requests of a run; see the documentation of the parent module.
     fn candidates(&self, run: &Run<'_>) -> Vec<&'a Request<'h>> {
-        let may_be =
+        let is_possible =
             |request: &&&Request<'_>| request.at <= run.at && consistent(request.body, run.body);
-        let all: Vec<_> = self.requests.iter().filter(may_be).copied().collect();
+        let all: Vec<_> = self.requests.iter().filter(is_possible).copied().collect();
         let node = run.agent.strip_prefix("agent-");
         let at_node: Vec<_> = all
             .iter()
@@ -126,19 +126,19 @@
         }
     }
 
-    /// A run that nobody had asked for by then, or not with this body.
+    /// Reports a run whose key, or whose body, no request had by then.
     fn report_unrequested(&self, run: &Run<'_>, violations: &mut Violations) {
-        let before = self.requests.iter().filter(|one| one.at <= run.at);
+        let before = self.requests.iter().filter(|request| request.at <= run.at);
         let mut lines: Vec<usize> = before.map(|request| request.line).collect();
         let (check, reason) = if lines.is_empty() {
             (
-                rule_2("ran-unasked"),
-                "it ran, and nobody had asked for it by then",
+                invariant_2("ran-unasked"),
+                "it ran before any request with this key was sent",
             )
         } else {
             (
-                rule_1("body-changed"),
-                "it ran with a body that nobody had asked for by then",
+                invariant_1("body-changed"),
+                "it ran with a body that no request with this key had by then",
             )
         };
         lines.truncate(MAX_LINES_SHOWN - 1);
@@ -166,11 +166,11 @@
             key: Some(self.name),
         };
         let reason = format!(
-            "it ran by {}, and all tickets that the run can be of were dismissed",
+            "it ran by {}, and all requests that the run can belong to were rejected",
             run.agent
         );
         violations.report(
-            rule_2("dismissed-though-ran"),
+            invariant_2("dismissed-though-ran"),
             last_end.max(run.at),
             subject,
             reason,
@@ -178,7 +178,7 @@
         );
     }
 
-    /// All answers of this key, in the order in which they were read.
+    /// All answers for this key, in order of time.
     fn answers(&self) -> Vec<Answer<'a, 'h>> {
         let answer = |request: &&'a Request<'h>| {
             let end = request.end.filter(|end| end.kind == RequestEnd::Served)?;
@@ -192,22 +192,22 @@
     fn check_answers(&self, violations: &mut Violations) {
         let answers = self.answers();
         for (index, answer) in answers.iter().enumerate() {
-            self.check_result_was_made(answer, violations);
+            self.check_result_was_produced(answer, violations);
             if index > 0 {
                 check_agree(&answers[0], answer, violations);
             }
         }
     }
 
-    /// Some run of this key and body must have made the result by then.
-    fn check_result_was_made(&self, answer: &Answer<'_, '_>, violations: &mut Violations) {
+    /// Some run of this key and body must have produced the result by the time of the answer.
+    fn check_result_was_produced(&self, answer: &Answer<'_, '_>, violations: &mut Violations) {
         let (request, end) = (answer.request, answer.end);
-        let made = |run: &&Run<'_>| {
+        let has_produced = |run: &&Run<'_>| {
             run.at <= end.at
                 && consistent(run.body, request.body)
                 && run.result.is_none_or(|result| result == answer.result())
         };
-        if self.runs.iter().any(made) {
+        if self.runs.iter().any(has_produced) {
             return;
         }
         let mut lines: Vec<usize> = vec![request.line, end.line];
@@ -218,11 +218,11 @@
                 .take(MAX_LINES_SHOWN - 2),
         );
         let reason = format!(
-            "answered with {:?}, which no run of this key and body had made by then",
+            "answered with {:?}, which no run of this key and body had produced by then",
             answer.result()
         );
         violations.report(
-            rule_1("result-of-no-run"),
+            invariant_1("result-of-no-run"),
             end.at,
             request.subject(),
             reason,
@@ -231,7 +231,7 @@
     }
 }
 
-/// An answer must say what the first answer of its key said.
+/// An answer must equal the first answer of its key.
 fn check_agree(first: &Answer<'_, '_>, answer: &Answer<'_, '_>, violations: &mut Violations) {
     let (at, subject) = (answer.end.at, answer.request.subject());
     let lines = vec![
@@ -242,12 +242,12 @@
     ];
     if first.result() != answer.result() {
         let reason = format!(
-            "answered with {:?} after {:?}",
+            "answered with {:?}, but the first answer was {:?}",
             answer.result(),
             first.result()
         );
         violations.report(
-            rule_2("result-contradicted"),
+            invariant_2("result-contradicted"),
             at,
             subject,
             reason,
@@ -256,10 +256,10 @@
     }
     if !consistent(first.request.class, answer.request.class) {
         violations.report(
-            rule_1("result-of-another-type"),
+            invariant_1("result-of-another-type"),
             at,
             subject,
-            "two types were answered under one key",
+            "requests of two classes were answered for one key",
             lines,
         );
     }
--- a/crates/testbed/src/fault_schedule.rs
+++ b/crates/testbed/src/fault_schedule.rs
@@ -1,7 +1,7 @@
-//! From a rig of a configuration and a seed to what is done to whom and when. Pure: the same seed gives the same
-//! schedule.
+//! Draws the fault schedule of a testbed scenario (a `Rig` of the configuration) from a seed. Pure: the same seed gives
+//! the same schedule.
 //!
-//! What a seed does not fix is how the machine's scheduler interleaves the processes; see `docs/rig.md`.
+//! A seed does not determine how the operating system schedules the processes; see `docs/rig.md`.
 
 use nanorand::{Rng, WyRand};
 use rainstand_config::schema::{Rig, RigDisk, RigFault, RigLink, RigTrouble};
@@ -9,47 +9,47 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Drawn faults begin in this part of the run: callers are up before, and there is time to recover after.
+/// Drawn faults begin in this part of the run, as fractions: callers start before it, and recovery follows it.
 const START_RANGE: Range<f64> = 0.1..0.7;
-/// Drawn faults are over by this part of the run.
+/// Drawn faults end by this fraction of the run.
 const END_OF_DRAWN: f64 = 0.9;
-/// Bytes a second of a link that is throttled.
+/// Bytes per second of a throttled link.
 const THROTTLED_RATE: u64 = 20_000;
-/// Rates of clocks that are wrong, in thousandths.
+/// Rates of fast, correct and slow clocks, in thousandths.
 const FAST_CLOCK: u32 = 1_500;
 const RIGHT_CLOCK: u32 = 1_000;
 const SLOW_CLOCK: u32 = 700;
-/// After a fault on a node or its links, for what was waiting then: its callers may still leave their requests.
+/// Time after a fault of a node or its links in which callers may still abandon requests that were pending then.
 pub const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
 
-/// A link, by who is at its ends. Nodes and callers count from 0.
+/// A link, by its two ends. Nodes and callers are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Link {
     /// From a caller to a node.
     Caller {
-        /// Who opens it.
+        /// The caller, which opens it.
         caller: usize,
-        /// Where it leads.
+        /// The node to which it connects.
         node: usize,
     },
     /// From a node to its agent.
     Agent {
-        /// Who opens it.
+        /// The node, which opens it.
         node: usize,
     },
     /// Between two members of a group.
     Peer {
-        /// Who opens it.
+        /// The node that opens it.
         from: usize,
-        /// Where it leads.
+        /// The node to which it connects.
         to: usize,
     },
 }
 
 impl Link {
-    /// The node whose service callers may miss while the link is broken; none for peers, which are not between a
-    /// caller and its node.
+    /// The node that may be unavailable to callers while the link is broken; `None` for links between peers, which are
+    /// not on the path of a caller's request.
     pub fn served_node(self) -> Option<usize> {
         match self {
             Link::Caller { node, .. } | Link::Agent { node } => Some(node),
@@ -62,29 +62,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// Nothing passes; at the end all its connections are reset.
+    /// Blocks all traffic; when it ends, all connections of the link are reset.
     Cut {
         /// From the end that opened it.
         forth: bool,
         /// To the end that opened it.
         back: bool,
     },
-    /// The far end is gone, the near end hears nothing of it.
+    /// The far end disappears, and the near end gets no notice.
     HalfOpen,
-    /// Each chunk waits so long, give or take half.
+    /// Delays each chunk by this duration, plus or minus half.
     Delay(Duration),
-    /// Bytes a second.
+    /// Limits the rate to this many bytes per second.
     Throttle(u64),
-    /// Nothing passes; at the end all of it does.
+    /// Holds back all traffic; when it ends, the traffic is delivered.
     Stall,
 }
 
-/// The cut of both directions.
+/// A cut of both directions.
 const CUT: LinkFault = LinkFault::Cut {
     forth: true,
     back: true,
 };
-/// The cuts of one direction.
+/// Cuts of one direction.
 const CUT_FORTH: LinkFault = LinkFault::Cut {
     forth: true,
     back: false,
@@ -94,89 +94,89 @@
     back: true,
 };
 
-/// What is done to a process, its disk, its clock or a link. Nodes count from 0.
+/// A fault of a process, its disk, its clock or a link. Nodes are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultAction {
-    /// A link is broken for a time.
+    /// A link has a fault for a time.
     Link {
-        /// Which one.
+        /// The link.
         link: Link,
-        /// In which way.
+        /// Its fault.
         #[serde(rename = "trouble")]
         fault: LinkFault,
     },
-    /// A connection is reset in the middle of what passes next.
+    /// A connection is reset in the middle of the next transfer.
     Reset {
-        /// Of this link.
+        /// The link.
         link: Link,
     },
-    /// The last frame is sent once more, over a new connection.
+    /// The last frame is sent a second time, over a new connection.
     #[serde(rename = "twice")]
     DuplicateFrame {
-        /// Of this link.
+        /// The link.
         link: Link,
     },
-    /// A node is killed, and started again after a time.
+    /// A node is killed, and restarted after a time.
     Kill {
-        /// Which one.
+        /// The node.
         node: usize,
-        /// What it finds when it is started again.
+        /// The disk that it finds when it is restarted.
         disk: RestartDisk,
     },
-    /// Whichever node leads most shards then is killed.
+    /// The node that leads the most shards at the time is killed.
     #[serde(rename = "chase")]
     KillLeader {
-        /// What it finds when it is started again.
+        /// The disk that it finds when it is restarted.
         disk: RestartDisk,
     },
-    /// A node is stopped by a signal, and continued.
+    /// A node is stopped by a signal, and continued after a time.
     Stop {
-        /// Which one.
+        /// The node.
         node: usize,
     },
-    /// A node is drained, and started again.
+    /// A node is drained and restarted.
     #[serde(rename = "roll")]
     RollingRestart {
-        /// Which one.
+        /// The node.
         node: usize,
     },
     /// Every flush of a node fails.
     FlushFails {
-        /// Which one.
+        /// The node.
         node: usize,
     },
     /// Every write of a node fails.
     DiskFull {
-        /// Which one.
+        /// The node.
         node: usize,
     },
     /// Every flush of a node takes longer.
     DiskSlow {
-        /// Which one.
+        /// The node.
         node: usize,
-        /// By so much.
+        /// Additional time of each flush.
         by: Duration,
     },
-    /// A node is killed with half a record written behind its log.
+    /// A node is killed, and part of a record is appended to its log.
     #[serde(rename = "torn")]
     TornWrite {
-        /// Which one.
+        /// The node.
         node: usize,
     },
-    /// A node runs with a clock that is wrong.
+    /// A node runs with a faulty clock.
     Clock {
-        /// Which one.
+        /// The node.
         node: usize,
-        /// In thousandths.
+        /// Rate in thousandths of the true rate.
         rate: u32,
-        /// How far it is ahead from the start.
+        /// How far the clock is ahead from the start.
         step: Duration,
     },
 }
 
 impl FaultAction {
-    /// The nodes whose callers may be left without an answer by it.
+    /// The nodes whose callers may be left without an answer by this fault.
     pub fn disturbed_nodes(&self) -> Vec<usize> {
         match self {
             Self::Link { link, .. } | Self::Reset { link } | Self::DuplicateFrame { link } => {
@@ -195,38 +195,38 @@
     }
 }
 
-/// The disk that a killed process finds when it is started again.
+/// The disk that a killed process finds when it is restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RestartDisk {
-    /// As it left it.
+    /// Unchanged.
     Same,
     /// Without any file.
     Empty,
-    /// As it was before the callers began.
+    /// A copy from before the callers began.
     Old,
-    /// Another node's, as that was before the callers began.
+    /// A copy of another node's disk, from before the callers began.
     Another {
-        /// Which node's.
+        /// The other node.
         of: usize,
     },
 }
 
-/// One action of a schedule.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct FaultStep {
-    /// When it begins, since the callers began.
+    /// When it begins, relative to the start of the callers.
     pub from: Duration,
-    /// When it ends, since the callers began.
+    /// When it ends, relative to the start of the callers.
     pub until: Duration,
-    /// Actions of one fault share its number, and are left out together when a schedule is made smaller.
+    /// Number of the fault: its actions share it, and are removed together when a schedule is shrunk.
     pub fault: usize,
-    /// What is done.
+    /// The action.
     #[serde(rename = "act")]
     pub action: FaultAction,
 }
 
-/// All that is done in one run, in order of its beginning.
+/// Draws all steps of one run, sorted by their start.
 pub fn schedule(rig: &Rig, seed: u64) -> Vec<FaultStep> {
     let mut random = WyRand::new_seed(seed ^ 0x5ca1_ab1e);
     let mut steps = Vec::new();
@@ -249,10 +249,10 @@
     steps
 }
 
-/// When a fault begins and ends. A drawn one is over before the run is; one that is written lasts as written.
+/// Start and end of a fault. A drawn one ends before the run does; an explicit one has the configured duration.
 fn span_of(rig: &Rig, fault: &RigFault, random: &mut WyRand) -> (Duration, Duration) {
     let run = Duration::from_nanos(rig.lasts_ns);
-    // Drawn in any case, so that what follows is the same for a fault that is written.
+    // Always drawn, so that later draws do not depend on whether the start is configured.
     let share = START_RANGE.start + (START_RANGE.end - START_RANGE.start) * draw_fraction(random);
     let duration = Duration::from_nanos(fault.lasts_ns);
     if let Some(from) = fault.from_ns {
@@ -264,17 +264,17 @@
     (from, from + duration.min(left))
 }
 
-/// From 0 to under 1.
+/// Draws a number from 0 up to, but not including, 1.
 fn draw_fraction(random: &mut WyRand) -> f64 {
     random.generate_range(0..1_000_000u64) as f64 / 1e6
 }
 
-/// From 0 to under `n`.
-fn draw_index(random: &mut WyRand, n: usize) -> usize {
-    random.generate_range(0..n.max(1) as u64) as usize
+/// Draws an index from 0 up to, but not including, `limit`.
+fn draw_index(random: &mut WyRand, limit: usize) -> usize {
+    random.generate_range(0..limit.max(1) as u64) as usize
 }
 
-/// The node, the disk and the link that a fault is about, as written or drawn.
+/// The node, the disk and the link that a fault affects, as configured or drawn.
 struct Target {
     node: usize,
     disk: RestartDisk,
@@ -282,7 +282,7 @@
 }
 
 impl Target {
-    /// Draws in the order of its fields; what is written draws nothing.
+    /// Draws fields that are not configured, in their order; a configured field makes no draw.
     fn draw(rig: &Rig, fault: &RigFault, random: &mut WyRand) -> Self {
         let nodes = rig.nodes.max(1) as usize;
         let node = if fault.node > 0 {
@@ -314,8 +314,8 @@
         Self { node, disk, link }
     }
 
-    /// A fault of the link. Between two nodes there are two links, one opened by each, and both have it; `reverse` is
-    /// the same fault seen from the other end.
+    /// Actions for a fault of the link. Two nodes have two links, one opened by each, and the fault affects both;
+    /// `reverse` is the same fault as seen from the other end.
     fn link_fault(&self, fault: LinkFault, reverse: LinkFault) -> Vec<FaultAction> {
         let link = self.link;
         let mut actions = vec![FaultAction::Link { link, fault }];
@@ -366,51 +366,53 @@
         RigTrouble::Halves => split(nodes, false, random),
         RigTrouble::Bridge => split(nodes, true, random),
         RigTrouble::Ring => ring(nodes),
-        RigTrouble::Site => cut_off_site(rig, node % rig.sites.max(1) as usize),
+        RigTrouble::Site => cut_off_zone(rig, node % rig.sites.max(1) as usize),
         RigTrouble::Unspecified => Vec::new(),
     }
 }
 
-/// Nodes in two halves that do not reach each other; with a bridge, one node is on neither side and reaches both.
+/// Splits the nodes into two halves that do not reach each other; with a bridge, one node reaches both halves.
 fn split(nodes: usize, with_bridge: bool, random: &mut WyRand) -> Vec<FaultAction> {
     let mut order: Vec<usize> = (0..nodes).collect();
     random.shuffle(&mut order);
     let bridge = with_bridge.then(|| order[nodes - 1]);
     let left = &order[..(nodes - usize::from(with_bridge)) / 2];
-    peer_link_faults(nodes, |a, b| {
-        let touches_bridge = bridge == Some(a) || bridge == Some(b);
-        (left.contains(&a) != left.contains(&b) && !touches_bridge).then_some(CUT)
+    peer_link_faults(nodes, |from, to| {
+        let touches_bridge = bridge == Some(from) || bridge == Some(to);
+        (left.contains(&from) != left.contains(&to) && !touches_bridge).then_some(CUT)
     })
 }
 
-/// Each node cut off one way from the next.
+/// Cuts the link from each node to the next in one direction.
 fn ring(nodes: usize) -> Vec<FaultAction> {
-    peer_link_faults(nodes, |a, b| {
-        if b == (a + 1) % nodes {
+    peer_link_faults(nodes, |from, to| {
+        if to == (from + 1) % nodes {
             Some(CUT_FORTH)
         } else {
-            (a == (b + 1) % nodes).then_some(CUT_BACK)
+            (from == (to + 1) % nodes).then_some(CUT_BACK)
         }
     })
 }
 
-/// A site cut off from the others and from all callers.
-fn cut_off_site(rig: &Rig, site: usize) -> Vec<FaultAction> {
+/// Cuts off a zone from the other zones and from all callers.
+fn cut_off_zone(rig: &Rig, zone: usize) -> Vec<FaultAction> {
     let nodes = rig.nodes.max(1) as usize;
-    let sites = rig.sites.max(1) as usize;
-    let is_there = |n: usize| n % sites == site;
-    let mut all = peer_link_faults(nodes, |a, b| (is_there(a) != is_there(b)).then_some(CUT));
-    for node in (0..nodes).filter(|n| is_there(*n)) {
+    let zones = rig.sites.max(1) as usize;
+    let is_in_zone = |node: usize| node % zones == zone;
+    let mut actions = peer_link_faults(nodes, |from, to| {
+        (is_in_zone(from) != is_in_zone(to)).then_some(CUT)
+    });
+    for node in (0..nodes).filter(|node| is_in_zone(*node)) {
         let callers = 0..rig.callers as usize;
-        all.extend(callers.map(|caller| FaultAction::Link {
+        actions.extend(callers.map(|caller| FaultAction::Link {
             link: Link::Caller { caller, node },
             fault: CUT,
         }));
     }
-    all
+    actions
 }
 
-/// Faults of links among nodes, by the node that opened each and the one that it leads to.
+/// Faults of the links between nodes; `fault_of` takes the node that opens a link and the node it connects to.
 fn peer_link_faults(
     nodes: usize,
     fault_of: impl Fn(usize, usize) -> Option<LinkFault>,
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,17 +1,16 @@
-//! Histories: what callers and agents saw, one JSON object a line (`docs/rig.md` has the format).
+//! Histories: the observations of callers and agents, one JSON object per line (`docs/rig.md` has the format).
 //!
-//! All times of one history are nanoseconds on one clock. Lines may stand in any order. An unknown `op` or
-//! field is no error: later parts of the program add theirs. A line that is none of it ends the reading with
-//! its number.
+//! All times in one history are nanoseconds on one clock. Lines may be in any order. An unknown `op` or field is not an
+//! error, as later versions of the program add some. A malformed line ends the read with an error that names the line.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::io::BufRead;
 
-/// The longest line that is read: a body's hash and a result are short, whoever wrote the file.
+/// Longest line that is read: the hash of a body and a result are short, whatever program wrote the file.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// A line as it is written. What is not known is left out.
+/// A line as it is written. Unknown values are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryLine {
     /// When it was seen, in nanoseconds on the history's clock.
@@ -19,7 +18,7 @@
     /// The caller or agent that saw it.
     #[serde(rename = "by")]
     pub observer: String,
-    /// What was seen: `ask`, `answer`, `dismissed`, `given-up`, `gone` or `ran`.
+    /// The kind of event: `ask`, `answer`, `dismissed`, `given-up`, `gone` or `ran`.
     #[serde(rename = "op")]
     pub operation: String,
     /// Name of the request, unique within its caller.
@@ -34,13 +33,13 @@
     /// Hash of the request's body.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<String>,
-    /// The node that was asked.
+    /// Name of the node to which the request was sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
     /// By when the request must have ended, in nanoseconds on the history's clock.
     #[serde(default, rename = "due", skip_serializing_if = "Option::is_none")]
     pub deadline: Option<u64>,
-    /// Result of a run, or the one that a caller was answered with.
+    /// Result of a run, or the result in an answer to a caller.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result: Option<String>,
 }
@@ -52,14 +51,14 @@
     Served,
     /// Rejected before anything ran.
     Rejected,
-    /// Failed: it may have run.
+    /// Failed; it may have run.
     Failed,
-    /// The link broke or the caller left: nothing is known.
+    /// The connection broke or the caller disconnected: the outcome is unknown.
     Abandoned,
 }
 
 impl RequestEnd {
-    /// The word for it in a history.
+    /// Value of `op` for this end in a history.
     pub fn operation(self) -> &'static str {
         match self {
             Self::Served => "answer",
@@ -70,7 +69,7 @@
     }
 }
 
-/// What the checkers read of a line.
+/// The event of a line, as the checkers use it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A caller sent a request.
@@ -83,18 +82,18 @@
         key: Option<String>,
         /// Hash of the body.
         body: Option<String>,
-        /// The node that was asked.
+        /// Name of the node to which the request was sent.
         node: Option<String>,
         /// By when the request must have ended, in nanoseconds.
         deadline: u64,
     },
-    /// A caller learned how its request ended, or left it.
+    /// A caller learned how its request ended, or abandoned it.
     Ended {
         /// Name of the request.
         request: String,
         /// How it ended.
         end: RequestEnd,
-        /// The result, where it was served.
+        /// The result, if it was served.
         result: Option<String>,
     },
     /// An agent ran a request.
@@ -108,25 +107,25 @@
     },
 }
 
-/// An event, who saw it when, and the line that says so.
+/// An event with its time, its observer and its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// When it was seen, in nanoseconds on the history's clock.
     pub at: u64,
     /// The caller or agent that saw it.
     pub observer: String,
-    /// Number of the line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What was seen.
+    /// The event.
     pub event: Event,
 }
 
-/// Why a history cannot be read.
+/// Error in reading a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HistoryError {
-    /// From 1; 0 where it is about no line.
+    /// Line number, from 1; 0 if the error concerns no line.
     pub line: usize,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -141,24 +140,24 @@
 
 impl std::error::Error for HistoryError {}
 
-/// Reads one line; none for an operation that is not known here.
+/// Parses one line; `None` for an unknown operation.
 ///
 /// # Errors
-/// Why it is no line of a history.
+/// If it is not a valid line of a history.
 pub fn parse_line(number: usize, text: &str) -> Result<Option<Observation>, HistoryError> {
     let error = |reason: String| HistoryError {
         line: number,
         reason,
     };
     let value: serde_json::Value =
-        serde_json::from_str(text).map_err(|e| error(format!("no JSON: {e}")))?;
+        serde_json::from_str(text).map_err(|e| error(format!("not valid JSON: {e}")))?;
     let object = value
         .as_object()
-        .ok_or_else(|| error("no JSON object".into()))?;
+        .ok_or_else(|| error("not a JSON object".into()))?;
     let operation = object
         .get("op")
         .and_then(|operation| operation.as_str())
-        .ok_or_else(|| error("op: no text there".into()))?;
+        .ok_or_else(|| error("op: missing or not a string".into()))?;
     if !["ask", "answer", "dismissed", "given-up", "gone", "ran"].contains(&operation) {
         return Ok(None);
     }
@@ -173,26 +172,26 @@
     }))
 }
 
-/// The event of a line whose operation is known; `error` makes the error of what the line lacks.
+/// The event of a line with a known operation; `error` makes the error for a missing field.
 fn event_of(
     operation: &str,
     line: HistoryLine,
     error: impl Fn(String) -> HistoryError,
 ) -> Result<Event, HistoryError> {
-    let no_request = || error(format!("{operation} without a ticket"));
+    let missing_request = || error(format!("{operation} without a request name (ticket)"));
     let ended = |line: HistoryLine, end: RequestEnd| {
         Ok(Event::Ended {
-            request: line.request.ok_or_else(no_request)?,
+            request: line.request.ok_or_else(missing_request)?,
             end,
             result: line.result.filter(|_| end == RequestEnd::Served),
         })
     };
     match operation {
         "ask" => Ok(Event::Requested {
-            request: line.request.ok_or_else(no_request)?,
+            request: line.request.ok_or_else(missing_request)?,
             deadline: line
                 .deadline
-                .ok_or_else(|| error("ask without its due time".into()))?,
+                .ok_or_else(|| error("ask without a deadline (due)".into()))?,
             request_class: line.request_class,
             key: line.key,
             body: line.body,
@@ -210,10 +209,10 @@
     }
 }
 
-/// Reads a whole history: the observations of all known operations, and how many lines there were.
+/// Reads a complete history: the observations with known operations, and the number of lines.
 ///
 /// # Errors
-/// The first line that cannot be read, or why the stream cannot.
+/// If a line cannot be parsed, or the stream cannot be read.
 pub fn read_history(mut from: impl BufRead) -> Result<(Vec<Observation>, usize), HistoryError> {
     let (mut observations, mut number, mut text) = (Vec::new(), 0, Vec::new());
     loop {
@@ -223,7 +222,7 @@
             line: number,
             reason,
         };
-        // A file without line ends would otherwise be taken into memory whole.
+        // A file without line ends would otherwise be read into memory as a whole.
         let mut limited = std::io::Read::take(&mut from, MAX_LINE_BYTES as u64 + 1);
         let read = limited
             .read_until(b'\n', &mut text)
@@ -235,7 +234,7 @@
             return Err(error(format!("longer than {MAX_LINE_BYTES} bytes")));
         }
         let line = std::str::from_utf8(&text)
-            .map_err(|e| error(format!("no UTF-8: {e}")))?
+            .map_err(|e| error(format!("not valid UTF-8: {e}")))?
             .trim();
         if !line.is_empty() {
             observations.extend(parse_line(number, line)?);
--- a/crates/testbed/src/scenario/configuration.rs
+++ b/crates/testbed/src/scenario/configuration.rs
@@ -9,41 +9,50 @@
 use std::time::Duration;
 
 impl Scenario {
-    pub(super) fn node_settings(&self, n: usize, front: SocketAddr) -> serde_json::Value {
-        let agent = self.links[&Link::Agent { node: n }].addr;
+    pub(super) fn node_settings(&self, index: usize, front: SocketAddr) -> serde_json::Value {
+        let agent = self.links[&Link::Agent { node: index }].addr;
         let (name, within) = (
-            &self.nodes[n].name,
+            &self.nodes[index].name,
             Duration::from_nanos(self.rig.within_ns),
         );
-        let mut file = node_configuration(name, front, agent, self.seed ^ n as u64, within);
-        file["settings"]["familyInfo"]["callers"] = self.rig.callers.into();
-        file["settings"]["groupSize"] = self.rig.nodes.into();
-        file
+        let mut configuration =
+            node_configuration(name, front, agent, self.seed ^ index as u64, within);
+        configuration["settings"]["familyInfo"]["callers"] = self.rig.callers.into();
+        configuration["settings"]["groupSize"] = self.rig.nodes.into();
+        configuration
     }
 
-    /// The group as this node sees it: the others through its own links to them.
-    pub(super) fn group_configuration(&self, n: usize, own: SocketAddr) -> Configuration {
-        let member = |(k, node): (usize, &Node)| schema::GroupMember {
+    /// The group's configuration for one node, which reaches the other members through its own links.
+    pub(super) fn group_configuration(&self, index: usize, own: SocketAddr) -> Configuration {
+        let member = |(member_index, node): (usize, &Node)| schema::GroupMember {
             name: node.name.clone(),
-            site: format!("s{}", k % self.rig.sites.max(1) as usize),
-            address: if k == n {
+            site: format!("s{}", member_index % self.rig.sites.max(1) as usize),
+            address: if member_index == index {
                 own
             } else {
-                self.links[&Link::Peer { from: n, to: k }].addr
+                self.links[&Link::Peer {
+                    from: index,
+                    to: member_index,
+                }]
+                    .addr
             }
             .to_string(),
-            folder: self.nodes[k].folder.join("disk").display().to_string(),
+            folder: self.nodes[member_index]
+                .folder
+                .join("disk")
+                .display()
+                .to_string(),
         };
         let members = self.nodes.iter().enumerate().map(member).collect();
         let within = Duration::from_nanos(self.rig.within_ns);
-        let mut all = group_of(self.rig.shards, self.rig.copies, within, members);
-        for group in &mut all.groups {
+        let mut configuration = group_of(self.rig.shards, self.rig.copies, within, members);
+        for group in &mut configuration.groups {
             (group.heartbeat_ns, group.testing) = (30_000_000, true);
             (group.election_least_ns, group.election_most_ns) = (150_000_000, 300_000_000);
             group.commit_wait_ns = 500_000;
             group.come_back_ns = 100_000_000;
         }
-        all
+        configuration
     }
 }
 
@@ -92,7 +101,7 @@
     })
 }
 
-/// A configuration of one group, with the times of the page for operators.
+/// A configuration of one group, with the timeouts given in the operators' documentation.
 pub(crate) fn group_of(
     shards: u64,
     copies: u64,
--- a/crates/testbed/src/scenario/fault_injection.rs
+++ b/crates/testbed/src/scenario/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Steps of a schedule: each fault is injected, held for its time and taken back.
+//! Executes the steps of a fault schedule: injects each fault, holds it for its duration and reverts it.
 
 use super::{Disturbance, Scenario, DRAIN_TIMEOUT};
 use crate::fault_schedule::{FaultAction, FaultStep, Link, LinkFault, RestartDisk, RECOVERY_TIME};
@@ -11,12 +11,12 @@
 use std::{fs, io};
 use tokio::time::sleep;
 
-/// Between a crash that left a torn record and the next start.
+/// Time between a crash that left a torn record and the restart.
 const TORN_WRITE_DOWNTIME: Duration = Duration::from_millis(50);
-/// The head of a record of 200 bytes and three bytes of it.
+/// Header of a 200-byte record and the first three bytes of the record.
 const TORN_RECORD: [u8; 7] = [200, 0, 0, 0, 1, 2, 3];
 
-/// Puts a folder's files in place of what was in another one. A folder that is not there counts as empty.
+/// Replaces the contents of folder `to` with the files of folder `from`. A missing `from` counts as empty.
 pub(super) fn replace_folder(to: &Path, from: &Path) -> io::Result<()> {
     let _ = fs::remove_dir_all(to);
     fs::create_dir_all(to)?;
@@ -33,7 +33,7 @@
 }
 
 impl Scenario {
-    /// Injects one fault of the schedule, and tells the callers which nodes it disturbs.
+    /// Injects one fault of the schedule, and notifies the callers of the nodes that it disturbs.
     pub(super) async fn inject(self: &Rc<Self>, step: FaultStep) {
         if self.finished.get() {
             return;
@@ -49,7 +49,7 @@
         self.notify_callers(Disturbance::Ends, &disturbed).await;
     }
 
-    /// The kill of a leader as the kill of a node.
+    /// Turns the kill of a leader into a kill of the node that leads the most shards now.
     async fn resolve(&self, action: FaultAction) -> FaultAction {
         let FaultAction::KillLeader { disk } = action else {
             return action;
@@ -74,7 +74,7 @@
             }
             FaultAction::Kill { node, disk } => return self.kill(node, disk, duration).await,
             FaultAction::TornWrite { node } => return self.kill_in_write(node).await,
-            // Resolved to a kill before.
+            // `resolve` has turned it into `Kill`.
             FaultAction::KillLeader { .. } => {}
             FaultAction::Stop { node } => {
                 self.signal(node, Signal::STOP);
@@ -108,27 +108,32 @@
         }
     }
 
-    /// Started again with a clock that is wrong, and after a time once more with a right one.
-    async fn run_with_clock(&self, n: usize, fault: String, duration: Duration) -> io::Result<()> {
-        let restart = || self.kill(n, RestartDisk::Same, Duration::ZERO);
-        *self.nodes[n].clock.borrow_mut() = Some(fault);
+    /// Restarts a node with a faulty clock, and after `duration` again with a correct one.
+    async fn run_with_clock(
+        &self,
+        index: usize,
+        fault: String,
+        duration: Duration,
+    ) -> io::Result<()> {
+        let restart = || self.kill(index, RestartDisk::Same, Duration::ZERO);
+        *self.nodes[index].clock.borrow_mut() = Some(fault);
         let restarted = restart().await;
         sleep(duration).await;
-        self.nodes[n].clock.borrow_mut().take();
+        self.nodes[index].clock.borrow_mut().take();
         restarted?;
         restart().await
     }
 
-    fn signal(&self, n: usize, signal: Signal) {
-        if let Some(process) = &*self.nodes[n].process.borrow() {
+    fn signal(&self, index: usize, signal: Signal) {
+        if let Some(process) = &*self.nodes[index].process.borrow() {
             process.signal(signal);
         }
     }
 
-    /// Kills a node, and starts it again with this disk after a time.
-    async fn kill(&self, n: usize, disk: RestartDisk, downtime: Duration) -> io::Result<()> {
-        self.crash(n).await?;
-        let node = &self.nodes[n];
+    /// Kills a node, and restarts it with the given disk after `downtime`.
+    async fn kill(&self, index: usize, disk: RestartDisk, downtime: Duration) -> io::Result<()> {
+        self.crash(index).await?;
+        let node = &self.nodes[index];
         match disk {
             RestartDisk::Same => {}
             RestartDisk::Empty => replace_folder(&node.disk(), Path::new(""))?,
@@ -138,22 +143,22 @@
             }
         }
         sleep(downtime).await;
-        self.restart_when_free(n).await
+        self.restart_when_free(index).await
     }
 
-    /// Kills a node as if it was in the middle of a write.
-    async fn kill_in_write(&self, n: usize) -> io::Result<()> {
-        self.crash(n).await?;
-        append_torn_record(&self.nodes[n].disk())?;
+    /// Kills a node and leaves a torn record, as a crash in the middle of a write does.
+    async fn kill_in_write(&self, index: usize) -> io::Result<()> {
+        self.crash(index).await?;
+        append_torn_record(&self.nodes[index].disk())?;
         sleep(TORN_WRITE_DOWNTIME).await;
-        self.restart_when_free(n).await
+        self.restart_when_free(index).await
     }
 
-    async fn crash(&self, n: usize) -> io::Result<()> {
-        let node = &self.nodes[n];
+    async fn crash(&self, index: usize) -> io::Result<()> {
+        let node = &self.nodes[index];
         let process = node.process.borrow_mut().take();
         node.down.set(node.down.get() + 1);
-        self.detach_links(n);
+        self.detach_links(index);
         if let Some(process) = process {
             self.report.borrow_mut().kills += 1;
             process.kill().await?;
@@ -161,22 +166,22 @@
         Ok(())
     }
 
-    /// Starts a node again once nothing keeps it down any more.
-    async fn restart_when_free(&self, n: usize) -> io::Result<()> {
-        let node = &self.nodes[n];
+    /// Releases one hold on a node, and restarts the node if no other fault keeps it down.
+    async fn restart_when_free(&self, index: usize) -> io::Result<()> {
+        let node = &self.nodes[index];
         node.down.set(node.down.get() - 1);
         if node.down.get() == 0 && node.process.borrow().is_none() && !self.finished.get() {
             node.down.set(1);
-            let started = self.start_node(n).await;
+            let started = self.start_node(index).await;
             node.down.set(node.down.get() - 1);
             return started;
         }
         Ok(())
     }
 
-    /// Drained, waited for, and started again.
-    async fn drain_and_restart(&self, n: usize) -> io::Result<()> {
-        let node = &self.nodes[n];
+    /// Drains a node, waits for its exit and restarts it.
+    async fn drain_and_restart(&self, index: usize) -> io::Result<()> {
+        let node = &self.nodes[index];
         let Some(mut process) = node.process.borrow_mut().take() else {
             return Ok(());
         };
@@ -184,32 +189,37 @@
         process.signal(Signal::TERM);
         let status = process.wait(DRAIN_TIMEOUT + START_TIMEOUT).await?;
         if !status.success() {
-            self.record_fault(format!("{} drained with {status}", node.name));
+            self.record_fault(format!("{} exited with {status} after a drain", node.name));
         }
-        self.detach_links(n);
-        self.restart_when_free(n).await
+        self.detach_links(index);
+        self.restart_when_free(index).await
     }
 
-    /// What the node's disk does for a time, by the file that a node in testing reads.
-    async fn inject_disk_fault(&self, n: usize, fault: &str, duration: Duration) -> io::Result<()> {
-        let file = self.nodes[n].testing_file();
+    /// Applies a disk fault for `duration`, through the fault file that a node in test mode reads.
+    async fn inject_disk_fault(
+        &self,
+        index: usize,
+        fault: &str,
+        duration: Duration,
+    ) -> io::Result<()> {
+        let file = self.nodes[index].testing_file();
         fs::write(&file, fault)?;
         sleep(duration).await;
         fs::write(&file, "")
     }
 
-    /// A disk that fails for a time. Its node stays without a vote until it is started again.
-    async fn fail_disk(&self, n: usize, fault: &str, duration: Duration) -> io::Result<()> {
-        self.inject_disk_fault(n, fault, duration).await?;
-        self.notify_callers(Disturbance::Begins, &[n]).await;
-        let restarted = self.kill(n, RestartDisk::Same, Duration::ZERO).await;
+    /// Fails a node's disk for `duration`, then restarts the node: until then it cannot vote.
+    async fn fail_disk(&self, index: usize, fault: &str, duration: Duration) -> io::Result<()> {
+        self.inject_disk_fault(index, fault, duration).await?;
+        self.notify_callers(Disturbance::Begins, &[index]).await;
+        let restarted = self.kill(index, RestartDisk::Same, Duration::ZERO).await;
         sleep(RECOVERY_TIME).await;
-        self.notify_callers(Disturbance::Ends, &[n]).await;
+        self.notify_callers(Disturbance::Ends, &[index]).await;
         restarted
     }
 }
 
-/// Writes half a record behind the newest segment, as a crash in the middle of a write leaves it.
+/// Appends part of a record to the newest segment, as a crash in the middle of a write does.
 fn append_torn_record(folder: &Path) -> io::Result<()> {
     let Ok(entries) = fs::read_dir(folder) else {
         return Ok(());
--- a/crates/testbed/src/scenario/launch.rs
+++ b/crates/testbed/src/scenario/launch.rs
@@ -1,4 +1,4 @@
-//! Agents, callers and nodes as child processes, and the links that lead to them.
+//! Starts agents, callers and nodes as child processes, and points the links at them.
 
 use super::Scenario;
 use crate::fault_schedule::Link;
@@ -15,17 +15,17 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Attempts at a port: another process may have taken it meanwhile.
+/// Attempts to start a node: another process may bind the free port first.
 const PORT_ATTEMPTS: usize = 5;
 
-/// This program as a child that says its first line to its parent.
+/// Command for this program as a child process that prints its first line to its parent.
 fn testbed_command(programs: Option<&Path>) -> io::Result<Command> {
     let mut command = Command::new(program("rainstand-testbed", programs)?);
     command.stdin(Stdio::null()).stdout(Stdio::piped());
     Ok(command)
 }
 
-/// Starts a stand-in agent; returns where it listens.
+/// Starts a test agent; returns the address on which it listens.
 pub(crate) async fn start_agent(
     options: &agent::Options,
     programs: Option<&Path>,
@@ -38,12 +38,12 @@
     let line = first_line(&mut process).await?;
     let address = line
         .parse()
-        .map_err(|_| io::Error::other(format!("{name} said {line:?}")))?;
+        .map_err(|_| io::Error::other(format!("{name} printed {line:?}, not its address")))?;
     Ok((process, address))
 }
 
 impl Scenario {
-    /// Starts the agent of each node, and leads the node's link to it.
+    /// Starts the agent of each node, and points the node's link at it.
     pub(super) async fn start_agents(&self) -> io::Result<Vec<Process>> {
         let mut agents = Vec::new();
         for node in 0..self.nodes.len() {
@@ -64,18 +64,24 @@
         Ok(agents)
     }
 
-    /// Starts a caller, which waits until it is told to begin.
-    pub(super) async fn start_caller(&self, n: usize) -> io::Result<Process> {
-        let name = format!("caller-{}", n + 1);
-        let link = |node| self.links[&Link::Caller { caller: n, node }].addr;
+    /// Starts a caller, which waits for the command `begin`.
+    pub(super) async fn start_caller(&self, index: usize) -> io::Result<Process> {
+        let name = format!("caller-{}", index + 1);
+        let link = |node| {
+            self.links[&Link::Caller {
+                caller: index,
+                node,
+            }]
+                .addr
+        };
         let options = caller::Options {
             name: name.clone(),
-            seed: self.seed ^ (n as u64 + 1) << 40,
+            seed: self.seed ^ (index as u64 + 1) << 40,
             nodes: self
                 .nodes
                 .iter()
                 .enumerate()
-                .map(|(k, node)| (node.name.clone(), link(k)))
+                .map(|(node_index, node)| (node.name.clone(), link(node_index)))
                 .collect(),
             every_ns: self.rig.every_ns,
             keyed: self.rig.keyed,
@@ -103,39 +109,44 @@
             .child()
             .stdin
             .take()
-            .ok_or_else(|| io::Error::other("no standard input"))?;
+            .ok_or_else(|| io::Error::other("child has no pipe to its standard input"))?;
         self.callers.lock().await.push(stdin);
         Ok(process)
     }
 
-    /// Starts a node and leads its links to it.
-    pub(super) async fn start_node(&self, n: usize) -> io::Result<()> {
-        let node = &self.nodes[n];
-        let mut last_error = io::Error::other("no try");
+    /// Starts a node and points its links at it.
+    pub(super) async fn start_node(&self, index: usize) -> io::Result<()> {
+        let node = &self.nodes[index];
+        let mut last_error = io::Error::other("no attempt to start the node");
         for _ in 0..PORT_ATTEMPTS {
             let (front, peer) = (free_port()?, free_port()?);
-            let command = self.node_command(n, front, peer)?;
+            let command = self.node_command(index, front, peer)?;
             let log = node.folder.join("node.log");
             let starts = count_starts(&log);
             let mut process = Process::start(&node.name, command, &log)?;
             match process.wait_until_up(&log, starts).await {
                 Ok(()) => {
-                    self.attach_links(n, front, peer);
+                    self.attach_links(index, front, peer);
                     *node.process.borrow_mut() = Some(process);
                     return Ok(());
                 }
-                // Another process took the port meanwhile.
+                // Another process may have bound the port first.
                 Err(error) => last_error = error,
             }
         }
         Err(last_error)
     }
 
-    /// Writes a node's files; the command that starts it with them.
-    fn node_command(&self, n: usize, front: SocketAddr, peer: SocketAddr) -> io::Result<Command> {
-        let node = &self.nodes[n];
+    /// Writes a node's configuration files; returns the command that starts the node with them.
+    fn node_command(
+        &self,
+        index: usize,
+        front: SocketAddr,
+        peer: SocketAddr,
+    ) -> io::Result<Command> {
+        let node = &self.nodes[index];
         let settings = node.folder.join("node.json");
-        fs::write(&settings, self.node_settings(n, front).to_string())?;
+        fs::write(&settings, self.node_settings(index, front).to_string())?;
         let mut command =
             Command::new(program("rainstand-node", self.options.programs.as_deref())?);
         let mut log = OpenOptions::new();
@@ -146,7 +157,10 @@
             .stdout(log.open(node.folder.join("node.log"))?);
         if self.rig.shards > 0 {
             let group = node.folder.join("group.txtpb");
-            fs::write(&group, schema::to_text(&self.group_configuration(n, peer)))?;
+            fs::write(
+                &group,
+                schema::to_text(&self.group_configuration(index, peer)),
+            )?;
             command
                 .env("RAINSTAND_SETTINGS", group)
                 .env("RAINSTAND_TESTING", node.testing_file());
@@ -159,24 +173,24 @@
         Ok(command)
     }
 
-    /// Leads the links of callers and peers to a node that is up.
-    fn attach_links(&self, n: usize, front: SocketAddr, peer: SocketAddr) {
+    /// Points the links of callers and peers at a node that is up.
+    fn attach_links(&self, index: usize, front: SocketAddr, peer: SocketAddr) {
         for (link, proxy) in &self.links {
             match link {
-                Link::Caller { node, .. } if *node == n => proxy.set_target(Some(front)),
-                Link::Peer { to, .. } if *to == n => proxy.set_target(Some(peer)),
+                Link::Caller { node, .. } if *node == index => proxy.set_target(Some(front)),
+                Link::Peer { to, .. } if *to == index => proxy.set_target(Some(peer)),
                 _ => {}
             }
         }
-        self.nodes[n].peer.set(Some(peer));
+        self.nodes[index].peer.set(Some(peer));
     }
 
-    /// Callers and peers are refused: the node's process is gone or going.
-    pub(super) fn detach_links(&self, n: usize) {
-        self.nodes[n].peer.set(None);
+    /// Makes the links refuse callers and peers: the node's process has exited or is exiting.
+    pub(super) fn detach_links(&self, index: usize) {
+        self.nodes[index].peer.set(None);
         for (link, proxy) in &self.links {
-            if matches!(link, Link::Caller { node, .. } if *node == n)
-                || matches!(link, Link::Peer { to, .. } if *to == n)
+            if matches!(link, Link::Caller { node, .. } if *node == index)
+                || matches!(link, Link::Peer { to, .. } if *to == index)
             {
                 proxy.set_target(None);
             }
@@ -184,17 +198,17 @@
     }
 }
 
-/// The first line of a child's output, which stays open.
+/// Reads the first line of a child's output, which stays open.
 pub(crate) async fn first_line(process: &mut Process) -> io::Result<String> {
     let name = process.name.clone();
     let out = process.child().stdout.take();
-    let out = out.ok_or_else(|| io::Error::other("no output"))?;
+    let out = out.ok_or_else(|| io::Error::other("child has no pipe from its standard output"))?;
     let mut lines = BufReader::new(out).lines();
     let Ok(line) = timeout(START_TIMEOUT, lines.next_line()).await else {
-        let reason = format!("{name} says nothing");
+        let reason = format!("{name} printed no line in time");
         return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
     };
-    // Read on, so that the child never finds its output closed or full.
+    // Keep reading, so that the child's output pipe is never closed or full.
     spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
-    line?.ok_or_else(|| io::Error::other(format!("{name} said nothing")))
+    line?.ok_or_else(|| io::Error::other(format!("{name} closed its output without a line")))
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! One run of a scenario: agents, nodes, the links between them and callers, each a process or a proxy of its own. The
-//! schedule of faults is played, then the history is gathered and checked.
+//! Runs one scenario: agents, nodes and callers are processes, and each link between them is a proxy. Executes the
+//! fault schedule, then collects the history and checks it.
 
 mod configuration;
 mod fault_injection;
@@ -32,15 +32,15 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// From the signal to drain to the kill, as nodes are configured.
+/// Time from the drain signal until the node is killed, as nodes are configured.
 pub(crate) const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between two looks for nodes that ended by themselves.
+/// Interval between checks for nodes that exited unexpectedly.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where the programs lie, where a run leaves what it makes, and what is planted in its nodes.
+/// Where the programs are, where a run writes its files, and which bug is planted in its nodes.
 #[derive(Clone, Debug, Default)]
 pub struct RunOptions {
-    /// Folder of the programs; beside this one if not named.
+    /// Folder of the programs; without it, the folder of this program.
     pub programs: Option<PathBuf>,
     /// Folder of this run: configurations, logs, histories.
     pub folder: PathBuf,
@@ -48,16 +48,16 @@
     pub bug: Option<String>,
 }
 
-/// One node's process and what belongs to it.
+/// One node and its process.
 struct Node {
     name: String,
     folder: PathBuf,
     process: RefCell<Option<Process>>,
-    /// Faults that keep it down: it is not started again before all of them are over.
+    /// Number of faults that keep it down: it is restarted after the last of them ends.
     down: Cell<u32>,
-    /// Its address for the others of its group, while it runs.
+    /// Address for the other members of its group, while it runs.
     peer: Cell<Option<SocketAddr>>,
-    /// The fault of its clock, as a node in testing reads it.
+    /// Clock fault, in the format of the fault file.
     clock: RefCell<Option<String>>,
 }
 
@@ -78,18 +78,18 @@
         self.folder.join("disk")
     }
 
-    /// The copy of its disk that was made before the callers began.
+    /// Copy of its disk from before the callers began.
     fn old_disk(&self) -> PathBuf {
         self.folder.join("old")
     }
 
-    /// The file in which a node in testing reads its faults.
+    /// Fault file that a node in test mode reads.
     fn testing_file(&self) -> PathBuf {
         self.folder.join("testing")
     }
 }
 
-/// A run that is going on.
+/// A run in progress.
 struct Scenario {
     rig: Rig,
     seed: u64,
@@ -98,14 +98,14 @@
     links: BTreeMap<Link, Rc<Proxy>>,
     callers: Mutex<Vec<ChildStdin>>,
     report: RefCell<Report>,
-    /// No fault begins any more, and no node is started again.
+    /// Once set, no fault begins and no node is restarted.
     finished: Cell<bool>,
 }
 
-/// Plays one run. The folder keeps all it made.
+/// Executes one run. Its files stay in the folder given by the options.
 ///
 /// # Errors
-/// If the run could not be set up; what goes wrong later is in the report.
+/// If the run could not be set up; later failures are in the report.
 pub async fn play(
     rig: &Rig,
     seed: u64,
@@ -134,7 +134,7 @@
     scenario.finish_report(steps)
 }
 
-/// Nodes that end by themselves are faults of the run.
+/// Records each node that exits unexpectedly as a fault of the run.
 async fn watch_for_exits(scenario: Rc<Scenario>) {
     loop {
         sleep(EXIT_POLL_INTERVAL).await;
@@ -142,7 +142,7 @@
             let mut process = node.process.borrow_mut();
             if let Some(status) = process.as_mut().and_then(Process::ended) {
                 process.take();
-                scenario.record_fault(format!("{} ended by itself: {status}", node.name));
+                scenario.record_fault(format!("{} exited unexpectedly: {status}", node.name));
             }
         }
     }
@@ -166,7 +166,7 @@
         })
     }
 
-    /// From the callers' first request until their last has ended, with the faults of the schedule meanwhile.
+    /// Starts the callers' requests, injects the faults of the schedule, and waits until the callers have exited.
     async fn run(self: &Rc<Self>, steps: &[FaultStep], callers: &mut [Process]) {
         let started = Instant::now();
         self.write_to_callers("begin\n").await;
@@ -180,7 +180,7 @@
         }
         let watch = spawn_local(watch_for_exits(self.clone()));
         self.wait_for_callers(started, callers).await;
-        // A schedule that was written by hand may last longer than the run.
+        // A hand-written schedule may last longer than the run.
         let _ = timeout(START_TIMEOUT, async {
             while faults.join_next().await.is_some() {}
         })
@@ -221,12 +221,12 @@
         Ok(report)
     }
 
-    /// Something went wrong with the processes themselves.
+    /// Records a failure of a process or of a fault's injection.
     fn record_fault(&self, reason: String) {
         self.report.borrow_mut().process_faults.push(reason);
     }
 
-    /// To all callers: whether these nodes may now leave them without an answer.
+    /// Notifies all callers whether these nodes may now leave requests without an answer.
     async fn notify_callers(&self, event: Disturbance, nodes: &[usize]) {
         let word = match event {
             Disturbance::Begins => "disturb",
@@ -239,15 +239,15 @@
     }
 
     async fn write_to_callers(&self, lines: &str) {
-        // The lock keeps the order: what is written during a wait is written after it.
+        // The lock keeps concurrent messages in order while a write waits.
         let mut callers = self.callers.lock().await;
         for stdin in &mut *callers {
-            // A caller that is gone is found out by its end.
+            // A caller that has exited is reported by `wait_for_callers`.
             let _ = stdin.write_all(lines.as_bytes()).await;
         }
     }
 
-    /// All nodes drain at once; each must end well.
+    /// Drains all nodes concurrently; each must exit with success.
     async fn drain_all(&self) {
         let mut draining = Vec::new();
         for node in &self.nodes {
@@ -260,20 +260,23 @@
         for mut process in draining {
             match process.wait(DRAIN_TIMEOUT + START_TIMEOUT).await {
                 Ok(status) if status.success() => {}
-                other => self.record_fault(format!("{} at the end: {other:?}", process.name)),
+                other => self.record_fault(format!(
+                    "{} did not drain cleanly at the end of the run: {other:?}",
+                    process.name
+                )),
             }
         }
     }
 }
 
-/// Whether callers may be left without an answer from now on.
+/// Start or end of a period in which callers may be left without an answer.
 #[derive(Clone, Copy)]
 enum Disturbance {
     Begins,
     Ends,
 }
 
-/// A proxy for each link of a run.
+/// Opens a proxy for each link of a run.
 async fn open_links(rig: &Rig, seed: u64) -> io::Result<BTreeMap<Link, Rc<Proxy>>> {
     let (nodes, callers) = (rig.nodes as usize, rig.callers as usize);
     let mut links = BTreeMap::new();
--- a/crates/testbed/src/scenario/status.rs
+++ b/crates/testbed/src/scenario/status.rs
@@ -1,4 +1,4 @@
-//! What nodes report of their replicas, and which of them lead.
+//! Queries the nodes' status, which tells how many shards each leads.
 
 use super::Scenario;
 use crate::process::START_TIMEOUT;
@@ -11,35 +11,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// For a node to answer: one that is stopped does not.
+/// Timeout of a status query: a stopped node does not answer.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Between two looks whether every shard has a leader.
+/// Interval between checks that every shard has a leader.
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest status that is read.
+/// Longest status response that is read.
 const MAX_STATUS_BYTES: usize = 16 << 20;
 
 impl Scenario {
-    /// What a node reports of its replicas; none if it does not answer at once.
-    pub(super) async fn status(&self, n: usize) -> Option<serde_json::Value> {
-        let peer = self.nodes[n].peer.get()?;
+    /// A node's status; `None` if it does not answer within `STATUS_TIMEOUT`.
+    pub(super) async fn status(&self, index: usize) -> Option<serde_json::Value> {
+        let peer = self.nodes[index].peer.get()?;
         timeout(STATUS_TIMEOUT, request_status(peer)).await.ok()?
     }
 
-    /// How many shards a node leads; none where it does not answer.
-    async fn led_shards(&self, n: usize) -> u64 {
-        let status = self.status(n).await;
+    /// Number of shards that a node leads; 0 if it does not answer.
+    async fn led_shards(&self, index: usize) -> u64 {
+        let status = self.status(index).await;
         status
             .and_then(|status| status["leads"].as_u64())
             .unwrap_or(0)
     }
 
-    /// The node that leads most shards; the first one where nobody answers.
+    /// The node that leads the most shards; the first node if none answers.
     pub(super) async fn node_with_most_leaders(&self) -> usize {
         let (mut most, mut node) = (0, 0);
-        for n in 0..self.nodes.len() {
-            let leads = self.led_shards(n).await;
+        for index in 0..self.nodes.len() {
+            let leads = self.led_shards(index).await;
             if leads > most {
-                (most, node) = (leads, n);
+                (most, node) = (leads, index);
             }
         }
         node
@@ -53,8 +53,8 @@
         }
         loop {
             let mut led = 0;
-            for n in 0..self.nodes.len() {
-                led += self.led_shards(n).await;
+            for index in 0..self.nodes.len() {
+                led += self.led_shards(index).await;
             }
             if led >= self.rig.shards {
                 return Ok(());
--- a/crates/testbed/src/scenario/summary.rs
+++ b/crates/testbed/src/scenario/summary.rs
@@ -1,4 +1,4 @@
-//! What a run came to: its history gathered from all processes, and how much was answered.
+//! Summary of a run: its history collected from all processes, and the share of requests that were served.
 
 use crate::check::{Tally, Violation};
 use crate::fault_schedule::{FaultAction, FaultStep, LinkFault, RestartDisk};
@@ -9,30 +9,30 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// What a run came to.
+/// Outcome of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Rules that were broken.
+    /// Violations of the invariants.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
-    /// What went wrong with the processes themselves.
+    /// Failures of processes and of the injection of faults.
     #[serde(rename = "fell")]
     pub process_faults: Vec<String>,
-    /// What the history holds.
+    /// Counts of the events in the history.
     pub tally: Tally,
-    /// Processes that were killed.
+    /// Number of processes that were killed.
     pub kills: u64,
-    /// Kills of whichever node led most shards.
+    /// Number of kills of the node that led the most shards.
     #[serde(rename = "chased")]
     pub leader_kills: u64,
-    /// Times that a node quarantined its files, as the nodes reported at the end.
+    /// Number of times that nodes quarantined their files, as they report at the end of the run.
     #[serde(rename = "set_asides")]
     pub quarantines: u64,
-    /// Faults of the schedule.
+    /// Number of faults in the schedule.
     pub faults: usize,
-    /// Connections that were reset on the links.
+    /// Number of connections that were reset on the links.
     pub resets: u64,
     /// Service of requests with an idempotency key, by kind of fault.
     #[serde(rename = "during")]
@@ -40,24 +40,24 @@
     /// Share of all requests that were served.
     #[serde(rename = "answered")]
     pub served_share: f64,
-    /// Largest time between two answers to requests with an idempotency key, in milliseconds.
+    /// Longest time between two answers to requests with an idempotency key, in milliseconds.
     pub longest_gap_ms: u64,
 }
 
 impl Report {
-    /// Whether no rule was broken and no process went wrong.
+    /// Whether no invariant was violated and no process failed.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.process_faults.is_empty()
     }
 }
 
-/// How requests were served while faults of one kind went on.
+/// Service of the requests that were sent while faults of one kind were active.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "(usize, f64)")]
 pub struct FaultService {
-    /// Requests that were sent meanwhile.
+    /// Number of requests.
     pub requests: usize,
-    /// The share of them that was served.
+    /// Share of them that was served.
     pub served_share: f64,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl FaultService {
-    /// The mean of both, by their requests.
+    /// Adds requests; the share becomes the mean weighted by the numbers of requests.
     fn add(&mut self, requests: usize, served_share: f64) {
         let before = self.served_share * self.requests as f64;
         self.requests += requests;
@@ -76,7 +76,7 @@
     }
 }
 
-/// All parts of the history, as one file too.
+/// Reads all parts of the history, and joins them in one file.
 pub(super) fn read_parts(folder: &Path) -> io::Result<Vec<Observation>> {
     let mut parts: Vec<PathBuf> = fs::read_dir(folder)?
         .filter_map(|entry| Some(entry.ok()?.path()))
@@ -93,7 +93,7 @@
     Ok(history)
 }
 
-/// A request of the history.
+/// A request in the history.
 struct Request {
     at: u64,
     has_key: bool,
@@ -103,7 +103,7 @@
 /// A request's caller and name.
 type RequestName<'h> = (&'h str, &'h str);
 
-/// How much was answered, in all and while each kind of fault went on.
+/// Computes the share of requests that were served, in total and while each kind of fault was active.
 pub(super) fn summarize(history: &[Observation], steps: &[FaultStep], report: &mut Report) {
     let requests = requests_of(history);
     report.served_share = served_share(requests.iter());
@@ -129,27 +129,32 @@
     let served: HashSet<RequestName<'_>> = served_requests(history)
         .map(|(_, request)| request)
         .collect();
-    let request = |seen: &Observation| match &seen.event {
+    let request = |observation: &Observation| match &observation.event {
         Event::Requested { request, key, .. } => Some(Request {
-            at: seen.at,
+            at: observation.at,
             has_key: key.is_some(),
-            is_served: served.contains(&(seen.observer.as_str(), request.as_str())),
+            is_served: served.contains(&(observation.observer.as_str(), request.as_str())),
         }),
         _ => None,
     };
     history.iter().filter_map(request).collect()
 }
 
-/// Answers with a result: their times, and whose they are.
+/// Answers with a result: the time of each and its request.
 fn served_requests(history: &[Observation]) -> impl Iterator<Item = (u64, RequestName<'_>)> {
-    history.iter().filter_map(|seen| match &seen.event {
-        Event::Ended {
-            request,
-            end: RequestEnd::Served,
-            ..
-        } => Some((seen.at, (seen.observer.as_str(), request.as_str()))),
-        _ => None,
-    })
+    history
+        .iter()
+        .filter_map(|observation| match &observation.event {
+            Event::Ended {
+                request,
+                end: RequestEnd::Served,
+                ..
+            } => Some((
+                observation.at,
+                (observation.observer.as_str(), request.as_str()),
+            )),
+            _ => None,
+        })
 }
 
 fn served_share<'r>(requests: impl Iterator<Item = &'r Request>) -> f64 {
@@ -161,16 +166,16 @@
     served as f64 / all.max(1) as f64
 }
 
-/// The largest time between two answers to requests with a key.
+/// Longest time between two answers to requests with a key.
 fn longest_gap_ns(history: &[Observation]) -> u64 {
     let keyed: HashSet<RequestName<'_>> = history
         .iter()
-        .filter_map(|seen| match &seen.event {
+        .filter_map(|observation| match &observation.event {
             Event::Requested {
                 request,
                 key: Some(_),
                 ..
-            } => Some((seen.observer.as_str(), request.as_str())),
+            } => Some((observation.observer.as_str(), request.as_str())),
             _ => None,
         })
         .collect();
@@ -183,7 +188,7 @@
     gaps.max().unwrap_or(0)
 }
 
-/// A fault's name in reports.
+/// Name of a fault in reports.
 pub fn fault_name(action: &FaultAction) -> &'static str {
     match action {
         FaultAction::Link {
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -1,17 +1,17 @@
-//! A smaller schedule that still fails: fewer faults, then shorter ones.
+//! Shrinks a schedule that fails: to fewer faults, then to shorter ones.
 //!
-//! Real scheduling is not the seed's: a schedule that failed once may pass the next time. A smaller one is only taken
-//! if it failed itself, and each is given a stated number of plays to do so.
+//! The seed does not determine how the operating system schedules processes: a schedule that failed once may pass the
+//! next time. A smaller schedule is accepted only if it failed itself, within the number of runs that `fails` makes.
 
 use crate::fault_schedule::FaultStep;
 use std::time::Duration;
 
-/// Steps that are shorter are not made shorter.
+/// Steps shorter than this are not shortened further.
 const MIN_DURATION: Duration = Duration::from_millis(20);
 
-/// Tries halves, quarters and so on of the faults, then each fault alone; the smallest that failed.
+/// Removes halves, quarters and so on of the faults, down to single ones; returns the smallest schedule that failed.
 ///
-/// `fails` plays a schedule and says whether it broke something.
+/// `fails` runs a schedule and returns whether it violated an invariant; it is called at most `max_runs` times.
 ///
 /// ```
 /// use rainstand_testbed::fault_schedule::{FaultAction, FaultStep, RestartDisk};
@@ -22,19 +22,19 @@
 ///     action: FaultAction::Kill { node: 0, disk: RestartDisk::Same },
 /// };
 /// let all: Vec<FaultStep> = (0..16).map(kill).collect();
-/// // Faults 3 and 11 together do it.
+/// // The failure needs faults 3 and 11.
 /// let both = |steps: &[FaultStep]| [3, 11].iter().all(|n| steps.iter().any(|step| step.fault == *n));
-/// let least = shrink(&all, 100, |steps| both(steps));
-/// assert_eq!(least.iter().map(|step| step.fault).collect::<Vec<_>>(), [3, 11]);
+/// let smallest = shrink(&all, 100, |steps| both(steps));
+/// assert_eq!(smallest.iter().map(|step| step.fault).collect::<Vec<_>>(), [3, 11]);
 /// ```
 pub fn shrink(
     steps: &[FaultStep],
-    max_plays: usize,
+    max_runs: usize,
     fails: impl FnMut(&[FaultStep]) -> bool,
 ) -> Vec<FaultStep> {
     let mut search = Search {
         steps: steps.to_vec(),
-        plays_left: max_plays,
+        runs_left: max_runs,
         fails,
     };
     if search.remove_faults() {
@@ -46,14 +46,14 @@
 /// The smallest schedule that failed so far.
 struct Search<F> {
     steps: Vec<FaultStep>,
-    plays_left: usize,
+    runs_left: usize,
     fails: F,
 }
 
 impl<F: FnMut(&[FaultStep]) -> bool> Search<F> {
-    /// Plays a smaller schedule, and takes it if it failed.
-    fn take_if_fails(&mut self, smaller: Vec<FaultStep>) -> bool {
-        self.plays_left -= 1;
+    /// Runs a smaller schedule, and keeps it if it failed.
+    fn keep_if_fails(&mut self, smaller: Vec<FaultStep>) -> bool {
+        self.runs_left -= 1;
         let failed = (self.fails)(&smaller);
         if failed {
             self.steps = smaller;
@@ -61,7 +61,7 @@
         failed
     }
 
-    /// Leaves out halves, quarters and so on of the faults. False if no play is left.
+    /// Removes halves, quarters and so on of the faults. Returns false if no runs are left.
     fn remove_faults(&mut self) -> bool {
         let mut parts = 2;
         loop {
@@ -74,12 +74,12 @@
             let size = faults.len().div_ceil(parts);
             let mut is_smaller = false;
             for removed in faults.chunks(size) {
-                if self.plays_left == 0 {
+                if self.runs_left == 0 {
                     return false;
                 }
                 let mut rest = self.steps.clone();
                 rest.retain(|step| !removed.contains(&step.fault));
-                is_smaller = self.take_if_fails(rest);
+                is_smaller = self.keep_if_fails(rest);
                 if is_smaller {
                     break;
                 }
@@ -94,18 +94,18 @@
         }
     }
 
-    /// Makes each step half as long, while that still fails.
+    /// Halves the duration of each step, as long as the schedule still fails.
     fn shorten(&mut self) {
-        for k in 0..self.steps.len() {
-            while self.plays_left > 0 && self.steps[k].until > self.steps[k].from * 2 {
+        for index in 0..self.steps.len() {
+            while self.runs_left > 0 && self.steps[index].until > self.steps[index].from * 2 {
                 let mut shorter = self.steps.clone();
-                let duration = shorter[k].until.saturating_sub(shorter[k].from);
-                shorter[k].until = shorter[k].from + duration / 2;
+                let duration = shorter[index].until.saturating_sub(shorter[index].from);
+                shorter[index].until = shorter[index].from + duration / 2;
                 if duration < MIN_DURATION {
-                    self.plays_left -= 1;
+                    self.runs_left -= 1;
                     break;
                 }
-                if !self.take_if_fails(shorter) {
+                if !self.keep_if_fails(shorter) {
                     break;
                 }
             }
--- a/crates/testbed/src/simulation/consistency.rs
+++ b/crates/testbed/src/simulation/consistency.rs
@@ -1,4 +1,5 @@
-//! The end of a run: all replicas of a shard that have applied as much hold the same, and nobody's charges grew.
+//! Checks at the end of a run: replicas of a shard with the same applied index have the same state, and no member
+//! reports a higher charge than was made.
 
 use super::{name, Simulation};
 use prost::Message as _;
@@ -6,11 +7,11 @@
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-/// Checksums of what a replica holds.
+/// Checksums of a replica's state.
 struct Checksums {
     entries: u64,
     keys: u64,
-    /// None while a change of the membership is not committed.
+    /// `None` while a membership change is not committed.
     members: Option<u64>,
 }
 
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What the two hold that is not the same.
+    /// The first part of the state that differs.
     fn difference(&self, other: &Self) -> Option<&'static str> {
         let members = self.members.zip(other.members);
         if self.entries != other.entries {
@@ -41,7 +42,7 @@
     }
 }
 
-/// Replicas by shard and applied index: the first one that was seen, and its node.
+/// By shard and applied index, the checksums of the first replica found and its node.
 type Replicas = BTreeMap<(u16, u64), (Checksums, usize)>;
 
 impl Simulation {
@@ -50,7 +51,10 @@
         let mut faults = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(member) = &node.member else {
-                faults.push(format!("{} is not up at the end", name(index)));
+                faults.push(format!(
+                    "{} is not running at the end of the run",
+                    name(index)
+                ));
                 continue;
             };
             self.check_charges(index, member, &mut faults);
@@ -59,7 +63,7 @@
         self.outcome.faults.extend(faults);
     }
 
-    /// Nobody has heard of more than a node charged.
+    /// No report of a charge may exceed what the node charged.
     fn check_charges(&self, index: usize, member: &GroupMember, faults: &mut Vec<String>) {
         for report in member.gossip_reports().iter() {
             let reported = report.charged_us.get("acme").copied().unwrap_or(0);
@@ -68,7 +72,7 @@
             if reported > charged {
                 let name = name(index);
                 faults.push(format!(
-                    "{name} has {reported} of what a node charged: {charged}"
+                    "{name} has a report of {reported} us charged, but the node charged {charged} us"
                 ));
             }
         }
@@ -83,7 +87,7 @@
 ) {
     for view in member.shards() {
         let replica = view.replica;
-        // Of disks that hold a replica no more, nothing is asked.
+        // A disk that is no longer a member of the shard is not checked.
         if replica.membership().member(replica.id()).is_none() {
             continue;
         }
@@ -95,10 +99,10 @@
             }
             Entry::Occupied(entry) => {
                 let (first, node) = entry.get();
-                if let Some(what) = first.difference(&checksums) {
+                if let Some(part) = first.difference(&checksums) {
                     let (one, other) = (name(index), name(*node));
                     faults.push(format!(
-                        "shard {shard} at {applied}: {what} of {one} and {other} differ"
+                        "shard {shard} at {applied}: {part} of {one} and {other} differ"
                     ));
                 }
             }
--- a/crates/testbed/src/simulation/disk.rs
+++ b/crates/testbed/src/simulation/disk.rs
@@ -1,18 +1,18 @@
-//! Writes and flushes of one member's disk: one flush at a time, with all that waits for it.
+//! Writes and flushes of a member's disk: one flush at a time, which covers all pending writes.
 
 use super::events::EventKind;
 use super::{Simulation, MS};
 use rainstand_cluster::persistence::append;
 use rainstand_replicated_state::member::WriteBatch;
 
-/// The shortest flush, and what a draw adds to it.
+/// Shortest flush, in nanoseconds, and the upper bound of a drawn addition to it.
 const MIN_FLUSH_TIME: u64 = MS / 2;
 const FLUSH_JITTER: u64 = 3 * MS;
-/// Until a node whose disk failed is started again.
+/// Nanoseconds until a node whose disk failed is restarted.
 const REPAIR_DELAY: u64 = 1_500 * MS;
 
 impl Simulation {
-    /// Writes all that waits, and begins its flush.
+    /// Writes all pending batches, and starts to flush them.
     pub(super) fn flush(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         if state.is_flushing || state.writes.is_empty() {
@@ -36,7 +36,7 @@
         state.is_flushing = true;
         let (incarnation, delay) = (state.incarnation, state.flush_delay);
         if has_failed {
-            // Nothing more is confirmed until the process is started again.
+            // No further write is confirmed until the process is restarted.
             return;
         }
         let after = delay + MIN_FLUSH_TIME + self.draw(FLUSH_JITTER);
--- a/crates/testbed/src/simulation/events.rs
+++ b/crates/testbed/src/simulation/events.rs
@@ -1,14 +1,14 @@
-//! Events of the virtual clock, in the order of their times, and who handles each.
+//! The queue of events on the virtual clock, and the dispatch of each event to its handler.
 
 use super::Simulation;
 use rainstand_replicated_state::frames::Frame;
 use rainstand_replicated_state::member::GroupMember;
 use std::cmp::Ordering;
 
-/// What happens. Events that carry an incarnation are dropped if the node was started or stopped meanwhile.
+/// Kind of an event. Events with an incarnation are dropped if the node has started or stopped since.
 #[derive(Clone, Debug)]
 pub(super) enum EventKind {
-    /// A member's next deadline is here.
+    /// A member's next deadline is reached.
     Wake { node: usize, incarnation: u64 },
     /// A frame reaches a member.
     Arrive {
@@ -23,37 +23,37 @@
         incarnation: u64,
         number: u64,
     },
-    /// A caller sends a request, with a key that was given before or a drawn one.
+    /// A caller sends a request, with this key or a drawn one.
     SendRequest { key: Option<usize> },
-    /// An agent has run a request.
+    /// An agent has finished the run of a request.
     RunFinished { node: usize, request: usize },
     /// The agent's outcome reaches its node.
     OutcomeArrives { node: usize, request: usize },
-    /// A request's deadline is here.
+    /// A request's deadline is reached.
     Deadline { request: usize },
     /// A fault is drawn and begins.
     BeginFault,
     /// A fault ends.
     EndFault { index: usize },
-    /// A node whose disk failed is killed and started again.
+    /// A node whose disk failed is killed and restarted.
     RepairDisk { node: usize },
     /// A node is started.
     Start { node: usize },
     /// A connection is opened.
     Connect { from: usize, to: usize },
-    /// The configuration leaves a node out, or nobody.
+    /// The configuration removes this node; with `None`, it lists all nodes again.
     RemoveMember { node: Option<usize> },
-    /// A node and some leader are parted from all others; without a node, one that learns just then.
+    /// This node and some leader are partitioned from all others; with `None`, the node of a learner.
     Isolate { node: Option<usize> },
-    /// A node is killed, and started again at once.
+    /// A node is killed and restarted immediately.
     Bounce { node: usize },
 }
 
-/// Something that happens at a time.
+/// An event with its time.
 #[derive(Clone, Debug)]
 pub(super) struct Event {
     pub(super) at: u64,
-    /// Events of one moment are handled in the order in which they were scheduled.
+    /// Events of the same time are handled in the order in which they were scheduled.
     order: u64,
     pub(super) kind: EventKind,
 }
@@ -73,7 +73,7 @@
 }
 
 impl Ord for Event {
-    /// The earliest is the greatest, as a heap gives the greatest first.
+    /// The earliest event is the greatest, as `BinaryHeap` pops the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are drawn while a run goes on, and their ends.
+//! Draws faults during a run, applies them and ends them.
 
 use super::events::EventKind;
 use super::members::Node;
@@ -6,49 +6,49 @@
 use rainstand_replicated_state::member::{GroupMember, ShardView};
 use rainstand_storage::faulty_disk::{CrashOutcome, DiskFaults, FaultyDisk};
 
-/// The shortest fault, and what a draw adds to it.
+/// Shortest fault, in nanoseconds, and the upper bound of a drawn addition to it.
 const MIN_DURATION: u64 = 200 * MS;
 const DURATION_JITTER: u64 = 1_500 * MS;
-/// Kinds of faults that are drawn; the last ones replace a disk.
+/// Number of kinds of faults; the last ones replace a disk.
 const KINDS: u64 = 18;
 const KINDS_WITHOUT_DISKS: u64 = 15;
-/// Rates of clocks that are wrong, in thousandths.
+/// Rates of slow, correct and fast clocks, in thousandths.
 const SLOW_CLOCK: u64 = 700;
 const RIGHT_CLOCK: u64 = 1_000;
 const FAST_CLOCK: u64 = 1_500;
-/// What a slow disk adds to each flush.
+/// Nanoseconds that a slow disk adds to each flush.
 const SLOW_FLUSH: u64 = 30 * MS;
-/// Between kills of one leader after the other.
+/// Nanoseconds until each of the successive kills of a leader.
 const LEADER_KILLS: [u64; 3] = [0, 400 * MS, 800 * MS];
-/// For how long a member is left out of the configuration.
+/// Nanoseconds for which a member is removed from the configuration.
 const REMOVAL_TIME: u64 = 1_500 * MS;
-/// For how long a node and a leader are parted from the others.
+/// Nanoseconds for which a node and a leader are partitioned from the others.
 const ISOLATION_TIME: u64 = 700 * MS;
-/// Until a node is started again whose disk was replaced, or had failed.
+/// Nanoseconds until a node is restarted whose disk was replaced, or had failed.
 const REPLACE_DELAY: u64 = 100 * MS;
 const REPAIR_DELAY: u64 = 50 * MS;
 
-/// A fault that goes on.
+/// An active fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// Nodes of different sides do not reach each other; one way, those of side 1 still reach the others.
+    /// Nodes on different sides do not reach each other; if one-way, those on side 1 still reach side 0.
     Partition {
-        /// Side of each node, a bit a node.
+        /// Side of each node, one bit per node.
         sides: u64,
         one_way: bool,
     },
-    /// All links are slow.
+    /// All links delay frames.
     Slow,
-    /// All links lose and double frames.
+    /// All links lose and duplicate frames.
     Lossy,
     /// A node is stopped by a signal.
     Paused(usize),
-    /// A node is dead.
+    /// A node is down.
     Down(usize),
     DiskSlow(usize),
     DiskFails(usize),
     Clock(usize),
-    /// Voters die as soon as their vote is on its way, and come back at once.
+    /// Voters crash right after they send their vote, and restart immediately.
     VotersDie,
 }
 
@@ -72,13 +72,13 @@
             9 => Fault::DiskFails(node),
             10 => Fault::Clock(node),
             11 => {
-                self.cross_elections(duration);
+                self.overlap_elections(duration);
                 Fault::VotersDie
             }
             12 => return self.kill_leaders(),
             13 => return self.bounce_all(),
-            14 => return self.remove_for_a_time(node),
-            kind => return self.replace_disk_when_complete(node, kind == 15),
+            14 => return self.remove_temporarily(node),
+            kind => return self.replace_disk_if_complete(node, kind == 15),
         };
         self.apply(fault);
         if self.nodes[node].backup.is_none() && self.nodes[node].member.is_some() {
@@ -93,14 +93,14 @@
         Fault::Partition { sides, one_way }
     }
 
-    /// A fault goes on from now, and ends after this time.
+    /// Records a fault as active, and schedules its end.
     fn record_fault(&mut self, fault: Fault, duration: u64) {
         let index = self.faults.len();
         self.faults.push(Some(fault));
         self.schedule(duration, EventKind::EndFault { index });
     }
 
-    /// What a fault does as it begins.
+    /// Applies the immediate effects of a fault.
     fn apply(&mut self, fault: Fault) {
         match fault {
             Fault::Paused(node) => {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Elections that cross each other on slow links; their voters die in the middle of them.
-    fn cross_elections(&mut self, duration: u64) {
+    /// Makes elections overlap on slow links while their voters crash.
+    fn overlap_elections(&mut self, duration: u64) {
         self.record_fault(Fault::Slow, duration);
         for node in 0..self.config.nodes {
             if self.nodes[node].is_leader() {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A leader dies, again and again.
+    /// Kills current leaders one after the other.
     fn kill_leaders(&mut self) {
         for after in LEADER_KILLS {
             if let Some(node) = self.nodes.iter().position(Node::is_leader) {
@@ -151,15 +151,15 @@
         }
     }
 
-    fn remove_for_a_time(&mut self, node: usize) {
-        let can_be_spared = self.config.nodes > self.config.replicas_per_shard;
-        if self.removed.is_none() && can_be_spared {
+    fn remove_temporarily(&mut self, node: usize) {
+        let has_spare_node = self.config.nodes > self.config.replicas_per_shard;
+        if self.removed.is_none() && has_spare_node {
             self.remove_member(Some(node));
             self.schedule(REMOVAL_TIME, EventKind::RemoveMember { node: None });
         }
     }
 
-    /// The configuration leaves this node out, or nobody.
+    /// Removes this node from the configuration; with `None`, the configuration lists all nodes again.
     pub(super) fn remove_member(&mut self, node: Option<usize>) {
         self.removed = node;
         let members = self.members();
@@ -171,7 +171,7 @@
         self.schedule(after, EventKind::Isolate { node: None });
     }
 
-    /// A node and some leader are parted from all others; without a node, one that learns just now.
+    /// Partitions this node and some leader from all others; with `None`, the node of a learner.
     pub(super) fn isolate(&mut self, node: Option<usize>) {
         let Some(node) = node.or_else(|| self.learner()) else {
             return;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The node of the first learner that some leader knows.
+    /// The node of the first learner in the membership of any leader.
     fn learner(&self) -> Option<usize> {
         let members = self.nodes.iter().filter_map(|node| node.member.as_ref());
         let mut led = members
@@ -201,16 +201,16 @@
         })
     }
 
-    /// Disks are replaced one at a time, and only while the group is complete, as an operator would.
-    fn replace_disk_when_complete(&mut self, node: usize, empty: bool) {
+    /// Replaces a disk if the group is complete: one disk at a time, as an operator would.
+    fn replace_disk_if_complete(&mut self, node: usize, empty: bool) {
         let is_harmless = |fault: &Fault| matches!(fault, Fault::Slow | Fault::Clock(_));
         if self.faults.iter().flatten().all(is_harmless) && self.is_complete() {
             self.replace_disk(node, empty);
         }
     }
 
-    /// Everybody is up, and every shard has all its replicas on disks that are there: what an operator waits for before
-    /// the next disk is touched.
+    /// Whether all nodes are up and every shard has all its replicas on present disks: an operator waits for this
+    /// before replacing the next disk.
     fn is_complete(&self) -> bool {
         let members = || self.nodes.iter().filter_map(|node| node.member.as_ref());
         let disks: Vec<u64> = members().map(GroupMember::disk).collect();
@@ -230,20 +230,20 @@
         self.nodes.iter().all(is_up) && led == usize::from(self.config.shards)
     }
 
-    /// Whether a shard's replicas are all there, on these disks, and hold what its leader committed.
+    /// Whether a shard has all its replicas on these disks, all voters that hold everything its leader committed.
     fn has_all_replicas(&self, shard: &ShardView<'_>, disks: &[u64]) -> bool {
         let replica = shard.replica;
         let members = &replica.membership().members;
-        let is_there =
+        let is_voter_on_disk =
             |member: &rainstand_raft::Member| member.is_voter && disks.contains(&member.id);
         replica
             .progress()
             .all(|peer| peer.match_index >= replica.commit())
             && members.len() == self.config.replicas_per_shard
-            && members.iter().all(is_there)
+            && members.iter().all(is_voter_on_disk)
     }
 
-    /// A node comes back with an empty disk, or with an old copy of its own.
+    /// Restarts a node with an empty disk, or with an old copy of its disk.
     fn replace_disk(&mut self, node: usize, empty: bool) {
         if self.nodes[node].member.is_none() {
             return;
@@ -261,12 +261,12 @@
             disk
         });
         self.schedule(REPLACE_DELAY, EventKind::Start { node });
-        // While it learns, it may be all that a leader still reaches.
+        // While it is a learner, it may be the only node that a leader still reaches.
         let after = REPLACE_DELAY + self.draw(150 * MS);
         self.schedule(after, EventKind::Isolate { node: Some(node) });
     }
 
-    /// A node whose disk failed is killed and started again.
+    /// Clears the faults of a disk; kills and restarts the node if its member has stopped.
     pub(super) fn repair_disk(&mut self, node: usize) {
         self.nodes[node].disk.set_faults(DiskFaults::default());
         if self.nodes[node].is_stopped() {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// A paused node goes on with all that came meanwhile.
+    /// Resumes a paused node, which handles the events deferred during the pause.
     fn resume(&mut self, node: usize) {
         self.disturb_requests(node);
         self.nodes[node].is_paused = false;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Callers may leave what is open at this node.
+    /// Marks the open requests at this node, so that their callers may abandon them.
     fn disturb_requests(&mut self, node: usize) {
         for request in &mut self.requests {
             if request.node == node && request.is_open {
--- a/crates/testbed/src/simulation/links.rs
+++ b/crates/testbed/src/simulation/links.rs
@@ -1,4 +1,4 @@
-//! Links between members: connections, and frames that are lost, doubled and delayed.
+//! Links between members: connections, and loss, duplication and delay of frames.
 
 use super::events::EventKind;
 use super::faults::Fault;
@@ -6,20 +6,20 @@
 use prost::Message as _;
 use rainstand_replicated_state::frames::{Frame, FrameBody};
 
-/// Until a connection is tried again.
+/// Nanoseconds until a connection is retried.
 const RECONNECT_DELAY: u64 = 100 * MS;
-/// The shortest way of a frame, and what a draw adds to it.
+/// Shortest delay of a frame, in nanoseconds, and the upper bound of a drawn addition to it.
 const MIN_DELAY: u64 = MS / 10;
 const DELAY_JITTER: u64 = 2 * MS;
 /// The same while links are slow.
 const MIN_SLOW_DELAY: u64 = 20 * MS;
 const SLOW_DELAY_JITTER: u64 = 120 * MS;
-/// One frame in so many is lost, and one in so many comes twice, while links are lossy.
+/// While links are lossy, one frame in this many is lost and one in this many is duplicated.
 const LOSS_ODDS: u64 = 5;
 const DUPLICATE_ODDS: u64 = 8;
 
 impl Simulation {
-    /// A connection is tried: once it passes, its opener says hello.
+    /// Tries to connect, and retries until it succeeds; then the member that opened the connection sends its hello.
     pub(super) fn connect(&mut self, from: usize, to: usize) {
         if self.nodes[from].member.is_none() || self.nodes[to].member.is_none() {
             return;
@@ -30,7 +30,7 @@
         self.call_member(from, |member, now| member.on_connected(now, &name(to)));
     }
 
-    /// Whether frames of this direction pass all partitions.
+    /// Whether no partition blocks frames in this direction.
     fn passes(&self, from: usize, to: usize) -> bool {
         self.faults.iter().flatten().all(|fault| match fault {
             Fault::Partition { sides, one_way } => {
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn send(&mut self, from: usize, to: usize, frame: &Frame) {
-        let is_lossy = self.faults.contains(&Some(Fault::Lossy)) && may_be_lost(frame);
+        let is_lossy = self.faults.contains(&Some(Fault::Lossy)) && can_be_lost(frame);
         let is_slow = self.faults.contains(&Some(Fault::Slow));
         if !self.passes(from, to)
             || self.nodes[to].member.is_none()
@@ -50,7 +50,7 @@
         {
             return;
         }
-        // A frame that passes the wire as bytes is what arrives.
+        // The frame that arrives has been encoded and decoded, as on the wire.
         let frame = Frame::decode(&frame.encode_to_vec()[..]).unwrap_or_default();
         let is_duplicated = is_lossy && self.draw(DUPLICATE_ODDS) == 0;
         for _ in 0..if is_duplicated { 2 } else { 1 } {
@@ -86,14 +86,14 @@
             };
             self.nodes[to].deferred.push_back(deferred);
         } else if self.nodes[from].member.is_some() || self.draw(2) == 0 {
-            // What a dead sender had under way may be lost with its connection.
+            // Frames in flight from a crashed sender may be lost with its connection.
             self.call_member(to, |member, now| member.on_frame(now, &name(from), frame));
         }
     }
 }
 
-/// A link that loses one of these breaks, and they are sent again when it is back.
-fn may_be_lost(frame: &Frame) -> bool {
+/// False for frames whose loss means a broken connection: they are sent again after the reconnect.
+fn can_be_lost(frame: &Frame) -> bool {
     !matches!(
         frame.body,
         Some(FrameBody::Hello(_) | FrameBody::StaleDisk(_) | FrameBody::Bootstrap(_))
--- a/crates/testbed/src/simulation/members.rs
+++ b/crates/testbed/src/simulation/members.rs
@@ -1,4 +1,4 @@
-//! Members of the group: their starts, their crashes, calls into them and what follows from a call.
+//! Members of the group: starts, crashes, and calls into them with the effects of each call.
 
 use super::events::EventKind;
 use super::faults::Fault;
@@ -19,67 +19,68 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Small enough that segments and snapshots change often.
+/// Small enough that segments and snapshots are replaced often.
 const STORE_LIMITS: StoreLimits = StoreLimits {
     segment_bytes: 20_000,
     log_bytes: 100_000,
 };
-/// Entries after which a log is compacted.
+/// Number of entries after which a log is compacted.
 const COMPACTION_ENTRIES: usize = 60;
-/// Until a disk that could not be opened is tried again.
+/// Nanoseconds until the open of a disk is retried.
 const REOPEN_DELAY: u64 = 200 * MS;
-/// Until a new member connects to the others, and they to it.
+/// Nanoseconds until a started member connects to the others, and they to it.
 const CONNECT_DELAY: u64 = 2 * MS;
-/// Until a member whose disk was quarantined is started again.
+/// Nanoseconds until a member whose disk was quarantined is restarted.
 const RESET_DELAY: u64 = 50 * MS;
-/// A member is woken at least so often.
+/// Longest time between two wake-ups of a member, in nanoseconds of its own clock.
 const MAX_WAKE_INTERVAL: u64 = 1_000 * MS;
-/// A voter that dies does so this long after its vote was sent; one in so many does.
-const VOTER_DEATH_DELAY: u64 = MS / 5;
-const VOTER_DEATH_ODDS: u64 = 3;
+/// Nanoseconds between a vote and the crash of its voter; one voter in `VOTER_CRASH_ODDS` crashes.
+const VOTER_CRASH_DELAY: u64 = MS / 5;
+const VOTER_CRASH_ODDS: u64 = 3;
 
 /// A clock that may run at a wrong rate.
 pub(super) struct Clock {
-    /// In thousandths.
-    rate: u64,
-    /// The true time, and the clock's own, at which this rate began.
-    since: u64,
-    own: u64,
+    /// Thousandths of the true rate.
+    rate_permille: u64,
+    /// True time at which this rate began, in nanoseconds.
+    rate_since: u64,
+    /// Reading at that time, in nanoseconds.
+    reading: u64,
 }
 
 impl Clock {
-    /// What it shows at a true time.
+    /// Reading at a true time.
     fn read(&self, now: u64) -> u64 {
-        self.own + (now - self.since) * self.rate / 1_000
+        self.reading + (now - self.rate_since) * self.rate_permille / 1_000
     }
 
-    /// How long a time of its own takes in truth.
-    fn true_span(&self, own: u64) -> u64 {
-        own * 1_000 / self.rate.max(1)
+    /// True duration of a duration on this clock.
+    fn true_span(&self, duration: u64) -> u64 {
+        duration * 1_000 / self.rate_permille.max(1)
     }
 }
 
-/// A node: its disk, and its member while it runs.
+/// A node: its disk, and its member while the node runs.
 pub(super) struct Node {
     pub(super) disk: FaultyDisk,
-    /// A copy of its disk from an earlier time.
+    /// Earlier copy of its disk.
     pub(super) backup: Option<FaultyDisk>,
     pub(super) store: Option<Store<FaultyDisk>>,
     pub(super) member: Option<GroupMember>,
-    /// Goes up with each start and stop: what was meant for an earlier one is lost.
+    /// Incremented by each start and stop: events for an earlier incarnation are dropped.
     pub(super) incarnation: u64,
     pub(super) is_paused: bool,
-    /// What came while it was paused.
+    /// Events that arrived while it was paused.
     pub(super) deferred: VecDeque<EventKind>,
     clock: Clock,
-    /// Writes of its disk that wait for a flush, oldest first.
+    /// Writes to its disk that are not flushed yet, oldest first.
     pub(super) writes: VecDeque<WriteBatch>,
     pub(super) is_flushing: bool,
-    /// What a slow disk adds to each flush.
+    /// Nanoseconds that a slow disk adds to each flush.
     pub(super) flush_delay: u64,
-    /// When it is woken next.
+    /// Time of its next wake-up.
     pub(super) next_wake: u64,
-    /// Requests that wait for the group's outcome, by the group's number.
+    /// Requests that wait for the group's outcome, by the id that the member gave.
     pub(super) pending: HashMap<u64, usize>,
 }
 
@@ -94,9 +95,9 @@
             is_paused: false,
             deferred: VecDeque::new(),
             clock: Clock {
-                rate: 1_000,
-                since: 0,
-                own: 0,
+                rate_permille: 1_000,
+                rate_since: 0,
+                reading: 0,
             },
             writes: VecDeque::new(),
             is_flushing: false,
@@ -108,12 +109,12 @@
 }
 
 impl Node {
-    /// Whether its member answers nobody since its disk failed.
+    /// Whether its member has stopped answering after a disk failure.
     pub(super) fn is_stopped(&self) -> bool {
         self.member.as_ref().is_some_and(GroupMember::is_stopped)
     }
 
-    /// Whether it leads any shard.
+    /// Whether it leads at least one shard.
     pub(super) fn is_leader(&self) -> bool {
         let led = self.member.as_ref().map(GroupMember::led_shard_count);
         led.is_some_and(|count| count > 0)
@@ -121,33 +122,33 @@
 }
 
 impl Simulation {
-    /// Whether a node runs in the incarnation that something was meant for.
+    /// Whether a node still runs in this incarnation.
     pub(super) fn is_running(&self, node: usize, incarnation: u64) -> bool {
         self.nodes[node].incarnation == incarnation && self.nodes[node].member.is_some()
     }
 
-    /// The node's own time, by its clock.
+    /// Current time on the node's clock.
     pub(super) fn clock(&self, node: usize) -> Duration {
         Duration::from_nanos(self.nodes[node].clock.read(self.now))
     }
 
-    pub(super) fn set_clock_rate(&mut self, node: usize, rate: u64) {
+    pub(super) fn set_clock_rate(&mut self, node: usize, rate_permille: u64) {
         let now = self.now;
         let clock = &mut self.nodes[node].clock;
         *clock = Clock {
-            rate,
-            since: now,
-            own: clock.read(now),
+            rate_permille,
+            rate_since: now,
+            reading: clock.read(now),
         };
     }
 
-    /// The members of the configuration of now.
+    /// Members in the current configuration.
     pub(super) fn members(&self) -> Vec<MemberPlacement> {
-        let sites = self.config.sites.max(1);
+        let zones = self.config.zones.max(1);
         let nodes = (0..self.config.nodes).filter(|node| self.removed != Some(*node));
         let member = |node| MemberPlacement {
             name: name(node),
-            site: format!("s{}", node % sites),
+            site: format!("s{}", node % zones),
         };
         nodes.map(member).collect()
     }
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Opens a node's disk and runs its member, unless it runs or is kept down.
+    /// Opens a node's disk and starts its member, unless it runs already or a fault keeps it down.
     pub(super) fn start(&mut self, node: usize) {
         let is_down = self.faults.contains(&Some(Fault::Down(node)));
         if self.nodes[node].member.is_some() || is_down {
@@ -184,11 +185,11 @@
         let mut disk = self.nodes[node].disk.clone();
         let mut opened = Store::open(disk.clone(), STORE_LIMITS, seed);
         if matches!(opened, Err(OpenError::Damaged(_))) {
-            // As the program does: what cannot be believed is quarantined, and the disk begins as a new one.
+            // As in the program: damaged files are quarantined, and the disk starts as a new one.
             let _ = disk.quarantine();
             opened = Store::open(disk, STORE_LIMITS, seed);
             if let Err(error) = opened {
-                let fault = format!("{} does not open: {error}", name(node));
+                let fault = format!("cannot open the disk of {}: {error}", name(node));
                 return self.outcome.faults.push(fault);
             }
         }
@@ -231,17 +232,17 @@
         self.call_member(node, GroupMember::tick);
     }
 
-    /// A node dies: part of what its disk had not flushed is lost, and its connections break.
+    /// Crashes a node: a drawn part of its unflushed bytes is lost, and its connections break.
     pub(super) fn crash(&mut self, node: usize) {
         self.trace(|| format!("{} dies", name(node)));
         let unflushed_bytes = self.nodes[node].disk.unflushed_bytes() as u64;
-        let survives = self.draw(unflushed_bytes + 1) as usize;
+        let surviving_bytes = self.draw(unflushed_bytes + 1) as usize;
         let state = &mut self.nodes[node];
         state.member = None;
         state.store = None;
         state.incarnation += 1;
         state.is_paused = false;
-        state.disk.crash(CrashOutcome::First(survives));
+        state.disk.crash(CrashOutcome::First(surviving_bytes));
         for request in 0..self.requests.len() {
             if self.requests[request].node == node {
                 self.requests[request].is_disturbed = true;
@@ -255,7 +256,7 @@
         }
     }
 
-    /// A node is killed, and started again at once.
+    /// Kills a running node and restarts it immediately.
     pub(super) fn bounce(&mut self, node: usize) {
         if self.nodes[node].member.is_some() {
             self.crash(node);
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Calls into a member, and does what follows from it.
+    /// Calls into a member, applies the effects, and schedules its next wake-up.
     pub(super) fn call_member(
         &mut self,
         node: usize,
@@ -325,9 +326,9 @@
         to: &str,
         frame: &rainstand_replicated_state::frames::Frame,
     ) {
-        let voters_die = self.faults.contains(&Some(Fault::VotersDie));
-        if grants_vote(frame) && voters_die && self.draw(VOTER_DEATH_ODDS) == 0 {
-            self.schedule(VOTER_DEATH_DELAY, EventKind::Bounce { node });
+        let voters_crash = self.faults.contains(&Some(Fault::VotersDie));
+        if grants_vote(frame) && voters_crash && self.draw(VOTER_CRASH_ODDS) == 0 {
+            self.schedule(VOTER_CRASH_DELAY, EventKind::Bounce { node });
         }
         let to = to[1..].parse::<usize>().map_or(0, |number| number - 1);
         self.send(node, to, frame);
@@ -351,14 +352,14 @@
         self.outcome.elections += 1;
         let member = self.nodes[node].member.as_ref();
         let disk = member.map_or(0, GroupMember::disk);
-        let before = self.leaders.insert((shard, term), disk);
-        if before.is_some_and(|before| before != disk) {
-            let fault = format!("two lead shard {shard} in term {term}");
+        let previous = self.leaders.insert((shard, term), disk);
+        if previous.is_some_and(|previous| previous != disk) {
+            let fault = format!("two leaders of shard {shard} in term {term}");
             self.outcome.faults.push(fault);
         }
     }
 
-    /// The files are quarantined and the member starts as another disk.
+    /// Quarantines the files of a node, whose member then restarts as a new disk.
     fn reset_disk(&mut self, node: usize) {
         self.outcome.replaced_disks += 1;
         self.crash(node);
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,18 +1,18 @@
-//! Members of a group on a virtual clock: links that lose, delay and part, disks that crash, fill up and are replaced,
-//! clocks that run at their own pace, callers that repeat requests with an idempotency key elsewhere. All of it is the
-//! code that serves; one seed gives one run, to the byte of its history.
+//! Simulates the members of a group on a virtual clock: links that lose, delay and partition, disks that crash, fill up
+//! and are replaced, clocks at wrong rates, callers that repeat requests with an idempotency key at other nodes. The
+//! members run the production code. One seed determines the run, to the last byte of its history.
 //!
-//! | module | what it is |
+//! | module | content |
 //! | --- | --- |
-//! | `events` | events in the order of their times, and who handles each |
-//! | `members` | starts and crashes of members, calls into them, and what follows from a call |
-//! | `disk` | writes and flushes |
-//! | `links` | connections, and frames that are lost, doubled and delayed |
-//! | `faults` | faults that are drawn, and their ends |
+//! | `events` | the event queue, and the dispatch of events |
+//! | `members` | starts and crashes of members, calls into them, and their effects |
+//! | `disk` | writes and flushes of disks |
+//! | `links` | connections, and loss, duplication and delay of frames |
+//! | `faults` | faults: drawing, applying and ending them |
 //! | `requests` | callers, their requests, and the agents that run them |
-//! | `consistency` | replicas against each other, at the end |
+//! | `consistency` | comparison of replicas at the end of the run |
 //!
-//! All times are nanoseconds of the virtual clock since the run began.
+//! All times are in nanoseconds on the virtual clock, since the start of the run.
 
 mod consistency;
 mod disk;
@@ -32,38 +32,38 @@
 use std::time::Duration;
 
 const MS: u64 = 1_000_000;
-/// For a request's answer.
+/// Time limit of a request, in nanoseconds.
 const REQUEST_TIMEOUT: u64 = 1_000 * MS;
-/// Of that, for its start to be agreed on.
+/// Part of it for the group to agree on the start, in nanoseconds.
 const START_TIMEOUT: u64 = 500 * MS;
-/// For how long a key is remembered.
+/// Nanoseconds for which a key is retained.
 const KEY_WINDOW: u64 = 600_000 * MS;
-/// After the faults, for what is open to end and for the group to be complete again.
+/// Nanoseconds after the faults for open requests to end and for the group to be complete again.
 const SETTLE_TIME: u64 = 6_000 * MS;
-/// Members start at drawn times up to this one.
+/// Members start at drawn times before this one, in nanoseconds.
 const START_SPREAD: u64 = 300 * MS;
-/// The first request is sent after this time, the first fault begins after that one.
+/// Nanoseconds before the first request, and before the first fault.
 const FIRST_REQUEST: u64 = 800 * MS;
 const FIRST_FAULT: u64 = 1_000 * MS;
 
-/// What is simulated.
+/// Settings of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
-    /// Members of the group.
+    /// Number of members of the group.
     pub nodes: usize,
-    /// Sites that the members are spread over.
-    pub sites: usize,
-    /// Shards of the group.
+    /// Number of zones that the members are spread over.
+    pub zones: usize,
+    /// Number of shards of the group.
     pub shards: u16,
-    /// Replicas of each shard.
+    /// Number of replicas of each shard.
     pub replicas_per_shard: usize,
-    /// Virtual time for which requests are sent and faults begin.
+    /// Virtual time during which requests are sent and faults begin.
     pub duration: Duration,
-    /// Faults of all kinds, drawn.
+    /// Number of drawn faults, of all kinds.
     pub faults: usize,
-    /// Whether disks are replaced by empty or old ones too.
+    /// Whether faults also replace disks by empty or old ones.
     pub replaces_disks: bool,
-    /// Faults, starts and events of members go to standard error.
+    /// Whether to print faults, starts and events of members to standard error.
     pub trace: bool,
 }
 
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Self {
             nodes: 5,
-            sites: 3,
+            zones: 3,
             shards: 2,
             replicas_per_shard: 3,
             duration: Duration::from_secs(12),
@@ -82,46 +82,46 @@
     }
 }
 
-/// What a run came to.
+/// Outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// What callers and agents saw.
+    /// Observations of callers and agents.
     pub history: Vec<Observation>,
-    /// What the history cannot show: replicas that diverge, members that do not come back.
+    /// Faults that the history cannot show: replicas that diverge, members that do not restart.
     pub faults: Vec<String>,
-    /// Events that were handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Starts of members.
+    /// Number of starts of members.
     pub restarts: u64,
-    /// Leaders that were elected.
+    /// Number of leaders elected.
     pub elections: u64,
-    /// Disks that were replaced or quarantined.
+    /// Number of disks replaced or quarantined.
     pub replaced_disks: u64,
-    /// Requests that were served.
+    /// Number of requests served.
     pub served: usize,
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: usize,
 }
 
-/// A run that is going on.
+/// A run in progress.
 struct Simulation {
     config: SimulationConfig,
     now: u64,
-    /// Events that were scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
     random: WyRand,
     events: BinaryHeap<Event>,
     nodes: Vec<Node>,
     requests: Vec<Request>,
-    /// Numbers of the keys that were used, the newest last.
+    /// Numbers of the keys used so far, the newest last.
     keys: Vec<usize>,
-    /// All faults so far; none where one has ended.
+    /// All faults so far; `None` for those that have ended.
     faults: Vec<Option<Fault>>,
-    /// The disk that led a shard in a term: there is never a second.
+    /// Disk that led a shard in a term; a second one is a fault.
     leaders: BTreeMap<(u16, u64), u64>,
-    /// What was charged, by disk and incarnation.
+    /// Microseconds charged, by disk and incarnation.
     charged: BTreeMap<(u64, u64), u64>,
-    /// The node that the configuration leaves out just now.
+    /// The node that is removed from the configuration at present.
     removed: Option<usize>,
     outcome: Outcome,
 }
@@ -131,7 +131,7 @@
     format!("n{}", node + 1)
 }
 
-/// Plays one seed.
+/// Runs the simulation of one seed.
 pub fn play(config: &SimulationConfig, seed: u64) -> Outcome {
     let mut simulation = Simulation {
         config: *config,
@@ -155,16 +155,16 @@
 }
 
 impl Simulation {
-    fn end(&self) -> u64 {
+    fn end_time(&self) -> u64 {
         self.config.duration.as_nanos() as u64 + SETTLE_TIME
     }
 
-    /// From 0 to under `n`.
-    fn draw(&mut self, n: u64) -> u64 {
-        self.random.generate_range(0..n.max(1))
+    /// Draws a number from 0 up to, but not including, `limit`.
+    fn draw(&mut self, limit: u64) -> u64 {
+        self.random.generate_range(0..limit.max(1))
     }
 
-    /// Draws when members start, faults begin and requests are sent.
+    /// Schedules the starts of members, the faults and the requests at drawn times.
     fn set_up(&mut self) {
         for node in 0..self.config.nodes {
             self.nodes.push(Node::default());
@@ -187,7 +187,7 @@
         while let Some(event) = self.events.pop() {
             self.now = event.at;
             self.outcome.events += 1;
-            if event.at > self.end() {
+            if event.at > self.end_time() {
                 break;
             }
             self.handle(event.kind);
@@ -196,9 +196,9 @@
 
     fn finish(self) -> Outcome {
         let mut outcome = self.outcome;
-        let is_served = |seen: &&Observation| {
+        let is_served = |observation: &&Observation| {
             matches!(
-                seen.event,
+                observation.event,
                 HistoryEvent::Ended {
                     end: RequestEnd::Served,
                     ..
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -12,21 +12,21 @@
 use rainstand_storage::Store;
 use std::time::Duration;
 
-/// Requests of a hundred that repeat an earlier key, and how far back that key may be.
+/// Percentage of requests that repeat an earlier key, and the number of latest keys that may be repeated.
 const REPEAT_PERCENT: u64 = 35;
 const MAX_REPEATED_KEYS: usize = 30;
-/// One repeat in so many goes to several nodes at once, one in so many has another body.
+/// One repeat in this many goes to several nodes concurrently, one in this many has another body.
 const CONCURRENT_REPEAT_ODDS: u64 = 3;
-const OTHER_BODY_ODDS: u64 = 20;
-/// The shortest run, and what a draw adds to it.
+const CHANGED_BODY_ODDS: u64 = 20;
+/// Shortest run, in nanoseconds, and the upper bound of a drawn addition to it.
 const MIN_RUN_TIME: u64 = MS;
 const RUN_JITTER: u64 = 8 * MS;
-/// Kept back of a request's time for its answer, once its run has ended.
+/// Nanoseconds of a request's time that are reserved for its answer after the run.
 const ANSWER_MARGIN: u64 = 20 * MS;
-/// From the end of a run until its node hears of it, and between tries where the node is down.
+/// Nanoseconds from the end of a run until its node learns of it, and between retries while the node is down.
 const OUTCOME_DELAY: u64 = MS / 10;
 const OUTCOME_RETRY_DELAY: u64 = 100 * MS;
-/// For the result of a run of an earlier incarnation to be agreed on.
+/// Time limit for the group to agree on the result of a run from an earlier incarnation.
 const LATE_RESULT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A request of a caller.
@@ -34,17 +34,17 @@
     /// Number of its key.
     key: usize,
     pub(super) node: usize,
-    /// Of its node, when it was sent.
+    /// Incarnation of its node when it was sent.
     incarnation: u64,
-    /// What its node does about it; none once that is over.
+    /// Stage of its handling by the node; `None` once that has ended.
     stage: Option<RequestStage>,
-    /// The caller waits for its end.
+    /// Whether the caller waits for its end.
     pub(super) is_open: bool,
     body: &'static str,
-    /// Known only to the agent.
+    /// Result of its run, as the agent knows it.
     result: Option<String>,
     sent_at: u64,
-    /// Its caller may leave it.
+    /// Whether its caller may abandon it.
     pub(super) is_disturbed: bool,
 }
 
@@ -58,12 +58,12 @@
     format!("k{key}")
 }
 
-/// What identifies a request to its group.
+/// Trace id, which identifies a request within its group.
 fn trace_id(request: usize) -> [u8; 16] {
     (request as u128).to_be_bytes()
 }
 
-/// What a run costs its tenant.
+/// Charge of a run to its tenant, in microseconds.
 fn charge_of(request: usize) -> u64 {
     1 + request as u64 % 7
 }
@@ -79,7 +79,7 @@
         });
     }
 
-    /// A caller sends a request to a drawn node, with this key or a drawn one.
+    /// Sends a request to a drawn node, with this key or a drawn one.
     pub(super) fn send_request(&mut self, key: Option<usize>) {
         let node = self.draw(self.config.nodes as u64) as usize;
         let is_repeat = self.draw(100) < REPEAT_PERCENT && !self.keys.is_empty();
@@ -87,15 +87,15 @@
         if !is_repeat {
             self.keys.push(key);
         } else if self.draw(CONCURRENT_REPEAT_ODDS) == 0 {
-            // The same key at several nodes at once.
+            // The same key at several nodes concurrently.
             let after = self.draw(3 * MS);
             self.schedule(after, EventKind::SendRequest { key: Some(key) });
         }
         if self.nodes[node].member.is_none() {
             return;
         }
-        let has_other_body = is_repeat && self.draw(OTHER_BODY_ODDS) == 0;
-        let (fingerprint, body) = if has_other_body {
+        let has_changed_body = is_repeat && self.draw(CHANGED_BODY_ODDS) == 0;
+        let (fingerprint, body) = if has_changed_body {
             (2, "other")
         } else {
             (1, "body")
@@ -113,13 +113,13 @@
         self.submit(request, command, START_TIMEOUT);
     }
 
-    /// A new key, or one of the last ones.
+    /// Returns a new key or, for a repeat, one of the latest.
     fn draw_key(&mut self, is_repeat: bool) -> usize {
         if !is_repeat {
             return self.keys.len();
         }
-        let back = self.draw(self.keys.len().min(MAX_REPEATED_KEYS) as u64) as usize;
-        self.keys[self.keys.len() - 1 - back]
+        let keys_back = self.draw(self.keys.len().min(MAX_REPEATED_KEYS) as u64) as usize;
+        self.keys[self.keys.len() - 1 - keys_back]
     }
 
     fn open_request(&mut self, key: usize, node: usize, body: &'static str) -> usize {
@@ -147,7 +147,7 @@
         request
     }
 
-    /// Asks the group for a command; what becomes of it ends the request's wait.
+    /// Submits a command to the group; its outcome advances the request.
     fn submit(&mut self, request: usize, command: Command, timeout: u64) {
         let node = self.requests[request].node;
         let now = self.clock(node);
@@ -155,7 +155,7 @@
         let mut id = None;
         if let Some(member) = &mut self.nodes[node].member {
             id = member.request(now, command, deadline);
-            // The number must be known before the effects of the call are looked at.
+            // The id must be registered before the effects of the call are applied.
             if let Some(id) = id {
                 self.nodes[node].pending.insert(id, request);
             }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Does what a node does about a request at this event.
+    /// Advances a request by an event, as its node does.
     pub(super) fn advance(&mut self, request: usize, event: RequestEvent) {
         let Some(stage) = self.requests[request].stage else {
             return;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The agent's run has its effect, whatever has become of its node.
+    /// Records the agent's run, which takes effect whether its node is still up or not.
     pub(super) fn on_run_finished(&mut self, node: usize, request: usize) {
         let result = format!("{}-{request}", name(node));
         let ran = HistoryEvent::Ran {
@@ -227,7 +227,7 @@
     pub(super) fn on_outcome(&mut self, node: usize, request: usize) {
         let outcome = EventKind::OutcomeArrives { node, request };
         if self.nodes[node].member.is_none() {
-            // Reported again to the next incarnation.
+            // The agent reports it again to the next incarnation.
             return self.schedule(OUTCOME_RETRY_DELAY, outcome);
         }
         if self.nodes[node].is_paused {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The result of a run of an earlier incarnation: its key is in the replicas here, or nobody hears of it.
+    /// Replicates the result of a run from an earlier incarnation if a replica here holds its claim, or else drops it.
     fn replicate_late_result(&mut self, node: usize, request: usize, result: Bytes) {
         let is_claimed = |member: &GroupMember| {
             let key = member.key_claimed_here(&trace_id(request));
@@ -275,7 +275,7 @@
         if state.is_disturbed {
             return self.end_request(request, RequestEnd::Abandoned, None);
         }
-        // As the node's own alarm does, just in time.
+        // As the node's own timer does, just before the deadline passes.
         let may_have_run = matches!(
             state.stage,
             Some(RequestStage::Running | RequestStage::Replicating | RequestStage::AwaitingOther)
@@ -287,7 +287,7 @@
         self.end_request(request, RequestEnd::Rejected, None);
     }
 
-    /// The caller learns the end of its request, if it still waits for one.
+    /// Records the end of a request for its caller, if that still waits.
     pub(super) fn end_request(&mut self, request: usize, end: RequestEnd, result: Option<String>) {
         if std::mem::replace(&mut self.requests[request].is_open, false) {
             let ended = HistoryEvent::Ended {
--- a/crates/testbed/tests/fault_schedule.rs
+++ b/crates/testbed/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults: the same for a seed, and each kind of split parts whom it should.
+//! Fault schedules: a seed determines the schedule, and each kind of partition separates the intended nodes.
 
 #![allow(
     missing_docs,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_seed_gives_one_schedule_and_another_gives_another() {
+fn equal_seeds_give_equal_schedules_and_others_differ() {
     let rig = rig(
         5,
         vec![
@@ -53,52 +53,55 @@
     }
 }
 
-/// Which nodes still see each other through a fault, by chains of links that pass both ways.
-fn sees(nodes: usize, steps: &[FaultStep]) -> Vec<Vec<bool>> {
-    let mut sees = vec![vec![true; nodes]; nodes];
+/// By sender and receiver, whether frames still pass from one node to another directly.
+fn reachability(nodes: usize, steps: &[FaultStep]) -> Vec<Vec<bool>> {
+    let mut reaches = vec![vec![true; nodes]; nodes];
     for step in steps {
         if let FaultAction::Link {
             link: Link::Peer { from, to },
             fault: LinkFault::Cut { forth, back },
         } = step.action
         {
-            sees[from][to] &= !forth;
-            sees[to][from] &= !back;
+            reaches[from][to] &= !forth;
+            reaches[to][from] &= !back;
         }
     }
-    sees
+    reaches
 }
 
 #[test]
-fn splits_part_whom_they_should() {
+fn halves_bridge_and_ring_cut_the_intended_links() {
     for seed in 0..50 {
-        let halves = sees(
+        let halves = reachability(
             5,
             &schedule(&rig(5, vec![fault(RigTrouble::Halves, 1)]), seed),
         );
         let mut sizes: Vec<usize> = (0..5)
-            .map(|a| halves[a].iter().filter(|s| **s).count())
+            .map(|node| halves[node].iter().filter(|passes| **passes).count())
             .collect();
         sizes.sort_unstable();
         assert_eq!(sizes, [2, 2, 3, 3, 3], "seed {seed}");
-        let bridge = sees(
+        let bridge = reachability(
             5,
             &schedule(&rig(5, vec![fault(RigTrouble::Bridge, 1)]), seed),
         );
         let mut sizes: Vec<usize> = (0..5)
-            .map(|a| bridge[a].iter().filter(|s| **s).count())
+            .map(|node| bridge[node].iter().filter(|passes| **passes).count())
             .collect();
         sizes.sort_unstable();
         assert_eq!(sizes, [3, 3, 3, 3, 5], "seed {seed}");
     }
-    let ring = sees(5, &schedule(&rig(5, vec![fault(RigTrouble::Ring, 1)]), 1));
-    for a in 0..5 {
-        assert!(!ring[a][(a + 1) % 5] && ring[(a + 1) % 5][a], "{a}");
+    let ring = reachability(5, &schedule(&rig(5, vec![fault(RigTrouble::Ring, 1)]), 1));
+    for node in 0..5 {
+        assert!(
+            !ring[node][(node + 1) % 5] && ring[(node + 1) % 5][node],
+            "{node}"
+        );
     }
 }
 
 #[test]
-fn a_site_is_cut_off_with_its_callers() {
+fn zone_cut_includes_the_links_of_callers() {
     let steps = schedule(
         &rig(
             6,
@@ -109,13 +112,13 @@
         ),
         3,
     );
-    let sees = sees(6, &steps);
-    assert!(sees[0][3] && sees[1][2] && !sees[0][1] && !sees[5][3]);
+    let reaches = reachability(6, &steps);
+    assert!(reaches[0][3] && reaches[1][2] && !reaches[0][1] && !reaches[5][3]);
     let callers = steps
         .iter()
-        .filter(|s| {
+        .filter(|step| {
             matches!(
-                s.action,
+                step.action,
                 FaultAction::Link {
                     link: Link::Caller { .. },
                     ..
--- a/crates/testbed/tests/histories.rs
+++ b/crates/testbed/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Histories by hand, each with what is wrong with it, and the one pass held against a search over all orders.
+//! Hand-written histories with their expected violations, and the single-pass check against a search over all orders.
 
 #![allow(
     missing_docs,
@@ -12,26 +12,26 @@
 use rainstand_testbed::check::check;
 use rainstand_testbed::history::{parse_line, read_history, Event, Observation, RequestEnd};
 
-fn ask(at: u64, ticket: &str, key: &str, body: &str, node: &str) -> String {
+fn ask(at: u64, request: &str, key: &str, body: &str, node: &str) -> String {
     let key = if key.is_empty() {
         String::new()
     } else {
         format!("\"key\":\"{key}\",")
     };
     format!(
-        "{{\"at\":{at},\"by\":\"caller-1\",\"op\":\"ask\",\"ticket\":\"{ticket}\",\"type\":\"register\",{key}\
+        "{{\"at\":{at},\"by\":\"caller-1\",\"op\":\"ask\",\"ticket\":\"{request}\",\"type\":\"register\",{key}\
          \"body\":\"{body}\",\"node\":\"{node}\",\"due\":{}}}",
         at + 100
     )
 }
 
-fn end(at: u64, op: &str, ticket: &str, result: &str) -> String {
+fn end(at: u64, op: &str, request: &str, result: &str) -> String {
     let result = if result.is_empty() {
         String::new()
     } else {
         format!(",\"result\":\"{result}\"")
     };
-    format!("{{\"at\":{at},\"by\":\"caller-1\",\"op\":\"{op}\",\"ticket\":\"{ticket}\"{result}}}")
+    format!("{{\"at\":{at},\"by\":\"caller-1\",\"op\":\"{op}\",\"ticket\":\"{request}\"{result}}}")
 }
 
 fn ran(at: u64, by: &str, key: &str, body: &str, result: &str) -> String {
@@ -40,20 +40,20 @@
     )
 }
 
-fn seen(lines: &[String]) -> Vec<Observation> {
+fn parse(lines: &[String]) -> Vec<Observation> {
     read_history(lines.join("\n").as_bytes()).unwrap().0
 }
 
-/// What broke first, by its check; empty for nothing.
-fn first(lines: &[String]) -> &'static str {
-    let verdict = check(&seen(lines));
-    let found = verdict.first().map_or("", |broken| broken.check);
-    // The order of lines means nothing.
-    let turned: Vec<String> = lines.iter().rev().cloned().collect();
+/// Check that found the first violation; empty if there is none.
+fn first_violation(lines: &[String]) -> &'static str {
+    let verdict = check(&parse(lines));
+    let found = verdict.first().map_or("", |violation| violation.check);
+    // The order of lines is irrelevant.
+    let reversed: Vec<String> = lines.iter().rev().cloned().collect();
     assert_eq!(
-        check(&seen(&turned))
+        check(&parse(&reversed))
             .first()
-            .map_or("", |broken| broken.check),
+            .map_or("", |violation| violation.check),
         found,
         "{lines:#?}"
     );
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn what_each_history_breaks_is_told() {
-    let t = |n: u64, ticket| ask(n, ticket, "K", "b", "n1");
+fn each_history_reports_the_expected_violation() {
+    let ask_n1 = |at: u64, request| ask(at, request, "K", "b", "n1");
     let table: Vec<(&str, Vec<String>)> = vec![
         ("", vec![]),
         (
             "",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "answer", "a", "R"),
             ],
         ),
-        ("", vec![t(1, "a"), end(9, "dismissed", "a", "")]),
+        ("", vec![ask_n1(1, "a"), end(9, "dismissed", "a", "")]),
         (
             "",
             vec![
@@ -84,17 +84,17 @@
         (
             "",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "given-up", "a", ""),
             ],
         ),
-        ("", vec![t(1, "a"), end(101, "gone", "a", "")]),
-        // A repeat is answered by another ticket's run, or dismissed where that is not known.
+        ("", vec![ask_n1(1, "a"), end(101, "gone", "a", "")]),
+        // A repeat is answered with the result of another request's run, or rejected if that is unknown.
         (
             "",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "given-up", "a", ""),
                 ask(20, "r", "K", "b", "n2"),
@@ -103,48 +103,55 @@
                 end(41, "dismissed", "s", ""),
             ],
         ),
-        // The first try never ran, the repeat did.
+        // The first attempt did not run, the repeat did.
         (
             "",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 end(9, "dismissed", "a", ""),
                 ask(20, "r", "K", "b", "n2"),
                 ran(25, "n2", "K", "b", "R"),
                 end(30, "answer", "r", "R"),
             ],
         ),
-        ("answer-missing", vec![t(1, "a")]),
+        ("answer-missing", vec![ask_n1(1, "a")]),
         (
             "answer-missing",
-            vec![t(1, "a"), ran(5, "n1", "K", "b", "R")],
+            vec![ask_n1(1, "a"), ran(5, "n1", "K", "b", "R")],
         ),
         (
             "answer-late",
-            vec![t(1, "a"), end(102, "dismissed", "a", "")],
+            vec![ask_n1(1, "a"), end(102, "dismissed", "a", "")],
+        ),
+        (
+            "answer-late",
+            vec![ask_n1(1, "a"), end(102, "gone", "a", "")],
         ),
-        ("answer-late", vec![t(1, "a"), end(102, "gone", "a", "")]),
         (
             "answer-twice",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 end(5, "dismissed", "a", ""),
                 end(6, "given-up", "a", ""),
             ],
         ),
         (
             "answer-twice",
-            vec![t(1, "a"), end(5, "gone", "a", ""), end(6, "gone", "a", "")],
+            vec![
+                ask_n1(1, "a"),
+                end(5, "gone", "a", ""),
+                end(6, "gone", "a", ""),
+            ],
         ),
         ("answer-to-nothing", vec![end(5, "dismissed", "a", "")]),
         (
             "asked-twice",
-            vec![t(1, "a"), t(2, "a"), end(5, "dismissed", "a", "")],
+            vec![ask_n1(1, "a"), ask_n1(2, "a"), end(5, "dismissed", "a", "")],
         ),
         (
             "ran-twice",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "answer", "a", "R"),
                 ask(20, "r", "K", "b", "n2"),
@@ -155,36 +162,36 @@
         (
             "dismissed-though-ran",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "dismissed", "a", ""),
             ],
         ),
-        // It ran after it was dismissed.
+        // It ran after it was rejected.
         (
             "dismissed-though-ran",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 end(4, "dismissed", "a", ""),
                 ran(5, "n1", "K", "b", "R"),
             ],
         ),
-        // The run was before the repeat was asked, so it can only have been the first's.
+        // It ran before the repeat was sent, so the run can only belong to the first request.
         (
             "dismissed-though-ran",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "dismissed", "a", ""),
                 ask(20, "r", "K", "b", "n2"),
                 end(30, "answer", "r", "R"),
             ],
         ),
-        // Both were open, but the agent of the dismissed one's node ran it.
+        // Both were open, but the agent of the rejected request's node ran it.
         (
             "dismissed-though-ran",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ask(2, "r", "K", "b", "n2"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "dismissed", "a", ""),
@@ -193,12 +200,12 @@
         ),
         (
             "result-of-no-run",
-            vec![t(1, "a"), end(9, "answer", "a", "R")],
+            vec![ask_n1(1, "a"), end(9, "answer", "a", "R")],
         ),
         (
             "result-of-no-run",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "answer", "a", "Q"),
             ],
@@ -206,16 +213,16 @@
         (
             "result-of-no-run",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 end(9, "answer", "a", "R"),
                 ran(15, "n1", "K", "b", "R"),
             ],
         ),
-        // The result of another body under the same key.
+        // The result of a run with the same key and another body.
         (
             "result-of-no-run",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "b", "R"),
                 end(9, "answer", "a", "R"),
                 ask(20, "r", "K", "other", "n2"),
@@ -225,7 +232,7 @@
         (
             "body-changed",
             vec![
-                t(1, "a"),
+                ask_n1(1, "a"),
                 ran(5, "n1", "K", "c", "R"),
                 end(9, "given-up", "a", ""),
             ],
@@ -235,26 +242,26 @@
             "ran-unasked",
             vec![
                 ran(5, "n1", "K", "b", "R"),
-                t(6, "a"),
+                ask_n1(6, "a"),
                 end(9, "given-up", "a", ""),
             ],
         ),
     ];
-    for (wanted, lines) in &table {
-        assert_eq!(&first(lines), wanted, "{lines:#?}");
+    for (expected, lines) in &table {
+        assert_eq!(&first_violation(lines), expected, "{lines:#?}");
     }
-    // An answer of one key that contradicts another: the second is told for itself.
+    // Two contradictory answers for one key: the second is also reported as the result of no run.
     let lines = [
-        t(1, "a"),
+        ask_n1(1, "a"),
         ran(5, "n1", "K", "b", "R"),
         end(9, "answer", "a", "R"),
         ask(20, "r", "K", "b", "n2"),
         end(30, "answer", "r", "Q"),
     ];
-    let all: Vec<_> = check(&seen(&lines))
+    let all: Vec<_> = check(&parse(&lines))
         .violations
         .iter()
-        .map(|broken| broken.check)
+        .map(|violation| violation.check)
         .collect();
     assert!(
         all.contains(&"result-contradicted") && all.contains(&"result-of-no-run"),
@@ -262,17 +269,17 @@
     );
     let other_type = ask(20, "r", "K", "b", "n2").replace("register", "check");
     let lines = [
-        t(1, "a"),
+        ask_n1(1, "a"),
         ran(5, "n1", "K", "b", "R"),
         end(9, "answer", "a", "R"),
         other_type,
         end(30, "answer", "r", "R"),
     ];
-    assert_eq!(first(&lines), "result-of-another-type");
+    assert_eq!(first_violation(&lines), "result-of-another-type");
 }
 
 #[test]
-fn two_callers_may_count_alike() {
+fn callers_may_use_the_same_request_names() {
     let other = |line: String| line.replace("caller-1", "caller-2");
     let lines = [
         ask(1, "t1", "K", "b", "n1"),
@@ -280,16 +287,16 @@
         end(5, "dismissed", "t1", ""),
         other(end(5, "dismissed", "t1", "")),
     ];
-    assert_eq!(first(&lines), "");
-    assert_eq!(first(&lines[..3]), "answer-missing");
+    assert_eq!(first_violation(&lines), "");
+    assert_eq!(first_violation(&lines[..3]), "answer-missing");
 }
 
 #[test]
-fn what_cannot_be_read_is_told_with_its_line_and_what_is_unknown_is_passed_over() {
-    let good = ask(1, "a", "K", "b", "n1");
+fn malformed_lines_are_reported_by_number_and_unknown_fields_are_ignored() {
+    let valid = ask(1, "a", "K", "b", "n1");
     let table = [
-        ("{", "no JSON"),
-        ("[]", "no JSON object"),
+        ("{", "not valid JSON"),
+        ("[]", "not a JSON object"),
         ("{\"at\":1,\"by\":\"x\"}", "op"),
         ("{\"by\":\"x\",\"op\":\"ask\"}", "at"),
         (
@@ -298,7 +305,7 @@
         ),
         (
             "{\"at\":1,\"by\":\"x\",\"op\":\"gone\"}",
-            "without a ticket",
+            "without a request name",
         ),
         (
             "{\"at\":1,\"by\":\"x\",\"op\":\"ask\",\"ticket\":\"a\"}",
@@ -309,24 +316,27 @@
             "string",
         ),
     ];
-    for (line, why) in table {
-        let text = format!("{good}\n\n{line}\n");
-        let refused = read_history(text.as_bytes()).unwrap_err();
+    for (line, reason) in table {
+        let text = format!("{valid}\n\n{line}\n");
+        let error = read_history(text.as_bytes()).unwrap_err();
         assert!(
-            refused.line == 3 && refused.reason.contains(why),
-            "{line}: {refused}"
+            error.line == 3 && error.reason.contains(reason),
+            "{line}: {error}"
         );
     }
     assert_eq!(read_history(&[0xff, 0xfe, b'\n'][..]).unwrap_err().line, 1);
     let unknown = "{\"at\":5,\"by\":\"n2\",\"op\":\"act-begin\",\"task\":\"T\",\"fence\":3}";
-    let more = good.replace("\"due\"", "\"colour\":\"blue\",\"due\"");
-    let text = format!("{unknown}\n{more}\n{}", end(2, "dismissed", "a", ""));
-    let (seen, lines) = read_history(text.as_bytes()).unwrap();
-    assert!(seen.len() == 2 && lines == 3 && check(&seen).violations.is_empty());
+    let with_unknown_field = valid.replace("\"due\"", "\"colour\":\"blue\",\"due\"");
+    let text = format!(
+        "{unknown}\n{with_unknown_field}\n{}",
+        end(2, "dismissed", "a", "")
+    );
+    let (observations, lines) = read_history(text.as_bytes()).unwrap();
+    assert!(observations.len() == 2 && lines == 3 && check(&observations).violations.is_empty());
 }
 
 #[test]
-fn any_bytes_are_read_or_refused() {
+fn arbitrary_bytes_are_read_without_a_panic() {
     let config = ProptestConfig {
         cases: 2_000,
         rng_seed: RngSeed::Fixed(7),
@@ -337,29 +347,29 @@
     });
 }
 
-/// Whether some order of one key's run and answers, each within its time, is that of a register written once. Tries
-/// them all.
-fn some_order(runs: &[(u64, u64)], answers: &[(u64, u64, u64)]) -> bool {
-    // The run is a point; an answer may stand anywhere between its asking and its end, and a point behind a point
-    // that is later in time may not come first.
-    fn go(left: &mut Vec<(u64, u64, bool, u64)>, written: Option<u64>) -> bool {
-        if left.is_empty() {
+/// Whether some order of one key's runs and answers, each within its time span, is valid for a register that is written
+/// once. Searches all orders.
+fn has_linearization(runs: &[(u64, u64)], answers: &[(u64, u64, u64)]) -> bool {
+    // A run is a point in time; an answer may take effect at any time from its request to its end. An operation cannot
+    // precede one that ended before it began.
+    fn search(remaining: &mut Vec<(u64, u64, bool, u64)>, written: Option<u64>) -> bool {
+        if remaining.is_empty() {
             return true;
         }
-        for k in 0..left.len() {
-            let one = left[k];
-            if left.iter().any(|other| other.1 < one.0) {
+        for index in 0..remaining.len() {
+            let operation = remaining[index];
+            if remaining.iter().any(|other| other.1 < operation.0) {
                 continue;
             }
-            let next = if one.2 {
-                written.is_none().then_some(one.3)
+            let next = if operation.2 {
+                written.is_none().then_some(operation.3)
             } else {
-                written.filter(|w| *w == one.3)
+                written.filter(|result| *result == operation.3)
             };
             let Some(next) = next else { continue };
-            let one = left.remove(k);
-            let found = go(left, Some(next));
-            left.insert(k, one);
+            let operation = remaining.remove(index);
+            let found = search(remaining, Some(next));
+            remaining.insert(index, operation);
             if found {
                 return true;
             }
@@ -375,11 +385,11 @@
             .iter()
             .map(|(from, until, result)| (*from, *until, false, *result)),
     );
-    go(&mut all, None)
+    search(&mut all, None)
 }
 
 #[test]
-fn the_one_pass_says_what_a_search_over_all_orders_says() {
+fn single_pass_check_agrees_with_a_search_over_all_orders() {
     let config = ProptestConfig {
         cases: 20_000,
         rng_seed: RngSeed::Fixed(11),
@@ -389,37 +399,41 @@
     let answers = proptest::collection::vec((0u64..30, 1u64..20, 0u64..2), 0..5);
     proptest!(config, |(runs in runs, answers in answers)| {
         let mut history = Vec::new();
-        // Somebody asked first and never heard, so that no run is nobody's.
-        let asked = |at, ticket: String| Observation { at, observer: "c".into(), line: 1, event: Event::Requested {
-            request: ticket, request_class: None, key: Some("K".into()), body: None, node: None, deadline: 1_000 } };
-        let ended = |at, ticket: String, end, result| Observation { at, observer: "c".into(), line: 2,
-            event: Event::Ended { request: ticket, end, result } };
-        history.push(asked(0, "first".into()));
+        // The first request is abandoned, so that each run has a request to belong to.
+        let sent = |at, request: String| Observation { at, observer: "c".into(), line: 1, event: Event::Requested {
+            request, request_class: None, key: Some("K".into()), body: None, node: None, deadline: 1_000 } };
+        let ended = |at, request: String, end, result| Observation { at, observer: "c".into(), line: 2,
+            event: Event::Ended { request, end, result } };
+        history.push(sent(0, "first".into()));
         history.push(ended(900, "first".into(), RequestEnd::Abandoned, None));
         for (at, result) in &runs {
             history.push(Observation { at: *at * 2 + 1, observer: "agent-x".into(), line: 3, event: Event::Ran {
                 key: Some("K".into()), body: None, result: Some(result.to_string()) } });
         }
         let mut spans = Vec::new();
-        for (k, (from, lasts, result)) in answers.iter().enumerate() {
-            history.push(asked(from * 2, format!("t{k}")));
-            history.push(ended((from + lasts) * 2, format!("t{k}"), RequestEnd::Served, Some(result.to_string())));
+        for (index, (from, lasts, result)) in answers.iter().enumerate() {
+            history.push(sent(from * 2, format!("t{index}")));
+            history.push(ended((from + lasts) * 2, format!("t{index}"), RequestEnd::Served, Some(result.to_string())));
             spans.push((from * 2, (from + lasts) * 2, *result));
         }
         let runs: Vec<(u64, u64)> = runs.iter().map(|(at, result)| (at * 2 + 1, *result)).collect();
-        prop_assert_eq!(check(&history).violations.is_empty(), some_order(&runs, &spans), "{:#?}", history);
+        prop_assert_eq!(check(&history).violations.is_empty(), has_linearization(&runs, &spans), "{:#?}", history);
     });
 }
 
 #[test]
-fn a_line_is_read_as_it_is_written() {
+fn parsed_line_has_the_written_values() {
     let line = ask(7, "t1", "K", "b", "n2");
-    let seen = parse_line(3, &line).unwrap().unwrap();
+    let observation = parse_line(3, &line).unwrap().unwrap();
     assert_eq!(
-        (seen.at, seen.line, seen.observer.as_str()),
+        (
+            observation.at,
+            observation.line,
+            observation.observer.as_str()
+        ),
         (7, 3, "caller-1")
     );
     assert!(
-        matches!(seen.event, Event::Requested { deadline: 107, node: Some(node), .. } if node == "n2")
+        matches!(observation.event, Event::Requested { deadline: 107, node: Some(node), .. } if node == "n2")
     );
 }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program under faults, with seeds that are few and fixed.
+//! Scenarios of several processes under faults, with a few fixed seeds.
 
 #![allow(
     missing_docs,
@@ -23,28 +23,29 @@
     let outcome = rainstand_config::load(&Disk, &path);
     outcome
         .configuration
-        .unwrap_or_else(|| panic!("{path} is refused"))
+        .unwrap_or_else(|| panic!("{path} is not a valid configuration"))
         .rigs
         .remove(0)
 }
 
-/// Rigs that run side by side: more would starve each other on a small machine, and what is late would be theirs.
-static ROOM: (Mutex<usize>, Condvar) = (Mutex::new(2), Condvar::new());
+/// Number of scenarios that may still start. More than two at once starve each other on a small machine, and answers
+/// come late for that reason alone.
+static RUN_SLOTS: (Mutex<usize>, Condvar) = (Mutex::new(2), Condvar::new());
 
 fn run(rig: &Rig, seed: u64) -> Report {
-    let mut room = ROOM.0.lock().unwrap();
-    while *room == 0 {
-        room = ROOM.1.wait(room).unwrap();
+    let mut slots = RUN_SLOTS.0.lock().unwrap();
+    while *slots == 0 {
+        slots = RUN_SLOTS.1.wait(slots).unwrap();
     }
-    *room -= 1;
-    drop(room);
-    let report = std::panic::catch_unwind(|| played(rig, seed));
-    *ROOM.0.lock().unwrap() += 1;
-    ROOM.1.notify_one();
-    report.unwrap_or_else(|why| std::panic::resume_unwind(why))
+    *slots -= 1;
+    drop(slots);
+    let report = std::panic::catch_unwind(|| execute(rig, seed));
+    *RUN_SLOTS.0.lock().unwrap() += 1;
+    RUN_SLOTS.1.notify_one();
+    report.unwrap_or_else(|panic| std::panic::resume_unwind(panic))
 }
 
-fn played(rig: &Rig, seed: u64) -> Report {
+fn execute(rig: &Rig, seed: u64) -> Report {
     let folder = tempfile::tempdir().unwrap();
     let programs = Path::new(env!("CARGO_BIN_EXE_rainstand-testbed"))
         .parent()
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn nodes_without_copies_keep_the_rules_while_links_break_and_processes_stop() {
+fn nodes_without_replication_keep_the_invariants_under_link_and_process_faults() {
     let rig = rig("plain.rain");
     for seed in 1..4 {
         let report = run(&rig, seed);
@@ -81,9 +82,9 @@
     }
 }
 
-/// The rig can fail: nodes that keep no copies run a key again when it is repeated elsewhere.
+/// Guards against a scenario that cannot fail: nodes without replication run a key again when it is repeated elsewhere.
 #[test]
-fn repeats_at_other_nodes_are_found_to_run_twice_without_copies() {
+fn repeats_at_other_nodes_without_replication_are_reported_as_second_runs() {
     let rig = Rig {
         r#move: true,
         faults: Vec::new(),
@@ -94,7 +95,7 @@
     let found: Vec<_> = report
         .violations
         .iter()
-        .map(|broken| broken.check)
+        .map(|violation| violation.check)
         .collect();
     assert!(
         found.contains(&"ran-twice") && report.process_faults.is_empty(),
@@ -103,8 +104,8 @@
     );
 }
 
-/// A mix over some seeds: the rules hold, no process falls over, and keyed tickets are served.
-fn clean(file: &str, seeds: std::ops::Range<u64>, least: f64) {
+/// Runs a scenario with some seeds: no invariant is violated, no process fails, and enough requests are served.
+fn assert_clean(file: &str, seeds: std::ops::Range<u64>, min_served_share: f64) {
     let rig = rig(file);
     for seed in seeds {
         let report = run(&rig, seed);
@@ -115,53 +116,53 @@
             report.process_faults
         );
         assert!(
-            report.served_share > least,
+            report.served_share > min_served_share,
             "{file} seed {seed}: {report:?}"
         );
     }
 }
 
 #[test]
-fn halves_of_a_group_that_do_not_see_each_other() {
-    clean("halves.rain", 1..5, 0.5);
+fn group_split_into_halves_keeps_the_invariants() {
+    assert_clean("halves.rain", 1..5, 0.5);
 }
 
 #[test]
-fn halves_of_which_one_node_sees_both() {
-    clean("bridge.rain", 1..4, 0.5);
+fn halves_connected_by_one_node_keep_the_invariants() {
+    assert_clean("bridge.rain", 1..4, 0.5);
 }
 
 #[test]
-fn a_ring_of_cuts_one_way() {
-    clean("ring.rain", 1..4, 0.5);
+fn ring_of_one_way_cuts_keeps_the_invariants() {
+    assert_clean("ring.rain", 1..4, 0.5);
 }
 
 #[test]
-fn a_release_node_by_node() {
-    clean("rolling.rain", 1..3, 0.8);
+fn rolling_restart_keeps_the_invariants() {
+    assert_clean("rolling.rain", 1..3, 0.8);
 }
 
 #[test]
-fn leaders_that_are_killed_one_after_the_other() {
-    clean("chased.rain", 1..6, 0.7);
+fn successive_leader_kills_keep_the_invariants() {
+    assert_clean("chased.rain", 1..6, 0.7);
 }
 
 #[test]
-fn a_site_that_is_cut_off() {
-    clean("site.rain", 1..4, 0.5);
+fn isolated_zone_keeps_the_invariants() {
+    assert_clean("site.rain", 1..4, 0.5);
 }
 
 #[test]
-fn disks_that_fail_or_come_back_empty_or_old() {
-    clean("disks.rain", 1..4, 0.3);
+fn failing_empty_and_old_disks_keep_the_invariants() {
+    assert_clean("disks.rain", 1..4, 0.3);
 }
 
 #[test]
-fn a_node_that_comes_back_with_another_one_s_disk() {
-    clean("foreign.rain", 1..3, 0.7);
+fn node_restarted_with_another_disk_keeps_the_invariants() {
+    assert_clean("foreign.rain", 1..3, 0.7);
 }
 
 #[test]
-fn everything_at_once() {
-    clean("everything.rain", 1..5, 0.3);
+fn all_faults_combined_keep_the_invariants() {
+    assert_clean("everything.rain", 1..5, 0.3);
 }
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! Groups on a virtual clock under faults, with seeds that are few and fixed; sweeps are `rainstand-testbed sim`.
+//! Simulated groups under faults, with a few fixed seeds; `rainstand-testbed sim` runs sweeps over many seeds.
 
 #![allow(
     missing_docs,
@@ -11,8 +11,8 @@
 use rainstand_testbed::simulation::{play, SimulationConfig};
 
 #[test]
-fn groups_keep_the_rules_through_faults_of_all_kinds() {
-    let (mut answered, mut asked) = (0, 0);
+fn groups_keep_the_invariants_under_all_kinds_of_faults() {
+    let (mut served, mut requests) = (0, 0);
     for seed in 0..30 {
         let outcome = play(&SimulationConfig::default(), seed);
         let verdict = check(&outcome.history);
@@ -22,23 +22,23 @@
             verdict.first(),
             outcome.faults
         );
-        answered += outcome.served;
-        asked += outcome.requests;
+        served += outcome.served;
+        requests += outcome.requests;
     }
     assert!(
-        answered * 2 > asked && asked > 5_000,
-        "{answered} of {asked}"
+        served * 2 > requests && requests > 5_000,
+        "{served} of {requests}"
     );
 }
 
 #[test]
-fn a_seed_replays_to_the_byte() {
-    let [one, two] = [
+fn equal_seeds_give_identical_histories() {
+    let [first, second] = [
         play(&SimulationConfig::default(), 5),
         play(&SimulationConfig::default(), 5),
     ];
     assert_eq!(
-        (one.history, one.events, one.elections),
-        (two.history, two.events, two.elections)
+        (first.history, first.events, first.elections),
+        (second.history, second.events, second.elections)
     );
 }
