--- a/crates/fleet-model/benches/events.rs
+++ b/crates/fleet-model/benches/events.rs
@@ -1,6 +1,6 @@
-//! Events a second on one core by size of the fleet, and memory. `cargo bench -p rainstand-fleet-model`
+//! Measures events per second on one core by size of the fleet, and memory. `cargo bench -p rainstand-fleet-model`
 //!
-//! `SIZE=10000` plays the great one too: 10,000 nodes, 500 forwarders that know 100 each, 80 % load.
+//! `SIZE=10000` includes the largest fleet: 10,000 nodes, 500 forwarders that know 100 members each, 80 % load.
 
 #![allow(
     missing_docs,
@@ -13,9 +13,10 @@
 use rainstand_fleet_model::world;
 use std::time::{Duration, Instant};
 
-fn memory() -> String {
-    let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    text.lines()
+fn peak_memory() -> String {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    status
+        .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
         .unwrap_or("unknown")
         .trim()
@@ -23,7 +24,7 @@
 }
 
 fn main() {
-    let most: u32 = std::env::var("SIZE")
+    let max_nodes: u32 = std::env::var("SIZE")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(1_000);
@@ -32,7 +33,7 @@
         .and_then(|n| n.parse().ok())
         .unwrap_or(10);
     for nodes in [10u32, 100, 1_000, 10_000] {
-        if nodes > most {
+        if nodes > max_nodes {
             break;
         }
         let mut plan = Plan {
@@ -49,10 +50,10 @@
             },
             ..plan.nodes
         };
-        for one in &mut plan.types {
-            one.work = Work::About(Duration::from_millis(200));
-            one.goal = Duration::from_secs(3);
-            one.outer_limit = Duration::from_secs(7);
+        for class in &mut plan.types {
+            class.work = Work::About(Duration::from_millis(200));
+            class.goal = Duration::from_secs(3);
+            class.outer_limit = Duration::from_secs(7);
         }
         plan.dispatchers = (nodes / 10).max(1);
         plan.fronts = FrontPlan {
@@ -61,16 +62,16 @@
             ..FrontPlan::default()
         };
         let start = Instant::now();
-        let measured = world::run(&plan).expect("a plan that makes sense");
-        let took = start.elapsed().as_secs_f64();
+        let measured = world::run(&plan).expect("valid plan");
+        let elapsed = start.elapsed().as_secs_f64();
         println!(
-            "{nodes:>6} nodes, {:>4} forwarders: {:>9} jobs, {:>10} events in {took:6.1} s, {:5.2} million a second; good {:.4}; {} of memory; broken: {:?}",
+            "{nodes:>6} nodes, {:>4} forwarders: {:>9} jobs, {:>10} events in {elapsed:6.1} s, {:5.2} million per second; good {:.4}; {} of memory; broken: {:?}",
             plan.fronts.count,
             measured.jobs().asked,
             measured.events,
-            measured.events as f64 / took / 1e6,
+            measured.events as f64 / elapsed / 1e6,
             measured.good_share(),
-            memory(),
+            peak_memory(),
             measured.broken.map(|broken| broken.to_string())
         );
     }
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -1,23 +1,23 @@
-//! A model of the fleet on a virtual clock.
+//! A deterministic model of the fleet on a virtual clock.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`plan`] | what is modelled: fleet, load, habits, faults, and the seed |
-//! | [`queue`] | events in order of time |
-//! | [`machine`] | cores shared by what runs on them |
-//! | [`node`] | a node on its machine: a plain one, or the project's own decisions |
-//! | [`world`] | dispatchers, forwarders, network and faults; the run itself |
-//! | [`measure`] | what a run came to |
-//! | [`shrink`] | a smaller plan that still breaks a rule |
+//! | [`plan`] | what a run models: fleet, load, client behaviour, faults, and the seed |
+//! | [`queue`] | the event queue, ordered by time |
+//! | [`machine`] | a machine whose cores are shared by its runs |
+//! | [`node`] | a node on its machine: a plain queue, or the project's admission controller |
+//! | [`world`] | clients, forwarders, network and faults; the run itself |
+//! | [`measure`] | the results of a run |
+//! | [`shrink`] | minimizes a plan that violates an invariant |
 //!
-//! Forwarders decide with [`rainstand_routing::fleet::Fleet`], nodes of the project's kind with
-//! [`rainstand::AdmissionController`]: the very code that serves. The rules are checked after each step by [`rainstand_invariants`].
+//! Forwarders run [`rainstand_routing::fleet::Fleet`] and the project's own nodes run
+//! [`rainstand::AdmissionController`]: the production code. [`rainstand_invariants`] checks each step.
 //!
 //! ```
 //! use rainstand_fleet_model::{plan::Plan, world};
 //! let plan = Plan { lasts: std::time::Duration::from_secs(1), ..Plan::default() };
 //! let first = world::run(&plan).unwrap();
-//! assert!(first.honoured_share() > 0.99);
+//! assert!(first.served_share() > 0.99);
 //! // The same seed gives the same run.
 //! assert_eq!(world::run(&plan).unwrap(), first);
 //! ```
--- a/crates/fleet-model/src/measure.rs
+++ b/crates/fleet-model/src/measure.rs
@@ -1,23 +1,23 @@
-//! What a run came to. Times are microseconds where nothing else is said.
+//! The results of a run. Times are in microseconds unless stated otherwise.
 
 use hdrhistogram::Histogram;
 use rainstand_invariants::Violation;
 
-/// Times are told apart to three digits, up to an hour.
-const LONGEST_US: u64 = 3_600_000_000;
+/// Upper bound of the histograms: one hour. They keep three significant digits.
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
-/// How a job ended for its dispatcher.
+/// How a job ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobEnd {
-    /// Within its goal time.
+    /// Served within the latency objective.
     Good,
-    /// Within its outer limit.
+    /// Served within the deadline.
     Late,
-    Dismissed,
-    GivenUp,
+    Rejected,
+    Failed,
 }
 
-/// Jobs of one kind.
+/// Counts of jobs by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Jobs {
     pub asked: u64,
@@ -28,16 +28,16 @@
 }
 
 impl Jobs {
-    pub fn ended(&mut self, end: JobEnd) {
+    pub fn record_end(&mut self, end: JobEnd) {
         match end {
             JobEnd::Good => self.good += 1,
             JobEnd::Late => self.late += 1,
-            JobEnd::Dismissed => self.dismissed += 1,
-            JobEnd::GivenUp => self.given_up += 1,
+            JobEnd::Rejected => self.dismissed += 1,
+            JobEnd::Failed => self.given_up += 1,
         }
     }
 
-    /// Share of the jobs that were honoured within their goal time.
+    /// Share of the jobs that were served within their latency objective.
     pub fn good_share(&self) -> f64 {
         self.good as f64 / self.asked.max(1) as f64
     }
@@ -46,78 +46,81 @@
 /// One second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
-    /// Jobs by the second in which they were asked.
+    /// Jobs, by the second in which they started.
     pub jobs: Jobs,
-    /// Tries that forwarders sent, first and further, in this second.
-    pub tries: u64,
-    /// Runs that began.
+    /// Attempts sent to nodes in this second, retries included.
+    pub attempts: u64,
+    /// Runs that started.
     pub runs: u64,
-    /// Calls made to the tier below, and those that came back with a result.
+    /// Downstream calls started, and those that succeeded.
     pub calls: u64,
     pub calls_done: u64,
-    /// The most calls that were out at a time.
-    pub most_calls: u64,
+    /// Maximum number of concurrent downstream calls.
+    pub max_calls: u64,
 }
 
-/// See the module's head.
+/// The results of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measured {
     pub seed: u64,
     pub seconds: Vec<Second>,
-    /// By the place of the type, and of the tenant, in the plan.
+    /// By index of the type, and of the tenant, in the plan.
     pub by_type: Vec<Jobs>,
     pub by_tenant: Vec<Jobs>,
-    /// From asking to the result, us.
-    pub times: Histogram<u64>,
-    /// From reaching a node to the beginning of the run, us.
-    pub waits: Histogram<u64>,
-    /// Runs that each node began.
+    /// From the start of a job to its result, us.
+    pub latencies: Histogram<u64>,
+    /// From the arrival of an attempt at a node to the start of its run, us.
+    pub queue_waits: Histogram<u64>,
+    /// Runs that each node started.
     pub node_runs: Vec<u64>,
     /// Core time that each node used, ms.
     pub node_busy_ms: Vec<u64>,
-    /// Tickets that dispatchers sent, their own further tries and copies counted.
-    pub tickets: u64,
-    pub first_tries: u64,
-    pub further_tries: u64,
-    /// Runs whose result nobody got.
+    /// Requests that clients sent, including their retries and hedged requests.
+    pub requests: u64,
+    /// Attempts of forwarders.
+    pub first_attempts: u64,
+    pub retries: u64,
+    /// Runs whose result no client received.
     pub wasted_runs: u64,
     pub events: u64,
-    /// The most events that waited at a time, and the most tickets in hand.
-    pub most_waiting: u64,
-    pub most_tickets: u64,
-    /// Tries that came to nodes that had just started, where the plan says what a warm one bears; and how far the
-    /// worst second of one was past its part of it, in what may be chance.
-    pub cold_tries: u64,
-    pub cold_over: f64,
-    /// The first rule that broke.
+    /// Maximum number of queued events, and of requests in flight.
+    pub max_queued_events: u64,
+    pub max_requests: u64,
+    /// Attempts that arrived at nodes that were warming up, if the plan gives the capacity of a warm node; and the
+    /// largest excess of a node's one-second load over its ramp, in units of the expected random deviation.
+    pub cold_attempts: u64,
+    pub cold_excess: f64,
+    /// The first violation of an invariant.
     pub broken: Option<Violation>,
 }
 
 impl Measured {
     pub fn new(seed: u64, types: usize, tenants: usize, nodes: usize) -> Self {
-        let histogram = || Histogram::new_with_max(LONGEST_US, 3).expect("bounds that are sound");
+        let histogram =
+            || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("valid histogram bounds");
         Self {
             seed,
             seconds: Vec::new(),
             by_type: vec![Jobs::default(); types],
             by_tenant: vec![Jobs::default(); tenants],
-            times: histogram(),
-            waits: histogram(),
+            latencies: histogram(),
+            queue_waits: histogram(),
             node_runs: vec![0; nodes],
             node_busy_ms: vec![0; nodes],
-            tickets: 0,
-            first_tries: 0,
-            further_tries: 0,
+            requests: 0,
+            first_attempts: 0,
+            retries: 0,
             wasted_runs: 0,
             events: 0,
-            most_waiting: 0,
-            most_tickets: 0,
-            cold_tries: 0,
-            cold_over: f64::NEG_INFINITY,
+            max_queued_events: 0,
+            max_requests: 0,
+            cold_attempts: 0,
+            cold_excess: f64::NEG_INFINITY,
             broken: None,
         }
     }
 
+    /// The second that contains a time in ns.
     pub fn second(&mut self, at: u64) -> &mut Second {
         let second = (at / 1_000_000_000) as usize;
         if self.seconds.len() <= second {
@@ -127,52 +130,52 @@
     }
 
     pub fn jobs(&self) -> Jobs {
-        let mut all = Jobs::default();
-        for one in &self.by_type {
-            all.asked += one.asked;
-            all.good += one.good;
-            all.late += one.late;
-            all.dismissed += one.dismissed;
-            all.given_up += one.given_up;
+        let mut total = Jobs::default();
+        for jobs in &self.by_type {
+            total.asked += jobs.asked;
+            total.good += jobs.good;
+            total.late += jobs.late;
+            total.dismissed += jobs.dismissed;
+            total.given_up += jobs.given_up;
         }
-        all
+        total
     }
 
-    /// Share of the jobs that were honoured at all.
-    pub fn honoured_share(&self) -> f64 {
-        let all = self.jobs();
-        (all.good + all.late) as f64 / all.asked.max(1) as f64
+    /// Share of the jobs that were served, late ones included.
+    pub fn served_share(&self) -> f64 {
+        let total = self.jobs();
+        (total.good + total.late) as f64 / total.asked.max(1) as f64
     }
 
-    /// Share honoured within the goal time.
+    /// Share of the jobs that were served within the latency objective.
     pub fn good_share(&self) -> f64 {
         self.jobs().good_share()
     }
 
-    /// Share of good jobs among those asked within these seconds.
+    /// Share of good jobs among those started in the seconds `from..to`.
     pub fn good_between(&self, from: usize, to: usize) -> f64 {
-        let mut all = Jobs::default();
+        let mut total = Jobs::default();
         for second in self.seconds.iter().take(to).skip(from) {
-            all.asked += second.jobs.asked;
-            all.good += second.jobs.good;
+            total.asked += second.jobs.asked;
+            total.good += second.jobs.good;
         }
-        all.good_share()
+        total.good_share()
     }
 
-    /// A time that so many jobs stayed under, ms.
+    /// Latency quantile of the served jobs, ms.
     pub fn time_ms(&self, quantile: f64) -> f64 {
-        self.times.value_at_quantile(quantile) as f64 / 1e3
+        self.latencies.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Tries a job at the forwarders.
-    pub fn tries_per_job(&self) -> f64 {
-        (self.first_tries + self.further_tries) as f64 / self.jobs().asked.max(1) as f64
+    /// Attempts of forwarders per job.
+    pub fn attempts_per_job(&self) -> f64 {
+        (self.first_attempts + self.retries) as f64 / self.jobs().asked.max(1) as f64
     }
 
-    /// How uneven runs were: the most of a node over the mean.
+    /// Largest number of runs of a node relative to the mean.
     pub fn unevenness(&self) -> f64 {
         let sum: u64 = self.node_runs.iter().sum();
-        let most = self.node_runs.iter().max().copied().unwrap_or(0);
-        most as f64 * self.node_runs.len() as f64 / sum.max(1) as f64
+        let max = self.node_runs.iter().max().copied().unwrap_or(0);
+        max as f64 * self.node_runs.len() as f64 / sum.max(1) as f64
     }
 }
--- a/crates/fleet-model/src/node.rs
+++ b/crates/fleet-model/src/node.rs
@@ -1,14 +1,14 @@
-//! A node on its machine. It is handed tries by small numbers and says what becomes of them; when its next event is
-//! due is for the world to ask.
+//! A node on its machine. It receives attempts by id and reports events about them; the world polls it for the time of
+//! its next event.
 //!
-//! Invariant: each try that was taken is in exactly one place (held, running, failing) until it is told of, given up by
-//! its caller, or gone with the machine.
+//! Invariant: each accepted attempt is in exactly one state (queued, running, failing) until its outcome is
+//! reported, its caller disconnects, or the machine stops.
 
 use crate::machine::Machine;
 use crate::plan::{NodeKind, NodePlan, TypePlan};
 use foldhash::{HashMap, HashMapExt};
 use rainstand::{
-    AdmissionController as Decides, AdvertiserOptions, Arrival, ClientConnections, Components,
+    AdmissionController, AdvertiserOptions, Arrival, ClientConnections, Components,
     ConcurrencyLimiter, DownstreamLimiter, Gauges, Host, InFlightRequests, LoadAdvertiser,
     LoadSignal, Outcome, Rejection, Repeatability, RetryElsewhere, TenantQuotas,
 };
@@ -16,181 +16,185 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Told by a plain node whose hold is full: about what it takes to run what it holds.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Memory of a node of the project's kind, and what it books for a ticket: enough for its hold.
+/// The retry-after of a plain node whose queue is full: about the time it takes to run the queue.
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Memory of a node with admission control, and the part reserved per request: enough for its queue.
 const MEMORY_KB: f64 = 64_000.0;
 const ENTRY_KB: f64 = 2.0;
 
-/// A try as a node sees it.
+/// An attempt as a node sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
-    /// The world's number for it.
-    pub number: u32,
-    pub traffic: u16,
-    /// None for one that the configuration does not know.
+    /// The world's id of the attempt.
+    pub attempt: u32,
+    pub class: u16,
+    /// None for a tenant that is not in the configuration.
     pub tenant: Option<u16>,
     /// Core time, ns.
     pub work: u64,
-    pub again: bool,
-    pub came: u64,
+    pub is_retry: bool,
+    /// Time of arrival, ns.
+    pub arrived: u64,
     pub exclusive: bool,
-    /// Half way through it calls the tier below, and waits off the cores.
-    pub calls: bool,
+    /// Makes a downstream call half way through its run, and uses no core while it waits.
+    pub calls_downstream: bool,
 }
 
-/// How far a run is.
+/// Progress of a run with a downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Before,
-    AtCall,
-    After,
+    NotCalled,
+    InCall,
+    Called,
 }
 
-/// What becomes of a try.
+/// A report of a node; the first field is the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// Its run begins now.
-    Runs(u32),
-    Done(u32),
-    /// It ran and failed, or was given up.
+pub enum NodeEvent {
+    /// The first run of the attempt starts now.
+    Started(u32),
+    Served(u32),
+    /// The run failed, or the node failed the request.
     Failed(u32),
-    Dismissed(u32, Duration, bool),
-    /// Its call is to be made now, and given up at this time, ns.
-    Calls(u32, u64),
-    /// It goes on without its call.
-    Forgoes(u32),
+    /// With the retry-after, and whether retrying elsewhere is discouraged.
+    Rejected(u32, Duration, bool),
+    /// The downstream call starts now; its deadline in ns.
+    CallStarted(u32, u64),
+    /// The downstream call is abandoned.
+    CallAbandoned(u32),
 }
 
-enum Mind {
-    Plain { at_once: usize, hold: usize },
-    Ours(Box<Ours>),
+enum Policy {
+    Plain { max_runs: usize, backlog: usize },
+    Admission(Box<Admission>),
 }
 
-/// The project's decisions and the books that carry out its orders.
-struct Ours {
-    node: Decides,
-    desk: Desk,
+/// The project's admission controller, and the host that records its commands.
+struct Admission {
+    controller: AdmissionController,
+    host: CommandHost,
 }
 
 #[derive(Default)]
-struct Desk {
-    /// The try at each of the module's indices.
-    tries: Vec<Option<u32>>,
+struct CommandHost {
+    /// The attempt at each index of the controller.
+    attempts: Vec<Option<u32>>,
     free: Vec<usize>,
     index: HashMap<u32, usize>,
-    orders: Vec<Order>,
+    commands: Vec<Command>,
+    /// Time of the next tick, ns.
     wake: Option<u64>,
     now: u64,
 }
 
-enum Order {
+enum Command {
     Run(u32),
-    TakeOff(u32),
-    Dismiss(u32, Duration, bool),
-    GiveUp(u32),
+    Cancel(u32),
+    Reject(u32, Duration, bool),
+    Fail(u32),
     Call(u32, Duration),
-    Poorer(u32),
-    /// The module has no more to say of it.
-    Over(u32),
+    ReplyDegraded(u32),
+    /// The controller has released the attempt.
+    Release(u32),
 }
 
-impl Desk {
-    fn order(&mut self, ix: usize, order: impl FnOnce(u32) -> Order) {
-        if let Some(number) = self.tries.get(ix).copied().flatten() {
-            self.orders.push(order(number));
+impl CommandHost {
+    fn record(&mut self, ix: usize, command: impl FnOnce(u32) -> Command) {
+        if let Some(attempt) = self.attempts.get(ix).copied().flatten() {
+            self.commands.push(command(attempt));
         }
     }
 }
 
-impl Host for Desk {
+impl Host for CommandHost {
     fn run(&mut self, ix: usize) {
-        self.order(ix, Order::Run);
+        self.record(ix, Command::Run);
     }
     fn cancel_run(&mut self, ix: usize) {
-        self.order(ix, Order::TakeOff);
+        self.record(ix, Command::Cancel);
     }
-    // Tickets here carry no name of what they are about, so none is a repeat of another.
+    // Requests of the model carry no key, so none is a duplicate of another.
     fn reply_from_cache(&mut self, _: usize) {}
     fn cache_result(&mut self, _: usize, _: Duration) {}
     fn discard_result(&mut self, _: usize) {}
     fn reject(&mut self, ix: usize, rejection: Rejection) {
         let terminal = rejection.retry_elsewhere == RetryElsewhere::Discouraged;
-        self.order(ix, |number| {
-            Order::Dismiss(number, rejection.retry_after, terminal)
+        self.record(ix, |attempt| {
+            Command::Reject(attempt, rejection.retry_after, terminal)
         });
     }
     fn fail(&mut self, ix: usize) {
-        self.order(ix, Order::GiveUp);
+        self.record(ix, Command::Fail);
     }
     fn call_downstream(&mut self, ix: usize, deadline: Duration) {
-        self.order(ix, |number| Order::Call(number, deadline));
+        self.record(ix, |attempt| Command::Call(attempt, deadline));
     }
     fn reply_degraded(&mut self, ix: usize) {
-        self.order(ix, Order::Poorer);
+        self.record(ix, Command::ReplyDegraded);
     }
-    // Callers hear no value beside answers.
+    // Callers of the model receive no load advertisements.
     fn advertise_load(&mut self, _: f64) {}
     fn set_health(&mut self, _: bool) {}
     fn close_idle_after(&mut self, _: Duration) {}
     fn wake(&mut self, span: Duration) {
         let at = self.now + span.as_nanos() as u64;
-        self.wake = Some(self.wake.map_or(at, |before| before.min(at)));
+        self.wake = Some(self.wake.map_or(at, |earlier| earlier.min(at)));
     }
     fn release(&mut self, ix: usize) {
-        if let Some(number) = self.tries.get_mut(ix).and_then(Option::take) {
-            self.index.remove(&number);
-            self.orders.push(Order::Over(number));
+        if let Some(attempt) = self.attempts.get_mut(ix).and_then(Option::take) {
+            self.index.remove(&attempt);
+            self.commands.push(Command::Release(attempt));
             self.free.push(ix);
         }
     }
 }
 
-/// A task that was taken, and where it is.
-struct Taken {
+/// An accepted task and its state.
+struct Accepted {
     task: Task,
     running: bool,
-    /// It began: it had its effect.
-    begun: bool,
+    /// The run has started at least once, so its side effect counts.
+    started: bool,
     phase: Phase,
 }
 
-/// See the module's head.
+/// A node and the machine it runs on.
 pub struct Node {
     machine: Machine,
-    mind: Mind,
-    taken: HashMap<u32, Taken>,
-    held: VecDeque<u32>,
-    /// Runs of the machine by their number there, and back.
+    policy: Policy,
+    accepted: HashMap<u32, Accepted>,
+    queue: VecDeque<u32>,
+    /// The attempt of each run of the machine, by run id, and the reverse.
     runs: Vec<Option<u32>>,
-    free: Vec<u32>,
-    by_try: HashMap<u32, u32>,
-    said: Vec<Said>,
+    free_runs: Vec<u32>,
+    run_of: HashMap<u32, u32>,
+    events: Vec<NodeEvent>,
+    /// Duration of the warm-up, ns, and its slowdown factor.
     cold: Option<(u64, f64)>,
-    /// Until when it is cold.
+    /// End of the warm-up, ns.
     cold_until: u64,
-    /// What a fault makes of its speed.
-    fault: f64,
+    /// Speed under the current fault, relative to normal.
+    fault_speed: f64,
     pub drains: bool,
 }
 
-fn ours(
+fn admission(
     plan: &NodePlan,
     types: &[TypePlan],
     shares: &[f64],
     rate: f64,
     seed: u64,
     cold: Option<rainstand::ColdStart>,
-) -> Box<Ours> {
-    let kinds = types.iter().map(|one| rainstand::RequestClass {
-        latency_objective: one.goal,
-        deadline: one.outer_limit,
+) -> Box<Admission> {
+    let classes = types.iter().map(|class| rainstand::RequestClass {
+        latency_objective: class.goal,
+        deadline: class.outer_limit,
         value: 1.0,
         late_share: 0.2,
-        degraded_share: one.poorer,
-        repeatability: match one.kind {
+        degraded_share: class.poorer,
+        repeatability: match class.kind {
             Kind::Rerunnable => Repeatability::Idempotent,
-            Kind::Ticketed => Repeatability::IdempotentWithKey(one.outer_limit),
+            Kind::Ticketed => Repeatability::IdempotentWithKey(class.outer_limit),
             Kind::Exclusive => Repeatability::NonIdempotent,
         },
     });
@@ -211,14 +215,14 @@
             },
         }),
     };
-    Box::new(Ours {
-        node: Decides::new(kinds.collect(), false, components),
-        desk: Desk::default(),
+    Box::new(Admission {
+        controller: AdmissionController::new(classes.collect(), false, components),
+        host: CommandHost::default(),
     })
 }
 
 impl Node {
-    /// `shares`: of the tenants, `rate`: tickets a second of the whole fleet.
+    /// `shares`: the tenants' quotas as shares of `rate`, the fleet's capacity in requests per second.
     pub fn new(
         plan: &NodePlan,
         types: &[TypePlan],
@@ -228,425 +232,437 @@
         now: u64,
         cold: bool,
     ) -> Self {
-        let mind = match plan.kind {
-            NodeKind::Plain { at_once, hold } => Mind::Plain {
-                at_once: at_once.max(1) as usize,
-                hold: hold as usize,
+        let policy = match plan.kind {
+            NodeKind::Plain { at_once, hold } => Policy::Plain {
+                max_runs: at_once.max(1) as usize,
+                backlog: hold as usize,
             },
             NodeKind::Ours => {
                 let cold = cold.then(|| plan.cold_start(now)).flatten();
-                Mind::Ours(ours(plan, types, shares, rate, seed, cold))
+                Policy::Admission(admission(plan, types, shares, rate, seed, cold))
             }
         };
-        let slow = plan
+        let warm_up = plan
             .cold
             .map(|(span, slower)| (span.as_nanos() as u64, slower.max(1.0)));
         let mut node = Self {
             machine: Machine::new(plan.cores, plan.crowding),
-            mind,
-            taken: HashMap::new(),
-            held: VecDeque::new(),
+            policy,
+            accepted: HashMap::new(),
+            queue: VecDeque::new(),
             runs: Vec::new(),
-            free: Vec::new(),
-            by_try: HashMap::new(),
-            said: Vec::new(),
-            cold: slow,
+            free_runs: Vec::new(),
+            run_of: HashMap::new(),
+            events: Vec::new(),
+            cold: warm_up,
             cold_until: if cold {
-                now + slow.map_or(0, |(span, _)| span)
+                now + warm_up.map_or(0, |(span, _)| span)
             } else {
                 0
             },
-            fault: 1.0,
+            fault_speed: 1.0,
             drains: false,
         };
-        node.set_pace(now);
-        if let Mind::Ours(ours) = &mut node.mind {
-            ours.desk.now = now;
-            ours.node.begin(Duration::from_nanos(now), &mut ours.desk);
+        node.update_speed(now);
+        if let Policy::Admission(admission) = &mut node.policy {
+            admission.host.now = now;
+            admission
+                .controller
+                .begin(Duration::from_nanos(now), &mut admission.host);
         }
         node
     }
 
-    fn set_pace(&mut self, now: u64) {
+    fn update_speed(&mut self, now: u64) {
         let cold = self
             .cold
             .filter(|_| now < self.cold_until)
             .map_or(1.0, |(_, slower)| 1.0 / slower);
-        self.machine.set_speed(now, self.fault * cold);
+        self.machine.set_speed(now, self.fault_speed * cold);
     }
 
-    /// What its cores do against usual ones, while a fault lasts.
+    /// Sets the speed of the cores under a fault, relative to normal; 0: stalled.
     pub fn set_fault(&mut self, now: u64, speed: f64) {
-        self.fault = speed;
-        self.set_pace(now);
+        self.fault_speed = speed;
+        self.update_speed(now);
     }
 
-    pub fn set_taken(&mut self, now: u64, cores: f64) {
-        self.machine.set_taken(now, cores);
+    /// Sets the number of cores that a neighbour uses.
+    pub fn set_neighbour_cores(&mut self, now: u64, cores: f64) {
+        self.machine.set_neighbour_cores(now, cores);
     }
 
+    /// Core time used up to `now`, in ms.
     pub fn used_ms(&mut self, now: u64) -> u64 {
         (self.machine.used(now) / 1e6) as u64
     }
 
-    /// Tries that are in it, in order of their numbers: the map's order is nobody's.
-    pub fn inside(&self) -> Vec<u32> {
-        let mut all: Vec<u32> = self.taken.keys().copied().collect();
-        all.sort_unstable();
-        all
+    /// Accepted attempts, sorted because the map's order is not deterministic.
+    pub fn attempts(&self) -> Vec<u32> {
+        let mut attempts: Vec<u32> = self.accepted.keys().copied().collect();
+        attempts.sort_unstable();
+        attempts
     }
 
     pub fn is_empty(&self) -> bool {
-        self.taken.is_empty()
+        self.accepted.is_empty()
     }
 
-    /// When something is due here next.
-    pub fn due(&mut self, now: u64) -> Option<u64> {
-        let warm = (self.cold_until > now).then_some(self.cold_until);
-        let wake = match &self.mind {
-            Mind::Ours(ours) => ours.desk.wake,
-            Mind::Plain { .. } => None,
+    /// Time of the next event of this node, ns.
+    pub fn next_event(&mut self, now: u64) -> Option<u64> {
+        let warm_up_end = (self.cold_until > now).then_some(self.cold_until);
+        let wake = match &self.policy {
+            Policy::Admission(admission) => admission.host.wake,
+            Policy::Plain { .. } => None,
         };
-        [self.machine.next_end(), warm, wake]
+        [self.machine.next_end(), warm_up_end, wake]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// What became of tries since the last time it was asked.
-    pub fn said(&mut self) -> std::vec::Drain<'_, Said> {
-        self.said.drain(..)
+    /// Takes the events since the last call.
+    pub fn take_events(&mut self) -> std::vec::Drain<'_, NodeEvent> {
+        self.events.drain(..)
     }
 
-    fn start(&mut self, now: u64, number: u32) {
-        let Some(taken) = self.taken.get_mut(&number).filter(|taken| !taken.running) else {
+    fn start(&mut self, now: u64, attempt: u32) {
+        let Some(accepted) = self
+            .accepted
+            .get_mut(&attempt)
+            .filter(|accepted| !accepted.running)
+        else {
             return;
         };
-        taken.running = true;
-        let begins = !std::mem::replace(&mut taken.begun, true);
-        let (work, half) = (taken.task.work, taken.task.work / 2);
-        let work = match (taken.task.calls, taken.phase) {
+        accepted.running = true;
+        let first_start = !std::mem::replace(&mut accepted.started, true);
+        let (work, half) = (accepted.task.work, accepted.task.work / 2);
+        let work = match (accepted.task.calls_downstream, accepted.phase) {
             (false, _) => work,
-            (true, Phase::Before) => half,
+            (true, Phase::NotCalled) => half,
             (true, _) => work - half,
         };
-        let run = self.free.pop().unwrap_or(self.runs.len() as u32);
+        let run = self.free_runs.pop().unwrap_or(self.runs.len() as u32);
         if run as usize == self.runs.len() {
             self.runs.push(None);
         }
-        self.runs[run as usize] = Some(number);
-        self.by_try.insert(number, run);
+        self.runs[run as usize] = Some(attempt);
+        self.run_of.insert(attempt, run);
         self.machine.start(now, run, work);
-        if begins {
-            self.said.push(Said::Runs(number));
+        if first_start {
+            self.events.push(NodeEvent::Started(attempt));
         }
     }
 
-    /// Takes a run off the machine; the try stays.
-    fn stop(&mut self, now: u64, number: u32) {
-        if let Some(run) = self.by_try.remove(&number) {
+    /// Stops a run; the attempt stays accepted.
+    fn stop(&mut self, now: u64, attempt: u32) {
+        if let Some(run) = self.run_of.remove(&attempt) {
             self.machine.stop(now, run);
             self.runs[run as usize] = None;
-            self.free.push(run);
+            self.free_runs.push(run);
         }
-        if let Some(taken) = self.taken.get_mut(&number) {
-            taken.running = false;
+        if let Some(accepted) = self.accepted.get_mut(&attempt) {
+            accepted.running = false;
         }
     }
 
-    /// A try arrives.
-    pub fn arrives(&mut self, now: u64, task: Task) {
-        let number = task.number;
-        let room = match &self.mind {
+    /// Accepts or rejects an attempt.
+    pub fn on_arrival(&mut self, now: u64, task: Task) {
+        let attempt = task.attempt;
+        let has_capacity = match &self.policy {
             _ if self.drains => false,
-            Mind::Plain { at_once, hold } => {
-                self.machine.running() < *at_once || self.held.len() < *hold
+            Policy::Plain { max_runs, backlog } => {
+                self.machine.running() < *max_runs || self.queue.len() < *backlog
             }
-            Mind::Ours(_) => true,
+            Policy::Admission(_) => true,
         };
-        if !room {
-            self.said.push(Said::Dismissed(number, PAUSE, false));
+        if !has_capacity {
+            self.events
+                .push(NodeEvent::Rejected(attempt, QUEUE_FULL_RETRY_AFTER, false));
             return;
         }
-        self.taken.insert(
-            number,
-            Taken {
+        self.accepted.insert(
+            attempt,
+            Accepted {
                 task,
                 running: false,
-                begun: false,
-                phase: Phase::Before,
+                started: false,
+                phase: Phase::NotCalled,
             },
         );
-        match &mut self.mind {
-            Mind::Plain { at_once, .. } => {
-                if self.machine.running() < *at_once {
-                    self.start(now, number);
+        match &mut self.policy {
+            Policy::Plain { max_runs, .. } => {
+                if self.machine.running() < *max_runs {
+                    self.start(now, attempt);
                 } else {
-                    self.held.push_back(number);
+                    self.queue.push_back(attempt);
                 }
             }
-            Mind::Ours(ours) => {
-                let Ours { node, desk } = &mut **ours;
-                desk.now = now;
-                let ix = desk.free.pop().unwrap_or(desk.tries.len());
-                if ix == desk.tries.len() {
-                    desk.tries.push(None);
+            Policy::Admission(admission) => {
+                let Admission { controller, host } = &mut **admission;
+                host.now = now;
+                let ix = host.free.pop().unwrap_or(host.attempts.len());
+                if ix == host.attempts.len() {
+                    host.attempts.push(None);
                 }
-                desk.tries[ix] = Some(number);
-                desk.index.insert(number, ix);
+                host.attempts[ix] = Some(attempt);
+                host.index.insert(attempt, ix);
                 let arrival = Arrival {
-                    class: usize::from(task.traffic),
+                    class: usize::from(task.class),
                     tenant: task.tenant.map(usize::from),
-                    waited: Duration::from_nanos(now - task.came),
+                    waited: Duration::from_nanos(now - task.arrived),
                     held_kb: ENTRY_KB,
-                    is_retry: task.again,
+                    is_retry: task.is_retry,
                     ..Arrival::default()
                 };
-                node.on_arrival(Duration::from_nanos(now), desk, ix, &arrival);
-                self.carry_out(now);
+                controller.on_arrival(Duration::from_nanos(now), host, ix, &arrival);
+                self.execute_commands(now);
             }
         }
     }
 
-    /// Its caller does not wait for a try any more.
-    pub fn left(&mut self, now: u64, number: u32) {
-        let Some(taken) = self.taken.get(&number) else {
+    /// Handles the disconnect of the caller of an attempt.
+    pub fn on_caller_gone(&mut self, now: u64, attempt: u32) {
+        let Some(accepted) = self.accepted.get(&attempt) else {
             return;
         };
-        let (running, exclusive) = (taken.running, taken.task.exclusive);
-        match &mut self.mind {
-            Mind::Plain { .. } => {
-                // What must not run twice runs to its end: nobody could say how far it came.
+        let (running, exclusive) = (accepted.running, accepted.task.exclusive);
+        match &mut self.policy {
+            Policy::Plain { .. } => {
+                // An exclusive run is never cut short: its progress would be unknown.
                 if running && exclusive {
                     return;
                 }
                 if running {
-                    self.stop(now, number);
+                    self.stop(now, attempt);
                 } else {
-                    self.held.retain(|held| *held != number);
+                    self.queue.retain(|queued| *queued != attempt);
                 }
-                self.taken.remove(&number);
-                self.fill(now);
+                self.accepted.remove(&attempt);
+                self.start_queued(now);
             }
-            Mind::Ours(ours) => {
-                let Ours { node, desk } = &mut **ours;
-                desk.now = now;
-                if let Some(ix) = desk.index.get(&number).copied() {
-                    node.on_caller_gone(Duration::from_nanos(now), desk, ix);
+            Policy::Admission(admission) => {
+                let Admission { controller, host } = &mut **admission;
+                host.now = now;
+                if let Some(ix) = host.index.get(&attempt).copied() {
+                    controller.on_caller_gone(Duration::from_nanos(now), host, ix);
                 }
-                self.carry_out(now);
+                self.execute_commands(now);
             }
         }
     }
 
-    /// Something may be due.
-    pub fn look(&mut self, now: u64) {
+    /// Handles everything that is due by `now`.
+    pub fn on_due(&mut self, now: u64) {
         if self.cold_until > 0 && now >= self.cold_until {
             self.cold_until = 0;
-            self.set_pace(now);
+            self.update_speed(now);
         }
-        while let Some(run) = self.machine.ended(now) {
-            let Some(number) = self.runs[run as usize].take() else {
+        while let Some(run) = self.machine.pop_ended(now) {
+            let Some(attempt) = self.runs[run as usize].take() else {
                 continue;
             };
-            self.free.push(run);
-            self.by_try.remove(&number);
-            self.done(now, number);
+            self.free_runs.push(run);
+            self.run_of.remove(&attempt);
+            self.run_part_ended(now, attempt);
         }
         let busy = self.machine.busy();
         let running = self.machine.running() as f64;
-        if let Mind::Ours(ours) = &mut self.mind {
-            let Ours { node, desk } = &mut **ours;
-            if desk.wake.is_some_and(|at| at <= now) {
-                desk.wake = None;
-                desk.now = now;
+        if let Policy::Admission(admission) = &mut self.policy {
+            let Admission { controller, host } = &mut **admission;
+            if host.wake.is_some_and(|at| at <= now) {
+                host.wake = None;
+                host.now = now;
                 let gauges = Gauges {
                     cores_busy: Some(busy),
                     runnable: Some(running),
                     ..Gauges::default()
                 };
-                node.on_tick(Duration::from_nanos(now), desk, gauges);
-                self.carry_out(now);
+                controller.on_tick(Duration::from_nanos(now), host, gauges);
+                self.execute_commands(now);
             }
         }
     }
 
-    /// A part of a run is done: it is at its call, or over.
-    fn done(&mut self, now: u64, number: u32) {
-        if let Some(taken) = self.taken.get_mut(&number) {
-            taken.running = false;
-            if taken.task.calls && taken.phase == Phase::Before {
-                taken.phase = Phase::AtCall;
-                return self.at_call(now, number);
+    /// Handles the end of the part of a run before its downstream call, or of the whole run.
+    fn run_part_ended(&mut self, now: u64, attempt: u32) {
+        if let Some(accepted) = self.accepted.get_mut(&attempt) {
+            accepted.running = false;
+            if accepted.task.calls_downstream && accepted.phase == Phase::NotCalled {
+                accepted.phase = Phase::InCall;
+                return self.start_call(now, attempt);
             }
         }
-        match &mut self.mind {
-            Mind::Plain { .. } => {
-                self.taken.remove(&number);
-                self.said.push(Said::Done(number));
-                self.fill(now);
+        match &mut self.policy {
+            Policy::Plain { .. } => {
+                self.accepted.remove(&attempt);
+                self.events.push(NodeEvent::Served(attempt));
+                self.start_queued(now);
             }
-            Mind::Ours(ours) => {
-                let Ours { node, desk } = &mut **ours;
-                desk.now = now;
-                self.said.push(Said::Done(number));
-                match desk.index.get(&number).copied() {
-                    Some(ix) => node.on_run_finished(
+            Policy::Admission(admission) => {
+                let Admission { controller, host } = &mut **admission;
+                host.now = now;
+                self.events.push(NodeEvent::Served(attempt));
+                match host.index.get(&attempt).copied() {
+                    Some(ix) => controller.on_run_finished(
                         Duration::from_nanos(now),
-                        desk,
+                        host,
                         ix,
                         Outcome::Succeeded,
                     ),
-                    None => drop(self.taken.remove(&number)),
+                    None => drop(self.accepted.remove(&attempt)),
                 }
-                self.carry_out(now);
+                self.execute_commands(now);
             }
         }
     }
 
-    fn at_call(&mut self, now: u64, number: u32) {
-        match &mut self.mind {
-            Mind::Plain { .. } => {
-                self.said.push(Said::Calls(number, u64::MAX));
-                self.fill(now);
+    fn start_call(&mut self, now: u64, attempt: u32) {
+        match &mut self.policy {
+            Policy::Plain { .. } => {
+                self.events.push(NodeEvent::CallStarted(attempt, u64::MAX));
+                self.start_queued(now);
             }
-            Mind::Ours(ours) => {
-                let Ours { node, desk } = &mut **ours;
-                desk.now = now;
-                match desk.index.get(&number).copied() {
-                    Some(ix) => node.on_downstream_call(Duration::from_nanos(now), desk, ix),
-                    // Its ticket is over: so is the run, at its call.
-                    None => drop(self.taken.remove(&number)),
+            Policy::Admission(admission) => {
+                let Admission { controller, host } = &mut **admission;
+                host.now = now;
+                match host.index.get(&attempt).copied() {
+                    Some(ix) => controller.on_downstream_call(Duration::from_nanos(now), host, ix),
+                    // The request has ended, so the run ends at its downstream call.
+                    None => drop(self.accepted.remove(&attempt)),
                 }
-                self.carry_out(now);
+                self.execute_commands(now);
             }
         }
     }
 
-    /// What came of a call that it made.
-    pub fn call_back(&mut self, now: u64, number: u32, outcome: Outcome) {
-        let Some(taken) = self
-            .taken
-            .get_mut(&number)
-            .filter(|taken| taken.phase == Phase::AtCall)
+    /// Handles the outcome of a downstream call.
+    pub fn on_call_finished(&mut self, now: u64, attempt: u32, outcome: Outcome) {
+        let Some(accepted) = self
+            .accepted
+            .get_mut(&attempt)
+            .filter(|accepted| accepted.phase == Phase::InCall)
         else {
             return;
         };
-        match &mut self.mind {
-            Mind::Plain { .. } => {
+        match &mut self.policy {
+            Policy::Plain { .. } => {
                 if outcome == Outcome::Succeeded {
-                    taken.phase = Phase::After;
-                    self.start(now, number);
+                    accepted.phase = Phase::Called;
+                    self.start(now, attempt);
                 } else {
-                    self.taken.remove(&number);
-                    self.said.push(Said::Failed(number));
+                    self.accepted.remove(&attempt);
+                    self.events.push(NodeEvent::Failed(attempt));
                 }
             }
-            Mind::Ours(ours) => {
-                let Ours { node, desk } = &mut **ours;
-                desk.now = now;
-                if let Some(ix) = desk.index.get(&number).copied() {
-                    node.on_call_finished(Duration::from_nanos(now), desk, ix, outcome);
+            Policy::Admission(admission) => {
+                let Admission { controller, host } = &mut **admission;
+                host.now = now;
+                if let Some(ix) = host.index.get(&attempt).copied() {
+                    controller.on_call_finished(Duration::from_nanos(now), host, ix, outcome);
                 }
-                let goes_on = outcome == Outcome::Succeeded && desk.index.contains_key(&number);
-                if goes_on {
-                    self.go_on(now, number);
+                let continues = outcome == Outcome::Succeeded && host.index.contains_key(&attempt);
+                if continues {
+                    self.continue_run(now, attempt);
                 }
-                self.carry_out(now);
+                self.execute_commands(now);
             }
         }
     }
 
-    /// A run leaves its call behind, with its reply or without.
-    fn go_on(&mut self, now: u64, number: u32) {
-        if let Some(taken) = self
-            .taken
-            .get_mut(&number)
-            .filter(|taken| taken.phase == Phase::AtCall)
+    /// Continues a run after its downstream call, with or without a reply.
+    fn continue_run(&mut self, now: u64, attempt: u32) {
+        if let Some(accepted) = self
+            .accepted
+            .get_mut(&attempt)
+            .filter(|accepted| accepted.phase == Phase::InCall)
         {
-            taken.phase = Phase::After;
-            self.start(now, number);
+            accepted.phase = Phase::Called;
+            self.start(now, attempt);
         }
     }
 
-    /// The module hears that a run is over that it took off, or whose ticket it gave up at its call.
-    fn cut(&mut self, now: u64, number: u32, outcome: Outcome) {
-        self.stop(now, number);
-        if let Mind::Ours(ours) = &mut self.mind {
-            let Ours { node, desk } = &mut **ours;
-            if let Some(ix) = desk.index.get(&number).copied() {
-                node.on_run_finished(Duration::from_nanos(now), desk, ix, outcome);
+    /// Stops a run that the controller cancelled, or whose request it failed during the downstream call, and reports
+    /// the end of the run to the controller.
+    fn abort_run(&mut self, now: u64, attempt: u32, outcome: Outcome) {
+        self.stop(now, attempt);
+        if let Policy::Admission(admission) = &mut self.policy {
+            let Admission { controller, host } = &mut **admission;
+            if let Some(ix) = host.index.get(&attempt).copied() {
+                controller.on_run_finished(Duration::from_nanos(now), host, ix, outcome);
             }
         }
     }
 
-    /// A plain node takes up what it holds.
-    fn fill(&mut self, now: u64) {
-        let Mind::Plain { at_once, .. } = self.mind else {
+    /// Starts queued attempts of a plain node while it has capacity.
+    fn start_queued(&mut self, now: u64) {
+        let Policy::Plain { max_runs, .. } = self.policy else {
             return;
         };
-        while self.machine.running() < at_once {
-            let Some(number) = self.held.pop_front() else {
+        while self.machine.running() < max_runs {
+            let Some(attempt) = self.queue.pop_front() else {
                 return;
             };
-            self.start(now, number);
+            self.start(now, attempt);
         }
     }
 
-    /// The module's orders, until it has none.
-    fn carry_out(&mut self, now: u64) {
+    /// Executes the controller's commands until there are none.
+    fn execute_commands(&mut self, now: u64) {
         loop {
-            let Mind::Ours(ours) = &mut self.mind else {
+            let Policy::Admission(admission) = &mut self.policy else {
                 return;
             };
-            let orders = std::mem::take(&mut ours.desk.orders);
-            if orders.is_empty() {
+            let commands = std::mem::take(&mut admission.host.commands);
+            if commands.is_empty() {
                 return;
             }
-            for order in orders {
-                match order {
-                    Order::Run(number) => self.start(now, number),
-                    Order::TakeOff(number) => {
-                        // What must not run twice runs to its end: nobody could say how far it came.
+            for command in commands {
+                match command {
+                    Command::Run(attempt) => self.start(now, attempt),
+                    Command::Cancel(attempt) => {
+                        // An exclusive run is never cut short: its progress would be unknown.
                         if self
-                            .taken
-                            .get(&number)
-                            .is_some_and(|one| !one.task.exclusive)
+                            .accepted
+                            .get(&attempt)
+                            .is_some_and(|accepted| !accepted.task.exclusive)
                         {
-                            self.cut(now, number, Outcome::Cancelled);
+                            self.abort_run(now, attempt, Outcome::Cancelled);
                         }
                     }
-                    Order::Call(number, until) => {
-                        self.said.push(Said::Calls(number, until.as_nanos() as u64));
+                    Command::Call(attempt, deadline) => {
+                        self.events
+                            .push(NodeEvent::CallStarted(attempt, deadline.as_nanos() as u64));
                     }
-                    Order::Poorer(number) => {
-                        self.said.push(Said::Forgoes(number));
-                        self.go_on(now, number);
+                    Command::ReplyDegraded(attempt) => {
+                        self.events.push(NodeEvent::CallAbandoned(attempt));
+                        self.continue_run(now, attempt);
                     }
-                    Order::Dismiss(number, pause, nowhere) => {
-                        self.said.push(Said::Dismissed(number, pause, nowhere));
+                    Command::Reject(attempt, retry_after, discouraged) => {
+                        self.events
+                            .push(NodeEvent::Rejected(attempt, retry_after, discouraged));
                     }
-                    Order::GiveUp(number) => {
-                        self.said.push(Said::Failed(number));
-                        // A run whose request is over ends at its call.
+                    Command::Fail(attempt) => {
+                        self.events.push(NodeEvent::Failed(attempt));
+                        // A run whose request has ended stops at its downstream call.
                         if self
-                            .taken
-                            .get(&number)
-                            .is_some_and(|one| one.phase == Phase::AtCall)
+                            .accepted
+                            .get(&attempt)
+                            .is_some_and(|accepted| accepted.phase == Phase::InCall)
                         {
-                            self.said.push(Said::Forgoes(number));
-                            self.cut(now, number, Outcome::Disconnected);
+                            self.events.push(NodeEvent::CallAbandoned(attempt));
+                            self.abort_run(now, attempt, Outcome::Disconnected);
                         }
                     }
-                    Order::Over(number) => {
-                        // A run whose ticket is over goes on if it must not be cut.
-                        let cut = self
-                            .taken
-                            .get(&number)
-                            .is_some_and(|one| !one.running || !one.task.exclusive);
-                        if cut {
-                            self.stop(now, number);
-                            self.taken.remove(&number);
+                    Command::Release(attempt) => {
+                        // An exclusive run continues although its request has ended.
+                        let stops = self
+                            .accepted
+                            .get(&attempt)
+                            .is_some_and(|accepted| !accepted.running || !accepted.task.exclusive);
+                        if stops {
+                            self.stop(now, attempt);
+                            self.accepted.remove(&attempt);
                         }
                     }
                 }
--- a/crates/fleet-model/src/plan.rs
+++ b/crates/fleet-model/src/plan.rs
@@ -1,37 +1,39 @@
-//! What is modelled in one run: fleet, load, habits, faults. A plan and its seed settle the run to the byte.
+//! What one run models: fleet, load, client behaviour, faults. A plan with its seed determines the run completely.
 
 use rainstand_invariants::Kind;
 use std::time::Duration;
 
-/// One kind of ticket.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TypePlan {
     pub name: String,
     pub kind: Kind,
+    /// Latency objective.
     pub goal: Duration,
+    /// Deadline.
     pub outer_limit: Duration,
-    /// Its part of all tickets, against the other types.
+    /// Weight of the class in the mix of requests.
     pub part: f64,
     /// Core time of a run.
     pub work: Work,
-    /// Its runs call the tier below, half way.
+    /// Its runs make a downstream call half way through.
     pub calls: bool,
-    /// Share of its benefit that an answer without the call still earns.
+    /// Share of the value that a degraded answer, without the downstream call, still has.
     pub poorer: f64,
 }
 
-/// The tier below: plain nodes behind a balancer that goes round, also to those that are dead.
+/// The downstream service: plain nodes behind a round-robin balancer that includes dead ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BelowPlan {
     pub count: u32,
-    /// Calls at a time at each, and those that wait there.
+    /// Concurrent calls of each node, and the capacity of its queue.
     pub at_once: u32,
     pub hold: u32,
-    /// Time of a call on one of its cores.
+    /// Core time of a call.
     pub work: Work,
 }
 
-/// Core time of runs, by chance.
+/// Distribution of the core time of runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Work {
     Fixed(Duration),
@@ -53,26 +55,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantPlan {
     pub name: String,
-    /// Its part of the load, against the others.
+    /// Weight of the tenant in the load.
     pub part: f64,
-    /// Share of the fleet that it was promised; 0: none.
+    /// Guaranteed share of the fleet; 0: none.
     pub share: f64,
-    /// The configuration does not know it.
+    /// The tenant is not in the configuration.
     pub stranger: bool,
 }
 
-/// What dispatchers do.
+/// How clients behave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Habits {
-    /// Tries of one job in all, the first counted.
+    /// Maximum number of requests for a job, including the first.
     pub tries: u32,
-    /// Keeps the told time; else comes back at once.
+    /// Waits for the retry-after of a rejection; otherwise retries immediately.
     pub heeds: bool,
-    /// Says that a further try is one.
+    /// Marks retries as retries.
     pub marks: bool,
-    /// A second copy of a rerunnable job where nothing came by then.
+    /// Sends a hedged request for a rerunnable job that has no result after this time.
     pub second_copy: Option<Duration>,
-    /// How late its list of nodes is, where it goes to them itself.
+    /// How far the list of nodes lags, for clients that send to nodes directly.
     pub late_list: Duration,
 }
 
@@ -88,12 +90,12 @@
     }
 }
 
-/// How a node decides.
+/// How a node admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeKind {
-    /// So many at a time, the rest in order of coming in a hold with a bound.
+    /// Runs `at_once` requests concurrently and queues up to `hold` more, first in, first out.
     Plain { at_once: u32, hold: u32 },
-    /// The project's own node (`rainstand::Node`).
+    /// The project's admission controller (`rainstand::AdmissionController`).
     Ours,
 }
 
@@ -103,16 +105,16 @@
     pub count: u32,
     pub cores: u32,
     pub kind: NodeKind,
-    /// How much more runs than cores slow all down.
+    /// Added slowdown per excess run per core.
     pub crowding: f64,
-    /// After a start runs take so much longer, for so long.
+    /// Duration of the warm-up after a start, and the factor by which runs are slower.
     pub cold: Option<(Duration, f64)>,
-    /// Halls in which they and the forwarders stand, in turn.
+    /// Number of zones; nodes and forwarders are assigned to them round robin.
     pub halls: u32,
 }
 
 impl NodePlan {
-    /// What a node that starts cold at `now`, in nanoseconds, is told of its warm-up; none where the plan has none.
+    /// The warm-up of a node that starts cold at `now` (ns); none if the plan has no warm-up.
     pub fn cold_start(&self, now: u64) -> Option<rainstand::ColdStart> {
         self.cold.map(|(span, slower)| rainstand::ColdStart {
             began: Duration::from_nanos(now),
@@ -122,7 +124,7 @@
     }
 }
 
-/// How a forwarder picks a member.
+/// How a forwarder selects a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
     TwoChoices,
@@ -130,23 +132,25 @@
     InTurn,
 }
 
-/// The forwarders; without any, dispatchers go to the nodes themselves, in turn.
+/// The forwarders. If there are none, clients send to the nodes directly, round robin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontPlan {
     pub count: u32,
-    /// Members that each knows; 0: all.
+    /// Number of members that each forwarder knows; 0: all.
     pub know: u32,
     pub pick: Pick,
+    /// Maximum number of attempts for a request, including the first.
     pub tries: u32,
-    /// Share of first tries.
+    /// Retry budget, as a share of first attempts.
     pub budget: f64,
+    /// Minimum and maximum backoff before a retry.
     pub wait: (Duration, Duration),
-    /// Share of members never left out; none: health is not judged.
+    /// Share of members that is never ejected; none: no health checks.
     pub keep: Option<f64>,
-    /// Bound on tickets at once toward a member; 0: as learned alone.
+    /// Limit on concurrent requests to a member; 0: only the learned limit.
     pub at_once: u64,
-    /// Calls a second that a warm node bears from all of them, so that one that just started gets a part of it; 0:
-    /// nobody says.
+    /// Requests per second that a warm node can take from all forwarders, which a starting node gets a ramped share of;
+    /// 0: not configured.
     pub warm_rate: u64,
 }
 
@@ -166,14 +170,14 @@
     }
 }
 
-/// The network between any two.
+/// The network between any two processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetPlan {
-    /// One way.
+    /// Minimum and maximum one-way delay.
     pub delay: (Duration, Duration),
-    /// More between halls.
+    /// Additional delay between zones.
     pub far: Duration,
-    /// Share of messages with which their connection breaks.
+    /// Share of messages whose connection breaks.
     pub breaks: f64,
 }
 
@@ -188,42 +192,43 @@
     }
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trouble {
-    /// Nodes die: what is in them is gone, connections break; at the end they start again, cold.
+    /// Nodes die: their requests are lost and connections break; at the end they restart, cold.
     Die,
-    /// Runs take so much longer.
+    /// Runs are slower by this factor.
     Slow(f64),
-    /// They take everything and answer nothing; nothing on them goes on, now or later.
+    /// Nodes accept requests and never answer; their runs never continue.
     Hang,
-    /// They stand still, and then go on as if nothing had been.
+    /// Nodes stall, then continue where they were.
     StandStill,
-    /// Each ticket fails after this time; it had its effect.
+    /// Each request fails after this time, after its side effect.
     FailFast(Duration),
-    /// A neighbour takes so many cores.
+    /// A neighbour uses this many cores.
     Neighbour(f64),
-    /// They say that they are full, whatever they have.
+    /// Nodes reject everything as overloaded, with this retry-after.
     Lie(Duration),
-    /// Each is drained, stopped and started again, one after another, out for this time each.
+    /// Nodes are drained, stopped and restarted one after another, each with this downtime.
     Deploy(Duration),
-    /// Halls do not reach one another.
+    /// Zones cannot reach one another.
     Partition,
-    /// A tenant, by its place, asks for so many times its load.
+    /// The load of a tenant, given by its index, is multiplied by this factor.
     Flood(u32, f64),
-    /// The forwarders' clocks jump by this at the beginning and stay so.
+    /// The forwarders' clocks jump forward by this when the fault begins, and stay ahead.
     ClockJump(Duration),
-    /// So many nodes of the tier below die.
+    /// This many downstream nodes die.
     BelowDies(u32),
 }
 
-/// Whom a trouble meets.
+/// The nodes that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Whom {
-    /// A share of the nodes, by chance.
+    /// A random share of the nodes.
     Share(f64),
-    /// The first so many.
+    /// The first nodes, this many.
     First(u32),
+    /// The nodes of a zone.
     Hall(u32),
 }
 
@@ -235,40 +240,41 @@
     pub whom: Whom,
 }
 
-/// A bug planted on purpose, for those who test the checker.
+/// An injected bug, for tests of the invariant checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
-    /// A connection that broke with a ticket on it is taken for one that was never there.
+    /// A connection that broke with a request in flight is treated as one that could not be opened.
     BrokenIsUnreachable,
 }
 
-/// See the module's head.
+/// A plan: everything that determines a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub seed: u64,
-    /// Tickets come for this long; then what is in hand ends.
+    /// Jobs start for this long; then requests in flight are completed.
     pub lasts: Duration,
     pub types: Vec<TypePlan>,
     pub tenants: Vec<TenantPlan>,
+    /// Number of clients.
     pub dispatchers: u32,
     pub habits: Habits,
     pub nodes: NodePlan,
     pub fronts: FrontPlan,
     pub net: NetPlan,
-    /// None: calls come back at once.
+    /// None: downstream calls succeed after a network delay.
     pub below: Option<BelowPlan>,
-    /// Load as a share of all cores, from each time on.
+    /// Load as a share of all cores, from each point in time.
     pub load: Vec<(Duration, f64)>,
     pub faults: Vec<Fault>,
     pub bug: Option<Bug>,
-    /// The rules are checked after each step.
+    /// Whether invariants are checked after each step.
     pub check: bool,
 }
 
 impl Default for Plan {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        let named = |name: &str, kind, part| TypePlan {
+        let class = |name: &str, kind, part| TypePlan {
             name: name.into(),
             kind,
             goal: ms(1_000),
@@ -288,8 +294,8 @@
             seed: 1,
             lasts: Duration::from_secs(10),
             types: vec![
-                named("check", Kind::Rerunnable, 4.0),
-                named("register", Kind::Exclusive, 1.0),
+                class("check", Kind::Rerunnable, 4.0),
+                class("register", Kind::Exclusive, 1.0),
             ],
             tenants: vec![tenant],
             dispatchers: 4,
@@ -317,21 +323,23 @@
 }
 
 impl Plan {
-    /// Tickets a second at a load of all cores.
+    /// Requests per second that use all cores.
     pub fn whole_rate(&self) -> f64 {
-        let parts: f64 = self.types.iter().map(|one| one.part).sum();
+        let parts: f64 = self.types.iter().map(|class| class.part).sum();
         let work: f64 = self
             .types
             .iter()
-            .map(|one| one.part * one.work.mean().as_secs_f64())
+            .map(|class| class.part * class.work.mean().as_secs_f64())
             .sum();
         f64::from(self.nodes.count) * f64::from(self.nodes.cores) * parts / work.max(1e-9)
     }
 
+    /// Checks that the plan is valid.
+    ///
     /// # Errors
-    /// What in it makes no sense.
+    /// What is invalid.
     pub fn check(&self) -> Result<(), String> {
-        let sound = |share: f64| (0.0..=1.0).contains(&share);
+        let is_share = |share: f64| (0.0..=1.0).contains(&share);
         if self.types.is_empty()
             || self.tenants.is_empty()
             || self.nodes.count == 0
@@ -340,25 +348,26 @@
             return Err("a fleet needs types, tenants, nodes and dispatchers".into());
         }
         if self.nodes.halls == 0 {
-            return Err("nodes stand in at least one hall".into());
+            return Err("a fleet needs at least one hall".into());
         }
         if self.fronts.count > 0 && self.nodes.count > 65_000 && self.fronts.know == 0 {
-            return Err("a forwarder knows at most 65000 members".into());
+            return Err("a forwarder can know at most 65000 members".into());
         }
         if self
             .types
             .iter()
-            .any(|one| one.goal > one.outer_limit || one.work.mean().is_zero())
+            .any(|class| class.goal > class.outer_limit || class.work.mean().is_zero())
         {
             return Err(
-                "a type's goal lies within its outer limit, and its runs take some time".into(),
+                "a type's goal must not exceed its outer limit, and its work must not be zero"
+                    .into(),
             );
         }
-        if !sound(self.net.breaks) || !sound(self.fronts.budget) || self.load.is_empty() {
-            return Err("shares lie between 0 and 1, and there is some load".into());
+        if !is_share(self.net.breaks) || !is_share(self.fronts.budget) || self.load.is_empty() {
+            return Err("shares must be between 0 and 1, and the load must not be empty".into());
         }
         if self.faults.iter().any(|fault| fault.from >= fault.to) {
-            return Err("a fault ends after it begins".into());
+            return Err("a fault must end after it begins".into());
         }
         Ok(())
     }
--- a/crates/fleet-model/src/queue.rs
+++ b/crates/fleet-model/src/queue.rs
@@ -1,5 +1,5 @@
-//! Events in order of time; those of one instant in the order in which they were put. Nothing else settles the order,
-//! so a run is the same on any machine.
+//! An event queue ordered by time, then by insertion. Nothing else affects the order, so a run is the same on any
+//! machine.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,13 +7,13 @@
 struct Entry<E> {
     /// Nanoseconds since the start.
     at: u64,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> PartialEq for Entry<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 impl<E> Eq for Entry<E> {}
@@ -24,14 +24,14 @@
 }
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// See the module's head.
+/// A priority queue of events with a virtual clock.
 pub struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
-    made: u64,
+    pushed: u64,
     now: u64,
 }
 
@@ -39,21 +39,21 @@
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            made: 0,
+            pushed: 0,
             now: 0,
         }
     }
 }
 
 impl<E> Queue<E> {
-    /// Time as of the last event taken, ns.
+    /// Time of the last event popped, ns.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    /// Events put since the start.
-    pub fn made(&self) -> u64 {
-        self.made
+    /// Number of events pushed since the start.
+    pub fn pushed(&self) -> u64 {
+        self.pushed
     }
 
     pub fn len(&self) -> usize {
@@ -64,23 +64,23 @@
         self.heap.is_empty()
     }
 
-    /// An event this far from now.
-    pub fn after(&mut self, span: u64, event: E) {
-        self.at(self.now.saturating_add(span), event);
+    /// Pushes an event that is due `span` ns from now.
+    pub fn push_after(&mut self, span: u64, event: E) {
+        self.push_at(self.now.saturating_add(span), event);
     }
 
-    /// An event at a time; never before now.
-    pub fn at(&mut self, at: u64, event: E) {
-        self.made += 1;
+    /// Pushes an event that is due at a time in ns, or now if that time has passed.
+    pub fn push_at(&mut self, at: u64, event: E) {
+        self.pushed += 1;
         self.heap.push(Entry {
             at: at.max(self.now),
-            number: self.made,
+            sequence: self.pushed,
             event,
         });
     }
 
-    /// The next event, if one lies before `end`; time goes on to it.
-    pub fn next(&mut self, end: u64) -> Option<E> {
+    /// Pops the next event if it is due before `end`, and advances the clock to it.
+    pub fn pop_before(&mut self, end: u64) -> Option<E> {
         if self.heap.peek()?.at >= end {
             return None;
         }
@@ -95,21 +95,25 @@
     use super::*;
 
     #[test]
-    fn by_time_and_then_by_their_making() {
+    fn events_are_popped_by_time_and_then_by_insertion() {
         let mut queue = Queue::default();
         for (at, name) in [(5, "c"), (1, "a"), (5, "d"), (3, "b")] {
-            queue.at(at, name);
+            queue.push_at(at, name);
         }
-        let mut got = Vec::new();
-        while let Some(name) = queue.next(5) {
-            got.push((queue.now(), name));
+        let mut popped = Vec::new();
+        while let Some(name) = queue.pop_before(5) {
+            popped.push((queue.now(), name));
         }
-        assert_eq!(got, [(1, "a"), (3, "b")]);
-        // What is put for a time that is over comes now.
-        queue.at(0, "late");
-        assert_eq!(queue.next(6), Some("late"));
+        assert_eq!(popped, [(1, "a"), (3, "b")]);
+        // An event pushed for a past time is due now.
+        queue.push_at(0, "late");
+        assert_eq!(queue.pop_before(6), Some("late"));
         assert_eq!(
-            (queue.next(6), queue.next(6), queue.next(6)),
+            (
+                queue.pop_before(6),
+                queue.pop_before(6),
+                queue.pop_before(6)
+            ),
             (Some("c"), Some("d"), None)
         );
     }
--- a/crates/fleet-model/src/world.rs
+++ b/crates/fleet-model/src/world.rs
@@ -1,16 +1,16 @@
-//! The run: dispatchers ask, forwarders decide, nodes run, faults come and go.
+//! The run itself: clients send requests, forwarders route them, nodes run them, and faults begin and end.
 //!
-//! A *job* is what a dispatcher wants done; a *ticket* is one call of it (its own further tries and second copies are
-//! tickets of their own, as on the wire); a *try* is what a forwarder sends to a node for a ticket. The rules are
-//! checked by ticket. All chance comes from the plan's seed, in three streams (jobs, network, habits), so that plans that
-//! differ in a decision have the same jobs.
+//! A *job* is a unit of work of a client; a *request* is one call for it (the client's retries and hedged requests are
+//! requests of their own, as on the wire); an *attempt* is what a forwarder sends to a node for a request. Invariants are
+//! checked per request. All randomness comes from the plan's seed, in three streams (jobs, network, client behaviour),
+//! so that plans that differ in a routing decision have the same jobs.
 //!
-//! Invariants: `tickets` holds those without an answer whose caller waits, and those that a forwarder has still; a try
-//! is in `tries` from its sending until its forwarder has heard of it or the node is done with it.
+//! Invariants: `requests` holds those without an answer whose caller still waits, and those that a forwarder still
+//! holds; an attempt is in `attempts` from when it is sent until its forwarder knows the outcome or the node has ended it.
 
 use crate::machine::Machine;
 use crate::measure::{JobEnd, Measured};
-use crate::node::{Node, Said, Task};
+use crate::node::{Node, NodeEvent, Task};
 use crate::plan::{Bug, Fault, Pick, Plan, Trouble, Whom, Work};
 use crate::queue::Queue;
 use foldhash::{HashMap, HashMapExt};
@@ -18,264 +18,274 @@
 use rainstand::Outcome;
 use rainstand_config::schema::{self, Configuration, Proof, RepeatKind, SplitBy};
 use rainstand_config::units::ONE;
-use rainstand_invariants::{Answer, InvariantChecker, Kind, Step as Saw};
+use rainstand_invariants::{Answer, InvariantChecker, Kind, Step};
 use rainstand_routing::fleet::{AttemptOutcome, Fleet, NextAction, RequestOutcome, RequestState};
 use rainstand_routing::member_selection;
 use rainstand_routing::retry::INITIAL_RETRIES;
 use rainstand_routing::subset::in_rounds;
-use rainstand_routing::table::Request as Asked;
+use rainstand_routing::table::Request as RoutedRequest;
 use rainstand_routing::weighted_split::name_hash;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Between a forwarder's looks at its members, and looks at tickets past their due time.
-const LOOK: u64 = 100_000_000;
-const RULES_LOOK: u64 = 500_000_000;
-/// Opening a connection across a partition ends after this.
-const OPENING: u64 = 500_000_000;
-/// A dispatcher that does not heed, or was told nothing, comes back after this.
-const AT_ONCE: u64 = 10_000_000;
-/// An answer is due this long after the outer limit: the way back.
-const WAY_BACK: Duration = Duration::from_millis(500);
-/// Once no more tickets come: until all that is in hand has ended.
-const AFTER: Duration = Duration::from_secs(30);
-const NOBODY: u32 = u32::MAX;
-/// What a plan's calls a second are counted over.
-const SECOND: Duration = Duration::from_secs(1);
-/// A node that just started bears this part of what a warm one does.
-const COLD: f64 = 0.05;
-
-fn ns(span: Duration) -> u64 {
+/// Interval of a forwarder's ticks, ns.
+const TICK_INTERVAL_NS: u64 = 100_000_000;
+/// Interval of the checks for requests past their deadline and for the retry budget, ns.
+const INVARIANT_CHECK_INTERVAL_NS: u64 = 500_000_000;
+/// Timeout of opening a connection across a partition, ns.
+const CONNECT_TIMEOUT_NS: u64 = 500_000_000;
+/// Minimum retry delay of a client, used if it ignores retry-after or received none, ns.
+const MIN_RETRY_DELAY_NS: u64 = 10_000_000;
+/// Time that an answer may arrive after the deadline, for the network delay.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Maximum time for requests in flight to end after the last job.
+const DRAIN_TIME: Duration = Duration::from_secs(30);
+/// Stands for no forwarder, no attempt, or no downstream node.
+const NO_ID: u32 = u32::MAX;
+/// Window over which the plan's rates are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// Capacity share of a node that has just started, relative to a warm one.
+const COLD_CAPACITY: f64 = 0.05;
+
+fn nanos(span: Duration) -> u64 {
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
 enum Event {
-    /// The next job, unless the load has changed since.
-    Job(u32),
-    /// A ticket reaches its forwarder, or a node itself.
-    Arrives(u32),
-    /// A try reaches its node.
-    AtNode(u32),
-    /// Something is due at a node; stale if the node's number has changed.
-    Due(u32, u32),
-    /// Word of a try reaches its forwarder, or its dispatcher.
-    Word(u32, AttemptOutcome),
-    /// A try's time is up.
-    Cut(u32),
-    /// A wait before a further try is over.
-    Again(u32),
-    /// A ticket's answer reaches its dispatcher.
-    Told(u32, RequestOutcome),
-    /// A dispatcher comes back with a job.
-    Returns(u32),
-    /// It sends a second copy.
-    Copy(u32),
-    /// A job's outer limit.
-    Deadline(u32),
-    /// A node hears that nobody waits.
-    Leaves(u32, u32),
-    Look(u32),
-    Rules,
-    Load(u32),
+    /// The next job arrives; stale if the load has changed since.
+    JobArrival(u32),
+    /// A request arrives at its forwarder, or at a node if there are no forwarders.
+    RequestArrival(u32),
+    /// An attempt arrives at its node.
+    AttemptArrival(u32),
+    /// A node has something to do; stale if its event attempt has changed.
+    NodeDue(u32, u32),
+    /// The outcome of an attempt arrives at its forwarder, or at its client.
+    AttemptEnded(u32, AttemptOutcome),
+    /// The timeout of an attempt.
+    AttemptTimeout(u32),
+    /// The backoff before a retry of a forwarder ends.
+    RetryDue(u32),
+    /// The answer to a request arrives at its client.
+    RequestEnded(u32, RequestOutcome),
+    /// A client retries a job.
+    ClientRetry(u32),
+    /// A client sends a hedged request for a job.
+    HedgeDue(u32),
+    /// The deadline of a job.
+    JobDeadline(u32),
+    /// A node learns that the caller of an attempt is gone.
+    CallerGone(u32, u32),
+    ForwarderTick(u32),
+    InvariantCheck,
+    LoadChange(u32),
+    /// A fault begins (true) or ends.
     Fault(u32, bool),
-    /// The next step of a rolling deploy: fault, node's place in its list.
+    /// The next step of a rolling deploy: fault, index into its list of nodes.
     Deploy(u32, u32),
-    Restarts(u32),
-    /// A call reaches the tier below; is back with its node; is given up there.
-    AtBelow(u32),
-    CallBack(u32, Outcome),
-    CallCut(u32),
-    /// Something is due at a node of the tier below; stale if its number has changed.
-    BelowDue(u32, u32),
+    NodeRestart(u32),
+    /// A call arrives downstream; its outcome arrives at the node; its deadline.
+    CallArrival(u32),
+    CallEnded(u32, Outcome),
+    CallTimeout(u32),
+    /// A downstream node has something to do; stale if its event attempt has changed.
+    DownstreamDue(u32, u32),
 }
 
-/// A call that is out.
+/// A downstream call in flight.
 struct Call {
-    /// The try that waits for it, and at which node.
-    number: u32,
-    place: u32,
+    /// The attempt that made it, and the node where that runs.
+    attempt: u32,
+    node: u32,
+    /// Core time, ns.
     work: u64,
-    /// The node of the tier below that has it.
-    at: u32,
+    /// The downstream node that serves it.
+    downstream: u32,
 }
 
-/// A node of the tier below.
-struct Under {
+/// A downstream node.
+struct DownstreamNode {
     machine: Machine,
-    held: VecDeque<u32>,
+    queue: VecDeque<u32>,
     alive: bool,
+    /// Time of its scheduled event, ns, and the attempt of that event.
     due: u64,
-    number: u32,
+    event_number: u32,
 }
 
 struct Job {
-    traffic: u16,
+    class: u16,
     tenant: u16,
+    /// Core time, ns.
     work: u64,
-    born: u64,
-    tries: u32,
-    /// Tickets of it that are out.
+    /// Start time, ns.
+    started: u64,
+    requests_sent: u32,
+    /// Its requests in flight.
     open: Vec<u32>,
-    /// Some ticket of it may have run.
+    /// One of its requests may have run.
     may_have_run: bool,
-    over: bool,
+    ended: bool,
 }
 
-struct Ticket {
+struct Request {
     job: u32,
-    front: u32,
-    again: bool,
-    trip: Option<RequestState>,
-    /// The try that is out.
-    at: u32,
+    forwarder: u32,
+    is_retry: bool,
+    state: Option<RequestState>,
+    /// The attempt in flight.
+    attempt: u32,
 }
 
-struct Try {
-    ticket: u32,
+struct Attempt {
+    request: u32,
     node: u32,
-    again: bool,
-    came: u64,
+    is_retry: bool,
+    /// Time of sending, then of arrival at the node, ns.
+    arrived: u64,
     ran: bool,
-    /// Its forwarder, or dispatcher, has done with it.
-    over: bool,
+    /// Its forwarder or client no longer waits for it.
+    ended: bool,
 }
 
-struct Place {
-    node: Node,
+struct NodeState {
+    process: Node,
     alive: bool,
     /// When it last died, ns.
     died: u64,
     hangs: bool,
-    /// Tries that it read while it hung.
+    /// Attempts that it received while it hung.
     stuck: Vec<u32>,
-    lies: Option<Duration>,
-    fails: Option<u64>,
-    /// When its next event is due, as it stands in the queue; and the number of that event.
+    /// It rejects every attempt with this retry-after.
+    false_rejection: Option<Duration>,
+    /// It fails every attempt after this time, ns.
+    fails_after: Option<u64>,
+    /// Time of its scheduled event, ns, and the attempt of that event.
     due: u64,
-    number: u32,
-    /// Forwarders that know it, with its place there.
+    event_number: u32,
+    /// Forwarders that know it, with its member index there.
     known_to: Vec<(u32, u16)>,
     drains: bool,
-    /// When it last started, and what came in the last second, ns; until it is warm.
-    born: Option<u64>,
-    lately: VecDeque<u64>,
+    /// When it last started, and arrivals within the last second, ns; only until it is warm.
+    started: Option<u64>,
+    recent_arrivals: VecDeque<u64>,
 }
 
-struct Front {
+struct Forwarder {
     fleet: Fleet,
-    /// Places of the members it knows.
+    /// Node indices of the members it knows.
     members: Vec<u32>,
-    /// Its clock is ahead by this.
-    ahead: u64,
+    /// How far its clock is ahead, ns.
+    clock_offset: u64,
 }
 
 struct World<'p> {
     plan: &'p Plan,
     queue: Queue<Event>,
-    /// Until their outer limit.
+    /// Jobs until their deadline.
     jobs: HashMap<u32, Job>,
     next_job: u32,
-    /// Jobs without an end.
-    live: u64,
-    tickets: HashMap<u32, Ticket>,
-    next_ticket: u32,
-    tries: HashMap<u32, Try>,
-    next_try: u32,
-    places: Vec<Place>,
-    fronts: Vec<Front>,
-    /// Chance of jobs, of the network, of habits.
-    job_chance: WyRand,
-    net_chance: WyRand,
-    habit_chance: WyRand,
-    /// Tickets a second now, and which change of load that is.
+    /// Number of jobs that have not ended.
+    live_jobs: u64,
+    requests: HashMap<u32, Request>,
+    next_request: u32,
+    attempts: HashMap<u32, Attempt>,
+    next_attempt: u32,
+    nodes: Vec<NodeState>,
+    forwarders: Vec<Forwarder>,
+    /// Random streams of jobs, network and client behaviour.
+    job_rng: WyRand,
+    net_rng: WyRand,
+    client_rng: WyRand,
+    /// Current rate in jobs per second, and the attempt of rate changes so far.
     rate: f64,
-    loads: u32,
+    rate_changes: u32,
     load: f64,
-    /// By tenant: what floods make of its part.
+    /// Load factor of each tenant, raised by floods.
     floods: Vec<f64>,
     partitions: u32,
-    /// The node that each dispatcher asked last, where it goes to them itself.
-    turns: Vec<u32>,
-    /// Nodes that each fault meets.
-    met: Vec<Vec<u32>>,
-    rules: InvariantChecker,
+    /// The node that each client used last, if there are no forwarders.
+    last_nodes: Vec<u32>,
+    /// Nodes affected by each fault.
+    affected: Vec<Vec<u32>>,
+    checker: InvariantChecker,
     measured: Measured,
-    under: Vec<Under>,
+    downstream: Vec<DownstreamNode>,
     calls: HashMap<u32, Call>,
-    /// The call that each try has out.
+    /// The call in flight of each attempt.
     call_of: HashMap<u32, u32>,
     next_call: u32,
-    /// The configuration's shares, and its rate.
+    /// Shares of the tenants that are configured.
     shares: Vec<f64>,
-    tenant_marks: Vec<u64>,
+    tenant_hashes: Vec<u64>,
 }
 
-/// Plays a plan.
+/// Runs a plan.
 ///
 /// # Errors
-/// What in the plan makes no sense. A rule that breaks is no error here: it is told in what was measured.
+/// If the plan is invalid. The violation of an invariant is not an error; it is part of the measurements.
 pub fn run(plan: &Plan) -> Result<Measured, String> {
     plan.check()?;
     let mut world = World::new(plan)?;
-    world.play();
-    Ok(world.end())
+    world.run_events();
+    Ok(world.finish())
 }
 
-fn unit(chance: &mut WyRand) -> f64 {
-    f64::from(chance.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
+fn random_unit(rng: &mut WyRand) -> f64 {
+    f64::from(rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
 }
 
-fn drawn(work: Work, chance: &mut WyRand) -> u64 {
+fn sample_work(work: Work, rng: &mut WyRand) -> u64 {
     let span = match work {
         Work::Fixed(span) => span.as_secs_f64(),
-        Work::Between(least, most) => {
-            least.as_secs_f64() + (most - least).as_secs_f64() * unit(chance)
+        Work::Between(shortest, longest) => {
+            shortest.as_secs_f64() + (longest - shortest).as_secs_f64() * random_unit(rng)
         }
-        Work::About(mean) => mean.as_secs_f64() * -(1.0 - unit(chance)).ln(),
+        Work::About(mean) => mean.as_secs_f64() * -(1.0 - random_unit(rng)).ln(),
     };
     (span * 1e9) as u64 + 1
 }
 
-/// What a forwarder that knows these members is configured with; `address`: of a member by its place.
+/// The configuration of a forwarder that knows these members; `address` gives the address of a node by its index.
 pub fn configuration(
     plan: &Plan,
     members: &[u32],
     address: impl Fn(u32) -> String,
 ) -> Configuration {
-    let fronts = &plan.fronts;
+    let forwarders = &plan.fronts;
     let repeat = |kind| match kind {
         Kind::Rerunnable => RepeatKind::Rerunnable,
         Kind::Ticketed => RepeatKind::Ticketed,
         Kind::Exclusive => RepeatKind::Exclusive,
     };
-    let types = plan.types.iter().map(|one| schema::TrafficType {
-        name: one.name.clone(),
-        repeat: repeat(one.kind).into(),
-        goal_ns: ns(one.goal),
-        outer_limit_ns: ns(one.outer_limit),
-        window_ns: ns(one.outer_limit),
+    let types = plan.types.iter().map(|class| schema::TrafficType {
+        name: class.name.clone(),
+        repeat: repeat(class.kind).into(),
+        goal_ns: nanos(class.goal),
+        outer_limit_ns: nanos(class.outer_limit),
+        window_ns: nanos(class.outer_limit),
         benefit: ONE,
         ..schema::TrafficType::default()
     });
-    let known = plan.tenants.iter().filter(|one| !one.stranger);
-    let tenants = known.map(|one| schema::Tenant {
-        name: one.name.clone(),
-        share: (one.share * ONE as f64) as u64,
+    let known = plan.tenants.iter().filter(|tenant| !tenant.stranger);
+    let tenants = known.map(|tenant| schema::Tenant {
+        name: tenant.name.clone(),
+        share: (tenant.share * ONE as f64) as u64,
         ..schema::Tenant::default()
     });
-    let member = |place: &u32| schema::Member {
-        name: format!("n{place}"),
-        address: address(*place),
-        zone: format!("hall-{}", place % plan.nodes.halls),
+    let member = |node: &u32| schema::Member {
+        name: format!("n{node}"),
+        address: address(*node),
+        zone: format!("hall-{}", node % plan.nodes.halls),
         weight: ONE,
-        warm_up_ns: plan.nodes.cold.map_or(0, |(span, _)| ns(span)),
+        warm_up_ns: plan.nodes.cold.map_or(0, |(span, _)| nanos(span)),
     };
     let attempts = |name: &str, proof: Proof| schema::Attempts {
         name: name.into(),
-        tries: u64::from(fronts.tries.max(1)),
-        budget: (fronts.budget * ONE as f64) as u64,
-        wait_least_ns: ns(fronts.wait.0),
-        wait_most_ns: ns(fronts.wait.1),
+        tries: u64::from(forwarders.tries.max(1)),
+        budget: (forwarders.budget * ONE as f64) as u64,
+        wait_least_ns: nanos(forwarders.wait.0),
+        wait_most_ns: nanos(forwarders.wait.1),
         proof: proof.into(),
     };
     let route = |name: &str, kind: Option<Kind>, attempts: &str| schema::Route {
@@ -284,8 +294,8 @@
             types: plan
                 .types
                 .iter()
-                .filter(|one| one.kind == kind)
-                .map(|one| one.name.clone())
+                .filter(|class| class.kind == kind)
+                .map(|class| class.name.clone())
                 .collect(),
             ..schema::Match::default()
         }),
@@ -302,12 +312,12 @@
         ("exclusive", Kind::Exclusive, "proved"),
         ("ticketed", Kind::Ticketed, "marked"),
     ] {
-        if plan.types.iter().any(|one| one.kind == kind) {
+        if plan.types.iter().any(|class| class.kind == kind) {
             routes.push(route(name, Some(kind), attempts));
         }
     }
     routes.push(route("rest", None, "any"));
-    let health = fronts.keep.map(|keep| schema::Health {
+    let health = forwarders.keep.map(|keep| schema::Health {
         name: "usual".into(),
         out_after: 5,
         out_share: ONE / 2,
@@ -323,22 +333,22 @@
         members: members.iter().map(member).collect(),
         health: health
             .as_ref()
-            .map_or(String::new(), |one| one.name.clone()),
-        limits: if fronts.at_once > 0 {
+            .map_or(String::new(), |health| health.name.clone()),
+        limits: if forwarders.at_once > 0 {
             "toward".into()
         } else {
             String::new()
         },
-        warm_rate: (fronts.warm_rate > 0).then(|| schema::Rate {
-            micro_tickets: fronts.warm_rate * ONE,
-            per_ns: ns(SECOND),
+        warm_rate: (forwarders.warm_rate > 0).then(|| schema::Rate {
+            micro_tickets: forwarders.warm_rate * ONE,
+            per_ns: nanos(RATE_WINDOW),
         }),
-        senders: u64::from(fronts.count),
+        senders: u64::from(forwarders.count),
         ..schema::Pool::default()
     };
-    let toward = schema::Limits {
+    let member_limits = schema::Limits {
         name: "toward".into(),
-        at_once: fronts.at_once,
+        at_once: forwarders.at_once,
         ..schema::Limits::default()
     };
     Configuration {
@@ -346,8 +356,8 @@
         types: types.collect(),
         tenants: tenants.collect(),
         pools: vec![pool],
-        limits: if fronts.at_once > 0 {
-            vec![toward]
+        limits: if forwarders.at_once > 0 {
+            vec![member_limits]
         } else {
             Vec::new()
         },
@@ -362,67 +372,67 @@
     }
 }
 
-fn under(plan: &Plan) -> Under {
+fn downstream_node(plan: &Plan) -> DownstreamNode {
     let cores = plan.below.map_or(1, |below| below.at_once);
-    Under {
+    DownstreamNode {
         machine: Machine::new(cores, 0.0),
-        held: VecDeque::new(),
+        queue: VecDeque::new(),
         alive: true,
         due: u64::MAX,
-        number: 0,
+        event_number: 0,
     }
 }
 
-/// The nodes that each fault meets, settled before anything happens.
+/// The nodes affected by each fault, chosen before the run starts.
 pub fn meets(plan: &Plan) -> Vec<Vec<u32>> {
     let count = plan.nodes.count;
-    let mut chance = WyRand::new_seed(plan.seed ^ 0x6661_756c);
-    let met = |fault: &Fault| {
+    let mut rng = WyRand::new_seed(plan.seed ^ 0x6661_756c);
+    let affected_nodes = |fault: &Fault| {
         let mut all: Vec<u32> = (0..count).collect();
-        let mut met = match fault.whom {
+        let mut affected = match fault.whom {
             Whom::Share(share) => {
-                chance.shuffle(&mut all);
+                rng.shuffle(&mut all);
                 all.truncate((f64::from(count) * share).round() as usize);
                 all
             }
             Whom::First(first) => (0..first.min(count)).collect(),
             Whom::Hall(hall) => all
                 .into_iter()
-                .filter(|k| k % plan.nodes.halls == hall)
+                .filter(|node| node % plan.nodes.halls == hall)
                 .collect(),
         };
-        met.sort_unstable();
-        met
+        affected.sort_unstable();
+        affected
     };
-    plan.faults.iter().map(met).collect()
+    plan.faults.iter().map(affected_nodes).collect()
 }
 
-fn address(place: u32) -> String {
+fn address(node: u32) -> String {
     format!(
         "10.{}.{}.{}:5050",
-        place >> 16,
-        (place >> 8) & 255,
-        place & 255
+        node >> 16,
+        (node >> 8) & 255,
+        node & 255
     )
 }
 
 impl<'p> World<'p> {
     fn new(plan: &'p Plan) -> Result<Self, String> {
-        let known: Vec<f64> = plan
+        let shares: Vec<f64> = plan
             .tenants
             .iter()
-            .filter(|one| !one.stranger)
-            .map(|one| one.share)
+            .filter(|tenant| !tenant.stranger)
+            .map(|tenant| tenant.share)
             .collect();
         let count = plan.nodes.count;
-        let whole = plan.whole_rate();
-        let place = |k: u32| Place {
-            node: Node::new(
+        let capacity = plan.whole_rate();
+        let new_node = |index: u32| NodeState {
+            process: Node::new(
                 &plan.nodes,
                 &plan.types,
-                &known,
-                whole,
-                plan.seed ^ u64::from(k),
+                &shares,
+                capacity,
+                plan.seed ^ u64::from(index),
                 0,
                 false,
             ),
@@ -430,48 +440,53 @@
             died: 0,
             hangs: false,
             stuck: Vec::new(),
-            lies: None,
-            fails: None,
+            false_rejection: None,
+            fails_after: None,
             due: u64::MAX,
-            number: 0,
+            event_number: 0,
             known_to: Vec::new(),
             drains: false,
-            born: None,
-            lately: VecDeque::new(),
+            started: None,
+            recent_arrivals: VecDeque::new(),
         };
-        let mut places: Vec<Place> = (0..count).map(place).collect();
-        let mut fronts = Vec::new();
-        for me in 0..plan.fronts.count {
+        let mut nodes: Vec<NodeState> = (0..count).map(new_node).collect();
+        let mut forwarders = Vec::new();
+        for forwarder in 0..plan.fronts.count {
             let know = plan.fronts.know as usize;
-            let members: Vec<u32> = in_rounds(count as usize, know, me as usize, plan.seed)
+            let members: Vec<u32> = in_rounds(count as usize, know, forwarder as usize, plan.seed)
                 .into_iter()
-                .map(|k| k as u32)
+                .map(|node| node as u32)
                 .collect();
-            let made = configuration(plan, &members, address);
-            let zone = format!("hall-{}", me % plan.nodes.halls);
+            let configuration = configuration(plan, &members, address);
+            let zone = format!("hall-{}", forwarder % plan.nodes.halls);
             let zone = if plan.nodes.halls > 1 { &*zone } else { "" };
-            let seed = plan.seed.wrapping_mul(31).wrapping_add(u64::from(me));
-            let mut fleet =
-                Fleet::new(&made, zone, seed, Duration::ZERO).map_err(|e| e.to_string())?;
+            let seed = plan
+                .seed
+                .wrapping_mul(31)
+                .wrapping_add(u64::from(forwarder));
+            let mut fleet = Fleet::new(&configuration, zone, seed, Duration::ZERO)
+                .map_err(|e| e.to_string())?;
             fleet.set_selection_policy(match plan.fronts.pick {
                 Pick::TwoChoices => member_selection::SelectionPolicy::TwoChoices,
                 Pick::LeastKnown => member_selection::SelectionPolicy::LeastLoaded,
-                Pick::InTurn => member_selection::SelectionPolicy::RoundRobin(me),
+                Pick::InTurn => member_selection::SelectionPolicy::RoundRobin(forwarder),
             });
-            for (at, place) in members.iter().enumerate() {
-                places[*place as usize].known_to.push((me, at as u16));
-                fleet.on_connected(&address(*place), Duration::ZERO, Duration::ZERO);
+            for (member, node) in members.iter().enumerate() {
+                nodes[*node as usize]
+                    .known_to
+                    .push((forwarder, member as u16));
+                fleet.on_connected(&address(*node), Duration::ZERO, Duration::ZERO);
             }
-            fronts.push(Front {
+            forwarders.push(Forwarder {
                 fleet,
                 members,
-                ahead: 0,
+                clock_offset: 0,
             });
         }
-        let longest = plan
+        let max_deadline = plan
             .types
             .iter()
-            .map(|one| one.outer_limit)
+            .map(|class| class.outer_limit)
             .max()
             .unwrap_or_default();
         let mut world = Self {
@@ -479,117 +494,129 @@
             queue: Queue::default(),
             jobs: HashMap::new(),
             next_job: 0,
-            live: 0,
-            tickets: HashMap::new(),
-            next_ticket: 0,
-            tries: HashMap::new(),
-            next_try: 0,
-            places,
-            fronts,
-            job_chance: WyRand::new_seed(plan.seed),
-            net_chance: WyRand::new_seed(plan.seed ^ 0x6e65_7477),
-            habit_chance: WyRand::new_seed(plan.seed ^ 0x6861_6269),
+            live_jobs: 0,
+            requests: HashMap::new(),
+            next_request: 0,
+            attempts: HashMap::new(),
+            next_attempt: 0,
+            nodes,
+            forwarders,
+            job_rng: WyRand::new_seed(plan.seed),
+            net_rng: WyRand::new_seed(plan.seed ^ 0x6e65_7477),
+            client_rng: WyRand::new_seed(plan.seed ^ 0x6861_6269),
             rate: 0.0,
-            loads: 0,
+            rate_changes: 0,
             load: 0.0,
             floods: vec![1.0; plan.tenants.len()],
             partitions: 0,
-            turns: (0..plan.dispatchers).collect(),
-            met: meets(plan),
-            // A run may come as late as the longest hang; then nobody asks for it.
-            rules: InvariantChecker::with_retention(longest * 2),
+            last_nodes: (0..plan.dispatchers).collect(),
+            affected: meets(plan),
+            // A run may start as late as the end of the longest hang; nothing refers to its request after that.
+            checker: InvariantChecker::with_retention(max_deadline * 2),
             measured: Measured::new(
                 plan.seed,
                 plan.types.len(),
                 plan.tenants.len(),
                 count as usize,
             ),
-            under: (0..plan.below.map_or(0, |below| below.count))
-                .map(|_| under(plan))
+            downstream: (0..plan.below.map_or(0, |below| below.count))
+                .map(|_| downstream_node(plan))
                 .collect(),
             calls: HashMap::new(),
             call_of: HashMap::new(),
             next_call: 0,
-            shares: known,
-            tenant_marks: plan
+            shares,
+            tenant_hashes: plan
                 .tenants
                 .iter()
-                .map(|one| name_hash(&one.name))
+                .map(|tenant| name_hash(&tenant.name))
                 .collect(),
         };
-        for place in 0..count {
-            world.schedule(place);
+        for node in 0..count {
+            world.schedule_node(node);
         }
-        for me in 0..plan.fronts.count {
-            // Not all at one instant.
-            world.queue.at(
-                LOOK * u64::from(me) / u64::from(plan.fronts.count),
-                Event::Look(me),
+        for forwarder in 0..plan.fronts.count {
+            // Ticks are spread so that they do not coincide.
+            world.queue.push_at(
+                TICK_INTERVAL_NS * u64::from(forwarder) / u64::from(plan.fronts.count),
+                Event::ForwarderTick(forwarder),
             );
         }
-        world.queue.at(RULES_LOOK, Event::Rules);
+        world
+            .queue
+            .push_at(INVARIANT_CHECK_INTERVAL_NS, Event::InvariantCheck);
         for (k, (at, _)) in plan.load.iter().enumerate() {
-            world.queue.at(ns(*at), Event::Load(k as u32));
+            world.queue.push_at(nanos(*at), Event::LoadChange(k as u32));
         }
         for (k, fault) in plan.faults.iter().enumerate() {
-            world.queue.at(ns(fault.from), Event::Fault(k as u32, true));
-            world.queue.at(ns(fault.to), Event::Fault(k as u32, false));
+            world
+                .queue
+                .push_at(nanos(fault.from), Event::Fault(k as u32, true));
+            world
+                .queue
+                .push_at(nanos(fault.to), Event::Fault(k as u32, false));
         }
         Ok(world)
     }
 
-    fn play(&mut self) {
-        let end = ns(self.plan.lasts + AFTER);
-        while let Some(event) = self.queue.next(end) {
+    fn run_events(&mut self) {
+        let end = nanos(self.plan.lasts + DRAIN_TIME);
+        while let Some(event) = self.queue.pop_before(end) {
             self.measured.events += 1;
-            self.measured.most_waiting = self.measured.most_waiting.max(self.queue.len() as u64);
-            self.measured.most_tickets = self.measured.most_tickets.max(self.tickets.len() as u64);
-            let over =
-                self.queue.now() > ns(self.plan.lasts) && self.tickets.is_empty() && self.live == 0;
-            if over || self.measured.broken.is_some() {
+            self.measured.max_queued_events =
+                self.measured.max_queued_events.max(self.queue.len() as u64);
+            self.measured.max_requests = self.measured.max_requests.max(self.requests.len() as u64);
+            let finished = self.queue.now() > nanos(self.plan.lasts)
+                && self.requests.is_empty()
+                && self.live_jobs == 0;
+            if finished || self.measured.broken.is_some() {
                 break;
             }
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    fn end(mut self) -> Measured {
+    fn finish(mut self) -> Measured {
         let now = self.queue.now();
         if self.plan.check && self.measured.broken.is_none() {
-            self.measured.broken = self.rules.finish(Duration::from_nanos(now)).err();
+            self.measured.broken = self.checker.finish(Duration::from_nanos(now)).err();
         }
-        for (k, place) in self.places.iter_mut().enumerate() {
-            self.measured.node_busy_ms[k] += place.node.used_ms(now);
+        for (index, state) in self.nodes.iter_mut().enumerate() {
+            self.measured.node_busy_ms[index] += state.process.used_ms(now);
         }
-        for front in &self.fronts {
-            let counts = front.fleet.counts();
-            self.measured.first_tries += counts.first_attempts;
-            self.measured.further_tries += counts.retries;
+        for forwarder in &self.forwarders {
+            let counts = forwarder.fleet.counts();
+            self.measured.first_attempts += counts.first_attempts;
+            self.measured.retries += counts.retries;
         }
-        // Jobs that the end of the run met without an end.
-        for job in self.jobs.values().filter(|job| !job.over) {
-            self.measured.by_type[usize::from(job.traffic)].ended(JobEnd::GivenUp);
-            self.measured.by_tenant[usize::from(job.tenant)].ended(JobEnd::GivenUp);
-            self.measured.second(job.born).jobs.ended(JobEnd::GivenUp);
+        // Jobs that have not ended when the run ends.
+        for job in self.jobs.values().filter(|job| !job.ended) {
+            self.measured.by_type[usize::from(job.class)].record_end(JobEnd::Failed);
+            self.measured.by_tenant[usize::from(job.tenant)].record_end(JobEnd::Failed);
+            self.measured
+                .second(job.started)
+                .jobs
+                .record_end(JobEnd::Failed);
         }
         self.measured
     }
 
-    fn saw(&mut self, ticket: u32, step: Saw) {
+    /// Reports a step of a request to the invariant checker.
+    fn record_step(&mut self, request: u32, step: Step) {
         if self.plan.check {
             let at = Duration::from_nanos(self.queue.now());
-            if let Err(broken) = self.rules.record(at, u64::from(ticket), step) {
+            if let Err(broken) = self.checker.record(at, u64::from(request), step) {
                 self.measured.broken.get_or_insert(broken);
             }
         }
     }
 
-    /// One way between two halls; none if they do not reach one another.
-    fn way(&mut self, from: u32, to: u32) -> Option<u64> {
+    /// One-way delay between two zones, ns; none across a partition.
+    fn network_delay(&mut self, from: u32, to: u32) -> Option<u64> {
         let net = &self.plan.net;
-        let (least, most) = net.delay;
+        let (min, max) = net.delay;
         let mut span =
-            least.as_secs_f64() + (most - least).as_secs_f64() * unit(&mut self.net_chance);
+            min.as_secs_f64() + (max - min).as_secs_f64() * random_unit(&mut self.net_rng);
         if from != to {
             if self.partitions > 0 {
                 return None;
@@ -599,116 +626,121 @@
         Some((span * 1e9) as u64)
     }
 
-    fn hall(&self, place: u32) -> u32 {
-        place % self.plan.nodes.halls
+    fn zone_of_node(&self, node: u32) -> u32 {
+        node % self.plan.nodes.halls
     }
 
-    /// Where a ticket's sender stands: a forwarder's hall, or the dispatcher's.
-    fn hall_of(&self, ticket: &Ticket) -> u32 {
-        let dispatcher = ticket.job % self.plan.dispatchers;
-        let at = if ticket.front == NOBODY {
-            dispatcher
+    /// Zone of the sender of a request: its forwarder's, or its client's.
+    fn sender_zone(&self, request: &Request) -> u32 {
+        let client = request.job % self.plan.dispatchers;
+        let sender = if request.forwarder == NO_ID {
+            client
         } else {
-            ticket.front
+            request.forwarder
         };
-        at % self.plan.nodes.halls
+        sender % self.plan.nodes.halls
     }
 
-    /// Puts a node's next event into the queue, if it has become another.
-    fn schedule(&mut self, place: u32) {
+    /// Schedules a node's next event if its time has changed.
+    fn schedule_node(&mut self, node: u32) {
         let now = self.queue.now();
-        let one = &mut self.places[place as usize];
-        let due = if one.alive {
-            one.node.due(now).unwrap_or(u64::MAX)
+        let state = &mut self.nodes[node as usize];
+        let due = if state.alive {
+            state.process.next_event(now).unwrap_or(u64::MAX)
         } else {
             u64::MAX
         };
-        if due != one.due {
-            one.due = due;
-            one.number = one.number.wrapping_add(1);
+        if due != state.due {
+            state.due = due;
+            state.event_number = state.event_number.wrapping_add(1);
             if due < u64::MAX {
-                self.queue.at(due, Event::Due(place, one.number));
+                self.queue
+                    .push_at(due, Event::NodeDue(node, state.event_number));
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.queue.now();
         match event {
-            Event::Job(load) if load == self.loads => self.job(now),
-            Event::Job(_) => {}
-            Event::Arrives(ticket) => self.arrives(now, ticket),
-            Event::AtNode(number) => self.at_node(now, number),
-            Event::Due(place, number) => {
-                let one = &mut self.places[place as usize];
-                if one.alive && one.number == number {
-                    one.due = u64::MAX;
-                    one.node.look(now);
-                    self.hear(place);
+            Event::JobArrival(change) if change == self.rate_changes => self.start_job(now),
+            Event::JobArrival(_) => {}
+            Event::RequestArrival(request) => self.request_arrives(now, request),
+            Event::AttemptArrival(attempt) => self.attempt_arrives(now, attempt),
+            Event::NodeDue(node, event_number) => {
+                let state = &mut self.nodes[node as usize];
+                if state.alive && state.event_number == event_number {
+                    state.due = u64::MAX;
+                    state.process.on_due(now);
+                    self.handle_node_events(node);
                 }
             }
-            Event::Word(number, back) => self.word(now, number, back),
-            Event::Cut(number) => {
-                if self.tries.get(&number).is_some_and(|one| !one.over) {
-                    self.nobody_waits(number);
-                    self.word(now, number, AttemptOutcome::TimedOut);
+            Event::AttemptEnded(attempt, outcome) => self.attempt_ended(now, attempt, outcome),
+            Event::AttemptTimeout(attempt) => {
+                if self.attempts.get(&attempt).is_some_and(|sent| !sent.ended) {
+                    self.notify_caller_gone(attempt);
+                    self.attempt_ended(now, attempt, AttemptOutcome::TimedOut);
                 }
             }
-            Event::Again(ticket) => {
-                let trip = self
-                    .tickets
-                    .get_mut(&ticket)
-                    .and_then(|one| one.trip.take());
-                if let Some(trip) = trip {
-                    let front = self.tickets[&ticket].front;
-                    let at = self.clock(front);
-                    let step = self.fronts[front as usize].fleet.on_retry_due(at, trip);
-                    self.follow(now, ticket, step);
+            Event::RetryDue(request) => {
+                let request_state = self
+                    .requests
+                    .get_mut(&request)
+                    .and_then(|known| known.state.take());
+                if let Some(request_state) = request_state {
+                    let forwarder = self.requests[&request].forwarder;
+                    let at = self.forwarder_clock(forwarder);
+                    let action = self.forwarders[forwarder as usize]
+                        .fleet
+                        .on_retry_due(at, request_state);
+                    self.execute_action(now, request, action);
                 }
             }
-            Event::Told(ticket, end) => self.told(now, ticket, end),
-            Event::Returns(job) => {
-                if self.jobs.get(&job).is_some_and(|one| !one.over) {
-                    self.ask(now, job, true);
+            Event::RequestEnded(request, outcome) => self.request_ended(now, request, outcome),
+            Event::ClientRetry(job) => {
+                if self.jobs.get(&job).is_some_and(|known| !known.ended) {
+                    self.send_request(now, job, true);
                 }
             }
-            Event::Copy(job) => {
-                let tries = self.plan.habits.tries;
-                let waits = |one: &Job| !one.over && !one.open.is_empty() && one.tries < tries;
-                if self.jobs.get(&job).is_some_and(waits) {
-                    self.ask(now, job, true);
+            Event::HedgeDue(job) => {
+                let limit = self.plan.habits.tries;
+                let may_hedge =
+                    |job: &Job| !job.ended && !job.open.is_empty() && job.requests_sent < limit;
+                if self.jobs.get(&job).is_some_and(may_hedge) {
+                    self.send_request(now, job, true);
                 }
             }
-            Event::Deadline(job) => self.limit(job),
-            Event::Leaves(place, number) => {
-                let one = &mut self.places[place as usize];
-                if one.alive && !one.hangs {
-                    one.node.left(now, number);
-                    self.hear(place);
+            Event::JobDeadline(job) => self.job_deadline(job),
+            Event::CallerGone(node, attempt) => {
+                let state = &mut self.nodes[node as usize];
+                if state.alive && !state.hangs {
+                    state.process.on_caller_gone(now, attempt);
+                    self.handle_node_events(node);
                 }
-                // Nothing more can come of one whose run was cut.
-                if self.tries.get(&number).is_some_and(|one| one.over) {
-                    self.tries.remove(&number);
+                // An attempt that was cancelled reports nothing more.
+                if self.attempts.get(&attempt).is_some_and(|sent| sent.ended) {
+                    self.attempts.remove(&attempt);
                 }
             }
-            Event::Look(me) => {
-                let at = self.clock(me);
-                let _ = self.fronts[me as usize].fleet.tick(at);
-                self.queue.after(LOOK, Event::Look(me));
+            Event::ForwarderTick(forwarder) => {
+                let at = self.forwarder_clock(forwarder);
+                let _ = self.forwarders[forwarder as usize].fleet.tick(at);
+                self.queue
+                    .push_after(TICK_INTERVAL_NS, Event::ForwarderTick(forwarder));
             }
-            Event::Rules => {
+            Event::InvariantCheck => {
                 if self.plan.check {
                     let at = Duration::from_nanos(now);
-                    if let Err(broken) = self.rules.check_deadlines(at) {
+                    if let Err(broken) = self.checker.check_deadlines(at) {
                         self.measured.broken.get_or_insert(broken);
                     }
-                    for front in &self.fronts {
-                        let counts = front.fleet.counts();
-                        let (first, further) = (counts.first_attempts, counts.retries);
-                        let found = self.rules.check_retry_budget(
+                    for forwarder in &self.forwarders {
+                        let counts = forwarder.fleet.counts();
+                        let (first_attempts, retries) = (counts.first_attempts, counts.retries);
+                        let found = self.checker.check_retry_budget(
                             at,
-                            first,
-                            further,
+                            first_attempts,
+                            retries,
                             self.plan.fronts.budget,
                             INITIAL_RETRIES,
                         );
@@ -717,283 +749,304 @@
                         }
                     }
                 }
-                self.queue.after(RULES_LOOK, Event::Rules);
+                self.queue
+                    .push_after(INVARIANT_CHECK_INTERVAL_NS, Event::InvariantCheck);
             }
-            Event::Load(k) => {
+            Event::LoadChange(k) => {
                 self.load = self.plan.load[k as usize].1;
-                self.new_rate();
+                self.update_rate();
             }
-            Event::Fault(k, begins) => self.fault(now, k, begins),
-            Event::Deploy(k, at) => self.deploy(k, at),
-            Event::Restarts(place) => self.starts(now, place),
-            Event::AtBelow(call) => self.at_below(now, call),
-            Event::CallBack(call, outcome) => {
-                let Some(one) = self.calls.remove(&call) else {
+            Event::Fault(k, begins) => self.apply_fault(now, k, begins),
+            Event::Deploy(fault, step) => self.deploy_next(fault, step),
+            Event::NodeRestart(node) => self.start_node(now, node),
+            Event::CallArrival(call) => self.call_arrives(now, call),
+            Event::CallEnded(call, outcome) => {
+                let Some(finished) = self.calls.remove(&call) else {
                     return;
                 };
-                self.call_of.remove(&one.number);
+                self.call_of.remove(&finished.attempt);
                 self.measured.second(now).calls_done += u64::from(outcome == Outcome::Succeeded);
-                let place = &mut self.places[one.place as usize];
-                if place.alive {
-                    place.node.call_back(now, one.number, outcome);
-                    self.hear(one.place);
+                let state = &mut self.nodes[finished.node as usize];
+                if state.alive {
+                    state
+                        .process
+                        .on_call_finished(now, finished.attempt, outcome);
+                    self.handle_node_events(finished.node);
                 }
             }
-            Event::CallCut(call) => {
+            Event::CallTimeout(call) => {
                 if self.calls.contains_key(&call) {
-                    self.forget_call(now, call);
+                    self.cancel_call(now, call);
                     self.queue
-                        .after(0, Event::CallBack(call, Outcome::TimedOut));
+                        .push_after(0, Event::CallEnded(call, Outcome::TimedOut));
                 }
             }
-            Event::BelowDue(at, number) => {
-                if self.under[at as usize].number == number {
-                    self.under[at as usize].due = u64::MAX;
-                    self.below_ends(now, at);
+            Event::DownstreamDue(index, event_number) => {
+                if self.downstream[index as usize].event_number == event_number {
+                    self.downstream[index as usize].due = u64::MAX;
+                    self.finish_calls(now, index);
                 }
             }
         }
     }
 
-    /// A forwarder's clock.
-    fn clock(&self, front: u32) -> Duration {
-        Duration::from_nanos(self.queue.now() + self.fronts[front as usize].ahead)
+    /// Time on a forwarder's clock.
+    fn forwarder_clock(&self, forwarder: u32) -> Duration {
+        Duration::from_nanos(self.queue.now() + self.forwarders[forwarder as usize].clock_offset)
     }
 
-    fn new_rate(&mut self) {
-        let parts: f64 = self.plan.tenants.iter().map(|one| one.part).sum();
+    /// Recomputes the rate of jobs after a change of load or a flood.
+    fn update_rate(&mut self) {
+        let total: f64 = self.plan.tenants.iter().map(|tenant| tenant.part).sum();
         let flooded: f64 = self
             .plan
             .tenants
             .iter()
             .zip(&self.floods)
-            .map(|(one, flood)| one.part * flood)
+            .map(|(tenant, flood)| tenant.part * flood)
             .sum();
-        self.rate = self.load * self.plan.whole_rate() * flooded / parts.max(1e-9);
-        self.loads += 1;
-        self.next_job();
+        self.rate = self.load * self.plan.whole_rate() * flooded / total.max(1e-9);
+        self.rate_changes += 1;
+        self.schedule_next_job();
     }
 
-    fn next_job(&mut self) {
+    fn schedule_next_job(&mut self) {
         if self.rate > 0.0 {
-            let gap = -(1.0 - unit(&mut self.job_chance)).ln() / self.rate;
+            let gap = -(1.0 - random_unit(&mut self.job_rng)).ln() / self.rate;
             let at = self.queue.now() + (gap * 1e9) as u64;
-            if at < ns(self.plan.lasts) {
-                self.queue.at(at, Event::Job(self.loads));
+            if at < nanos(self.plan.lasts) {
+                self.queue.push_at(at, Event::JobArrival(self.rate_changes));
             }
         }
     }
 
-    /// One of some by their parts.
-    fn one_of(chance: &mut WyRand, parts: impl Iterator<Item = f64> + Clone) -> u16 {
-        let mut left = unit(chance) * parts.clone().sum::<f64>();
-        let mut last = 0;
-        for (k, part) in parts.enumerate().filter(|(_, part)| *part > 0.0) {
-            last = k;
-            if left < part {
+    /// Random index, weighted by `weights`.
+    fn weighted_choice(rng: &mut WyRand, weights: impl Iterator<Item = f64> + Clone) -> u16 {
+        let mut remaining = random_unit(rng) * weights.clone().sum::<f64>();
+        let mut chosen = 0;
+        for (index, weight) in weights.enumerate().filter(|(_, weight)| *weight > 0.0) {
+            chosen = index;
+            if remaining < weight {
                 break;
             }
-            left -= part;
+            remaining -= weight;
         }
-        last as u16
+        chosen as u16
     }
 
-    fn job(&mut self, now: u64) {
+    /// Creates a job, sends its first request and schedules the next job.
+    fn start_job(&mut self, now: u64) {
         let plan = self.plan;
         let tenants = plan
             .tenants
             .iter()
             .zip(&self.floods)
-            .map(|(one, flood)| one.part * flood);
-        let tenant = Self::one_of(&mut self.job_chance, tenants);
-        let traffic = Self::one_of(&mut self.job_chance, plan.types.iter().map(|one| one.part));
-        let kind = &plan.types[usize::from(traffic)];
-        let work = drawn(kind.work, &mut self.job_chance);
+            .map(|(tenant, flood)| tenant.part * flood);
+        let tenant = Self::weighted_choice(&mut self.job_rng, tenants);
+        let class =
+            Self::weighted_choice(&mut self.job_rng, plan.types.iter().map(|class| class.part));
+        let class_plan = &plan.types[usize::from(class)];
+        let work = sample_work(class_plan.work, &mut self.job_rng);
         let job = self.next_job;
         self.next_job += 1;
-        self.live += 1;
-        let made = Job {
-            traffic,
+        self.live_jobs += 1;
+        let new_job = Job {
+            class,
             tenant,
             work,
-            born: now,
-            tries: 0,
+            started: now,
+            requests_sent: 0,
             open: Vec::new(),
             may_have_run: false,
-            over: false,
+            ended: false,
         };
-        self.jobs.insert(job, made);
-        self.measured.by_type[usize::from(traffic)].asked += 1;
+        self.jobs.insert(job, new_job);
+        self.measured.by_type[usize::from(class)].asked += 1;
         self.measured.by_tenant[usize::from(tenant)].asked += 1;
         self.measured.second(now).jobs.asked += 1;
-        self.queue.after(ns(kind.outer_limit), Event::Deadline(job));
-        if let Some(span) = plan
+        self.queue
+            .push_after(nanos(class_plan.outer_limit), Event::JobDeadline(job));
+        if let Some(delay) = plan
             .habits
             .second_copy
-            .filter(|_| kind.kind == Kind::Rerunnable)
+            .filter(|_| class_plan.kind == Kind::Rerunnable)
         {
-            self.queue.after(ns(span), Event::Copy(job));
+            self.queue.push_after(nanos(delay), Event::HedgeDue(job));
         }
-        self.ask(now, job, false);
-        self.next_job();
+        self.send_request(now, job, false);
+        self.schedule_next_job();
     }
 
-    /// A dispatcher sends a ticket for a job.
-    fn ask(&mut self, now: u64, job: u32, again: bool) {
+    /// A client sends a request for a job.
+    fn send_request(&mut self, now: u64, job: u32, is_retry: bool) {
         let plan = self.plan;
-        let ticket = self.next_ticket;
-        let Some(one) = self.jobs.get_mut(&job) else {
+        let request = self.next_request;
+        let Some(job_state) = self.jobs.get_mut(&job) else {
             return;
         };
-        self.next_ticket += 1;
-        one.tries += 1;
-        one.open.push(ticket);
-        let kind = &plan.types[usize::from(one.traffic)];
-        let due = Duration::from_nanos(now) + kind.outer_limit + WAY_BACK;
-        let again = again && plan.habits.marks;
-        let front = if self.fronts.is_empty() {
-            NOBODY
+        self.next_request += 1;
+        job_state.requests_sent += 1;
+        job_state.open.push(request);
+        let class = &plan.types[usize::from(job_state.class)];
+        let due = Duration::from_nanos(now) + class.outer_limit + ANSWER_GRACE;
+        let is_retry = is_retry && plan.habits.marks;
+        let forwarder = if self.forwarders.is_empty() {
+            NO_ID
         } else {
-            (unit(&mut self.habit_chance) * self.fronts.len() as f64) as u32
+            (random_unit(&mut self.client_rng) * self.forwarders.len() as f64) as u32
         };
-        self.tickets.insert(
-            ticket,
-            Ticket {
+        self.requests.insert(
+            request,
+            Request {
                 job,
-                front,
-                again,
-                trip: None,
-                at: NOBODY,
+                forwarder,
+                is_retry,
+                state: None,
+                attempt: NO_ID,
             },
         );
-        self.measured.tickets += 1;
-        self.saw(
-            ticket,
-            Saw::Asked {
-                kind: kind.kind,
+        self.measured.requests += 1;
+        self.record_step(
+            request,
+            Step::Asked {
+                kind: class.kind,
                 due,
-                front: if front == NOBODY { 0 } else { front },
+                front: if forwarder == NO_ID { 0 } else { forwarder },
             },
         );
-        let way = self.way(0, 0).unwrap_or(0);
-        self.queue.after(way, Event::Arrives(ticket));
+        let delay = self.network_delay(0, 0).unwrap_or(0);
+        self.queue.push_after(delay, Event::RequestArrival(request));
     }
 
-    fn arrives(&mut self, now: u64, ticket: u32) {
-        let Some(one) = self.tickets.get(&ticket) else {
+    fn request_arrives(&mut self, now: u64, request: u32) {
+        let Some(known) = self.requests.get(&request) else {
             return;
         };
-        let (job, front, again) = (one.job, one.front, one.again);
-        if front == NOBODY {
-            return self.in_turn(now, ticket);
+        let (job, forwarder, is_retry) = (known.job, known.forwarder, known.is_retry);
+        if forwarder == NO_ID {
+            return self.send_round_robin(now, request);
         }
         let Some(job) = self.jobs.get(&job) else {
             return;
         };
         let tenant = &self.plan.tenants[usize::from(job.tenant)];
-        let fleet = &mut self.fronts[front as usize].fleet;
-        let asked = Asked {
+        let fleet = &mut self.forwarders[forwarder as usize].fleet;
+        let routed = RoutedRequest {
             request_class: fleet
                 .table()
-                .request_class(&self.plan.types[usize::from(job.traffic)].name)
+                .request_class(&self.plan.types[usize::from(job.class)].name)
                 .unwrap_or(0),
             tenant: if tenant.stranger {
                 None
             } else {
                 fleet.table().tenant(&tenant.name)
             },
-            tenant_hash: self.tenant_marks[usize::from(job.tenant)],
-            is_retry: again,
-            ..Asked::default()
+            tenant_hash: self.tenant_hashes[usize::from(job.tenant)],
+            is_retry,
+            ..RoutedRequest::default()
         };
-        let at = Duration::from_nanos(now + self.fronts[front as usize].ahead);
-        let step = self.fronts[front as usize].fleet.on_arrival(at, &asked);
-        self.follow(now, ticket, step);
+        let at = Duration::from_nanos(now + self.forwarders[forwarder as usize].clock_offset);
+        let action = self.forwarders[forwarder as usize]
+            .fleet
+            .on_arrival(at, &routed);
+        self.execute_action(now, request, action);
     }
 
-    /// Without forwarders: to the next node of the dispatchers' list.
-    fn in_turn(&mut self, now: u64, ticket: u32) {
+    /// Sends a request directly to the next node of the client's list, if there are no forwarders.
+    fn send_round_robin(&mut self, now: u64, request: u32) {
         let count = self.plan.nodes.count;
-        let (again, job) = (self.tickets[&ticket].again, self.tickets[&ticket].job);
-        let late = ns(self.plan.habits.late_list);
-        // Its list still has those that died lately; if it has nobody else, it asks the next one all the same.
-        let listed = |place: &Place| place.alive || now - place.died <= late;
-        let turn = &mut self.turns[(job % self.plan.dispatchers) as usize];
-        let next = (1..=count).map(|k| (*turn + k) % count);
-        let first = (*turn + 1) % count;
-        *turn = next
+        let (is_retry, job) = (
+            self.requests[&request].is_retry,
+            self.requests[&request].job,
+        );
+        let list_lag = nanos(self.plan.habits.late_list);
+        // The list lags, so it still has nodes that died recently; if it is empty, the next node is used anyway.
+        let is_listed = |state: &NodeState| state.alive || now - state.died <= list_lag;
+        let last = &mut self.last_nodes[(job % self.plan.dispatchers) as usize];
+        let next = (1..=count).map(|k| (*last + k) % count);
+        let first = (*last + 1) % count;
+        *last = next
             .into_iter()
-            .find(|k| listed(&self.places[*k as usize]))
+            .find(|k| is_listed(&self.nodes[*k as usize]))
             .unwrap_or(first);
-        let place = *turn;
-        self.send(now, ticket, place, again);
+        let node = *last;
+        self.send_attempt(now, request, node, is_retry);
     }
 
-    /// Carries out a step of a forwarder.
-    fn follow(&mut self, now: u64, ticket: u32, step: NextAction) {
-        match step {
-            NextAction::Dispatch(trip, send) => {
-                let Some(one) = self.tickets.get_mut(&ticket) else {
+    /// Executes the next action of a forwarder.
+    fn execute_action(&mut self, now: u64, request: u32, action: NextAction) {
+        match action {
+            NextAction::Dispatch(state, send) => {
+                let Some(known) = self.requests.get_mut(&request) else {
                     return;
                 };
-                one.trip = Some(trip);
-                let place = self.fronts[one.front as usize].members[usize::from(send.to.member)];
-                let number = self.send(now, ticket, place, send.is_retry);
-                self.queue.after(ns(send.timeout), Event::Cut(number));
+                known.state = Some(state);
+                let node =
+                    self.forwarders[known.forwarder as usize].members[usize::from(send.to.member)];
+                let attempt = self.send_attempt(now, request, node, send.is_retry);
+                self.queue
+                    .push_after(nanos(send.timeout), Event::AttemptTimeout(attempt));
             }
-            NextAction::Backoff(trip, wait) => {
-                if let Some(one) = self.tickets.get_mut(&ticket) {
-                    (one.trip, one.at) = (Some(trip), NOBODY);
-                    self.queue.after(ns(wait), Event::Again(ticket));
+            NextAction::Backoff(state, wait) => {
+                if let Some(waiting) = self.requests.get_mut(&request) {
+                    (waiting.state, waiting.attempt) = (Some(state), NO_ID);
+                    self.queue.push_after(nanos(wait), Event::RetryDue(request));
                 }
             }
-            NextAction::Completed(over) => self.answer(ticket, over.outcome),
+            NextAction::Completed(completed) => self.send_answer(request, completed.outcome),
         }
     }
 
-    /// A try goes to a node.
-    fn send(&mut self, now: u64, ticket: u32, place: u32, again: bool) -> u32 {
-        let number = self.next_try;
-        self.next_try += 1;
-        let from = self.hall_of(&self.tickets[&ticket]);
-        if let Some(one) = self.tickets.get_mut(&ticket) {
-            one.at = number;
+    /// Sends an attempt to a node.
+    fn send_attempt(&mut self, now: u64, request: u32, node: u32, is_retry: bool) -> u32 {
+        let attempt = self.next_attempt;
+        self.next_attempt += 1;
+        let from = self.sender_zone(&self.requests[&request]);
+        if let Some(waiting) = self.requests.get_mut(&request) {
+            waiting.attempt = attempt;
         }
-        let one = Try {
-            ticket,
-            node: place,
-            again,
-            came: now,
+        let sent = Attempt {
+            request,
+            node,
+            is_retry,
+            arrived: now,
             ran: false,
-            over: false,
+            ended: false,
         };
-        self.tries.insert(number, one);
-        self.measured.second(now).tries += 1;
-        let to = self.hall(place);
-        match self.way(from, to) {
-            None => self
-                .queue
-                .after(OPENING, Event::Word(number, AttemptOutcome::Unreachable)),
-            Some(way) => {
-                // Its connection may break before the node reads it, or with the ticket in it.
-                if self.plan.net.breaks > 0.0 && unit(&mut self.net_chance) < self.plan.net.breaks {
-                    if unit(&mut self.net_chance) < 0.5 {
-                        self.queue
-                            .after(2 * way, Event::Word(number, AttemptOutcome::Broken));
-                        return number;
+        self.attempts.insert(attempt, sent);
+        self.measured.second(now).attempts += 1;
+        let to = self.zone_of_node(node);
+        match self.network_delay(from, to) {
+            None => self.queue.push_after(
+                CONNECT_TIMEOUT_NS,
+                Event::AttemptEnded(attempt, AttemptOutcome::Unreachable),
+            ),
+            Some(delay) => {
+                // The connection may break before the node reads the attempt, or while the attempt is in flight.
+                if self.plan.net.breaks > 0.0
+                    && random_unit(&mut self.net_rng) < self.plan.net.breaks
+                {
+                    if random_unit(&mut self.net_rng) < 0.5 {
+                        self.queue.push_after(
+                            2 * delay,
+                            Event::AttemptEnded(attempt, AttemptOutcome::Broken),
+                        );
+                        return attempt;
                     }
-                    let later = way + (unit(&mut self.net_chance) * 2e7) as u64;
-                    self.queue
-                        .after(later, Event::Word(number, AttemptOutcome::Broken));
+                    let break_delay = delay + (random_unit(&mut self.net_rng) * 2e7) as u64;
+                    self.queue.push_after(
+                        break_delay,
+                        Event::AttemptEnded(attempt, AttemptOutcome::Broken),
+                    );
                 }
-                self.queue.after(way, Event::AtNode(number));
+                self.queue.push_after(delay, Event::AttemptArrival(attempt));
             }
         }
-        number
+        attempt
     }
 
-    /// A try came to a node: how the last second of one that just started stands to its part of what a warm one bears.
-    fn weigh_cold(&mut self, now: u64, place: u32) {
+    /// Compares the attempts of the last second at a node that is warming up with its ramped share of the warm rate.
+    fn measure_cold_load(&mut self, now: u64, node: u32) {
         let Some((warm_up, _)) = self
             .plan
             .nodes
@@ -1002,139 +1055,158 @@
         else {
             return;
         };
-        let one = &mut self.places[place as usize];
-        let Some(age) = one
-            .born
-            .map(|born| now - born)
-            .filter(|age| *age < ns(warm_up))
+        let state = &mut self.nodes[node as usize];
+        let Some(age) = state
+            .started
+            .map(|started| now - started)
+            .filter(|age| *age < nanos(warm_up))
         else {
-            one.born = None;
+            state.started = None;
             return;
         };
-        one.lately.push_back(now);
-        while one
-            .lately
+        state.recent_arrivals.push_back(now);
+        while state
+            .recent_arrivals
             .front()
-            .is_some_and(|came| now - came >= ns(SECOND))
+            .is_some_and(|arrival| now - arrival >= nanos(RATE_WINDOW))
         {
-            one.lately.pop_front();
+            state.recent_arrivals.pop_front();
         }
         let (warm_up, from) = (
             warm_up.as_secs_f64(),
-            age.saturating_sub(ns(SECOND)) as f64 / 1e9,
+            age.saturating_sub(nanos(RATE_WINDOW)) as f64 / 1e9,
         );
-        // Its part rises evenly from a twentieth; read here as the page says it, not as forwarders count it.
-        let sum = |age: f64| {
-            let (flat, to) = (COLD * warm_up, age.clamp(COLD * warm_up, warm_up));
-            COLD * age.min(flat) + (to * to - flat * flat) / (2.0 * warm_up) + (age - to).max(0.0)
+        // The share rises linearly from a twentieth; computed here from the specification, not from the forwarders' code.
+        let allowed_until = |age: f64| {
+            let (flat, to) = (
+                COLD_CAPACITY * warm_up,
+                age.clamp(COLD_CAPACITY * warm_up, warm_up),
+            );
+            COLD_CAPACITY * age.min(flat)
+                + (to * to - flat * flat) / (2.0 * warm_up)
+                + (age - to).max(0.0)
         };
-        let n = self.plan.fronts.warm_rate as f64 * (sum(from + 1.0) - sum(from));
-        let over = (one.lately.len() as f64 - n) / (2.0 * n.sqrt() + 2.0);
-        self.measured.cold_tries += 1;
-        self.measured.cold_over = self.measured.cold_over.max(over);
+        let expected =
+            self.plan.fronts.warm_rate as f64 * (allowed_until(from + 1.0) - allowed_until(from));
+        let excess =
+            (state.recent_arrivals.len() as f64 - expected) / (2.0 * expected.sqrt() + 2.0);
+        self.measured.cold_attempts += 1;
+        self.measured.cold_excess = self.measured.cold_excess.max(excess);
     }
 
-    fn at_node(&mut self, now: u64, number: u32) {
-        let Some(one) = self.tries.get_mut(&number) else {
+    fn attempt_arrives(&mut self, now: u64, attempt: u32) {
+        let Some(arriving) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        let (place, ticket) = (one.node, one.ticket);
-        one.came = now;
-        let at = &self.places[place as usize];
-        if !at.alive {
-            return self.back(number, AttemptOutcome::Unreachable);
+        let (node, request) = (arriving.node, arriving.request);
+        arriving.arrived = now;
+        let state = &self.nodes[node as usize];
+        if !state.alive {
+            return self.send_outcome(attempt, AttemptOutcome::Unreachable);
         }
-        self.weigh_cold(now, place);
-        let at = &self.places[place as usize];
-        if at.hangs {
-            self.places[place as usize].stuck.push(number);
+        self.measure_cold_load(now, node);
+        let state = &self.nodes[node as usize];
+        if state.hangs {
+            self.nodes[node as usize].stuck.push(attempt);
             return;
         }
-        if let Some(pause) = at.lies {
-            return self.back(
-                number,
+        if let Some(retry_after) = state.false_rejection {
+            return self.send_outcome(
+                attempt,
                 AttemptOutcome::Rejected {
-                    pause,
+                    pause: retry_after,
                     nowhere_else: false,
                 },
             );
         }
-        if let Some(after) = at.fails {
-            self.runs(now, number);
-            let way = self.way_back(number);
-            if let Some(way) = way {
-                self.queue
-                    .after(after + way, Event::Word(number, AttemptOutcome::Failed));
+        if let Some(delay) = state.fails_after {
+            self.run_starts(now, attempt);
+            let network_delay = self.return_delay(attempt);
+            if let Some(network_delay) = network_delay {
+                self.queue.push_after(
+                    delay + network_delay,
+                    Event::AttemptEnded(attempt, AttemptOutcome::Failed),
+                );
             }
             return;
         }
-        let Some(known) = self.tickets.get(&ticket) else {
-            // Its ticket is over: the node is told so a little later.
-            self.tries.remove(&number);
+        let Some(known) = self.requests.get(&request) else {
+            // The request has ended; the node learns that a little later.
+            self.attempts.remove(&attempt);
             return;
         };
         let Some(job) = self.jobs.get(&known.job) else {
             return;
         };
-        let kind = &self.plan.types[usize::from(job.traffic)];
-        let stranger = self.plan.tenants[usize::from(job.tenant)].stranger;
-        // Tenants that are known stand in the settings in the plan's order, without the strangers.
-        let before = self.plan.tenants[..usize::from(job.tenant)]
+        let class = &self.plan.types[usize::from(job.class)];
+        let unknown_tenant = self.plan.tenants[usize::from(job.tenant)].stranger;
+        // The node's configuration has the known tenants in the plan's order.
+        let tenant_index = self.plan.tenants[..usize::from(job.tenant)]
             .iter()
-            .filter(|one| !one.stranger)
+            .filter(|tenant| !tenant.stranger)
             .count();
         let task = Task {
-            number,
-            traffic: job.traffic,
-            tenant: (!stranger).then_some(before as u16),
+            attempt,
+            class: job.class,
+            tenant: (!unknown_tenant).then_some(tenant_index as u16),
             work: job.work,
-            again: self.tries[&number].again,
-            came: now,
-            exclusive: kind.kind == Kind::Exclusive,
-            calls: kind.calls,
+            is_retry: self.attempts[&attempt].is_retry,
+            arrived: now,
+            exclusive: class.kind == Kind::Exclusive,
+            calls_downstream: class.calls,
         };
-        self.places[place as usize].node.arrives(now, task);
-        self.hear(place);
+        self.nodes[node as usize].process.on_arrival(now, task);
+        self.handle_node_events(node);
     }
 
-    /// Its run begins: it has its effect.
-    fn runs(&mut self, now: u64, number: u32) {
-        let Some(one) = self.tries.get_mut(&number) else {
+    /// Records that an attempt's run starts, which is when its side effect happens.
+    fn run_starts(&mut self, now: u64, attempt: u32) {
+        let Some(started) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        one.ran = true;
-        let (ticket, place, again, came) = (one.ticket, one.node, one.again, one.came);
-        self.measured.node_runs[place as usize] += 1;
+        started.ran = true;
+        let (request, node, is_retry, arrived) = (
+            started.request,
+            started.node,
+            started.is_retry,
+            started.arrived,
+        );
+        self.measured.node_runs[node as usize] += 1;
         self.measured.second(now).runs += 1;
-        let _ = self.measured.waits.record(((now - came) / 1_000).max(1));
-        self.saw(
-            ticket,
-            Saw::Ran {
-                on: place,
-                marked: again,
+        let _ = self
+            .measured
+            .queue_waits
+            .record(((now - arrived) / 1_000).max(1));
+        self.record_step(
+            request,
+            Step::Ran {
+                on: node,
+                marked: is_retry,
             },
         );
     }
 
-    /// What a node said, on its way.
-    fn hear(&mut self, place: u32) {
+    /// Handles the events that a node reported.
+    fn handle_node_events(&mut self, node: u32) {
         let now = self.queue.now();
-        let said: Vec<Said> = self.places[place as usize].node.said().collect();
-        for said in said {
-            match said {
-                Said::Runs(number) => self.runs(now, number),
-                Said::Done(number) => self.back(number, AttemptOutcome::Served),
-                Said::Failed(number) => self.back(number, AttemptOutcome::Failed),
-                Said::Calls(number, until) => self.call(now, place, number, until),
-                Said::Forgoes(number) => {
-                    if let Some(call) = self.call_of.remove(&number) {
-                        self.forget_call(now, call);
+        let events: Vec<NodeEvent> = self.nodes[node as usize].process.take_events().collect();
+        for event in events {
+            match event {
+                NodeEvent::Started(attempt) => self.run_starts(now, attempt),
+                NodeEvent::Served(attempt) => self.send_outcome(attempt, AttemptOutcome::Served),
+                NodeEvent::Failed(attempt) => self.send_outcome(attempt, AttemptOutcome::Failed),
+                NodeEvent::CallStarted(attempt, deadline) => {
+                    self.start_call(now, node, attempt, deadline)
+                }
+                NodeEvent::CallAbandoned(attempt) => {
+                    if let Some(call) = self.call_of.remove(&attempt) {
+                        self.cancel_call(now, call);
                         self.calls.remove(&call);
                     }
                 }
-                Said::Dismissed(number, pause, nowhere_else) => {
-                    self.back(
-                        number,
+                NodeEvent::Rejected(attempt, pause, nowhere_else) => {
+                    self.send_outcome(
+                        attempt,
                         AttemptOutcome::Rejected {
                             pause,
                             nowhere_else,
@@ -1143,197 +1215,210 @@
                 }
             }
         }
-        if self.places[place as usize].drains && self.places[place as usize].node.is_empty() {
-            self.stops(place);
+        if self.nodes[node as usize].drains && self.nodes[node as usize].process.is_empty() {
+            self.stop_node(node);
         }
-        self.schedule(place);
+        self.schedule_node(node);
     }
 
-    /// A node calls the tier below: a balancer goes round its nodes, also to those that are dead.
-    fn call(&mut self, now: u64, place: u32, number: u32, until: u64) {
+    /// Starts a downstream call. The balancer is round robin and includes dead nodes.
+    fn start_call(&mut self, now: u64, node: u32, attempt: u32, deadline: u64) {
         let call = self.next_call;
         self.next_call += 1;
         let work = self
             .plan
             .below
-            .map_or(0, |below| drawn(below.work, &mut self.net_chance));
-        let at = if self.under.is_empty() {
-            NOBODY
+            .map_or(0, |below| sample_work(below.work, &mut self.net_rng));
+        let downstream = if self.downstream.is_empty() {
+            NO_ID
         } else {
-            call % self.under.len() as u32
+            call % self.downstream.len() as u32
         };
         self.calls.insert(
             call,
             Call {
-                number,
-                place,
+                attempt,
+                node,
                 work,
-                at,
+                downstream,
             },
         );
-        self.call_of.insert(number, call);
-        let out = self.calls.len() as u64;
+        self.call_of.insert(attempt, call);
+        let in_flight = self.calls.len() as u64;
         let second = self.measured.second(now);
         second.calls += 1;
-        second.most_calls = second.most_calls.max(out);
-        let way = self.way(0, 0).unwrap_or(0);
-        if at == NOBODY {
+        second.max_calls = second.max_calls.max(in_flight);
+        let delay = self.network_delay(0, 0).unwrap_or(0);
+        if downstream == NO_ID {
             self.queue
-                .after(way, Event::CallBack(call, Outcome::Succeeded));
+                .push_after(delay, Event::CallEnded(call, Outcome::Succeeded));
             return;
         }
-        self.queue.after(way, Event::AtBelow(call));
-        if until < u64::MAX {
-            self.queue.at(until, Event::CallCut(call));
+        self.queue.push_after(delay, Event::CallArrival(call));
+        if deadline < u64::MAX {
+            self.queue.push_at(deadline, Event::CallTimeout(call));
         }
     }
 
-    fn at_below(&mut self, now: u64, call: u32) {
-        let Some(one) = self.calls.get(&call) else {
+    fn call_arrives(&mut self, now: u64, call: u32) {
+        let Some(arriving) = self.calls.get(&call) else {
             return;
         };
-        let (at, work) = (one.at, one.work);
+        let (index, work) = (arriving.downstream, arriving.work);
         let Some(below) = self.plan.below else { return };
-        let under = &mut self.under[at as usize];
-        let way = ns(self.plan.net.delay.0);
-        if !under.alive {
+        let node = &mut self.downstream[index as usize];
+        let delay = nanos(self.plan.net.delay.0);
+        if !node.alive {
             self.queue
-                .after(way, Event::CallBack(call, Outcome::Unreachable));
-        } else if under.machine.running() < below.at_once as usize {
-            under.machine.start(now, call, work);
-        } else if under.held.len() < below.hold as usize {
-            under.held.push_back(call);
+                .push_after(delay, Event::CallEnded(call, Outcome::Unreachable));
+        } else if node.machine.running() < below.at_once as usize {
+            node.machine.start(now, call, work);
+        } else if node.queue.len() < below.hold as usize {
+            node.queue.push_back(call);
         } else {
             self.queue
-                .after(way, Event::CallBack(call, Outcome::Rejected));
+                .push_after(delay, Event::CallEnded(call, Outcome::Rejected));
         }
-        self.below_next(now, at);
+        self.schedule_downstream(now, index);
     }
 
-    /// Puts the next event of a node of the tier below into the queue, if it has become another.
-    fn below_next(&mut self, _: u64, at: u32) {
-        let under = &mut self.under[at as usize];
-        let due = under.machine.next_end().unwrap_or(u64::MAX);
-        if due != under.due {
-            under.due = due;
-            under.number = under.number.wrapping_add(1);
+    /// Schedules a downstream node's next event if its time has changed.
+    fn schedule_downstream(&mut self, _: u64, index: u32) {
+        let node = &mut self.downstream[index as usize];
+        let due = node.machine.next_end().unwrap_or(u64::MAX);
+        if due != node.due {
+            node.due = due;
+            node.event_number = node.event_number.wrapping_add(1);
             if due < u64::MAX {
-                self.queue.at(due, Event::BelowDue(at, under.number));
+                self.queue
+                    .push_at(due, Event::DownstreamDue(index, node.event_number));
             }
         }
     }
 
-    fn below_ends(&mut self, now: u64, at: u32) {
-        let way = ns(self.plan.net.delay.0);
-        while let Some(call) = self.under[at as usize].machine.ended(now) {
+    fn finish_calls(&mut self, now: u64, index: u32) {
+        let delay = nanos(self.plan.net.delay.0);
+        while let Some(call) = self.downstream[index as usize].machine.pop_ended(now) {
             self.queue
-                .after(way, Event::CallBack(call, Outcome::Succeeded));
+                .push_after(delay, Event::CallEnded(call, Outcome::Succeeded));
         }
-        self.below_fills(now, at);
+        self.start_queued_calls(now, index);
     }
 
-    fn below_fills(&mut self, now: u64, at: u32) {
-        let most = self.plan.below.map_or(0, |below| below.at_once as usize);
-        while self.under[at as usize].machine.running() < most {
-            let Some(call) = self.under[at as usize].held.pop_front() else {
+    fn start_queued_calls(&mut self, now: u64, index: u32) {
+        let max_running = self.plan.below.map_or(0, |below| below.at_once as usize);
+        while self.downstream[index as usize].machine.running() < max_running {
+            let Some(call) = self.downstream[index as usize].queue.pop_front() else {
                 break;
             };
-            if let Some(work) = self.calls.get(&call).map(|one| one.work) {
-                self.under[at as usize].machine.start(now, call, work);
+            if let Some(work) = self.calls.get(&call).map(|queued| queued.work) {
+                self.downstream[index as usize]
+                    .machine
+                    .start(now, call, work);
             }
         }
-        self.below_next(now, at);
+        self.schedule_downstream(now, index);
     }
 
-    /// Nobody waits for a call: the tier below drops it.
-    fn forget_call(&mut self, now: u64, call: u32) {
-        let Some(at) = self
+    /// Cancels an abandoned call at its downstream node.
+    fn cancel_call(&mut self, now: u64, call: u32) {
+        let Some(index) = self
             .calls
             .get(&call)
-            .map(|one| one.at)
-            .filter(|at| *at != NOBODY)
+            .map(|known| known.downstream)
+            .filter(|index| *index != NO_ID)
         else {
             return;
         };
-        let under = &mut self.under[at as usize];
-        under.held.retain(|held| *held != call);
-        under.machine.stop(now, call);
-        self.below_fills(now, at);
+        let node = &mut self.downstream[index as usize];
+        node.queue.retain(|queued| *queued != call);
+        node.machine.stop(now, call);
+        self.start_queued_calls(now, index);
     }
 
-    fn below_dies(&mut self, now: u64, at: u32) {
-        let under = &mut self.under[at as usize];
-        under.alive = false;
-        under.machine.clear(now);
-        under.held.clear();
+    fn kill_downstream(&mut self, now: u64, index: u32) {
+        let node = &mut self.downstream[index as usize];
+        node.alive = false;
+        node.machine.clear(now);
+        node.queue.clear();
         let mut lost: Vec<u32> = self
             .calls
             .iter()
-            .filter(|(_, one)| one.at == at)
+            .filter(|(_, call)| call.downstream == index)
             .map(|(call, _)| *call)
             .collect();
         lost.sort_unstable();
-        // Those on their way find a closed door; the others lose their connection, and may have run.
+        // Calls under way are refused a connection; the others lose theirs and may have run.
         for call in lost {
-            self.queue.after(
-                ns(self.plan.net.delay.0),
-                Event::CallBack(call, Outcome::Disconnected),
+            self.queue.push_after(
+                nanos(self.plan.net.delay.0),
+                Event::CallEnded(call, Outcome::Disconnected),
             );
         }
-        self.below_next(now, at);
+        self.schedule_downstream(now, index);
     }
 
-    fn way_back(&mut self, number: u32) -> Option<u64> {
-        let one = self.tries.get(&number)?;
-        let (place, ticket) = (one.node, one.ticket);
-        let to = self.tickets.get(&ticket).map(|one| self.hall_of(one))?;
-        let from = self.hall(place);
-        self.way(from, to)
+    /// Network delay from the node of an attempt to its sender.
+    fn return_delay(&mut self, attempt: u32) -> Option<u64> {
+        let sent = self.attempts.get(&attempt)?;
+        let (node, request) = (sent.node, sent.request);
+        let to = self
+            .requests
+            .get(&request)
+            .map(|known| self.sender_zone(known))?;
+        let from = self.zone_of_node(node);
+        self.network_delay(from, to)
     }
 
-    /// Word of a try sets out; across a partition it is lost.
-    fn back(&mut self, number: u32, back: AttemptOutcome) {
-        if self.tries.get(&number).is_some_and(|one| one.over) {
-            // Nobody asks for it any more.
-            let one = self.tries.remove(&number);
-            self.measured.wasted_runs += u64::from(one.is_some_and(|one| one.ran));
+    /// Sends the outcome of an attempt back; it is lost across a partition.
+    fn send_outcome(&mut self, attempt: u32, outcome: AttemptOutcome) {
+        if self.attempts.get(&attempt).is_some_and(|sent| sent.ended) {
+            // Its forwarder or client no longer waits for it.
+            let ended = self.attempts.remove(&attempt);
+            self.measured.wasted_runs += u64::from(ended.is_some_and(|attempt| attempt.ran));
             return;
         }
-        if let Some(way) = self.way_back(number) {
-            self.queue.after(way, Event::Word(number, back));
+        if let Some(delay) = self.return_delay(attempt) {
+            self.queue
+                .push_after(delay, Event::AttemptEnded(attempt, outcome));
         }
     }
 
-    /// A forwarder, or a dispatcher, tells a node that it does not wait for a try.
-    fn nobody_waits(&mut self, number: u32) {
-        let Some(one) = self.tries.get(&number) else {
+    /// A forwarder or a client notifies a node that it no longer waits for an attempt.
+    fn notify_caller_gone(&mut self, attempt: u32) {
+        let Some(abandoned) = self.attempts.get(&attempt) else {
             return;
         };
-        let place = one.node;
-        let way = self.way_back(number).unwrap_or(OPENING);
-        self.queue.after(way, Event::Leaves(place, number));
+        let node = abandoned.node;
+        let delay = self.return_delay(attempt).unwrap_or(CONNECT_TIMEOUT_NS);
+        self.queue
+            .push_after(delay, Event::CallerGone(node, attempt));
     }
 
-    /// Word of a try arrives.
-    fn word(&mut self, now: u64, number: u32, back: AttemptOutcome) {
-        let Some(one) = self.tries.get_mut(&number).filter(|one| !one.over) else {
-            // Late: it was cut, or its caller left.
-            if let Some(one) = self.tries.remove(&number) {
-                self.measured.wasted_runs += u64::from(one.ran);
+    /// Handles the outcome of an attempt at its forwarder or client.
+    fn attempt_ended(&mut self, now: u64, attempt: u32, outcome: AttemptOutcome) {
+        let Some(finished) = self.attempts.get_mut(&attempt).filter(|sent| !sent.ended) else {
+            // Too late: the attempt timed out, or its caller disconnected.
+            if let Some(late) = self.attempts.remove(&attempt) {
+                self.measured.wasted_runs += u64::from(late.ran);
             }
             return;
         };
-        one.over = true;
-        let ticket = one.ticket;
-        // After these the node may still have it, and be done later.
-        if !matches!(back, AttemptOutcome::TimedOut | AttemptOutcome::Broken) {
-            self.tries.remove(&number);
+        finished.ended = true;
+        let request = finished.request;
+        // After these outcomes the node may still have the attempt and end it later.
+        if !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken) {
+            self.attempts.remove(&attempt);
         }
-        let Some(known) = self.tickets.get_mut(&ticket).filter(|one| one.at == number) else {
+        let Some(known) = self
+            .requests
+            .get_mut(&request)
+            .filter(|known| known.attempt == attempt)
+        else {
             return;
         };
-        if known.front == NOBODY {
-            let end = match back {
+        if known.forwarder == NO_ID {
+            let request_outcome = match outcome {
                 AttemptOutcome::Served => RequestOutcome::Served,
                 AttemptOutcome::Rejected {
                     pause,
@@ -1351,194 +1436,214 @@
                 | AttemptOutcome::TimedOut
                 | AttemptOutcome::CallerLeft => RequestOutcome::Failed,
             };
-            return self.told(now, ticket, end);
+            return self.request_ended(now, request, request_outcome);
         }
-        let back = match (self.plan.bug, back) {
+        let outcome = match (self.plan.bug, outcome) {
             (Some(Bug::BrokenIsUnreachable), AttemptOutcome::Broken) => AttemptOutcome::Unreachable,
-            (_, back) => back,
+            (_, outcome) => outcome,
         };
-        let Some(trip) = known.trip.take() else {
+        let Some(state) = known.state.take() else {
             return;
         };
-        let front = known.front;
-        let at = self.clock(front);
-        let step = self.fronts[front as usize]
+        let forwarder = known.forwarder;
+        let at = self.forwarder_clock(forwarder);
+        let action = self.forwarders[forwarder as usize]
             .fleet
-            .on_attempt_outcome(at, trip, back);
-        self.follow(now, ticket, step);
+            .on_attempt_outcome(at, state, outcome);
+        self.execute_action(now, request, action);
     }
 
-    /// A forwarder's one answer sets out.
-    fn answer(&mut self, ticket: u32, end: RequestOutcome) {
-        let way = self.way(0, 0).unwrap_or(0);
-        self.queue.after(way, Event::Told(ticket, end));
+    /// Sends the single answer of a forwarder to the client.
+    fn send_answer(&mut self, request: u32, outcome: RequestOutcome) {
+        let delay = self.network_delay(0, 0).unwrap_or(0);
+        self.queue
+            .push_after(delay, Event::RequestEnded(request, outcome));
     }
 
-    /// A ticket's answer is there.
-    fn told(&mut self, now: u64, ticket: u32, end: RequestOutcome) {
-        let Some(one) = self.tickets.remove(&ticket) else {
+    /// Handles the answer to a request at its client.
+    fn request_ended(&mut self, now: u64, request: u32, outcome: RequestOutcome) {
+        let Some(answered) = self.requests.remove(&request) else {
             return;
         };
-        let answer = match end {
+        let answer = match outcome {
             RequestOutcome::Served => Answer::Honoured,
             RequestOutcome::Rejected { .. } => Answer::Dismissed,
             RequestOutcome::Failed | RequestOutcome::CallerGone => Answer::GivenUp,
         };
-        self.saw(ticket, Saw::Answered(answer));
-        let number = one.job;
-        let Some(job) = self.jobs.get_mut(&number) else {
+        self.record_step(request, Step::Answered(answer));
+        let job_id = answered.job;
+        let Some(job) = self.jobs.get_mut(&job_id) else {
             return;
         };
-        job.open.retain(|one| *one != ticket);
+        job.open.retain(|open| *open != request);
         job.may_have_run |= answer == Answer::GivenUp;
-        if job.over {
+        if job.ended {
             return;
         }
         let habits = &self.plan.habits;
-        let kind = &self.plan.types[usize::from(job.traffic)];
-        let took = now - job.born;
-        let left = ns(kind.outer_limit).saturating_sub(took);
-        match end {
+        let class = &self.plan.types[usize::from(job.class)];
+        let elapsed = now - job.started;
+        let remaining = nanos(class.outer_limit).saturating_sub(elapsed);
+        match outcome {
             RequestOutcome::Served => {
-                let _ = self.measured.times.record((took / 1_000).max(1));
-                let end = if took <= ns(kind.goal) {
+                let _ = self.measured.latencies.record((elapsed / 1_000).max(1));
+                let job_end = if elapsed <= nanos(class.goal) {
                     JobEnd::Good
                 } else {
                     JobEnd::Late
                 };
-                self.job_over(number, end);
+                self.finish_job(job_id, job_end);
             }
             RequestOutcome::Rejected {
                 after,
                 nowhere_else,
             } => {
-                let wait = if habits.heeds {
-                    ns(after).max(AT_ONCE)
+                let delay = if habits.heeds {
+                    nanos(after).max(MIN_RETRY_DELAY_NS)
                 } else {
-                    AT_ONCE
+                    MIN_RETRY_DELAY_NS
                 };
-                if job.tries < habits.tries && wait < left && !(nowhere_else && habits.heeds) {
-                    self.queue.after(wait, Event::Returns(number));
+                if job.requests_sent < habits.tries
+                    && delay < remaining
+                    && !(nowhere_else && habits.heeds)
+                {
+                    self.queue.push_after(delay, Event::ClientRetry(job_id));
                 } else if job.open.is_empty() {
-                    self.job_over(number, JobEnd::Dismissed);
+                    self.finish_job(job_id, JobEnd::Rejected);
                 }
             }
             RequestOutcome::Failed | RequestOutcome::CallerGone => {
-                // Only what may run any number of times is asked for again.
-                if kind.kind == Kind::Rerunnable && job.tries < habits.tries && AT_ONCE < left {
-                    self.queue.after(AT_ONCE, Event::Returns(number));
+                // Only rerunnable jobs are retried.
+                if class.kind == Kind::Rerunnable
+                    && job.requests_sent < habits.tries
+                    && MIN_RETRY_DELAY_NS < remaining
+                {
+                    self.queue
+                        .push_after(MIN_RETRY_DELAY_NS, Event::ClientRetry(job_id));
                 } else if job.open.is_empty() {
-                    self.job_over(number, JobEnd::GivenUp);
+                    self.finish_job(job_id, JobEnd::Failed);
                 }
             }
         }
     }
 
-    fn job_over(&mut self, number: u32, end: JobEnd) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+    /// Records the end of a job.
+    fn finish_job(&mut self, job_id: u32, end: JobEnd) {
+        let Some(job) = self.jobs.get_mut(&job_id) else {
             return;
         };
-        job.over = true;
-        self.live -= 1;
-        let (traffic, tenant, born, open) = (
-            job.traffic,
+        job.ended = true;
+        self.live_jobs -= 1;
+        let (class, tenant, started, open) = (
+            job.class,
             job.tenant,
-            job.born,
+            job.started,
             std::mem::take(&mut job.open),
         );
-        self.measured.by_type[usize::from(traffic)].ended(end);
-        self.measured.by_tenant[usize::from(tenant)].ended(end);
-        self.measured.second(born).jobs.ended(end);
-        // Copies of it that are out are given up.
-        self.give_up(open);
+        self.measured.by_type[usize::from(class)].record_end(end);
+        self.measured.by_tenant[usize::from(tenant)].record_end(end);
+        self.measured.second(started).jobs.record_end(end);
+        // Its other requests in flight are abandoned.
+        self.abandon_requests(open);
     }
 
-    /// A dispatcher does not wait for these tickets any more.
-    fn give_up(&mut self, open: Vec<u32>) {
-        for ticket in open {
-            self.saw(ticket, Saw::Left);
-            let Some(mut one) = self.tickets.remove(&ticket) else {
+    /// A client abandons these requests.
+    fn abandon_requests(&mut self, requests: Vec<u32>) {
+        for request in requests {
+            self.record_step(request, Step::Left);
+            let Some(mut abandoned) = self.requests.remove(&request) else {
                 continue;
             };
-            if let Some(try_out) = self.tries.get_mut(&one.at).filter(|one| !one.over) {
-                try_out.over = true;
-                let place = try_out.node;
-                self.queue.after(AT_ONCE / 20, Event::Leaves(place, one.at));
-            }
-            if let Some(trip) = one.trip.take() {
-                let at = self.clock(one.front);
-                let _ = self.fronts[one.front as usize].fleet.on_attempt_outcome(
-                    at,
-                    trip,
-                    AttemptOutcome::CallerLeft,
+            if let Some(attempt) = self
+                .attempts
+                .get_mut(&abandoned.attempt)
+                .filter(|sent| !sent.ended)
+            {
+                attempt.ended = true;
+                let node = attempt.node;
+                self.queue.push_after(
+                    MIN_RETRY_DELAY_NS / 20,
+                    Event::CallerGone(node, abandoned.attempt),
                 );
             }
+            if let Some(state) = abandoned.state.take() {
+                let at = self.forwarder_clock(abandoned.forwarder);
+                let _ = self.forwarders[abandoned.forwarder as usize]
+                    .fleet
+                    .on_attempt_outcome(at, state, AttemptOutcome::CallerLeft);
+            }
         }
     }
 
-    /// A job's outer limit.
-    fn limit(&mut self, number: u32) {
-        let Some(job) = self.jobs.get(&number) else {
+    /// Handles the deadline of a job.
+    fn job_deadline(&mut self, job_id: u32) {
+        let Some(job) = self.jobs.get(&job_id) else {
             return;
         };
-        if !job.over {
+        if !job.ended {
             let may_have_run = job.may_have_run || !job.open.is_empty();
-            self.job_over(
-                number,
+            self.finish_job(
+                job_id,
                 if may_have_run {
-                    JobEnd::GivenUp
+                    JobEnd::Failed
                 } else {
-                    JobEnd::Dismissed
+                    JobEnd::Rejected
                 },
             );
         }
-        // Nothing speaks of it any more: its tickets are given up, and no event is later than this one.
-        self.jobs.remove(&number);
+        // Nothing refers to the job any more: its requests are abandoned, and no later event has it.
+        self.jobs.remove(&job_id);
     }
 
-    fn fault(&mut self, now: u64, k: u32, begins: bool) {
-        let Fault { trouble, .. } = self.plan.faults[k as usize];
-        let met = self.met[k as usize].clone();
+    fn apply_fault(&mut self, now: u64, fault: u32, begins: bool) {
+        let Fault { trouble, .. } = self.plan.faults[fault as usize];
+        let affected = self.affected[fault as usize].clone();
         match trouble {
             Trouble::Die => {
-                for place in met {
+                for node in affected {
                     if begins {
-                        self.dies(place);
+                        self.kill_node(node);
                     } else {
-                        self.starts(now, place);
+                        self.start_node(now, node);
                     }
                 }
             }
             Trouble::Slow(times) => {
                 let speed = if begins { 1.0 / times.max(1e-3) } else { 1.0 };
-                self.each(&met, |place| place.node.set_fault(now, speed));
+                self.update_nodes(&affected, |state| state.process.set_fault(now, speed));
             }
             Trouble::StandStill => {
                 let speed = if begins { 0.0 } else { 1.0 };
-                self.each(&met, |place| place.node.set_fault(now, speed));
+                self.update_nodes(&affected, |state| state.process.set_fault(now, speed));
             }
             Trouble::Hang => {
-                for at in met {
+                for node in affected {
                     if begins {
-                        self.places[at as usize].hangs = true;
-                        self.places[at as usize].node.set_fault(now, 0.0);
-                        self.schedule(at);
+                        self.nodes[node as usize].hangs = true;
+                        self.nodes[node as usize].process.set_fault(now, 0.0);
+                        self.schedule_node(node);
                     } else {
-                        // It is killed and started again: nothing of it goes on.
-                        self.dies(at);
-                        self.starts(now, at);
+                        // The node is killed and restarted: its runs do not continue.
+                        self.kill_node(node);
+                        self.start_node(now, node);
                     }
                 }
             }
             Trouble::FailFast(after) => {
-                self.each(&met, |place| place.fails = begins.then_some(ns(after)));
+                self.update_nodes(&affected, |state| {
+                    state.fails_after = begins.then_some(nanos(after))
+                });
             }
-            Trouble::Lie(pause) => self.each(&met, |place| place.lies = begins.then_some(pause)),
+            Trouble::Lie(pause) => self.update_nodes(&affected, |state| {
+                state.false_rejection = begins.then_some(pause)
+            }),
             Trouble::Neighbour(cores) => {
                 let cores = if begins { cores } else { 0.0 };
-                self.each(&met, |place| place.node.set_taken(now, cores));
+                self.update_nodes(&affected, |state| {
+                    state.process.set_neighbour_cores(now, cores)
+                });
             }
-            Trouble::Deploy(_) if begins => self.queue.after(0, Event::Deploy(k, 0)),
+            Trouble::Deploy(_) if begins => self.queue.push_after(0, Event::Deploy(fault, 0)),
             Trouble::Deploy(_) => {}
             Trouble::Partition => {
                 self.partitions = if begins {
@@ -1551,89 +1656,90 @@
                 if let Some(flood) = self.floods.get_mut(tenant as usize) {
                     *flood = if begins { times } else { 1.0 };
                 }
-                self.new_rate();
+                self.update_rate();
             }
             Trouble::BelowDies(count) => {
-                for at in 0..count.min(self.under.len() as u32) {
+                for index in 0..count.min(self.downstream.len() as u32) {
                     if begins {
-                        self.below_dies(now, at);
+                        self.kill_downstream(now, index);
                     } else {
-                        self.under[at as usize].alive = true;
+                        self.downstream[index as usize].alive = true;
                     }
                 }
             }
             Trouble::ClockJump(span) => {
                 if begins {
-                    self.fronts
+                    self.forwarders
                         .iter_mut()
-                        .for_each(|front| front.ahead += ns(span));
+                        .for_each(|forwarder| forwarder.clock_offset += nanos(span));
                 }
             }
         }
     }
 
-    fn each(&mut self, met: &[u32], mut change: impl FnMut(&mut Place)) {
-        for at in met {
-            change(&mut self.places[*at as usize]);
-            self.schedule(*at);
+    fn update_nodes(&mut self, affected: &[u32], mut change: impl FnMut(&mut NodeState)) {
+        for node in affected {
+            change(&mut self.nodes[*node as usize]);
+            self.schedule_node(*node);
         }
     }
 
-    /// A node's process ends: what is in it is gone, connections break.
-    fn dies(&mut self, place: u32) {
-        let one = &mut self.places[place as usize];
-        if !one.alive {
+    /// A node's process dies: its attempts are lost and its connections break.
+    fn kill_node(&mut self, node: u32) {
+        let state = &mut self.nodes[node as usize];
+        if !state.alive {
             return;
         }
-        one.alive = false;
-        one.died = self.queue.now();
-        self.links_fall(place);
-        let one = &mut self.places[place as usize];
-        let mut inside = one.node.inside();
-        inside.append(&mut one.stuck);
+        state.alive = false;
+        state.died = self.queue.now();
+        self.break_connections(node);
+        let state = &mut self.nodes[node as usize];
+        let mut lost = state.process.attempts();
+        lost.append(&mut state.stuck);
         let now = self.queue.now();
-        self.measured.node_busy_ms[place as usize] += one.node.used_ms(now);
-        for number in inside {
-            if self.tries.get(&number).is_some_and(|one| one.over) {
-                self.tries.remove(&number);
+        self.measured.node_busy_ms[node as usize] += state.process.used_ms(now);
+        for attempt in lost {
+            if self.attempts.get(&attempt).is_some_and(|sent| sent.ended) {
+                self.attempts.remove(&attempt);
             } else {
-                self.back(number, AttemptOutcome::Broken);
+                self.send_outcome(attempt, AttemptOutcome::Broken);
             }
         }
-        self.schedule(place);
+        self.schedule_node(node);
     }
 
-    /// Its connections are gone, and forwarders know nothing of who comes next.
-    fn links_fall(&mut self, place: u32) {
-        let known_to = self.places[place as usize].known_to.clone();
-        for (front, _) in known_to {
-            let at = self.clock(front);
-            self.fronts[front as usize]
+    /// Breaks a node's connections; forwarders know nothing of the process that starts next.
+    fn break_connections(&mut self, node: u32) {
+        let known_to = self.nodes[node as usize].known_to.clone();
+        for (forwarder, _) in known_to {
+            let at = self.forwarder_clock(forwarder);
+            self.forwarders[forwarder as usize]
                 .fleet
-                .on_disconnected(&address(place), at);
+                .on_disconnected(&address(node), at);
         }
     }
 
-    /// It stops with nothing in it.
-    fn stops(&mut self, place: u32) {
-        let one = &mut self.places[place as usize];
-        if one.alive {
-            one.alive = false;
-            one.died = self.queue.now();
-            one.drains = false;
+    /// Stops a drained node.
+    fn stop_node(&mut self, node: u32) {
+        let state = &mut self.nodes[node as usize];
+        if state.alive {
+            state.alive = false;
+            state.died = self.queue.now();
+            state.drains = false;
             let now = self.queue.now();
-            self.measured.node_busy_ms[place as usize] += one.node.used_ms(now);
+            self.measured.node_busy_ms[node as usize] += state.process.used_ms(now);
         }
-        self.schedule(place);
+        self.schedule_node(node);
     }
 
-    fn starts(&mut self, now: u64, place: u32) {
+    /// Starts a new process on a node, cold.
+    fn start_node(&mut self, now: u64, node: u32) {
         let plan = self.plan;
-        if self.places[place as usize].alive {
-            self.dies(place);
+        if self.nodes[node as usize].alive {
+            self.kill_node(node);
         }
-        let seed = plan.seed ^ u64::from(place) ^ now;
-        let node = Node::new(
+        let seed = plan.seed ^ u64::from(node) ^ now;
+        let process = Node::new(
             &plan.nodes,
             &plan.types,
             &self.shares,
@@ -1642,50 +1748,55 @@
             now,
             true,
         );
-        let one = &mut self.places[place as usize];
-        one.node = node;
-        (one.alive, one.hangs, one.drains) = (true, false, false);
-        one.born = Some(now);
-        one.lately.clear();
-        one.due = u64::MAX;
-        let known_to = one.known_to.clone();
-        // Whoever connects anew knows that it is a new one.
-        let address = address(place);
-        for (front, _) in known_to {
-            let at = self.clock(front);
-            self.fronts[front as usize].fleet.on_restarted(&address, at);
+        let state = &mut self.nodes[node as usize];
+        state.process = process;
+        (state.alive, state.hangs, state.drains) = (true, false, false);
+        state.started = Some(now);
+        state.recent_arrivals.clear();
+        state.due = u64::MAX;
+        let known_to = state.known_to.clone();
+        // A forwarder that reconnects notices the restart.
+        let address = address(node);
+        for (forwarder, _) in known_to {
+            let at = self.forwarder_clock(forwarder);
+            self.forwarders[forwarder as usize]
+                .fleet
+                .on_restarted(&address, at);
         }
-        self.schedule(place);
+        self.schedule_node(node);
     }
 
-    /// The next node of a rolling deploy begins to drain.
-    fn deploy(&mut self, k: u32, at: u32) {
+    /// Drains the next node of a rolling deploy.
+    fn deploy_next(&mut self, fault: u32, step: u32) {
         let Fault {
-            trouble: Trouble::Deploy(out),
+            trouble: Trouble::Deploy(downtime),
             from,
             to,
             ..
-        } = self.plan.faults[k as usize]
+        } = self.plan.faults[fault as usize]
         else {
             return;
         };
-        let met = &self.met[k as usize];
-        let Some(place) = met.get(at as usize).copied() else {
+        let affected = &self.affected[fault as usize];
+        let Some(node) = affected.get(step as usize).copied() else {
             return;
         };
-        let gap = ns(to - from) / met.len().max(1) as u64;
-        self.queue.after(gap, Event::Deploy(k, at + 1));
-        self.queue.after(ns(out), Event::Restarts(place));
-        let one = &mut self.places[place as usize];
-        if !one.alive {
+        let gap = nanos(to - from) / affected.len().max(1) as u64;
+        self.queue.push_after(gap, Event::Deploy(fault, step + 1));
+        self.queue
+            .push_after(nanos(downtime), Event::NodeRestart(node));
+        let state = &mut self.nodes[node as usize];
+        if !state.alive {
             return;
         }
-        (one.drains, one.node.drains) = (true, true);
-        let (known_to, address) = (one.known_to.clone(), address(place));
-        for (front, _) in known_to {
-            let at = self.clock(front);
-            self.fronts[front as usize].fleet.on_leaving(&address, at);
+        (state.drains, state.process.drains) = (true, true);
+        let (known_to, address) = (state.known_to.clone(), address(node));
+        for (forwarder, _) in known_to {
+            let at = self.forwarder_clock(forwarder);
+            self.forwarders[forwarder as usize]
+                .fleet
+                .on_leaving(&address, at);
         }
-        self.hear(place);
+        self.handle_node_events(node);
     }
 }
--- a/crates/fleet-model/tests/below.rs
+++ b/crates/fleet-model/tests/below.rs
@@ -1,5 +1,5 @@
-//! Calls to the tier below: each comes back or is given up, what may have run below is not called again, and half of the
-//! tier dead costs no more than its part for long.
+//! Downstream calls: each returns or is abandoned, a call that may have run downstream is not repeated, and the death of
+//! half of the downstream nodes has no lasting cost beyond their share.
 
 #![allow(
     missing_docs,
@@ -29,7 +29,7 @@
         kind,
         ..plan.nodes
     };
-    // Calls of 10 ms, four in five tickets: the tier has room for some half more than they ask.
+    // Calls of 10 ms by four in five requests: the downstream capacity is about one and a half times the load.
     plan.below = Some(BelowPlan {
         count: 2,
         at_once: 8,
@@ -45,7 +45,7 @@
 };
 
 #[test]
-fn calls_come_back_and_the_rules_hold() {
+fn downstream_calls_return_and_invariants_hold() {
     for kind in [PLAIN, NodeKind::Ours] {
         let measured = world::run(&plan(kind, 3)).unwrap();
         assert_eq!(
@@ -53,8 +53,12 @@
             None,
             "{kind:?}"
         );
-        let calls: u64 = measured.seconds.iter().map(|one| one.calls).sum();
-        let done: u64 = measured.seconds.iter().map(|one| one.calls_done).sum();
+        let calls: u64 = measured.seconds.iter().map(|second| second.calls).sum();
+        let done: u64 = measured
+            .seconds
+            .iter()
+            .map(|second| second.calls_done)
+            .sum();
         assert!(
             calls > 4_000 && done as f64 > 0.9 * calls as f64,
             "{kind:?}: {done} of {calls}"
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn half_of_the_tier_dead_breaks_no_rule_and_passes() {
+fn death_of_half_the_downstream_nodes_violates_no_invariant_and_service_recovers() {
     let fault = Fault {
         from: MS(4_000),
         to: MS(7_000),
@@ -88,8 +92,11 @@
             );
             assert!(measured.good_between(0, 4) > 0.9, "{kind:?} {seed}: before");
             let after = measured.good_between(9, 12);
-            assert!(after > 0.85, "{kind:?} {seed}: {after} two seconds after");
-            assert_eq!(world::run(&plan).unwrap(), measured, "the same seed");
+            assert!(
+                after > 0.85,
+                "{kind:?} {seed}: {after} from two seconds after the fault"
+            );
+            assert_eq!(world::run(&plan).unwrap(), measured, "not deterministic");
         }
     }
 }
--- a/crates/fleet-model/tests/closed_forms.rs
+++ b/crates/fleet-model/tests/closed_forms.rs
@@ -1,4 +1,4 @@
-//! What theory knows, the model must meet: queues, shared cores, retries, warm-up.
+//! The model agrees with closed-form results: queues, processor sharing, retries, warm-up.
 
 #![allow(
     missing_docs,
@@ -16,7 +16,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// One node that dispatchers go to themselves, without a network between.
+/// One node that clients send to directly, without network delay.
 fn one_node(cores: u32, kind: NodeKind, load: f64, work: Work, seed: u64) -> Plan {
     let mut plan = Plan {
         seed,
@@ -47,26 +47,26 @@
     plan
 }
 
-/// Mean over seeds of something, and the largest deviation of one seed.
-fn mean(of: impl Fn(u64) -> f64) -> f64 {
-    let all: Vec<f64> = (1..=6).map(of).collect();
-    all.iter().sum::<f64>() / all.len() as f64
+/// Mean of a measurement over six seeds.
+fn mean(measure: impl Fn(u64) -> f64) -> f64 {
+    let values: Vec<f64> = (1..=6).map(measure).collect();
+    values.iter().sum::<f64>() / values.len() as f64
 }
 
-fn near(found: f64, wanted: f64, within: f64, what: &str) {
+fn assert_near(found: f64, expected: f64, tolerance: f64, quantity: &str) {
     assert!(
-        (found / wanted - 1.0).abs() < within,
-        "{what}: {found:.3}, theory says {wanted:.3}"
+        (found / expected - 1.0).abs() < tolerance,
+        "{quantity}: {found:.3}, expected {expected:.3}"
     );
 }
 
-fn played(plan: &Plan) -> Measured {
+fn run(plan: &Plan) -> Measured {
     let measured = world::run(plan).unwrap();
     assert_eq!(measured.broken.as_ref().map(ToString::to_string), None);
     measured
 }
 
-/// The chance to wait in M/M/c, by Erlang.
+/// Probability of waiting in M/M/c, by the Erlang C formula.
 fn erlang_c(cores: u32, load: f64) -> f64 {
     let offered = f64::from(cores) * load;
     let mut term = 1.0;
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn waiting_in_line_is_that_of_erlang() {
+fn queue_wait_matches_erlang_c() {
     let work = Work::About(MS(10));
-    for (cores, load, within) in [
+    for (cores, load, tolerance) in [
         (1, 0.5, 0.06),
         (1, 0.8, 0.10),
         (4, 0.7, 0.06),
@@ -92,25 +92,25 @@
             at_once: cores,
             hold: 1_000_000,
         };
-        // To the microsecond, since waits of nothing are recorded as one.
+        // Exact to a microsecond only, because a wait of zero is recorded as 1 us.
         let found = mean(|seed| {
-            played(&one_node(cores, kind, load, work, seed))
-                .waits
+            run(&one_node(cores, kind, load, work, seed))
+                .queue_waits
                 .mean()
                 / 1e3
         });
-        let wanted = erlang_c(cores, load) * 10.0 / (f64::from(cores) * (1.0 - load));
-        near(
+        let expected = erlang_c(cores, load) * 10.0 / (f64::from(cores) * (1.0 - load));
+        assert_near(
             found,
-            wanted,
-            within,
+            expected,
+            tolerance,
             &format!("wait, ms, M/M/{cores} at {load}"),
         );
     }
 }
 
 #[test]
-fn shared_cores_do_not_care_how_long_runs_differ() {
+fn mean_time_on_shared_cores_does_not_depend_on_the_work_distribution() {
     let kind = NodeKind::Plain {
         at_once: 1_000_000,
         hold: 0,
@@ -120,25 +120,25 @@
         Work::Between(MS(1), MS(19)),
         Work::About(MS(10)),
     ] {
-        let found = mean(|seed| played(&one_node(1, kind, 0.7, work, seed)).times.mean() / 1e3);
-        // M/G/1 with processor sharing: the mean run over what is left of the core.
-        near(found, 10.0 / 0.3, 0.08, &format!("time, ms, {work:?}"));
+        let found = mean(|seed| run(&one_node(1, kind, 0.7, work, seed)).latencies.mean() / 1e3);
+        // M/G/1 with processor sharing: mean work over the idle share of the core.
+        assert_near(found, 10.0 / 0.3, 0.08, &format!("time, ms, {work:?}"));
     }
 }
 
 #[test]
-fn cores_used_are_the_load() {
+fn core_time_used_matches_the_load() {
     let kind = NodeKind::Plain {
         at_once: 4,
         hold: 1_000,
     };
     let plan = one_node(4, kind, 0.6, Work::Between(MS(5), MS(25)), 3);
-    let busy = played(&plan).node_busy_ms[0] as f64;
-    near(busy, 100_000.0 * 4.0 * 0.6, 0.02, "core time used, ms");
+    let busy = run(&plan).node_busy_ms[0] as f64;
+    assert_near(busy, 100_000.0 * 4.0 * 0.6, 0.02, "core time used, ms");
 }
 
 #[test]
-fn retries_amplify_as_far_as_the_budget_lets_them() {
+fn retry_amplification_is_limited_by_the_budget() {
     let fault = Fault {
         from: MS(0),
         to: Duration::from_secs(60),
@@ -160,31 +160,31 @@
         tries: 1,
         ..Habits::default()
     };
-    let measured = played(&plan);
-    // A fifth more than first tries, and ten to begin with.
-    near(measured.tries_per_job(), 1.2, 0.02, "tries a job");
-    // Dispatchers without a budget multiply it by their own tries.
+    let measured = run(&plan);
+    // The budget allows a fifth of first attempts, plus ten initial retries.
+    assert_near(measured.attempts_per_job(), 1.2, 0.02, "attempts per job");
+    // Clients without a budget multiply this by their own retries.
     plan.habits = Habits {
         tries: 3,
         ..Habits::default()
     };
-    let measured = played(&plan);
-    near(
-        measured.tickets as f64 / measured.jobs().asked as f64,
+    let measured = run(&plan);
+    assert_near(
+        measured.requests as f64 / measured.jobs().asked as f64,
         3.0,
         0.01,
-        "tickets a job",
+        "requests per job",
     );
-    near(
-        measured.tries_per_job(),
+    assert_near(
+        measured.attempts_per_job(),
         3.0 * 1.2,
         0.05,
-        "tries a job of dispatchers that ask again",
+        "attempts per job with clients that retry",
     );
 }
 
 #[test]
-fn a_cold_start_is_as_slow_as_it_says() {
+fn cold_runs_are_slower_by_the_configured_factor() {
     let kind = NodeKind::Plain {
         at_once: 8,
         hold: 1_000,
@@ -199,10 +199,10 @@
         whom: Whom::Share(1.0),
     };
     plan.faults = vec![die(1, 2)];
-    // Nearly all runs are cold: three times as long.
-    let found = played(&plan).times.value_at_quantile(0.5) as f64 / 1e3;
-    near(found, 60.0, 0.02, "time of a cold run, ms");
+    // Nearly all runs are cold and take three times as long.
+    let found = run(&plan).latencies.value_at_quantile(0.5) as f64 / 1e3;
+    assert_near(found, 60.0, 0.02, "time of a cold run, ms");
     plan.nodes.cold = None;
-    let found = played(&plan).times.value_at_quantile(0.5) as f64 / 1e3;
-    near(found, 20.0, 0.02, "time of a warm run, ms");
+    let found = run(&plan).latencies.value_at_quantile(0.5) as f64 / 1e3;
+    assert_near(found, 20.0, 0.02, "time of a warm run, ms");
 }
--- a/crates/fleet-model/tests/cold_start.rs
+++ b/crates/fleet-model/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! What a node of the model is told of its warm-up.
+//! The warm-up that a node of the model is given.
 
 #![allow(
     missing_docs,
@@ -10,11 +10,11 @@
 use rainstand_fleet_model::plan::{NodePlan, Plan};
 use std::time::Duration;
 
-/// What happened: a node of the model that started cold was slow for one span of its warm-up and held back for a second
-/// one. Why: the span itself was given as the time when the warm-up began, so that it began a span after the start of
-/// the play, whenever the node started. Nodes that started warm were told of it as well.
+/// Guards against a warm-up that starts at the wrong time. The length of the warm-up was once passed as its start time, so
+/// it began that long after the start of the run, whenever the node started: a cold node was slow for one warm-up and
+/// limited for another. Nodes that started warm were given a warm-up, too.
 #[test]
-fn a_warm_up_begins_with_the_start_of_the_node() {
+fn warm_up_begins_when_the_node_starts() {
     let span = Duration::from_secs(3);
     let plan = NodePlan {
         cold: Some((span, 4.0)),
