--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -1,34 +1,34 @@
-//! What can go wrong around an experiment.
+//! Errors of experiments.
 
 use std::path::{Path, PathBuf};
 
-/// Why an experiment is not played, stored, compared or drawn. Texts name the file that they are about.
+/// Why an experiment cannot be run, stored, compared or drawn. File errors name the file.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// Traffic of a request class that the configuration does not have.
+    /// Traffic of a request class that is not in the configuration.
     #[error("there is no type `{0}`")]
     UnknownRequestClass(String),
-    /// Traffic of a tenant that the configuration does not have.
+    /// Traffic of a tenant that is not in the configuration.
     #[error("there is no tenant `{0}`")]
     UnknownTenant(String),
     /// A flood of a tenant without traffic.
-    #[error("a flood of `{0}`, who asks for nothing")]
+    #[error("a flood of `{0}`, which has no traffic")]
     FloodWithoutTraffic(String),
-    /// A fault whose kind this version does not know.
-    #[error("a fault of no kind")]
+    /// A fault of a kind that this version does not support.
+    #[error("a fault has no known kind")]
     UnknownFault,
-    /// The model cannot play a variant.
+    /// The plan of a variant is invalid.
     #[error("{variant}: {reason}")]
     InvalidVariant {
         /// Label of the variant.
         variant: String,
-        /// What in its plan makes no sense.
+        /// What is invalid in its plan.
         reason: String,
     },
-    /// Too few seeds were played with both variants.
-    #[error("{0} seeds are in both; a comparison takes at least two")]
+    /// Too few seeds were run with both variants.
+    #[error("{0} seeds were run with both variants; a comparison needs at least two")]
     TooFewPairs(usize),
-    /// No variant has a point to draw.
+    /// No variant has a data point.
     #[error("there is nothing to draw")]
     NothingToDraw,
     /// A picture could not be drawn.
@@ -39,7 +39,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// A finished run could not be written as JSON.
@@ -47,7 +47,7 @@
     Json {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
     /// A Parquet file could not be read or written.
--- a/crates/experiments/src/jobs.rs
+++ b/crates/experiments/src/jobs.rs
@@ -1,7 +1,7 @@
-//! Plays an experiment's variants and seeds side by side, each run on one thread.
+//! Runs an experiment's variants and seeds in parallel, each run on one thread.
 //!
-//! Each finished run is stored at once, so a stopped experiment resumes where it was; a run that fails or panics does not
-//! take the others with it.
+//! Each finished run is stored immediately, so a stopped experiment resumes where it was. A run that fails or panics
+//! does not affect the others.
 
 use crate::error::ExperimentError;
 use crate::plans::Variant;
@@ -18,18 +18,18 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// File name of the finished runs, a line each.
+/// File name of the finished runs, one per line.
 pub const DONE: &str = "done.jsonl";
-/// File name of the experiment itself, as it was compiled.
+/// File name of the compiled experiment.
 pub const COMPILED: &str = "experiment.txtpb";
 
-/// A hash of all that an experiment is compiled from, in hexadecimal: it tells one experiment from another.
+/// A hash of everything an experiment is compiled from, in hexadecimal; it identifies the experiment.
 pub fn fingerprint(configuration: &Configuration, experiment: &Experiment) -> String {
     let compiled = schema::to_binary(&isolated(configuration, experiment));
     format!("{:016x}", xxh3_64(&compiled))
 }
 
-/// The configuration with this experiment alone, and without what experiments do not use.
+/// The configuration with this experiment only, and without everything that experiments do not use.
 pub fn isolated(configuration: &Configuration, experiment: &Experiment) -> Configuration {
     Configuration {
         version: configuration.version,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What is to be played.
+/// The runs of an experiment.
 pub struct Work<'w> {
     /// Name of the experiment.
     pub experiment: &'w str,
@@ -48,9 +48,9 @@
     pub fingerprint: String,
     /// Its variants, see [`crate::plans::variants`].
     pub variants: &'w [Variant],
-    /// Seeds 1 to this are played.
+    /// Seeds 1 to this are run.
     pub seeds: u64,
-    /// Runs at a time; 0 counts as 1.
+    /// Number of concurrent runs; 0 counts as 1.
     pub threads: usize,
 }
 
@@ -61,37 +61,37 @@
     pub variant: String,
     /// Its seed.
     pub seed: u64,
-    /// Why, in words.
+    /// The error message.
     pub reason: String,
 }
 
-/// What came of all runs.
+/// The outcome of all runs.
 #[derive(Debug, Default)]
 pub struct Played {
     /// Finished runs, earlier ones included, in the order in which they ended.
     pub rows: Vec<Rows>,
-    /// How many of them an earlier, stopped play had finished.
+    /// How many of them were finished by an earlier call that was stopped.
     pub resumed: usize,
     /// Runs without a result.
     pub failed: Vec<FailedRun>,
-    /// Runs that were not begun before the stop.
+    /// Runs that had not started before the stop.
     pub remaining: usize,
 }
 
-/// A run that is to be played.
+/// Identifies a run of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RunId {
     variant: usize,
     seed: u64,
 }
 
-/// What a thread reports of a run.
+/// The report of a thread on a run.
 struct FinishedRun {
     id: RunId,
     outcome: Result<Rows, String>,
 }
 
-/// Finished runs that a folder holds of this very experiment. A line that a crash cut off is skipped.
+/// Reads the finished runs of this experiment from a folder. A line that was truncated by a crash is skipped.
 ///
 /// # Errors
 /// If the folder cannot be read.
@@ -107,11 +107,11 @@
     Ok(rows.filter(|rows| rows.run.of == fingerprint).collect())
 }
 
-/// Plays what the folder does not hold yet. `on_finished` gets each run as it ends, on the calling thread; once `stop` is
-/// set no further run begins.
+/// Executes the runs that are not in the folder yet. `on_finished` is called with each run as it ends, on the calling
+/// thread; once `stop` is set no further run starts.
 ///
 /// # Errors
-/// If the folder cannot be read, or what was played cannot be stored.
+/// If the folder cannot be read, or a finished run cannot be stored.
 pub fn play(
     work: &Work<'_>,
     folder: &Path,
@@ -131,9 +131,9 @@
     std::thread::scope(|scope| {
         for _ in 0..work.threads.max(1) {
             let (sender, queue) = (sender.clone(), &queue);
-            scope.spawn(move || play_queue(work, queue, stop, &sender));
+            scope.spawn(move || execute_queue(work, queue, stop, &sender));
         }
-        // The receiver ends with the last thread.
+        // The receiver ends when the last thread drops its sender.
         drop(sender);
         for FinishedRun { id, outcome } in receiver {
             match outcome {
@@ -179,7 +179,7 @@
     }
 }
 
-/// Runs that are not finished yet. Seeds go round the variants, so that a stopped experiment has pairs to compare.
+/// Runs that are not finished yet, ordered by seed, then variant, so that a stopped experiment has pairs to compare.
 fn pending_runs(work: &Work<'_>, finished: &[Rows]) -> VecDeque<RunId> {
     let finished: HashSet<RunId> = finished
         .iter()
@@ -198,8 +198,8 @@
     queue.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One thread's work: plays runs of the queue until it is empty or the play is stopped.
-fn play_queue(
+/// Executes runs of the queue, on one thread, until it is empty or `stop` is set.
+fn execute_queue(
     work: &Work<'_>,
     queue: &Mutex<VecDeque<RunId>>,
     stop: &AtomicBool,
@@ -209,15 +209,15 @@
         let Some(id) = lock(queue).pop_front() else {
             return;
         };
-        let outcome = catch_unwind(AssertUnwindSafe(|| play_one(work, id)))
-            .unwrap_or_else(|_| Err("it ended in a panic; see standard error".into()));
+        let outcome = catch_unwind(AssertUnwindSafe(|| execute_run(work, id)))
+            .unwrap_or_else(|_| Err("the run panicked; see standard error".into()));
         if finished.send(FinishedRun { id, outcome }).is_err() {
             return;
         }
     }
 }
 
-fn play_one(work: &Work<'_>, id: RunId) -> Result<Rows, String> {
+fn execute_run(work: &Work<'_>, id: RunId) -> Result<Rows, String> {
     let variant = &work.variants[id.variant];
     let mut plan = variant.plan.clone();
     plan.seed = id.seed;
--- a/crates/experiments/src/page.rs
+++ b/crates/experiments/src/page.rs
@@ -1,4 +1,4 @@
-//! One HTML page that shows an experiment: figures with their intervals, comparisons with the first variant, pictures.
+//! An HTML page about an experiment: figures with their intervals, comparisons with the first variant, pictures.
 
 use crate::error::ExperimentError;
 use crate::plot::{pictures, CONFIDENCE};
@@ -12,7 +12,7 @@
      text-align:right}td:first-child,th:first-child{text-align:left}.worse{color:#b00020}.better{color:#1b6e2b}\
      .noise,.same{color:#888}pre{background:#f6f6f6;padding:1em;overflow:auto}figure{display:inline-block;margin:4px}";
 
-/// The page of a folder. `compiled` is the experiment as it was compiled.
+/// Renders the page of a folder of results. `compiled` is the compiled experiment.
 ///
 /// # Errors
 /// As [`pictures`].
@@ -20,7 +20,7 @@
     let variants = results.variants();
     let mut html = String::new();
     write_head(&mut html, results, &variants);
-    write_broken_rules(&mut html, results);
+    write_violations(&mut html, results);
     write_figures(&mut html, results, &variants);
     if let Some((base, others)) = variants.split_first() {
         for other in others {
@@ -63,7 +63,7 @@
     );
 }
 
-fn write_broken_rules(html: &mut String, results: &Results) {
+fn write_violations(html: &mut String, results: &Results) {
     for run in results.runs.iter().filter(|run| !run.broken.is_empty()) {
         let _ = write!(
             html,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Two variants that have fewer than two seeds in common are not compared.
+/// Compares two variants; writes nothing if they have fewer than two seeds in common.
 fn write_comparison(
     html: &mut String,
     results: &Results,
@@ -113,7 +113,7 @@
 ) {
     let before = results.runs_of(base.number);
     let after = results.runs_of(other.number);
-    let Ok(found) = compare(before, after, CONFIDENCE) else {
+    let Ok(comparison) = compare(before, after, CONFIDENCE) else {
         return;
     };
     let _ = write!(
@@ -122,21 +122,21 @@
         escape(&other.label),
         escape(&base.label)
     );
-    for one in found {
-        write_compared(html, &one);
+    for compared in comparison {
+        write_compared(html, &compared);
     }
     html.push_str("</table>");
 }
 
-fn write_compared(html: &mut String, one: &Compared) {
+fn write_compared(html: &mut String, compared: &Compared) {
     let _ = write!(
         html,
         "<tr class=\"{4}\"><td>{0}</td><td>{1:.4}</td><td>{2:.4}</td><td>{3:+.4} ± {5:.4}</td><td>{4}</td></tr>",
-        one.measure,
-        one.before,
-        one.after,
-        one.change.mean,
-        one.verdict.word(),
-        one.change.half
+        compared.measure,
+        compared.before,
+        compared.after,
+        compared.change.mean,
+        compared.verdict.word(),
+        compared.change.half
     );
 }
--- a/crates/experiments/src/plans.rs
+++ b/crates/experiments/src/plans.rs
@@ -1,4 +1,4 @@
-//! An `experiment` of a configuration as plans of the fleet model, one for each variant.
+//! Converts an `experiment` of a configuration to plans of the fleet model, one per variant.
 
 use crate::error::ExperimentError;
 use crate::variations;
@@ -16,19 +16,19 @@
 /// Label of the only variant of an experiment that varies nothing.
 const UNVARIED: &str = "as written";
 
-/// One combination of the values that are varied.
+/// One combination of varied values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Variant {
-    /// As `know=10 pick=in-turn`; `as written` if nothing is varied.
+    /// Such as `know=10 pick=in-turn`; `as written` if nothing is varied.
     pub label: String,
-    /// What the model plays, with seed 1.
+    /// The plan that the model runs, with seed 1.
     pub plan: Plan,
 }
 
-/// All variants: every value of each `vary` with every value of the others, the last one changing first.
+/// All variants: every combination of the values of each `vary`; the last `vary` changes fastest.
 ///
 /// # Errors
-/// As [`plan`], or a variant that makes no sense.
+/// As [`plan`], or a variant whose plan is invalid.
 pub fn variants(
     configuration: &Configuration,
     experiment: &Experiment,
@@ -59,17 +59,17 @@
     Ok(all)
 }
 
-/// The plan that an experiment describes, without what it varies.
+/// The plan of an experiment before anything is varied.
 ///
 /// # Errors
-/// A name that the configuration does not have: the checker refuses it, but a compiled message may come from elsewhere.
+/// A name that is not in the configuration. The checker rejects it, but a compiled message may come from elsewhere.
 pub fn plan(
     configuration: &Configuration,
     experiment: &Experiment,
 ) -> Result<Plan, ExperimentError> {
     let tenants = tenants(configuration, experiment)?;
     let faults = experiment.faults.iter();
-    let faults: Result<Vec<Fault>, _> = faults.map(|one| fault(one, &tenants)).collect();
+    let faults: Result<Vec<Fault>, _> = faults.map(|fault| model_fault(fault, &tenants)).collect();
     let load = experiment.load.iter();
     Ok(Plan {
         seed: 1,
@@ -78,7 +78,7 @@
         types: request_classes(configuration, experiment)?,
         tenants,
         dispatchers: count(experiment.dispatchers),
-        habits: habits(experiment),
+        habits: client_behaviour(experiment),
         nodes: nodes(experiment),
         fronts: forwarders(experiment.forwarders.as_ref()),
         net: experiment
@@ -87,26 +87,26 @@
             .map_or(NetPlan::default(), network),
         below: experiment.below.as_ref().map(downstream),
         load: load
-            .map(|one| (span(one.from_ns), share(one.share)))
+            .map(|step| (span(step.from_ns), share(step.share)))
             .collect(),
         bug: None,
         check: true,
     })
 }
 
-/// A time in nanoseconds.
+/// Converts a time in nanoseconds.
 pub(crate) fn span(ns: u64) -> Duration {
     Duration::from_nanos(ns)
 }
 
-/// A share in millionths.
+/// Converts a share in millionths.
 pub(crate) fn share(millionths: u64) -> f64 {
     millionths as f64 / ONE as f64
 }
 
-/// A count, cut to the model's type.
-pub(crate) fn count(number: u64) -> u32 {
-    u32::try_from(number).unwrap_or(u32::MAX)
+/// Converts a count, saturating at the model's type.
+pub(crate) fn count(value: u64) -> u32 {
+    u32::try_from(value).unwrap_or(u32::MAX)
 }
 
 fn request_classes(
@@ -119,7 +119,7 @@
             .iter()
             .find(|known| known.name == traffic.name)
             .ok_or_else(|| ExperimentError::UnknownRequestClass(traffic.name.clone()))?;
-        let (least, most) = (span(traffic.work_least_ns), span(traffic.work_most_ns));
+        let (min, max) = (span(traffic.work_least_ns), span(traffic.work_most_ns));
         Ok(TypePlan {
             name: traffic.name.clone(),
             kind: match known.repeat() {
@@ -130,7 +130,7 @@
             goal: span(known.goal_ns),
             outer_limit: span(known.outer_limit_ns),
             part: share(traffic.part),
-            work: work(traffic.by_chance, least, most),
+            work: work(traffic.by_chance, min, max),
             calls: traffic.calls,
             poorer: if traffic.calls {
                 share(traffic.poorer)
@@ -164,13 +164,13 @@
     experiment.from.iter().map(tenant).collect()
 }
 
-fn habits(experiment: &Experiment) -> Habits {
-    let second_copy = experiment.second_copy_ns;
+fn client_behaviour(experiment: &Experiment) -> Habits {
+    let hedge_after_ns = experiment.second_copy_ns;
     Habits {
         tries: count(experiment.tries),
         heeds: experiment.heeds,
         marks: experiment.marks,
-        second_copy: (second_copy > 0).then(|| span(second_copy)),
+        second_copy: (hedge_after_ns > 0).then(|| span(hedge_after_ns)),
         late_list: span(experiment.late_list_ns),
     }
 }
@@ -193,52 +193,58 @@
     }
 }
 
-/// Without forwarders callers go to the nodes themselves.
+/// If there are no forwarders, clients send to the nodes directly.
 fn forwarders(forwarders: Option<&schema::ModelForwarders>) -> FrontPlan {
-    let Some(one) = forwarders else {
+    let Some(forwarders) = forwarders else {
         return FrontPlan {
             count: 0,
             ..FrontPlan::default()
         };
     };
     FrontPlan {
-        count: count(one.count),
-        know: count(one.know),
-        pick: selection_policy(one.pick()),
-        tries: count(one.tries),
-        budget: share(one.budget),
-        wait: (span(one.wait_least_ns), span(one.wait_most_ns)),
-        keep: one.health.then(|| share(one.keep)),
-        at_once: one.at_once,
+        count: count(forwarders.count),
+        know: count(forwarders.know),
+        pick: selection_policy(forwarders.pick()),
+        tries: count(forwarders.tries),
+        budget: share(forwarders.budget),
+        wait: (
+            span(forwarders.wait_least_ns),
+            span(forwarders.wait_most_ns),
+        ),
+        keep: forwarders.health.then(|| share(forwarders.keep)),
+        at_once: forwarders.at_once,
         warm_rate: 0,
     }
 }
 
-fn network(one: &schema::ModelNetwork) -> NetPlan {
+fn network(network: &schema::ModelNetwork) -> NetPlan {
     NetPlan {
-        delay: (span(one.delay_least_ns), span(one.delay_most_ns)),
-        far: span(one.far_ns),
-        breaks: share(one.breaks),
+        delay: (span(network.delay_least_ns), span(network.delay_most_ns)),
+        far: span(network.far_ns),
+        breaks: share(network.breaks),
     }
 }
 
-fn downstream(one: &schema::ModelBelow) -> BelowPlan {
-    let (least, most) = (span(one.work_least_ns), span(one.work_most_ns));
+fn downstream(downstream: &schema::ModelBelow) -> BelowPlan {
+    let (min, max) = (
+        span(downstream.work_least_ns),
+        span(downstream.work_most_ns),
+    );
     BelowPlan {
-        count: count(one.nodes),
-        at_once: count(one.at_once),
-        hold: count(one.hold),
-        work: work(one.by_chance, least, most),
+        count: count(downstream.nodes),
+        at_once: count(downstream.at_once),
+        hold: count(downstream.hold),
+        work: work(downstream.by_chance, min, max),
     }
 }
 
-fn work(by_chance: bool, least: Duration, most: Duration) -> Work {
-    if by_chance {
-        Work::About(least)
-    } else if least == most {
-        Work::Fixed(least)
+fn work(exponential: bool, min: Duration, max: Duration) -> Work {
+    if exponential {
+        Work::About(min)
+    } else if min == max {
+        Work::Fixed(min)
     } else {
-        Work::Between(least, most)
+        Work::Between(min, max)
     }
 }
 
@@ -250,40 +256,45 @@
     }
 }
 
-fn fault(one: &schema::ModelFault, tenants: &[TenantPlan]) -> Result<Fault, ExperimentError> {
+fn model_fault(
+    fault: &schema::ModelFault,
+    tenants: &[TenantPlan],
+) -> Result<Fault, ExperimentError> {
     Ok(Fault {
-        from: span(one.from_ns),
-        to: span(one.from_ns + one.lasts_ns),
-        trouble: trouble(one, tenants)?,
-        whom: match one.hall {
+        from: span(fault.from_ns),
+        to: span(fault.from_ns + fault.lasts_ns),
+        trouble: trouble(fault, tenants)?,
+        whom: match fault.hall {
             Some(hall) => Whom::Hall(hall),
-            None if one.first > 0 => Whom::First(count(one.first)),
-            None => Whom::Share(share(one.share)),
+            None if fault.first > 0 => Whom::First(count(fault.first)),
+            None => Whom::Share(share(fault.share)),
         },
     })
 }
 
-fn trouble(one: &schema::ModelFault, tenants: &[TenantPlan]) -> Result<Trouble, ExperimentError> {
-    let times = share(one.times);
-    let duration = span(one.span_ns);
-    Ok(match one.kind() {
+fn trouble(fault: &schema::ModelFault, tenants: &[TenantPlan]) -> Result<Trouble, ExperimentError> {
+    let factor = share(fault.times);
+    let duration = span(fault.span_ns);
+    Ok(match fault.kind() {
         TroubleKind::Die => Trouble::Die,
-        TroubleKind::Slow => Trouble::Slow(times),
+        TroubleKind::Slow => Trouble::Slow(factor),
         TroubleKind::Hang => Trouble::Hang,
         TroubleKind::StandStill => Trouble::StandStill,
         TroubleKind::FailFast => Trouble::FailFast(duration),
-        TroubleKind::Neighbour => Trouble::Neighbour(share(one.cores)),
+        TroubleKind::Neighbour => Trouble::Neighbour(share(fault.cores)),
         TroubleKind::Lie => Trouble::Lie(duration),
         TroubleKind::Deploy => Trouble::Deploy(duration),
         TroubleKind::Partition => Trouble::Partition,
         TroubleKind::Flood => {
-            let found = tenants.iter().position(|tenant| tenant.name == one.tenant);
+            let found = tenants
+                .iter()
+                .position(|tenant| tenant.name == fault.tenant);
             let tenant =
-                found.ok_or_else(|| ExperimentError::FloodWithoutTraffic(one.tenant.clone()))?;
-            Trouble::Flood(tenant as u32, times)
+                found.ok_or_else(|| ExperimentError::FloodWithoutTraffic(fault.tenant.clone()))?;
+            Trouble::Flood(tenant as u32, factor)
         }
         TroubleKind::ClockJump => Trouble::ClockJump(duration),
-        TroubleKind::BelowDies => Trouble::BelowDies(count(one.first)),
+        TroubleKind::BelowDies => Trouble::BelowDies(count(fault.first)),
         TroubleKind::TroubleUnspecified => return Err(ExperimentError::UnknownFault),
     })
 }
--- a/crates/experiments/src/plot.rs
+++ b/crates/experiments/src/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of an experiment as SVG, drawn from a folder's results alone.
+//! Draws pictures of an experiment as SVG from a folder of results.
 
 use crate::error::ExperimentError;
 use crate::results::{Results, Run, Second};
@@ -10,14 +10,14 @@
 
 /// Width and height of a picture, in pixels.
 const SIZE: (u32, u32) = (760, 340);
-/// Lines of one picture that can still be told apart.
+/// Maximum number of lines in a picture that can be distinguished.
 const MAX_LINES: usize = 12;
 /// Confidence of the intervals in pictures and on the page.
 pub(crate) const CONFIDENCE: f64 = 0.95;
 /// Lowest value on a logarithmic axis.
 const MIN_LOG_VALUE: f64 = 1e-3;
-/// Least height of an axis.
-const MIN_HEIGHT: f64 = 1e-6;
+/// Minimum range of an axis.
+const MIN_RANGE: f64 = 1e-6;
 
 const COLOURS: [RGBColor; MAX_LINES] = [
     RGBColor(31, 119, 180),
@@ -37,9 +37,9 @@
 /// A point of a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// To the right.
+    /// Horizontal value.
     pub x: f64,
-    /// Upwards.
+    /// Vertical value.
     pub y: f64,
 }
 
@@ -52,18 +52,18 @@
     pub points: Vec<Point>,
 }
 
-/// How a picture is labelled, and how its values lie.
+/// Labels and axis options of a picture.
 #[derive(Clone, Copy, Debug)]
 pub struct Labels<'a> {
-    /// Above the picture.
+    /// Title above the picture.
     pub title: &'a str,
-    /// Below the horizontal axis.
+    /// Label of the horizontal axis.
     pub x: &'a str,
-    /// Beside the vertical axis.
+    /// Label of the vertical axis.
     pub y: &'a str,
     /// Whether y is logarithmic, for values from below 1 to thousands.
     pub log: bool,
-    /// The range that y covers at least.
+    /// Minimum range of y.
     pub min_range: Span,
 }
 
@@ -84,8 +84,8 @@
         Self { low, high }
     }
 
-    /// The least span that holds all values.
-    fn holding(values: impl Iterator<Item = f64>) -> Self {
+    /// The smallest span that contains all values.
+    fn containing(values: impl Iterator<Item = f64>) -> Self {
         values.fold(Self::EMPTY, |span, value| {
             Self::new(span.low.min(value), span.high.max(value))
         })
@@ -105,21 +105,21 @@
     ExperimentError::Drawing(error.to_string())
 }
 
-/// Lines over one axis as SVG; of more than 12 the first 12 are drawn, and the title says so.
+/// Draws lines as SVG. If there are more than 12, the first 12 are drawn and the title says so.
 ///
 /// # Errors
 /// If there is no point, or the backend fails.
 pub fn draw_lines(labels: Labels<'_>, lines: &[Line]) -> Result<String, ExperimentError> {
     let shown = &lines[..lines.len().min(MAX_LINES)];
     let points = || shown.iter().flat_map(|line| &line.points);
-    let x = Span::holding(points().map(|point| point.x));
-    let y = Span::holding(points().map(|point| point.y));
+    let x = Span::containing(points().map(|point| point.x));
+    let y = Span::containing(points().map(|point| point.y));
     if !x.low.is_finite() || !y.low.is_finite() {
         return Err(ExperimentError::NothingToDraw);
     }
     let x_high = if x.high > x.low { x.high } else { x.low + 1.0 };
     let y_low = y.low.min(labels.min_range.low);
-    let y_high = y.high.max(labels.min_range.high).max(y.low + MIN_HEIGHT);
+    let y_high = y.high.max(labels.min_range.high).max(y.low + MIN_RANGE);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -189,7 +189,7 @@
         .map_err(drawing_error)
 }
 
-/// A value of each second, as the mean over the seeds of a variant.
+/// One line per variant: a value per second, averaged over the seeds.
 fn over_time(results: &Results, read: impl Fn(&Second) -> Option<f64>) -> Vec<Line> {
     let line = |variant: crate::results::VariantLabel| {
         let mut by_second: BTreeMap<i64, Vec<f64>> = BTreeMap::new();
@@ -211,7 +211,7 @@
     results.variants().into_iter().map(line).collect()
 }
 
-/// A part of the jobs of a second; `None` where there were none.
+/// Share of the jobs of a second; `None` if there were no jobs.
 fn share_of_jobs(part: i64, second: &Second) -> Option<f64> {
     (second.asked > 0).then(|| part as f64 / second.asked as f64)
 }
@@ -229,7 +229,7 @@
 /// All pictures of a folder.
 ///
 /// # Errors
-/// Why one could not be drawn.
+/// If a picture cannot be drawn.
 pub fn pictures(results: &Results) -> Result<Vec<Picture>, ExperimentError> {
     let served = labels(
         "Honoured within the goal time",
@@ -278,9 +278,9 @@
     })
 }
 
-/// A percentile of the time of jobs.
+/// A latency percentile of jobs.
 struct Percentile {
-    /// Its place on an axis of nines: 0.9 is 1, 0.99 is 2, 0.999 is 3.
+    /// Its position on an axis of nines: 0.9 is 1, 0.99 is 2, 0.999 is 3.
     nines: f64,
     read_ms: fn(&Run) -> f64,
 }
@@ -291,7 +291,7 @@
     }
 }
 
-/// Percentiles of the time of jobs, by variant.
+/// Latency percentiles of jobs, by variant.
 fn percentiles(results: &Results) -> Result<Picture, ExperimentError> {
     let percentiles = [
         Percentile::new(0.3, |run| run.p50_ms),
@@ -326,7 +326,7 @@
     picture("times.svg", labels, &lines)
 }
 
-/// How even the runs are among the nodes of a variant.
+/// Distribution of runs over the nodes of a variant.
 fn runs_by_node(results: &Results) -> Result<Picture, ExperimentError> {
     let line = |variant: crate::results::VariantLabel| {
         let nodes = results.nodes.iter();
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,6 +1,6 @@
-//! Results of runs: as rows of finished runs, and as Parquet files of a folder.
+//! Results of runs: rows of finished runs, and Parquet files of a folder.
 //!
-//! Field names of the rows are the column names of the files and the keys of `done.jsonl`, and keep their words.
+//! Field names of the rows are the column names of the files and the keys of `done.jsonl`, so they must not change.
 
 use crate::error::ExperimentError;
 use parquet::basic::Compression;
@@ -29,17 +29,17 @@
 pub struct Run {
     /// Name of the experiment.
     pub experiment: String,
-    /// A hash of the experiment and all it refers to: runs of another are not compared by mistake.
+    /// A hash of the experiment and all it refers to, so that runs of different experiments are not compared.
     pub of: String,
     /// The program's version.
     pub version: String,
     /// Label of the variant.
     pub variant: String,
-    /// Its place among the variants, from 0.
+    /// Index of the variant, from 0.
     pub variant_number: i64,
     /// Seed of the run, from 1.
     pub seed: i64,
-    /// Jobs that callers had.
+    /// Jobs that clients started.
     pub asked: i64,
     /// Jobs served within the latency objective.
     pub good: i64,
@@ -55,25 +55,25 @@
     pub honoured_share: f64,
     /// Attempts that forwarders sent over `asked`.
     pub tries_per_job: f64,
-    /// Requests that callers sent, retries and hedged ones included, over `asked`.
+    /// Requests that clients sent, retries and hedged ones included, over `asked`.
     pub tickets_per_job: f64,
-    /// Median time of a job.
+    /// Median latency of a job.
     pub p50_ms: f64,
-    /// 90th percentile of the time of a job.
+    /// 90th percentile of the latency of a job.
     pub p90_ms: f64,
-    /// 99th percentile of the time of a job.
+    /// 99th percentile of the latency of a job.
     pub p99_ms: f64,
-    /// 99.9th percentile of the time of a job.
+    /// 99.9th percentile of the latency of a job.
     pub p999_ms: f64,
-    /// 99th percentile of the time from reaching a node to the start of the run.
+    /// 99th percentile of the time from the arrival at a node to the start of the run.
     pub wait_p99_ms: f64,
-    /// The most runs of a node over the mean.
+    /// Largest number of runs of a node, relative to the mean.
     pub unevenness: f64,
-    /// Runs whose result nobody waited for.
+    /// Runs whose result no client received.
     pub wasted_runs: i64,
-    /// Events that the model played.
+    /// Number of events in the model.
     pub events: i64,
-    /// The first rule that broke, with the steps that led to it; empty if none did.
+    /// The first violation of an invariant, with the steps that led to it; empty if there is none.
     pub broken: String,
 }
 
@@ -95,7 +95,7 @@
     pub seed: i64,
     /// The second, from 0.
     pub second: i64,
-    /// See [`Run::asked`]; jobs count in the second in which they began.
+    /// See [`Run::asked`]; jobs count in the second in which they started.
     pub asked: i64,
     /// See [`Run::good`].
     pub good: i64,
@@ -107,13 +107,13 @@
     pub given_up: i64,
     /// Attempts that forwarders sent.
     pub tries: i64,
-    /// Runs that began.
+    /// Runs that started.
     pub runs: i64,
-    /// Downstream calls that were made.
+    /// Downstream calls that were started.
     pub calls: i64,
-    /// Downstream calls that returned a result.
+    /// Downstream calls that succeeded.
     pub calls_done: i64,
-    /// The most downstream calls in progress at a time.
+    /// Maximum number of concurrent downstream calls.
     pub most_calls: i64,
 }
 
@@ -135,7 +135,7 @@
     pub seed: i64,
     /// The node, from 0.
     pub node: i64,
-    /// Runs that it began.
+    /// Runs that it started.
     pub runs: i64,
     /// Core time that it used, in milliseconds.
     pub busy_ms: i64,
@@ -173,7 +173,7 @@
     pub given_up: i64,
 }
 
-/// All that is stored of one run.
+/// Everything that is stored about one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rows {
     /// The run.
@@ -186,11 +186,11 @@
     pub groups: Vec<Group>,
 }
 
-/// Nodes of a run that are stored.
+/// Maximum number of nodes that are stored per run.
 const MAX_NODE_ROWS: usize = 1_000;
 
 impl Rows {
-    /// The rows of a run. `head` has what identifies it; `classes` and `tenants` are the names of the measured groups.
+    /// Creates the rows of a run. `head` identifies it; `classes` and `tenants` are the names of the measured groups.
     pub fn new(
         measured: &Measured,
         head: Run,
@@ -212,8 +212,8 @@
         let classes = classes.zip(&measured.by_type);
         let tenants = tenants.zip(&measured.by_tenant);
         let groups = classes
-            .map(|one| group("type", one))
-            .chain(tenants.map(|one| group("tenant", one)));
+            .map(|class| group("type", class))
+            .chain(tenants.map(|tenant| group("tenant", tenant)));
         Self {
             seconds: second_rows(measured, variant_number, seed),
             nodes: node_rows(measured, variant_number, seed),
@@ -223,7 +223,7 @@
     }
 }
 
-/// Counts as Parquet has them.
+/// Converts a count to the signed integers of Parquet.
 fn signed(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
@@ -255,20 +255,20 @@
 }
 
 fn second_rows(measured: &Measured, variant_number: i64, seed: i64) -> Vec<Second> {
-    let row = |(second, one): (usize, &measure::Second)| Second {
+    let row = |(index, second): (usize, &measure::Second)| Second {
         variant_number,
         seed,
-        second: second as i64,
-        asked: signed(one.jobs.asked),
-        good: signed(one.jobs.good),
-        late: signed(one.jobs.late),
-        dismissed: signed(one.jobs.dismissed),
-        given_up: signed(one.jobs.given_up),
-        tries: signed(one.attempts),
-        runs: signed(one.runs),
-        calls: signed(one.calls),
-        calls_done: signed(one.calls_done),
-        most_calls: signed(one.max_calls),
+        second: index as i64,
+        asked: signed(second.jobs.asked),
+        good: signed(second.jobs.good),
+        late: signed(second.jobs.late),
+        dismissed: signed(second.jobs.dismissed),
+        given_up: signed(second.jobs.given_up),
+        tries: signed(second.attempts),
+        runs: signed(second.runs),
+        calls: signed(second.calls),
+        calls_done: signed(second.calls_done),
+        most_calls: signed(second.max_calls),
     };
     measured.seconds.iter().enumerate().map(row).collect()
 }
@@ -286,7 +286,7 @@
     (0..count).step_by(step).map(row).collect()
 }
 
-/// Writes one Parquet file, atomically: whoever reads it meanwhile sees the old one.
+/// Writes one Parquet file atomically: concurrent readers see the old file.
 fn write_file<T>(path: &Path, rows: &[T]) -> Result<(), ExperimentError>
 where
     for<'r> &'r [T]: RecordWriter<T>,
@@ -323,10 +323,10 @@
     Ok(rows)
 }
 
-/// Writes a folder's Parquet files, in order of variant and seed whatever the order in which runs ended.
+/// Writes a folder's Parquet files, sorted by variant and seed, regardless of the order in which runs ended.
 ///
 /// # Errors
-/// Which file could not be written, and why.
+/// If a file cannot be written.
 pub fn write(folder: &Path, all: &mut [Rows]) -> Result<(), ExperimentError> {
     all.sort_by_key(|rows| (rows.run.variant_number, rows.run.seed));
     let runs: Vec<Run> = all.iter().map(|rows| rows.run.clone()).collect();
@@ -348,7 +348,7 @@
     pub label: String,
 }
 
-/// A folder's results as they were written.
+/// The results that are stored in a folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
     /// All runs, by variant and seed.
@@ -385,7 +385,7 @@
 /// Reads a folder's Parquet files.
 ///
 /// # Errors
-/// Which file could not be read, and why.
+/// If a file cannot be read.
 pub fn read(folder: &Path) -> Result<Results, ExperimentError> {
     Ok(Results {
         runs: read_file(&folder.join("runs.parquet"))?,
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -1,15 +1,15 @@
-//! Compares two variants by pairs of one seed: both had the same jobs, so what differs is the variant.
+//! Compares two variants by pairs of runs with the same seed, which have the same jobs and differ in the variant only.
 //!
-//! A difference is reported with its confidence interval; one whose interval contains zero is called noise.
+//! A difference is reported with its confidence interval; one whose interval contains zero is reported as noise.
 
 use crate::error::ExperimentError;
 use crate::results::Run;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Quantile of Student's t that is used where it cannot be computed.
+/// Quantile of Student's t that is used if it cannot be computed.
 const FALLBACK_QUANTILE: f64 = 2.0;
 
-/// What is compared between variants.
+/// A measure that is compared between variants.
 #[derive(Clone, Copy, Debug)]
 pub struct Measure {
     /// Its name in tables and JSON.
@@ -93,7 +93,7 @@
     }
 }
 
-/// What a difference between two variants says.
+/// Conclusion from the difference between two variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The variant after is better.
@@ -129,7 +129,7 @@
     pub after: f64,
     /// After less before, by pairs.
     pub change: Mean,
-    /// What the change says.
+    /// Conclusion from the change.
     pub verdict: Verdict,
 }
 
@@ -139,7 +139,7 @@
     after: &'r Run,
 }
 
-/// Compares runs of two variants that have seeds in common.
+/// Compares the runs of two variants that have the same seeds.
 ///
 /// # Errors
 /// If fewer than two seeds are in both.
--- a/crates/experiments/src/variations.rs
+++ b/crates/experiments/src/variations.rs
@@ -1,13 +1,13 @@
-//! What each value of a varied key changes in a plan, and how the variant's label shows it.
+//! Applies each value of a varied key to a plan and to the label of the variant.
 
 use crate::plans::{count, share, span, Variant};
 use rainstand_config::schema::{Varied, Vary};
 use rainstand_config::units::{self, ONE};
 use rainstand_fleet_model::plan::{NodeKind, Pick, Plan};
 
-/// Places in the queue of a plain node, for each core.
+/// Queue capacity of a plain node, per core.
 const QUEUE_PER_CORE: u32 = 10;
-/// A load that is scaled counts as at least this share of all cores.
+/// Lower bound of a load that is scaled, as a share of all cores; avoids a division by zero.
 const MIN_LOAD: f64 = 1e-9;
 
 /// The part of a label that a value contributes.
@@ -22,7 +22,7 @@
     }
 }
 
-/// The variants that the values of `vary` make of one, in their order.
+/// The variants that result from a variant by the values of `vary`, in their order.
 pub(crate) fn of(variant: &Variant, vary: &Vary) -> Vec<Variant> {
     let key = vary.key();
     let numbers = vary
@@ -122,11 +122,11 @@
     LabelPart::new(key, number.to_string())
 }
 
-/// Scales the load so that its first part becomes `first`; its shape over time stays.
+/// Scales the load so that its first step becomes `first`, and keeps its shape over time.
 fn scale_load(plan: &mut Plan, first: f64) {
-    let before = plan.load.first().map_or(1.0, |part| part.1).max(MIN_LOAD);
-    for part in &mut plan.load {
-        part.1 *= first / before;
+    let before = plan.load.first().map_or(1.0, |step| step.1).max(MIN_LOAD);
+    for step in &mut plan.load {
+        step.1 *= first / before;
     }
 }
 
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -1,5 +1,5 @@
-//! An experiment from its text to its folder: the same bytes with any number of threads, gone on with after a stop,
-//! compared, drawn.
+//! An experiment from its text to its folder of results: deterministic with any number of threads, resumed after a
+//! stop, compared, drawn.
 
 #![allow(
     missing_docs,
@@ -41,10 +41,10 @@
         .unwrap_or_else(|| panic!("{:?}", outcome.findings))
 }
 
-fn played(folder: &Path, threads: usize, stop_after: Option<usize>) -> (usize, usize) {
-    let c = configuration();
-    let all = variants(&c, &c.experiments[0]).unwrap();
-    let fingerprint = fingerprint(&c, &c.experiments[0]);
+fn run_experiment(folder: &Path, threads: usize, stop_after: Option<usize>) -> (usize, usize) {
+    let configuration = configuration();
+    let all = variants(&configuration, &configuration.experiments[0]).unwrap();
+    let fingerprint = fingerprint(&configuration, &configuration.experiments[0]);
     let work = Work {
         experiment: "dead",
         fingerprint,
@@ -52,10 +52,10 @@
         seeds: 4,
         threads,
     };
-    let (stop, mut told) = (AtomicBool::new(false), 0);
+    let (stop, mut finished) = (AtomicBool::new(false), 0);
     let mut played = play(&work, folder, &stop, |_| {
-        told += 1;
-        if stop_after == Some(told) {
+        finished += 1;
+        if stop_after == Some(finished) {
             stop.store(true, Ordering::Relaxed);
         }
     })
@@ -73,20 +73,23 @@
 ];
 
 #[test]
-fn the_same_bytes_with_any_threads_and_after_a_stop() {
+fn results_are_identical_with_any_number_of_threads_and_after_a_stop() {
     let folders: Vec<_> = (0..3).map(|_| tempfile::tempdir().unwrap()).collect();
-    assert_eq!(played(folders[0].path(), 1, None), (0, 0));
-    assert_eq!(played(folders[1].path(), 8, None), (0, 0));
-    let (before, left) = played(folders[2].path(), 1, Some(3));
-    // The one thread may have begun another run before it saw the stop.
-    assert!(before == 0 && (1..=5).contains(&left), "{before} {left}");
-    let ended = 8 - left;
-    // A crash in the middle of a line costs that run alone.
+    assert_eq!(run_experiment(folders[0].path(), 1, None), (0, 0));
+    assert_eq!(run_experiment(folders[1].path(), 8, None), (0, 0));
+    let (resumed, remaining) = run_experiment(folders[2].path(), 1, Some(3));
+    // The only thread may have started another run before it saw the stop.
+    assert!(
+        resumed == 0 && (1..=5).contains(&remaining),
+        "{resumed} {remaining}"
+    );
+    let ended = 8 - remaining;
+    // A line that was truncated by a crash loses that run only.
     let path = folders[2].path().join(DONE);
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, format!("{}\n", &text[..text.len() - 40])).unwrap();
-    let (before, left) = played(folders[2].path(), 4, None);
-    assert_eq!((before, left), (ended - 1, 0));
+    let (resumed, remaining) = run_experiment(folders[2].path(), 4, None);
+    assert_eq!((resumed, remaining), (ended - 1, 0));
     for file in FILES {
         let first = std::fs::read(folders[0].path().join(file)).unwrap();
         for folder in &folders[1..] {
@@ -96,36 +99,40 @@
             );
         }
     }
-    // Runs of another experiment in the same folder are not taken for this one's.
+    // Runs of another experiment in the same folder are ignored.
     assert_eq!(finished_runs(folders[0].path(), "0123").unwrap().len(), 0);
 }
 
 #[test]
-fn what_was_written_is_read_compared_and_drawn() {
+fn stored_results_are_read_compared_and_drawn() {
     let folder = tempfile::tempdir().unwrap();
-    played(folder.path(), 4, None);
+    run_experiment(folder.path(), 4, None);
     let all = results::read(folder.path()).unwrap();
     assert_eq!((all.runs.len(), all.variants().len()), (8, 2));
     assert!(all
         .runs
         .iter()
         .all(|run| run.broken.is_empty() && run.asked > 1_000));
-    let jobs: i64 = all.seconds.iter().map(|one| one.asked).sum();
+    let jobs: i64 = all.seconds.iter().map(|row| row.asked).sum();
     assert_eq!(jobs, all.runs.iter().map(|run| run.asked).sum::<i64>());
     assert_eq!(
         all.groups
             .iter()
-            .filter(|one| one.what == "type")
-            .map(|one| one.asked)
+            .filter(|group| group.what == "type")
+            .map(|row| row.asked)
             .sum::<i64>(),
         jobs
     );
-    // Further tries help while three of ten fail at once.
+    // Retries help while three of ten nodes fail fast.
     let found = compare(all.runs_of(0), all.runs_of(1), 0.95).unwrap();
-    let good = found.iter().find(|one| one.measure == "good").unwrap();
+    let good = found
+        .iter()
+        .find(|compared| compared.measure == "good")
+        .unwrap();
     assert_eq!(good.verdict, Verdict::Better, "{good:?}");
-    let c = configuration();
-    let compiled = rainstand_config::schema::to_text(&isolated(&c, &c.experiments[0]));
+    let configuration = configuration();
+    let compiled =
+        rainstand_config::schema::to_text(&isolated(&configuration, &configuration.experiments[0]));
     let page = page::page(&all, &compiled).unwrap();
     for part in [
         "tries=1",
@@ -141,10 +148,10 @@
 }
 
 #[test]
-fn a_run_that_fails_leaves_the_others() {
-    let c = configuration();
-    let mut all = variants(&c, &c.experiments[0]).unwrap();
-    // No sound plan any more; the checker of variants would have refused it.
+fn failed_run_does_not_affect_the_others() {
+    let configuration = configuration();
+    let mut all = variants(&configuration, &configuration.experiments[0]).unwrap();
+    // The plan is now invalid; `variants` would have rejected it.
     all[1].plan.types.clear();
     let folder = tempfile::tempdir().unwrap();
     let work = Work {
--- a/crates/experiments/tests/plans.rs
+++ b/crates/experiments/tests/plans.rs
@@ -1,4 +1,4 @@
-//! An experiment of a configuration as plans of the model: what is written is what is played.
+//! Experiments of a configuration are converted to plans of the model as written.
 
 #![allow(
     missing_docs,
@@ -35,13 +35,13 @@
 }";
 
 #[test]
-fn what_is_written_is_what_is_played() {
+fn experiment_is_converted_to_the_plans_it_describes() {
     let outcome = load(&Memory::new([("a.rain", TEXT)]), "a.rain");
     let configuration = outcome
         .configuration
         .unwrap_or_else(|| panic!("{:?}", outcome.findings));
     let all = variants(&configuration, &configuration.experiments[0]).unwrap();
-    let labels: Vec<_> = all.iter().map(|one| &*one.label).collect();
+    let labels: Vec<_> = all.iter().map(|variant| &*variant.label).collect();
     assert_eq!(labels.len(), 6);
     assert_eq!(
         (labels[0], labels[5]),
@@ -62,7 +62,7 @@
     assert_eq!(plan.nodes.cold, Some((Duration::from_secs(5), 2.5)));
     assert!(plan.tenants[1].stranger && plan.tenants[0].share == 0.4);
     assert_eq!(plan.types[1].work, Work::About(Duration::from_millis(40)));
-    // It plays.
+    // The model can run it.
     let mut short = plan.clone();
     short.lasts = Duration::from_millis(300);
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_cannot_be_is_told() {
+fn invalid_experiments_are_reported() {
     let table = [
         ("fleet { }", "has no `nodes`"),
         (
@@ -104,20 +104,20 @@
             "has a `fleet` already",
         ),
     ];
-    for (block, wanted) in table {
+    for (block, expected) in table {
         let text = format!(
             "rain 1\ntype check {{ repeat: rerunnable; goal: 1 s; outer-limit: 3 s }}\ntenant acme {{ }}\n\
              experiment x {{ traffic check {{ work: 5 ms }} from acme {{ }} {block} }}"
         );
         let outcome = load(&Memory::new([("a.rain", &*text)]), "a.rain");
-        let found: Vec<_> = outcome
+        let messages: Vec<_> = outcome
             .findings
             .iter()
-            .map(|one| one.message.clone())
+            .map(|finding| finding.message.clone())
             .collect();
         assert!(
-            found.iter().any(|one| one.contains(wanted)),
-            "{block}: {found:?}"
+            messages.iter().any(|message| message.contains(expected)),
+            "{block}: {messages:?}"
         );
     }
 }
--- a/crates/experiments/tests/stats.rs
+++ b/crates/experiments/tests/stats.rs
@@ -1,4 +1,4 @@
-//! Comparisons of two variants by pairs of one seed.
+//! Comparisons of two variants by pairs of runs with the same seed.
 
 #![allow(
     missing_docs,
@@ -11,17 +11,17 @@
 use rainstand_experiments::stats::{compare, Verdict};
 
 fn runs(values: &[f64]) -> Vec<Run> {
-    let run = |(k, good): (usize, &f64)| Run {
-        seed: k as i64,
-        good_share: *good,
+    let run = |(seed, good_share): (usize, &f64)| Run {
+        seed: seed as i64,
+        good_share: *good_share,
         ..Run::default()
     };
     values.iter().enumerate().map(run).collect()
 }
 
 #[test]
-fn pairs_show_what_means_would_hide() {
-    // Seeds differ by far more than the variants do, but each pair says the same.
+fn paired_comparison_finds_a_difference_smaller_than_the_spread_of_seeds() {
+    // Seeds differ by far more than the variants do, but every pair shows the same difference.
     let before = runs(&[0.90, 0.70, 0.80, 0.60, 0.95]);
     let after = runs(&[0.91, 0.712, 0.809, 0.611, 0.96]);
     let found = compare(before.iter(), after.iter(), 0.95).unwrap();
@@ -35,7 +35,7 @@
         found[0]
     );
     assert_eq!(found[1].verdict, Verdict::Same);
-    // The other way round it is worse, and without a pattern it is noise.
+    // Swapped, the difference is worse; without a pattern it is noise.
     assert_eq!(
         compare(after.iter(), before.iter(), 0.95).unwrap()[0].verdict,
         Verdict::Worse
--- a/crates/fleet-model/src/world.rs
+++ b/crates/fleet-model/src/world.rs
@@ -1,12 +1,13 @@
 //! The run itself: clients send requests, forwarders route them, nodes run them, and faults begin and end.
 //!
 //! A *job* is a unit of work of a client; a *request* is one call for it (the client's retries and hedged requests are
-//! requests of their own, as on the wire); an *attempt* is what a forwarder sends to a node for a request. Invariants are
-//! checked per request. All randomness comes from the plan's seed, in three streams (jobs, network, client behaviour),
-//! so that plans that differ in a routing decision have the same jobs.
+//! requests of their own, as on the wire); an *attempt* is what a forwarder sends to a node for a request. Invariants
+//! are checked per request. All randomness comes from the plan's seed, in three streams (jobs, network, client
+//! behaviour), so that plans that differ in a routing decision have the same jobs.
 //!
 //! Invariants: `requests` holds those without an answer whose caller still waits, and those that a forwarder still
-//! holds; an attempt is in `attempts` from when it is sent until its forwarder knows the outcome or the node has ended it.
+//! holds; an attempt is in `attempts` from when it is sent until its forwarder knows the outcome or the node has
+//! ended it.
 
 use crate::machine::Machine;
 use crate::measure::{JobEnd, Measured};
@@ -1076,7 +1077,7 @@
             warm_up.as_secs_f64(),
             age.saturating_sub(nanos(RATE_WINDOW)) as f64 / 1e9,
         );
-        // The share rises linearly from a twentieth; computed here from the specification, not from the forwarders' code.
+        // The share rises linearly from a twentieth; computed from the specification, not with the forwarders' code.
         let allowed_until = |age: f64| {
             let (flat, to) = (
                 COLD_CAPACITY * warm_up,
--- a/crates/fleet-model/tests/below.rs
+++ b/crates/fleet-model/tests/below.rs
@@ -1,5 +1,5 @@
-//! Downstream calls: each returns or is abandoned, a call that may have run downstream is not repeated, and the death of
-//! half of the downstream nodes has no lasting cost beyond their share.
+//! Downstream calls: each returns or is abandoned, a call that may have run downstream is not repeated, and the death
+//! of half of the downstream nodes has no lasting cost beyond their share.
 
 #![allow(
     missing_docs,
--- a/crates/fleet-model/tests/cold_start.rs
+++ b/crates/fleet-model/tests/cold_start.rs
@@ -10,8 +10,8 @@
 use rainstand_fleet_model::plan::{NodePlan, Plan};
 use std::time::Duration;
 
-/// Guards against a warm-up that starts at the wrong time. The length of the warm-up was once passed as its start time, so
-/// it began that long after the start of the run, whenever the node started: a cold node was slow for one warm-up and
+/// Guards against a warm-up that starts at the wrong time. The length of the warm-up was once passed as its start time,
+/// so it began that long after the start of the run, whenever the node started: a cold node was slow for one warm-up and
 /// limited for another. Nodes that started warm were given a warm-up, too.
 #[test]
 fn warm_up_begins_when_the_node_starts() {
