--- a/crates/cluster/benches/keyed.rs
+++ b/crates/cluster/benches/keyed.rs
@@ -1,6 +1,6 @@
-//! Keyed tickets a second through three members on loopback, each with a disk of its own: start and result of each agreed
-//! on, so many at once; then how long a member with an emptied disk takes to know all of them. Figures stand in
-//! `docs/design/copies.md`.
+//! Measures keyed requests per second through three members on loopback, each with its own disk, at several numbers of
+//! concurrent requests. The start and the result of each request are committed. Then measures how long a member with an
+//! emptied disk takes to receive all results. The figures are recorded in `docs/design/copies.md`.
 
 #![allow(
     missing_docs,
@@ -18,77 +18,86 @@
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
-use world::{start, world, Running};
+use world::{start_operation, test_cluster, RunningMember};
 
-/// All that is asked by one run.
+/// The state of one run.
 struct Run {
     group: Rc<ClusterMember>,
-    left: Cell<u64>,
-    open: Cell<u64>,
+    unsent: Cell<u64>,
+    in_flight: Cell<u64>,
     prefix: u64,
     times: RefCell<Vec<Duration>>,
-    done: Sender<Vec<Duration>>,
+    finished: Sender<Vec<Duration>>,
 }
 
-fn next(run: &Rc<Run>) {
-    if run.left.get() == 0 {
-        if run.open.get() == 0 {
-            let _ = run.done.send(run.times.take());
+fn start_next(run: &Rc<Run>) {
+    if run.unsent.get() == 0 {
+        if run.in_flight.get() == 0 {
+            let _ = run.finished.send(run.times.take());
         }
         return;
     }
-    run.left.set(run.left.get() - 1);
-    run.open.set(run.open.get() + 1);
-    let number = run.prefix << 32 | run.left.get();
-    ask(run, number, start(), Instant::now());
+    run.unsent.set(run.unsent.get() - 1);
+    run.in_flight.set(run.in_flight.get() + 1);
+    let number = run.prefix << 32 | run.unsent.get();
+    execute(run, number, start_operation(), Instant::now());
 }
 
-fn ask(run: &Rc<Run>, number: u64, what: Operation, since: Instant) {
+fn execute(run: &Rc<Run>, number: u64, operation: Operation, sent_at: Instant) {
     let claim = run
         .group
         .inspect(|member| member.claim(&u128::from(number).to_be_bytes()));
     let command = Command {
         key: number.to_be_bytes().to_vec().into(),
         claim,
-        operation: Some(what),
+        operation: Some(operation),
     };
-    let again = run.clone();
-    let tell = move |told: Option<ClaimOutcome>| match told {
-        Some(ClaimOutcome::Granted) => {
-            ask(&again, number, Operation::Done(vec![7; 100].into()), since)
-        }
+    let reply_run = run.clone();
+    let reply = move |outcome: Option<ClaimOutcome>| match outcome {
+        Some(ClaimOutcome::Granted) => execute(
+            &reply_run,
+            number,
+            Operation::Done(vec![7; 100].into()),
+            sent_at,
+        ),
         _ => {
-            again.times.borrow_mut().push(since.elapsed());
-            again.open.set(again.open.get() - 1);
-            next(&again);
+            reply_run.times.borrow_mut().push(sent_at.elapsed());
+            reply_run.in_flight.set(reply_run.in_flight.get() - 1);
+            start_next(&reply_run);
         }
     };
     assert!(
         run.group
-            .request(command, Duration::from_secs(20), Rc::new(tell))
+            .request(command, Duration::from_secs(20), Rc::new(reply))
             .is_some(),
-        "room for a question"
+        "the member rejected the request"
     );
 }
 
-fn play(member: &Running, prefix: u64, count: u64, at_once: u64) -> (f64, Duration, Duration) {
-    let begun = Instant::now();
-    let times = member.on(move |group, done| {
+/// Returns requests per second, and the median and 99th percentile of the times from start to recorded result.
+fn measure(
+    member: &RunningMember,
+    prefix: u64,
+    count: u64,
+    concurrency: u64,
+) -> (f64, Duration, Duration) {
+    let started_at = Instant::now();
+    let times = member.run_job(move |group, finished| {
         let run = Rc::new(Run {
             group,
-            left: Cell::new(count),
-            open: Cell::new(0),
+            unsent: Cell::new(count),
+            in_flight: Cell::new(0),
             prefix,
             times: RefCell::default(),
-            done,
+            finished,
         });
-        (0..at_once).for_each(|_| next(&run));
+        (0..concurrency).for_each(|_| start_next(&run));
     });
     let mut times = times
         .recv_timeout(Duration::from_secs(300))
-        .expect("an end");
+        .expect("the run did not end");
     times.sort_unstable();
-    let rate = count as f64 / begun.elapsed().as_secs_f64();
+    let rate = count as f64 / started_at.elapsed().as_secs_f64();
     (rate, times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
@@ -97,31 +106,33 @@
         "{:>8} {:>8} {:>12} {:>10} {:>10}",
         "wait", "at once", "tickets/s", "median", "p99"
     );
-    for (wait, at_once, count) in [
+    for (commit_wait_ms, concurrency, count) in [
         (0, 1, 1_000),
         (0, 64, 20_000),
         (1, 64, 20_000),
         (1, 512, 60_000),
     ] {
-        let mut w = world(3);
-        w.group.commit_wait_ns = wait * 1_000_000;
-        w.group.keys = 1_000_000;
-        let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-        w.all_led(&[&n1, &n2, &n3]);
-        let (rate, median, p99) = play(&n1, 1, count, at_once);
-        println!("{wait:>5} ms {at_once:>8} {rate:>12.0} {median:>10.1?} {p99:>10.1?}");
+        let mut cluster = test_cluster(3);
+        cluster.group.commit_wait_ns = commit_wait_ms * 1_000_000;
+        cluster.group.keys = 1_000_000;
+        let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+        cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
+        let (rate, median, p99) = measure(&n1, 1, count, concurrency);
+        println!(
+            "{commit_wait_ms:>5} ms {concurrency:>8} {rate:>12.0} {median:>10.1?} {p99:>10.1?}"
+        );
     }
-    let mut w = world(3);
-    w.group.keys = 1_000_000;
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
+    let mut cluster = test_cluster(3);
+    cluster.group.keys = 1_000_000;
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     let count = 300_000;
-    let (rate, ..) = play(&n1, 2, count, 512);
+    let (rate, ..) = measure(&n1, 2, count, 512);
     drop(n3);
-    std::fs::remove_dir_all(w.folder(2)).expect("its disk");
-    let begun = Instant::now();
-    let n3 = w.up("n3");
-    let known = |group: &ClusterMember| {
+    std::fs::remove_dir_all(cluster.folder(2)).expect("cannot remove the folder of n3");
+    let started_at = Instant::now();
+    let n3 = cluster.start_member("n3");
+    let key_count = |group: &ClusterMember| {
         group.inspect(|member| {
             member
                 .shards()
@@ -129,16 +140,16 @@
                 .sum::<u64>()
         })
     };
-    while n3.tell(move |group| known(group)) < count {
+    while n3.inspect(move |group| key_count(group)) < count {
         assert!(
-            begun.elapsed() < Duration::from_secs(120),
-            "it does not catch up"
+            started_at.elapsed() < Duration::from_secs(120),
+            "n3 did not catch up"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
     println!(
-        "{count} results made at {rate:.0}/s; an emptied disk knows them after {:.1?}",
-        begun.elapsed()
+        "{count} results recorded at {rate:.0}/s; a member with an emptied disk had them after {:.1?}",
+        started_at.elapsed()
     );
     drop((n1, n2));
 }
--- a/crates/cluster/src/attachment.rs
+++ b/crates/cluster/src/attachment.rs
@@ -1,7 +1,7 @@
-//! A subscriber's own side of its attachment: one link at a time to a control machine, and versions put into force.
+//! The subscriber's side of an attachment: maintains one link at a time to a config server, and applies versions.
 //!
-//! Which machine, when, and what is accepted are decisions of `rainstand-config-distribution`; this module has the
-//! sockets and the time. Without any machine the process goes on with the version that it has.
+//! `rainstand-config-distribution` decides which server is connected to, when, and which versions are accepted; this
+//! module provides the sockets and the clock. While no server can be reached, the process keeps its current version.
 
 use crate::framing::{subscriber_frame, FrameBuffer, OPEN_TIMEOUT, WRITE_TIMEOUT};
 use prost::Message as _;
@@ -18,56 +18,56 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at};
 
-/// The longest frame of a control machine: a delta or a chunk of a snapshot, with room to spare.
+/// The longest frame of a config server: a delta or a chunk of a snapshot, with a margin.
 const MAX_SERVER_FRAME_BYTES: usize = 128 << 10;
-/// Between two looks at a link on which nothing comes.
+/// The longest wait for bytes before the state of an idle link is checked again.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes that are read with one call.
+/// The size of the read buffer.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// The state of an attachment, for whoever reports it.
+/// The state of an attachment, for status reports.
 #[derive(Clone, Debug, Default)]
 pub struct AttachmentStatus {
-    /// The version in force; 0 if none came from a control machine.
+    /// The version in force; 0 if none was received from a config server.
     pub version: u64,
     /// Digest of the version in force.
     pub digest: u64,
-    /// The control machine that this process is attached to.
+    /// The config server that this process is attached to.
     pub machine: Option<String>,
-    /// When the version in force was last known to be the newest; none if it never was.
+    /// When the version in force was last known to be the newest; `None` if it never was.
     pub known_newest_at: Option<Instant>,
-    /// The last version that was rejected here; none once a later one is in force.
+    /// The last version that this process rejected; `None` after a version was applied.
     pub rejected: Option<RejectedVersion>,
     /// Counters of the subscriber.
     pub counters: Counters,
-    /// Attempts to connect to a control machine.
+    /// Attempts to connect to a config server.
     pub connection_attempts: u64,
-    /// Links on which this process was attached.
+    /// Number of times that this process was attached.
     pub attachments: u64,
-    /// Attachments that ended.
+    /// Number of attachments that ended.
     pub lost_attachments: u64,
 }
 
-/// A version that could not be put into force.
+/// A version that could not be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedVersion {
     /// The version.
     pub version: u64,
-    /// Why it could not.
+    /// Why it could not be applied.
     pub reason: String,
 }
 
-/// What operators should hear of.
+/// An event to be logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttachmentEvent {
-    /// Attached to a control machine.
+    /// Attached to a config server.
     Attached {
-        /// The machine's name.
+        /// The server's name.
         machine: String,
     },
     /// The attachment ended.
     Lost {
-        /// The machine's name.
+        /// The server's name.
         machine: String,
         /// Why it ended.
         reason: DisconnectReason,
@@ -76,39 +76,39 @@
     Version(Event),
 }
 
-/// Why a link to a control machine ended. The texts stand in log lines.
+/// Why a link to a config server ended. The texts are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DisconnectReason {
-    /// The machine's configured address is none.
-    #[error("no address")]
+    /// The server's configured address is invalid.
+    #[error("invalid server address")]
     InvalidAddress,
-    /// It could not be connected to in time.
-    #[error("no connection")]
+    /// Connecting to the server failed or timed out.
+    #[error("connecting to the server failed")]
     ConnectFailed,
-    /// The machine closed the link, or it broke.
-    #[error("the link ended")]
+    /// The server closed the link, or the link failed.
+    #[error("connection closed")]
     Closed,
-    /// The machine did not read in time.
-    #[error("it takes nothing")]
+    /// A write failed or timed out.
+    #[error("writing to the server failed")]
     WriteTimedOut,
-    /// What came is no frame.
-    #[error("no frame")]
+    /// The received bytes are not a frame.
+    #[error("malformed frame")]
     MalformedFrame,
-    /// What came is no frame of a control machine.
-    #[error("no frame of a control machine")]
+    /// The received frame is not a config server's frame.
+    #[error("unexpected frame")]
     UnexpectedFrame,
-    /// The machine is silent, or not in touch with a majority.
-    #[error("silent, or out of touch with the others")]
+    /// The server is silent, or not connected to a majority of its group.
+    #[error("server is silent or not connected to a majority of its group")]
     ServerLost,
-    /// The machine rejected the attachment for now.
-    #[error("told to come back")]
+    /// The server rejected the attachment with a retry-after.
+    #[error("rejected with a retry-after")]
     RetryAfter,
-    /// A preferred machine is tried again.
-    #[error("a nearer one is tried")]
+    /// The link is closed in order to retry a preferred server.
+    #[error("retrying a nearer server")]
     Failback,
 }
 
-/// Whether an attachment goes on.
+/// Whether an attachment continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttachmentPhase {
     /// The link is open.
@@ -117,16 +117,16 @@
     Lost,
 }
 
-/// Why a version cannot be put into force.
+/// Why a version cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct ApplyError {
-    /// For operators.
+    /// The reason, shown to operators.
     pub reason: String,
 }
 
 impl ApplyError {
-    /// With the text of another error.
+    /// Creates an error with the text of another error.
     pub fn new(error: impl std::fmt::Display) -> Self {
         Self {
             reason: error.to_string(),
@@ -134,31 +134,31 @@
     }
 }
 
-/// Puts the subscriber's pending version into force, or returns why it cannot be.
+/// Applies the subscriber's pending version, or returns why it cannot be applied.
 pub type ApplyCallback = Box<dyn FnMut(&Subscriber) -> Result<(), ApplyError>>;
-/// Receives events: the program's log.
+/// Receives events, to log them.
 pub type EventCallback = Box<dyn Fn(&AttachmentEvent, &Subscriber)>;
-/// Called at least every 500 ms while a link is open, and when an attachment is lost: for whoever stores the version in
-/// force.
+/// Called at least every 500 ms while a link is open, and when an attachment is lost: for example to store the version
+/// in force.
 pub type StatusCallback = Box<dyn FnMut(&Subscriber, AttachmentPhase)>;
 
-/// What an attachment needs.
+/// The options of an attachment.
 pub struct AttachmentOptions {
-    /// This process.
+    /// The identity of this process.
     pub identity: NodeIdentity,
-    /// The control machines.
+    /// The config servers.
     pub machines: Vec<schema::ControlMember>,
-    /// With the version that is in force already, as read from a disk, or a new one.
+    /// A subscriber with the version that is in force already, as read from a disk, or a new subscriber.
     pub subscriber: Subscriber,
-    /// For the waits that are drawn.
+    /// Seed of the random delays.
     pub seed: u64,
-    /// Puts versions into force.
+    /// Applies versions.
     pub apply: ApplyCallback,
     /// Receives events.
     pub on_event: EventCallback,
-    /// Called regularly.
+    /// Receives the status regularly.
     pub on_status: StatusCallback,
-    /// Kept up to date by the attachment.
+    /// The status, updated by the attachment.
     pub status: Rc<RefCell<AttachmentStatus>>,
 }
 
@@ -169,7 +169,7 @@
         after: Duration,
         target: RetryTarget,
     },
-    /// A preferred machine is tried again.
+    /// The link is closed in order to retry a preferred server.
     Failback,
 }
 
@@ -184,7 +184,7 @@
     status: Rc<RefCell<AttachmentStatus>>,
 }
 
-/// Keeps one attachment, for ever; returns only if there are no machines.
+/// Maintains one attachment; returns only if there are no config servers.
 pub async fn run_attachment(options: AttachmentOptions) {
     let mut attachment = Attachment::new(options);
     while let Some(deadline) = attachment.policy.next_deadline() {
@@ -225,7 +225,7 @@
         self.started.elapsed()
     }
 
-    /// One link, from its opening to its end.
+    /// Opens a link, serves it until it ends, and reports its end.
     async fn run_link(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
         self.status.borrow_mut().connection_attempts += 1;
@@ -245,7 +245,7 @@
                 self.policy.on_retry_after(now, after, target);
                 DisconnectReason::RetryAfter
             }
-            // The policy names the machine when it is asked next.
+            // The policy returns the preferred server at the next call of `next_server`.
             LinkEnd::Failback => DisconnectReason::Failback,
         };
         if was_attached {
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Carries out what the subscriber wants done, and writes its frames.
+    /// Carries out the subscriber's effects and writes its frames.
     async fn send_effects(&mut self, write: &mut OwnedWriteHalf) -> Result<(), LinkEnd> {
         let mut bytes = Vec::new();
         let end = self.carry_out_effects(&mut bytes);
@@ -313,7 +313,7 @@
         Ok(())
     }
 
-    /// Frames are appended to `bytes`; the result is why the link has to end, if it has to.
+    /// Appends frames to be sent to `bytes`; returns why the link has to end, if it has to.
     fn carry_out_effects(&mut self, bytes: &mut Vec<u8>) -> Option<LinkEnd> {
         let mut end = None;
         loop {
@@ -352,12 +352,12 @@
         (self.on_event)(&AttachmentEvent::Version(event), &self.subscriber);
     }
 
-    /// Brings the status up to date; notices when this process is attached.
+    /// Updates the status; reports when this process becomes attached.
     fn update_status(&mut self, machine: &str) {
         (self.on_status)(&self.subscriber, AttachmentPhase::Linked);
         let now = self.now();
         let is_attached = self.subscriber.is_attached();
-        let is_new = {
+        let is_newly_attached = {
             let mut status = self.status.borrow_mut();
             status.version = self.subscriber.version();
             status.digest = self.subscriber.state().digest();
@@ -368,7 +368,7 @@
             }
             is_attached && status.machine.is_none()
         };
-        if is_new {
+        if is_newly_attached {
             self.on_attached(now, machine);
         }
     }
--- a/crates/cluster/src/config_server.rs
+++ b/crates/cluster/src/config_server.rs
@@ -1,9 +1,9 @@
-//! A control machine's side of attachments: what the group committed is sent to processes that are no members.
+//! The config server's side of attachments: sends the group's committed versions to processes that are not members.
 //!
-//! Which subscriber gets what, and when, is decided by [`Publisher`]; this module has the sockets and the time. A process
-//! opens one link to the member's own address; its first frame says that it attaches. Bounds: the publisher's on
-//! subscribers and attachments a second, [`MAX_EXTRA_LINKS`] links beside them, [`MAX_QUEUED_BYTES`] bytes that wait for
-//! one link.
+//! [`Publisher`] decides what is sent to which subscriber, and when; this module provides the sockets and the clock. A
+//! process opens one link to the member's address; the first frame identifies it as a subscriber. Limits: those of the
+//! publisher on subscribers and attachments per second, [`MAX_EXTRA_LINKS`] further links, and [`MAX_QUEUED_BYTES`]
+//! queued bytes per link.
 
 use crate::framing::{FrameBuffer, OPEN_TIMEOUT, WRITE_TIMEOUT};
 use crate::outbox::Outbox;
@@ -26,36 +26,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A subscriber's frame: a name, a zone, a region and a reason, with room to spare.
+/// The longest frame of a subscriber: a name, a zone, a region and a reason, with a margin.
 const MAX_SUBSCRIBER_FRAME_BYTES: usize = 4 << 10;
-/// For one link: a window of chunks and a delta, with room to spare. A subscriber that reads more slowly is closed, and
-/// attaches again.
+/// Bytes that may be queued for one link: a window of chunks and a delta, with a margin. The link of a subscriber that
+/// reads more slowly is closed; the subscriber attaches again.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
-/// Links beyond the subscribers: those that get a retry-after, until they are closed.
+/// Links in addition to the maximum of subscribers: those rejected with a retry-after, until they are closed.
 const MAX_EXTRA_LINKS: usize = 256;
-/// Between two ticks of the publisher.
+/// Time between two ticks of the publisher.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Versions that an answer to operators lists at most.
+/// The maximum number of versions listed in an answer to an operator.
 pub const MAX_LISTED_VERSIONS: usize = 256;
 
-/// Receives the publisher's events: the program's log.
+/// Receives the publisher's events, to log them.
 pub type EventCallback = Box<dyn Fn(&Event)>;
 
-/// One subscriber's link.
+/// The link of one subscriber.
 struct SubscriberLink {
     outbox: Outbox,
-    /// The link ends once everything queued is written.
+    /// Whether the link is to be closed once all queued frames are written.
     closing: Cell<bool>,
 }
 
-/// Links that were closed by the server, since the start.
+/// Counters of the links that the server closed, since the start.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
-    /// Rejected, as there were too many links.
+    /// Rejected because there were too many links.
     pub full: Cell<u64>,
-    /// Rejected, as this member holds no replica of the published versions.
+    /// Rejected because this member holds no replica of the published versions.
     pub no_replica: Cell<u64>,
-    /// Closed, as too much waited for them.
+    /// Closed because too many bytes were queued.
     pub slow: Cell<u64>,
 }
 
@@ -75,8 +75,8 @@
 }
 
 impl ConfigServer {
-    /// Starts to serve. `synchronize` is called at each tick and has to call [`ConfigServer::synchronize`] with what the
-    /// member has.
+    /// Starts to serve. `synchronize` is called at each tick and has to call [`ConfigServer::synchronize`] with the
+    /// member's published versions.
     pub(crate) fn start(
         limits: PublisherLimits,
         seed: u64,
@@ -92,12 +92,12 @@
             on_event,
             counters: ServerCounters::default(),
         });
-        let ticking = server.clone();
+        let ticker = server.clone();
         spawn_local(async move {
             loop {
-                synchronize(&ticking);
-                ticking.publisher.borrow_mut().tick(ticking.now());
-                ticking.carry_out_effects();
+                synchronize(&ticker);
+                ticker.publisher.borrow_mut().tick(ticker.now());
+                ticker.carry_out_effects();
                 sleep(TICK_INTERVAL).await;
             }
         });
@@ -108,7 +108,7 @@
         self.started.elapsed()
     }
 
-    /// Takes over what was committed since the last call.
+    /// Passes the versions committed since the last call to the publisher.
     pub(crate) fn synchronize(&self, published: &PublishedVersions) {
         let versions = published.versions;
         let now = self.now();
@@ -122,7 +122,7 @@
             }
             let changes = versions.changes_since(publisher.version());
             for change in changes.into_iter().flatten() {
-                // It was applied to the log's own replica before, so it applies here too.
+                // The change was applied to the member's replica before, so it also applies here.
                 let _ = publisher.apply_committed(now, change.delta.clone());
             }
             if published.is_current && publisher.version() == versions.version() {
@@ -175,14 +175,14 @@
         self.carry_out_effects();
     }
 
-    /// How far the newest versions are rolled out, the newest first; at most [`MAX_LISTED_VERSIONS`].
+    /// The rollout progress of the newest versions, the newest first; at most [`MAX_LISTED_VERSIONS`].
     pub fn progress(&self, max_versions: usize) -> Vec<RolloutProgress> {
         self.publisher
             .borrow()
             .progress(max_versions.min(MAX_LISTED_VERSIONS))
     }
 
-    /// All attached subscribers.
+    /// The statuses of all attached subscribers.
     pub fn subscribers(&self) -> Vec<SubscriberStatus> {
         self.publisher.borrow().subscriber_statuses()
     }
@@ -192,17 +192,17 @@
         read(&self.publisher.borrow())
     }
 
-    /// Links that were closed by the server.
+    /// Counters of the links that the server closed.
     pub fn counters(&self) -> &ServerCounters {
         &self.counters
     }
 
-    /// Counts a process that cannot attach, as this member holds no replica of the published versions.
+    /// Counts a subscriber that cannot attach because this member holds no replica of the published versions.
     pub(crate) fn reject_without_replica(&self) {
         increment(&self.counters.no_replica);
     }
 
-    /// A new link, unless there are too many.
+    /// Registers a new link; `None` if there are too many.
     fn open_link(&self) -> Option<(Link, Rc<SubscriberLink>)> {
         if self.links.borrow().len() >= self.limits.max_subscribers + MAX_EXTRA_LINKS {
             increment(&self.counters.full);
@@ -220,7 +220,7 @@
     }
 }
 
-/// Serves one attached process from its first frame to its link's end. `received` is what was read behind that frame.
+/// Serves one subscriber from its first frame to the end of its link. `received` holds the bytes read after that frame.
 pub(crate) async fn serve_subscriber(
     server: &ConfigServer,
     stream: TcpStream,
@@ -241,8 +241,7 @@
     server.carry_out_effects();
 }
 
-/// Reads until the link ends or carries something else than a subscriber's frames. Silent subscribers are closed by the
-/// publisher.
+/// Reads frames until the link ends or a frame is invalid. The publisher closes the links of silent subscribers.
 async fn read_frames(
     server: &ConfigServer,
     link: Link,
@@ -284,7 +283,7 @@
                 subscriber.outbox.add_sent(bytes.len());
             }
             None if subscriber.closing.get() => {
-                // What the subscriber still sends is read meanwhile: a close with bytes unread would discard the last frames.
+                // Meanwhile `read_frames` keeps reading: closing with unread bytes would discard the last frames sent.
                 let deadline = Instant::now() + OPEN_TIMEOUT;
                 let _ = timeout(OPEN_TIMEOUT, write.shutdown()).await;
                 wait_until_acknowledged(write.as_ref(), deadline).await;
--- a/crates/cluster/src/driver.rs
+++ b/crates/cluster/src/driver.rs
@@ -1,11 +1,11 @@
-//! Drives a [`GroupMember`]: its time, its links, its writes and its replies.
+//! Runs a [`GroupMember`] on a clock, sockets and a disk.
 //!
-//! Each call into the group member is followed by its effects: frames go to the outboxes, writes to the storage thread,
-//! and replies into a queue that a task of its own hands out, so that a requester is never called back from within its
-//! own request.
+//! The effects of each call into the group member are carried out at the end of the call: frames are put into the
+//! outboxes, writes are passed to the storage thread, and replies are queued. A separate task delivers the replies, so
+//! that a requester is never called back from within its own request.
 //!
-//! Invariants: the group member is never borrowed across an await or a callback; a reply callback is removed with the
-//! final outcome, so that it gets one.
+//! Invariants: the group member is never borrowed across an await or a callback; a reply callback is removed when the
+//! final outcome is queued, so it receives exactly one.
 
 mod startup;
 mod tasks;
@@ -37,20 +37,20 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Jobs that may wait for the disk; beyond that no request is accepted.
+/// Storage jobs that may be pending; requests are rejected while there are more.
 const MAX_PENDING_JOBS: usize = 16_384;
-/// Commit times that are remembered for the figures.
+/// The number of recent commit times that are retained for the statistics.
 const MAX_COMMIT_TIMES: usize = 512;
-/// Between two looks whether all leadership was handed over.
-const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two checks whether all leadership was transferred.
+const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Receives the outcomes of a request: [`ClaimOutcome::InProgress`] may be followed by another one, all others are final.
-/// None: its time is over.
+/// Receives the outcomes of a request: [`ClaimOutcome::InProgress`] may be followed by another one, all others are
+/// final. `None` means that the request timed out.
 pub type ReplyCallback = Rc<dyn Fn(Option<ClaimOutcome>)>;
-/// Receives the group's events: the program's log.
+/// Receives the group's events, to log them.
 pub type Log = Box<dyn Fn(&GroupEvent)>;
 
-/// What a member needs to start.
+/// The options with which a member is started.
 pub struct MemberOptions {
     /// The member's name in the group's configuration.
     pub name: String,
@@ -60,30 +60,30 @@
     pub log: Log,
 }
 
-/// Who waits for a request.
+/// The requester that waits for the outcome of a request.
 struct Requester {
     reply: ReplyCallback,
-    /// By the member's clock.
+    /// Time of the request on the member's clock.
     requested_at: Duration,
 }
 
-/// A reply that is to be handed out.
+/// A queued reply.
 struct Reply {
     callback: ReplyCallback,
     outcome: Option<ClaimOutcome>,
 }
 
-/// What the storage thread reports, and for which of the member's stores.
+/// A result of the storage thread, with the number of the store that it belongs to.
 struct StorageReport {
     store_number: u64,
     outcome: WriteOutcome,
 }
 
-/// A member of a group on sockets and a disk. It runs on the thread of the `LocalSet` that started it.
+/// A running member of a group. It runs on the thread of the `LocalSet` that started it.
 pub struct ClusterMember {
     name: String,
     settings: schema::Group,
-    /// Those of the newest configuration.
+    /// The members in the newest configuration.
     members: RefCell<Vec<schema::GroupMember>>,
     folder: PathBuf,
     fault_file: Option<PathBuf>,
@@ -91,22 +91,22 @@
     state: RefCell<GroupMember>,
     writer: RefCell<Option<Writer>>,
     storage_reports: mpsc::UnboundedSender<StorageReport>,
-    /// Counts the stores that were opened: reports of an earlier one's thread are ignored.
+    /// The number of the current store. Reports of the storage threads of earlier stores are ignored.
     store_number: Cell<u64>,
     outboxes: RefCell<HashMap<String, Rc<Outbox>>>,
     requesters: RefCell<HashMap<u64, Requester>>,
-    /// Who waits for the confirmation of a read.
+    /// Senders for the outcomes of unconfirmed reads, by the read's number.
     readers: RefCell<HashMap<u64, oneshot::Sender<ReadOutcome>>>,
     replies: RefCell<VecDeque<Reply>>,
     replies_queued: Notify,
     deadline_moved: Notify,
     log: Log,
     failure: RefCell<Option<String>>,
-    /// From a request to its final outcome, newest last.
+    /// Times from a request to its final outcome, the newest last.
     commit_times: RefCell<VecDeque<Duration>>,
     quarantines: Cell<u64>,
     flushes: Cell<u64>,
-    /// Where this member is a control machine.
+    /// Present if this member is a config server.
     config_server: RefCell<Option<Rc<ConfigServer>>>,
 }
 
@@ -125,7 +125,7 @@
 }
 
 impl ClusterMember {
-    /// Maintains a link to each member that has none yet.
+    /// Starts a link to each member that has none yet.
     fn open_links(self: &Rc<Self>) {
         let names: Vec<String> = {
             let members = self.members.borrow();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Where a member is reached, by the newest configuration; none if it is not in the group.
+    /// A member's address in the newest configuration; `None` if it is not in the group.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let members = self.members.borrow();
         let member = members.iter().find(|member| member.name == name)?;
@@ -151,11 +151,11 @@
         self.members.borrow().clone()
     }
 
-    /// Takes over the members of a new configuration: links to new ones are opened, and shards move one safe step at a
-    /// time. All other settings of the group hold until the next start.
+    /// Applies the members of a new configuration: links to new members are opened, and shards are moved one safe step
+    /// at a time. Changes to all other settings of the group take effect at the next start.
     ///
     /// # Errors
-    /// If it is another group, another number of shards, or this member is not in it.
+    /// If the group's name or number of shards differs, or if this member is not in the group.
     pub fn set_members(self: &Rc<Self>, group: &schema::Group) -> Result<(), ClusterError> {
         if group.name != self.settings.name || group.shards != self.settings.shards {
             return Err(ClusterError::FixedSettings {
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// From now on subscribers of the configuration may attach.
+    /// Starts to serve the published configuration to subscribers.
     pub fn serve_configuration(self: &Rc<Self>, limits: PublisherLimits, on_event: EventCallback) {
         let member = self.clone();
         let synchronize = move |server: &ConfigServer| member.synchronize(server);
@@ -191,41 +191,41 @@
         }
     }
 
-    /// The server of the published configuration, where this member is a control machine.
+    /// The server of the published configuration, if this member is a config server.
     pub fn config_server(&self) -> Option<Rc<ConfigServer>> {
         self.config_server.borrow().clone()
     }
 
-    /// The group's configuration as of the start.
+    /// The group's configuration at the start of this member.
     pub fn settings(&self) -> &schema::Group {
         &self.settings
     }
 
-    /// Why nothing is confirmed any more, if so.
+    /// Why this member failed and confirms nothing any more; `None` if it has not failed.
     pub fn failure(&self) -> Option<String> {
         self.failure.borrow().clone()
     }
 
-    /// How often this member's files were quarantined since its start.
+    /// Number of times that this member's files were quarantined since its start.
     pub fn quarantines(&self) -> u64 {
         self.quarantines.get()
     }
 
-    /// Flushes of the disk since the start.
+    /// Number of disk flushes since the start.
     pub fn flushes(&self) -> u64 {
         self.flushes.get()
     }
 
-    /// What is sent to a member.
+    /// The outbox of frames to a member; created if there is none.
     pub fn outbox(&self, name: &str) -> Rc<Outbox> {
         let mut outboxes = self.outboxes.borrow_mut();
         outboxes.entry(name.to_owned()).or_default().clone()
     }
 
-    /// Calls into the group member, and carries out all that follows from it.
+    /// Calls into the group member and carries out the effects of the call.
     pub fn drive<T>(&self, call: impl FnOnce(&mut GroupMember, Duration) -> T) -> T {
         let now = self.clock.now();
-        let (result, effects, is_sooner) = {
+        let (result, effects, is_deadline_earlier) = {
             let mut state = self.state.borrow_mut();
             let deadline = state.next_deadline();
             let result = call(&mut state, now);
@@ -233,7 +233,7 @@
             (result, effects, state.next_deadline() < deadline)
         };
         self.carry_out(effects);
-        if is_sooner {
+        if is_deadline_earlier {
             self.deadline_moved.notify_one();
         }
         result
@@ -270,7 +270,7 @@
         }
         for FinishedRead { id, outcome } in reads {
             if let Some(reader) = self.readers.borrow_mut().remove(&id) {
-                // The reader may have left.
+                // The reader may have been dropped.
                 let _ = reader.send(outcome);
             }
         }
@@ -302,11 +302,11 @@
 
     fn handle_event(&self, event: &GroupEvent) {
         (self.log)(event);
-        let starts_over = matches!(
+        let is_disk_unusable = matches!(
             event,
             GroupEvent::StaleDisk { .. } | GroupEvent::Diverged { .. }
         );
-        if starts_over {
+        if is_disk_unusable {
             self.reinitialize();
         }
     }
@@ -319,7 +319,7 @@
         }
     }
 
-    /// From request to outcome, of the last requests in ascending order.
+    /// The times from request to final outcome of recent requests, in ascending order.
     pub fn commit_times(&self) -> Vec<Duration> {
         let mut times: Vec<Duration> = self.commit_times.borrow().iter().copied().collect();
         times.sort_unstable();
@@ -336,7 +336,7 @@
         let (reports, store_number) = (self.storage_reports.clone(), self.store_number.get());
         let commit_wait = Duration::from_nanos(self.settings.commit_wait_ns);
         let report = move |outcome| {
-            // The member is gone if nobody receives.
+            // Fails only if the member was dropped.
             let _ = reports.send(StorageReport {
                 store_number,
                 outcome,
@@ -346,7 +346,7 @@
         self.writer.replace(Some(writer));
     }
 
-    /// Quarantines the files and starts over as another disk. Open requests time out.
+    /// Quarantines the files and continues with an empty store under a new disk identity. Pending requests time out.
     fn reinitialize(&self) {
         self.quarantines.set(self.quarantines.get() + 1);
         self.store_number.set(self.store_number.get() + 1);
@@ -354,13 +354,13 @@
             writer.shut_down();
         }
         self.time_out_requests();
-        match self.open_new_store() {
-            Ok(()) => self.greet_peers(),
+        match self.replace_store() {
+            Ok(()) => self.announce_disk_to_peers(),
             Err(error) => self.fail(error.to_string()),
         }
     }
 
-    fn open_new_store(&self) -> Result<(), ClusterError> {
+    fn replace_store(&self) -> Result<(), ClusterError> {
         let mut disk = FolderDisk::open(&self.folder)?;
         disk.quarantine()?;
         drop(disk);
@@ -375,15 +375,15 @@
         Ok(())
     }
 
-    /// Peers that are linked hear of the new disk.
-    fn greet_peers(&self) {
+    /// Announces the new disk identity to the connected peers.
+    fn announce_disk_to_peers(&self) {
         let names: Vec<String> = self.outboxes.borrow().keys().cloned().collect();
         for name in names {
             self.drive(|state, now| state.on_connected(now, &name));
         }
     }
 
-    /// Nothing is confirmed from now on.
+    /// Stops the member: it confirms nothing any more.
     fn fail(&self, reason: String) {
         self.state.borrow_mut().stop();
         self.failure.borrow_mut().get_or_insert(reason);
@@ -396,15 +396,15 @@
             let mut open = self.requesters.borrow_mut();
             open.drain().map(|(_, requester)| requester).collect()
         };
-        // A reader that gets no outcome has no confirmation.
+        // A reader whose sender is dropped returns `Unconfirmed`.
         self.readers.borrow_mut().clear();
         for requester in requesters {
             self.queue_reply(requester.reply, None);
         }
     }
 
-    /// Requests a command from the leader of its key's shard; returns the request's number. `reply` is called later, from
-    /// a task of its own. None if the request cannot be accepted: nothing was or will be done then.
+    /// Sends a command to the leader of its key's shard; returns the request's number. `reply` is called later, from a
+    /// separate task. Returns `None` if the request is rejected: the command was not and will not be executed.
     pub fn request(
         &self,
         command: Command,
@@ -418,7 +418,7 @@
         let (id, effects) = {
             let mut state = self.state.borrow_mut();
             let id = state.request(now, command, now + timeout)?;
-            // Known before the effects are carried out: its outcome may be among them.
+            // Registered before the effects are carried out, as they may contain the outcome.
             let requester = Requester {
                 reply,
                 requested_at: now,
@@ -431,8 +431,8 @@
         Some(id)
     }
 
-    /// Waits until the shard's replica here holds everything that was committed before the call, as its leader confirms
-    /// with a majority; at most for `timeout`.
+    /// Waits, for at most `timeout`, until the local replica of the shard holds everything that was committed before
+    /// the call. The shard's leader confirms this with a majority.
     pub async fn confirm_read(&self, shard: u16, timeout: Duration) -> ReadOutcome {
         let now = self.clock.now();
         let (sender, receiver) = oneshot::channel();
@@ -441,7 +441,7 @@
             let Some(id) = state.confirm_read(now, shard, now + timeout) else {
                 return ReadOutcome::Unconfirmed;
             };
-            // Known before the effects are carried out: its outcome may be among them.
+            // Registered before the effects are carried out, as they may contain the outcome.
             self.readers.borrow_mut().insert(id, sender);
             state.take_effects()
         };
@@ -450,7 +450,7 @@
         receiver.await.unwrap_or(ReadOutcome::Unconfirmed)
     }
 
-    /// Brings the member's time up to date, and what follows from it: a process that was stopped learns how long.
+    /// Applies the elapsed time to the group member, so that timeouts are current even after the process was suspended.
     pub(crate) fn catch_up_time(&self) {
         self.drive(GroupMember::tick);
     }
@@ -462,24 +462,24 @@
             .is_none_or(|writer| writer.pending_jobs() > MAX_PENDING_JOBS)
     }
 
-    /// The requester no longer waits for an outcome.
+    /// Cancels a request: its requester receives no further outcome.
     pub fn forget(&self, id: u64) {
         self.requesters.borrow_mut().remove(&id);
         self.drive(|state, now| state.abandon_request(now, id));
     }
 
-    /// A frame of a member.
+    /// Handles a frame received from the member `name`.
     pub(crate) fn on_frame(&self, name: &str, frame: Frame) {
         self.drive(|state, now| state.on_frame(now, name, frame));
     }
 
-    /// Transfers the leadership of all shards that are led here; returns when that is done, or after `timeout`.
+    /// Transfers the leadership of all shards that this member leads; returns when that is done, or after `timeout`.
     pub async fn leave(&self, timeout: Duration) {
         self.drive(GroupMember::transfer_all_leadership);
-        let mut left = timeout;
-        while self.inspect(GroupMember::led_shard_count) > 0 && !left.is_zero() {
-            sleep(LEAVE_POLL_INTERVAL).await;
-            left = left.saturating_sub(LEAVE_POLL_INTERVAL);
+        let mut remaining = timeout;
+        while self.inspect(GroupMember::led_shard_count) > 0 && !remaining.is_zero() {
+            sleep(LEADERSHIP_POLL_INTERVAL).await;
+            remaining = remaining.saturating_sub(LEADERSHIP_POLL_INTERVAL);
         }
     }
 }
--- a/crates/cluster/src/driver/startup.rs
+++ b/crates/cluster/src/driver/startup.rs
@@ -1,4 +1,4 @@
-//! From a group's configuration and a folder to a running member.
+//! Starts a member from a group's configuration and a folder.
 
 use super::{tasks, ClusterMember, MemberOptions};
 use crate::error::ClusterError;
@@ -23,17 +23,17 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// A store with what was found in it.
+/// An open store and the contents recovered from it.
 pub(super) struct OpenedStore {
     pub(super) store: Store<FolderDisk>,
     recovered: Recovered,
-    /// What was wrong with the files that were there, which are quarantined now.
+    /// Why the files in the folder were quarantined; `None` if they were valid.
     damage: Option<String>,
 }
 
 impl ClusterMember {
-    /// Opens the member's folder, listens on its address, and starts to talk to the others. Nobody accepts on the
-    /// listener yet: see [`crate::start`].
+    /// Opens the member's folder, listens on its address, and starts the links to the other members. The caller has to
+    /// accept connections on the returned listener: see [`crate::start`].
     ///
     /// # Errors
     /// If the configuration names no such member, or its folder or address cannot be used.
@@ -47,11 +47,11 @@
         } = options;
         let own = own_settings(&settings, &name)?;
         let (address, folder) = (parse_address(&own.address)?, PathBuf::from(&own.folder));
-        let fault_file = fault_injection::file(settings.testing)?;
+        let fault_file = fault_injection::configured_file(settings.testing)?;
         let listener = TcpListener::bind(address)
             .await
             .map_err(|source| ClusterError::Listen { address, source })?;
-        let clock = fault_injection::clock(fault_file.as_deref());
+        let clock = fault_injection::create_clock(fault_file.as_deref());
         let opened = open_store(&folder, fault_file.as_deref())?;
         let state = group_member(&settings, &name, &opened, clock.now())?;
         let (storage_reports, reports) = mpsc::unbounded_channel();
@@ -85,7 +85,7 @@
         member.start_writer(opened.store);
         member.open_links();
         spawn_local(tasks::tick(member.clone()));
-        spawn_local(tasks::hand_out_replies(member.clone()));
+        spawn_local(tasks::deliver_replies(member.clone()));
         spawn_local(tasks::receive_storage_reports(member.clone(), reports));
         Ok((member, listener))
     }
@@ -108,20 +108,20 @@
     })
 }
 
-/// Two numbers that no other start draws: from the system's randomness, through the standard library. 0 is reserved.
+/// Two random numbers, unique to this start, from the standard library's system-seeded hasher. 0 is reserved.
 pub(super) fn draw_seed() -> IdentitySeed {
-    let draw = || {
+    let random_nonzero = || {
         let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
         hasher.write_u8(1);
         hasher.finish().max(1)
     };
     IdentitySeed {
-        disk: draw(),
-        nonce: draw(),
+        disk: random_nonzero(),
+        nonce: random_nonzero(),
     }
 }
 
-/// Names and sites.
+/// The members' names and sites.
 pub(super) fn placements(members: &[schema::GroupMember]) -> Vec<MemberPlacement> {
     let placement = |member: &schema::GroupMember| MemberPlacement {
         name: member.name.clone(),
@@ -130,7 +130,7 @@
     members.iter().map(placement).collect()
 }
 
-/// Opens a folder; damaged files in it are quarantined.
+/// Opens the store in a folder. If its files are damaged, quarantines them and opens an empty store.
 pub(super) fn open_store(
     folder: &Path,
     fault_file: Option<&Path>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// The group member that continues from an opened store.
+/// Creates the group member from the contents of an opened store.
 pub(super) fn group_member(
     settings: &schema::Group,
     name: &str,
--- a/crates/cluster/src/driver/tasks.rs
+++ b/crates/cluster/src/driver/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a member: its time, the replies to requesters, and the reports of the storage thread.
+//! The background tasks of a member: ticks, replies to requesters, and reports of the storage thread.
 
 use super::{ClusterMember, Reply, StorageReport};
 use rainstand_replicated_state::member::{GroupEvent, GroupMember};
@@ -8,21 +8,21 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The shortest and the longest sleep between two ticks.
+/// The shortest and the longest wait between two checks of the deadline.
 const MIN_TICK_INTERVAL: Duration = Duration::from_micros(200);
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Ticks the group member when its deadline has come.
+/// Ticks the group member at its deadlines.
 pub(super) async fn tick(member: Rc<ClusterMember>) {
     loop {
         let deadline = member.inspect(GroupMember::next_deadline);
-        let left = deadline.saturating_sub(member.clock.now());
-        let left = member
+        let remaining = deadline.saturating_sub(member.clock.now());
+        let remaining = member
             .clock
-            .real(left)
+            .to_real_time(remaining)
             .clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL);
         tokio::select! {
-            () = sleep(left) => {}
+            () = sleep(remaining) => {}
             () = member.deadline_moved.notified() => {}
         }
         if member.inspect(|state| state.next_deadline() <= member.clock.now()) {
@@ -31,8 +31,8 @@
     }
 }
 
-/// Calls the requesters back, in the order of the outcomes.
-pub(super) async fn hand_out_replies(member: Rc<ClusterMember>) {
+/// Calls the reply callbacks in the order in which the outcomes were queued.
+pub(super) async fn deliver_replies(member: Rc<ClusterMember>) {
     loop {
         let next = member.replies.borrow_mut().pop_front();
         match next {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Passes on what the storage thread reports.
+/// Passes the reports of the current store's thread to the group member.
 pub(super) async fn receive_storage_reports(
     member: Rc<ClusterMember>,
     mut reports: mpsc::UnboundedReceiver<StorageReport>,
--- a/crates/cluster/src/error.rs
+++ b/crates/cluster/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a member cannot start, change its group, or be recovered.
+//! Errors of starting a member, changing its group, and recovering it.
 
 use rainstand_config_distribution::UpdateError;
 use rainstand_storage::OpenError;
@@ -6,33 +6,33 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An error of this crate. The texts reach operators by the command line and by `status`.
+/// An error of this crate. The texts are shown to operators by the command line and by `status`.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The group's configuration does not name this member.
-    #[error("group {group}: no member {member}")]
+    #[error("group {group}: unknown member {member}")]
     UnknownMember {
         /// The group's name.
         group: String,
         /// The member's name.
         member: String,
     },
-    /// The member's address is no IP address and port.
-    #[error("group: address {address}")]
+    /// The member's address is not an IP address with a port.
+    #[error("group: invalid address {address}")]
     InvalidAddress {
         /// The address as configured.
         address: String,
     },
-    /// The member's address cannot be listened on.
-    #[error("group: listen {address}: {source}")]
+    /// Listening on the member's address failed.
+    #[error("group: cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The group's name or its number of shards changed while the member runs.
-    #[error("group {group}: name and shards change only at a start")]
+    /// The group's name or number of shards was changed while the member runs.
+    #[error("group {group}: name and shards can only be changed by a restart")]
     FixedSettings {
         /// The group's new name.
         group: String,
@@ -42,7 +42,7 @@
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The store in the member's folder cannot be opened.
@@ -59,20 +59,20 @@
     /// Reading or writing the disk failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A record of the store holds no value of a group member.
+    /// A record of the store does not hold a group member's data.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The environment asks for fault injection, which the group's configuration does not allow.
-    #[error("{variable} is set, and the group does not say `testing: yes`")]
+    /// The environment enables fault injection, which the group's configuration does not allow.
+    #[error("{variable} is set, but the group's configuration lacks `testing: yes`")]
     FaultInjectionForbidden {
         /// The environment variable.
         variable: &'static str,
     },
     /// The folder holds no store of a member.
-    #[error("no disk of a member")]
+    #[error("the folder holds no member's store")]
     NoStore,
     /// The member's group was never bootstrapped.
-    #[error("its group never began")]
+    #[error("the member's group was never bootstrapped")]
     NeverBootstrapped,
     /// The snapshot of a shard cannot be restored.
     #[error("shard {shard}: {source}")]
@@ -87,12 +87,12 @@
     WriteSnapshot {
         /// The shard.
         shard: u16,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// A stored record, valid by its checksum, that does not hold what a group member writes.
+/// A stored record with a valid checksum that does not hold a group member's data.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// A record of a shard cannot be decoded.
@@ -100,22 +100,22 @@
     Shard {
         /// The shard.
         shard: u16,
-        /// What the record should hold.
+        /// The expected content of the record.
         kind: &'static str,
-        /// What is wrong with its bytes.
+        /// The decoding error.
         source: prost::DecodeError,
     },
-    /// A log entry is stored under another index than its own.
-    #[error("shard {shard}: entry {stored} says that it is {own}")]
+    /// The index under which a log entry is stored differs from the index in the entry.
+    #[error("shard {shard}: the entry stored at index {stored} has the index {own}")]
     EntryIndex {
         /// The shard.
         shard: u16,
         /// The index under which it is stored.
         stored: u64,
-        /// The index that it carries.
+        /// The index in the entry.
         own: u64,
     },
-    /// The record of the group's first members cannot be decoded.
-    #[error("first members: {0}")]
+    /// The bootstrap record, which holds the group's first members, cannot be decoded.
+    #[error("bootstrap record: {0}")]
     Bootstrap(prost::DecodeError),
 }
--- a/crates/cluster/src/fault_injection.rs
+++ b/crates/cluster/src/fault_injection.rs
@@ -1,8 +1,8 @@
-//! Clocks and disks that fail on purpose, for tests that start the whole program.
+//! Injected clock and disk faults, for tests that start the complete program.
 //!
-//! `RAINSTAND_TESTING` names a file. Its lines are read at the start (`clock RATE STEP`: rate in thousandths, and
+//! `RAINSTAND_TESTING` names a file. It is read at the start (`clock RATE STEP`: the rate in thousandths, and the
 //! milliseconds by which the clock jumps half a second later) and before each flush (`flush-fails`, `disk-full`,
-//! `disk-slow MS`). Where the group's configuration does not say `testing`, a program for which the variable is set does
+//! `disk-slow MS`). If the variable is set and the group's configuration does not enable `testing`, the program does
 //! not start.
 
 use crate::error::ClusterError;
@@ -14,23 +14,23 @@
 
 /// The environment variable that names the file.
 pub const VARIABLE: &str = "RAINSTAND_TESTING";
-/// A skewed clock jumps so long after its start.
+/// Time between the start of a skewed clock and its jump.
 pub const STEP_DELAY: Duration = Duration::from_millis(500);
 
-/// The longest delay that a file can ask for before a flush, in milliseconds.
+/// The longest delay before a flush that a file can set, in milliseconds.
 const MAX_FLUSH_DELAY_MS: u64 = 10_000;
-/// Slowest and fastest rate of a skewed clock, in thousandths.
+/// The slowest and the fastest rate of a skewed clock, in thousandths.
 const MIN_RATE: u32 = 1;
 const MAX_RATE: u32 = 100_000;
 /// The rate of the system's clock, in thousandths.
 const UNIT_RATE: u32 = 1_000;
 
-/// The only clock of a member.
+/// The clock of a member: all its times are read from it.
 pub trait Clock {
-    /// Time since any fixed start; never decreases.
+    /// Time since an arbitrary fixed start; never decreases.
     fn now(&self) -> Duration;
-    /// How long a span of this clock takes by the system's clock.
-    fn real(&self, span: Duration) -> Duration;
+    /// Converts a duration on this clock to the duration on the system's clock.
+    fn to_real_time(&self, duration: Duration) -> Duration;
 }
 
 /// The system's monotonic clock.
@@ -47,8 +47,8 @@
         self.0.elapsed()
     }
 
-    fn real(&self, span: Duration) -> Duration {
-        span
+    fn to_real_time(&self, duration: Duration) -> Duration {
+        duration
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl SkewedClock {
-    /// Starts now. `rate` is in thousandths of the system's clock.
+    /// Creates a clock that starts now. `rate` is in thousandths of the system clock's rate.
     pub fn new(rate: u32, step: Duration) -> Self {
         Self {
             start: Instant::now(),
@@ -72,25 +72,25 @@
 
 impl Clock for SkewedClock {
     fn now(&self) -> Duration {
-        let passed = self.start.elapsed();
-        let step = if passed > STEP_DELAY {
+        let elapsed = self.start.elapsed();
+        let step = if elapsed > STEP_DELAY {
             self.step
         } else {
             Duration::ZERO
         };
-        passed * self.rate / UNIT_RATE + step
+        elapsed * self.rate / UNIT_RATE + step
     }
 
-    fn real(&self, span: Duration) -> Duration {
-        span * UNIT_RATE / self.rate
+    fn to_real_time(&self, duration: Duration) -> Duration {
+        duration * UNIT_RATE / self.rate
     }
 }
 
-/// The file that the environment names, if any.
+/// The fault injection file that the environment names, if any.
 ///
 /// # Errors
-/// If one is named and the configuration does not allow it.
-pub(crate) fn file(is_allowed: bool) -> Result<Option<PathBuf>, ClusterError> {
+/// If a file is named and the configuration does not allow fault injection.
+pub(crate) fn configured_file(is_allowed: bool) -> Result<Option<PathBuf>, ClusterError> {
     match std::env::var_os(VARIABLE) {
         None => Ok(None),
         Some(_) if !is_allowed => Err(ClusterError::FaultInjectionForbidden { variable: VARIABLE }),
@@ -98,8 +98,8 @@
     }
 }
 
-/// The clock that the file asks for.
-pub(crate) fn clock(file: Option<&Path>) -> Box<dyn Clock> {
+/// Creates the clock that the file specifies; without one, the system's clock.
+pub(crate) fn create_clock(file: Option<&Path>) -> Box<dyn Clock> {
     let text = file
         .and_then(|file| std::fs::read_to_string(file).ok())
         .unwrap_or_default();
@@ -117,15 +117,13 @@
     }
 }
 
-/// Faults as the file asks for them at the moment of each flush.
+/// A hook that injects the faults that the file specifies at the time of each flush.
 pub fn fault_hook(file: PathBuf) -> FaultHook {
     Arc::new(move || {
         let text = std::fs::read_to_string(&file).unwrap_or_default();
         for line in text.lines() {
             match line.split_once(' ').unwrap_or((line, "")) {
-                ("flush-fails", _) => {
-                    return Err(io::Error::other("the flush failed, as it was told to"))
-                }
+                ("flush-fails", _) => return Err(io::Error::other("injected flush failure")),
                 ("disk-full", _) => return Err(io::ErrorKind::StorageFull.into()),
                 ("disk-slow", ms) => {
                     std::thread::sleep(Duration::from_millis(
--- a/crates/cluster/src/framing.rs
+++ b/crates/cluster/src/framing.rs
@@ -1,4 +1,4 @@
-//! Frames on the links of a group: a big-endian length of four bytes, then a protobuf message.
+//! Framing on the links of a group: a big-endian length of four bytes, then a message.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -6,13 +6,13 @@
 use rainstand_replicated_state::frames::{Frame, FrameBody};
 use std::time::Duration;
 
-/// For a connection to open, for the first frame on one, and for the end of one to be sent.
+/// Time limit for opening a connection, for receiving its first frame, and for shutting it down.
 pub(crate) const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// For queued bytes to be accepted by the socket. A working network takes milliseconds; a link that was lost without a
-/// reset is noticed by nothing else.
+/// Time limit for the socket to accept queued bytes. A working network needs milliseconds; a link that was lost without
+/// a reset is detected only by this timeout.
 pub(crate) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A message with its length before it.
+/// A message, preceded by its length.
 pub fn with_length_prefix(message: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(4 + message.len());
     bytes.extend_from_slice(&(message.len() as u32).to_be_bytes());
@@ -20,7 +20,7 @@
     bytes
 }
 
-/// A subscriber's frame as it goes on a link.
+/// Encodes a subscriber's frame with its length prefix.
 pub(crate) fn subscriber_frame(frame: Bytes) -> Vec<u8> {
     with_length_prefix(&Frame::from_body(FrameBody::FromSubscriber(frame)).encode_to_vec())
 }
@@ -29,10 +29,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FrameTooLong;
 
-/// Received bytes, cut into frames of at most `max_frame_bytes`.
+/// Splits received bytes into frames of at most `max_frame_bytes`.
 pub(crate) struct FrameBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that were handed out already.
+    /// Number of bytes at the front that were already returned as frames.
     consumed: usize,
     max_frame_bytes: usize,
 }
@@ -42,7 +42,7 @@
         Self::with_received(Vec::new(), max_frame_bytes)
     }
 
-    /// With bytes that were received already.
+    /// Creates a buffer with bytes that were already received.
     pub(crate) fn with_received(bytes: Vec<u8>, max_frame_bytes: usize) -> Self {
         Self {
             bytes,
@@ -58,7 +58,7 @@
         self.bytes.extend_from_slice(received);
     }
 
-    /// The next complete frame without its length; none until more is received.
+    /// The next complete frame without its length prefix; `None` until more bytes are received.
     pub(crate) fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameTooLong> {
         let rest = &self.bytes[self.consumed..];
         let length = frame_within(rest, self.max_frame_bytes).map_err(|_| FrameTooLong)?;
@@ -70,7 +70,7 @@
         Ok(Some(&self.bytes[start..self.consumed]))
     }
 
-    /// What was received behind the last frame.
+    /// The bytes received after the last returned frame.
     pub(crate) fn into_rest(mut self) -> Vec<u8> {
         self.bytes.split_off(self.consumed)
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,22 +1,22 @@
-//! A member of a group of nodes on sockets and a disk, and the processes that attach to it.
+//! Runs a member of a group of nodes on sockets and a disk, and attaches subscribers to it.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`driver`] | drives a group member: its time, its writes, its replies |
-//! | [`listener`] | connections that come in: members, subscribers, operators |
-//! | [`transport`] | the outgoing link to each other member |
-//! | [`outbox`] | frames that wait for a link |
-//! | [`framing`] | frames on links |
-//! | [`config_server`] | the published configuration for attached subscribers |
-//! | [`attachment`] | a subscriber's own side of its attachment |
-//! | [`persistence`] | a member's writes as records of the store, and back |
-//! | [`status`] | questions of operators and their answers |
-//! | [`recovery`] | the way back from the loss of a majority |
-//! | [`fault_injection`] | clocks and disks that fail on purpose, where a configuration says `testing` |
-//! | [`error`] | errors of all of these |
+//! | [`driver`] | runs a group member on a clock, sockets and a disk |
+//! | [`listener`] | incoming connections of members, subscribers and operators |
+//! | [`transport`] | outgoing links to the other members |
+//! | [`outbox`] | queue of frames for one link |
+//! | [`framing`] | framing of messages on links |
+//! | [`config_server`] | serves the published configuration to subscribers |
+//! | [`attachment`] | a subscriber's side of its attachment |
+//! | [`persistence`] | encodes a member's writes as store records, and decodes them |
+//! | [`status`] | answers operators' questions |
+//! | [`recovery`] | recovery from the loss of a majority |
+//! | [`fault_injection`] | injected clock and disk faults, if the configuration enables `testing` |
+//! | [`error`] | errors of all modules |
 //!
-//! All decisions are those of `rainstand-replicated-state` and `rainstand-raft`. Everything runs on the program's one
-//! thread, but for one thread that writes and flushes the log.
+//! All decisions are made by `rainstand-replicated-state` and `rainstand-raft`. Everything runs on the program's single
+//! thread, except for one thread that writes and flushes the log.
 
 pub mod attachment;
 pub mod config_server;
@@ -49,6 +49,6 @@
     Ok(member)
 }
 
-/// Whether a bug is planted by its name, see `rainstand_raft::plant`: never without the feature `planted`.
+/// Whether the named bug is planted, see `rainstand_raft::plant`; always false without the feature `planted`.
 #[doc(hidden)]
 pub use rainstand_raft::plant::planted;
--- a/crates/cluster/src/listener.rs
+++ b/crates/cluster/src/listener.rs
@@ -1,7 +1,7 @@
-//! Connections that come in at a member's address: other members, subscribers of the configuration, and operators.
+//! Incoming connections at a member's address: from other members, subscribers of the configuration, and operators.
 //!
-//! Frames of members go to the driver, a subscriber's connection goes to the [`crate::config_server`], and questions are
-//! answered by [`crate::status`]. Bounds: [`MAX_CONNECTIONS`] at once, frames of [`MAX_FRAME_BYTES`].
+//! Frames of members are passed to the driver, subscribers' connections to [`crate::config_server`], and operators'
+//! questions to [`crate::status`]. Limits: [`MAX_CONNECTIONS`] concurrent connections, frames of [`MAX_FRAME_BYTES`].
 
 use crate::config_server::serve_subscriber;
 use crate::driver::ClusterMember;
@@ -18,18 +18,18 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// The longest frame among members: two chunks of a snapshot.
+/// The longest frame between members: two chunks of a snapshot.
 pub const MAX_FRAME_BYTES: usize = 512 << 10;
-/// Connections at once: the members several times over, and operators. Subscribers are counted apart.
+/// Concurrent connections: several times the number of members, and operators. Subscribers are counted separately.
 const MAX_CONNECTIONS: usize = 256;
-/// After an accept that failed.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// For an answer to be read by whoever asked: the longest is a whole configuration.
+/// Time limit for writing an answer to an operator; the longest answer is a complete configuration.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection on which nothing came for so long is closed: members send far more often, or connect again.
+/// A connection on which nothing is received for this long is closed: members send far more often, or reconnect.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Accepts connections, for ever.
+/// Accepts connections; never returns.
 pub(crate) async fn accept(member: Rc<ClusterMember>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -52,11 +52,11 @@
     }
 }
 
-/// A connection whose first frame is that of a subscriber.
+/// A connection whose first frame is a subscriber's.
 struct AttachingSubscriber {
     stream: TcpStream,
     first: Bytes,
-    /// What was received behind the first frame.
+    /// The bytes received after the first frame.
     received: Vec<u8>,
 }
 
@@ -76,7 +76,8 @@
     serve_subscriber(&server, stream, received, first).await;
 }
 
-/// Reads frames of one member, or an operator's questions, until the link ends or carries anything else.
+/// Reads a member's frames or an operator's questions until the connection ends or a message is invalid. Returns the
+/// connection if it is a subscriber's.
 async fn read_frames(
     member: &Rc<ClusterMember>,
     mut stream: TcpStream,
@@ -85,13 +86,13 @@
     let mut chunk = vec![0; 64 << 10];
     let mut peer: Option<String> = None;
     loop {
-        // A connection that sends nothing takes its place for a short time only.
-        let within = if peer.is_some() {
+        // A connection that sends nothing counts towards `MAX_CONNECTIONS` for a short time only.
+        let read_timeout = if peer.is_some() {
             IDLE_TIMEOUT
         } else {
             OPEN_TIMEOUT
         };
-        match timeout(within, stream.read(&mut chunk)).await {
+        match timeout(read_timeout, stream.read(&mut chunk)).await {
             Ok(Ok(n)) if n > 0 => frames.extend(&chunk[..n]),
             _ => return None,
         }
@@ -119,7 +120,7 @@
     }
 }
 
-/// The answer to an operator, if the message is a question or a version to be published.
+/// The answer to an operator; `None` if the message is neither a question nor a version to be published.
 async fn answer(member: &Rc<ClusterMember>, message: &[u8]) -> Option<Vec<u8>> {
     if let Some(question) = status::decode_question(message) {
         return Some(status::answer_question(member, question).await);
--- a/crates/cluster/src/outbox.rs
+++ b/crates/cluster/src/outbox.rs
@@ -1,7 +1,7 @@
-//! Frames that wait to be written to one peer.
+//! The queue of frames to be written to one peer.
 //!
-//! Bound: at most `max_bytes` wait. A frame beyond that, or while the link is closed, is dropped and counted, as on any
-//! network.
+//! At most `max_bytes` are queued. A frame that would exceed this limit, or that is sent while the link is closed, is
+//! dropped and counted, as on any network.
 
 use crate::framing::with_length_prefix;
 use prost::Message as _;
@@ -10,10 +10,10 @@
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// Bytes that may wait for another member: some chunks of snapshots.
+/// Bytes that may be queued for another member: several chunks of snapshots.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 
-/// The queue of one link, with its counters.
+/// The queue and the counters of one link.
 pub struct Outbox {
     max_bytes: usize,
     is_open: Cell<bool>,
@@ -31,7 +31,7 @@
 }
 
 impl Outbox {
-    /// A closed outbox in which at most so many bytes wait.
+    /// A closed outbox that queues at most `max_bytes`.
     pub fn with_capacity(max_bytes: usize) -> Self {
         Self {
             max_bytes,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Frames are queued from now on.
+    /// Opens the outbox: frames sent from now on are queued.
     pub fn open(&self) {
         self.is_open.set(true);
     }
 
-    /// Frames are dropped from now on, those that wait too.
+    /// Closes the outbox: drops the queued frames and all frames sent from now on.
     pub fn close(&self) {
         self.is_open.set(false);
         self.frames.borrow_mut().clear();
@@ -61,7 +61,7 @@
         self.send_bytes(with_length_prefix(&frame.encode_to_vec()));
     }
 
-    /// Queues bytes as they are, or drops and counts them.
+    /// Queues bytes without adding a length prefix, or drops and counts them as one frame.
     pub fn send_bytes(&self, bytes: Vec<u8>) {
         if !self.is_open.get() || self.queued_bytes.get() + bytes.len() > self.max_bytes {
             self.dropped_frames.set(self.dropped_frames.get() + 1);
@@ -88,7 +88,7 @@
         Some(frame)
     }
 
-    /// Wakes the task that writes.
+    /// Wakes the writing task.
     pub(crate) fn notify(&self) {
         self.wakeup.notify_one();
     }
--- a/crates/cluster/src/persistence.rs
+++ b/crates/cluster/src/persistence.rs
@@ -1,4 +1,4 @@
-//! A group member's writes as records of the store, and what a recovery found as the member takes it.
+//! Conversion between a group member's writes and the store's records, and of recovered records to a member's state.
 
 use crate::error::RecordError;
 use prost::Message as _;
@@ -15,10 +15,10 @@
 };
 use std::io;
 
-/// Decodes what a recovery found.
+/// Decodes the contents of a store into a group member's state.
 ///
 /// # Errors
-/// The first record that does not hold what a group member writes: another program wrote it.
+/// If a record does not hold a group member's data, that is, if another program wrote it.
 pub fn decode_recovered(
     identity: &Identity,
     recovered: &Recovered,
@@ -37,7 +37,7 @@
         let bootstrap = BootstrapConfig::decode(&data[..]).map_err(RecordError::Bootstrap)?;
         state.bootstrap = Some(bootstrap);
     }
-    // Without it stale copies of other disks are recognized later, but are recognized.
+    // If this record is missing or invalid, stale copies of other disks are still detected, only later.
     state.peer_incarnations = metadata(METADATA_PEER_INCARNATIONS)
         .and_then(|data| PeerIncarnations::decode(&data[..]).ok());
     state.member_name =
@@ -77,7 +77,7 @@
     Ok(state)
 }
 
-/// A write as a record; none for a snapshot, which is installed.
+/// Encodes a write as a record; `None` for a snapshot, which is installed instead.
 fn encode_record(write: &PersistentWrite) -> Option<Record> {
     Some(match write {
         PersistentWrite::HardState { shard, hard } => Record::HardState {
@@ -97,7 +97,7 @@
     })
 }
 
-/// What becomes of the entries behind a snapshot.
+/// Whether the log entries after a snapshot are discarded or retained.
 fn log_suffix(discard: bool) -> LogSuffix {
     if discard {
         LogSuffix::Discard
@@ -106,7 +106,7 @@
     }
 }
 
-/// Gives a batch of writes to the storage thread, in order. The batch's number is reported with its last job.
+/// Submits a batch of writes to the storage thread, in order. The last job reports the batch's number.
 pub(crate) fn submit(writer: &Writer, batch: WriteBatch) {
     let WriteBatch { number, writes } = batch;
     let mut records = Vec::new();
@@ -137,7 +137,7 @@
     writer.submit(WriteJob::Write { number, records });
 }
 
-/// Appends a write to a store; a snapshot is durable when this returns. For simulations, which have no storage thread.
+/// Appends a write to a store; a snapshot is durable on return. For simulations, which have no storage thread.
 ///
 /// # Errors
 /// If the disk fails.
--- a/crates/cluster/src/recovery.rs
+++ b/crates/cluster/src/recovery.rs
@@ -1,8 +1,9 @@
-//! The way back from the loss of a majority: the replicas of one stopped member restart the group.
+//! Recovery from the loss of a majority: restarts the group from the replicas of one stopped member.
 //!
-//! What the lost replicas had committed and this one had not is lost, and nothing can tell what that was. What is here
-//! and may be affected is listed: keys that were started and have no end. The generation goes up, so that a disk of
-//! before that comes back is quarantined instead of electing others of its kind.
+//! Entries that the lost replicas had committed and this one does not hold are lost, and cannot be identified. The
+//! report lists the local keys that may be affected: those that were started and have no recorded outcome. The
+//! generation is incremented, so that a disk of an earlier generation is quarantined when it rejoins, instead of
+//! electing a leader with other such disks.
 
 use crate::error::ClusterError;
 use crate::persistence::decode_recovered;
@@ -19,52 +20,52 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// Keys without an end that are listed, a shard.
+/// The number of keys without a recorded outcome that are listed per shard.
 const MAX_LISTED_KEYS: usize = 1_000;
 
-/// What may be lost of one shard. The field names are those of the JSON output.
+/// The possible loss in one shard. The field names are those of the JSON output.
 #[derive(Debug, Serialize)]
 pub struct ShardLoss {
     /// The shard.
     pub shard: u16,
-    /// Index of the last entry here.
+    /// Index of the last local log entry.
     pub last: u64,
-    /// Entries up to this index are proved to be committed by the snapshot; later ones may have been or not.
+    /// Index of the snapshot: entries up to it are known to be committed, later ones may or may not be.
     pub committed: u64,
-    /// Keys here.
+    /// Number of keys in the local replica.
     pub keys: usize,
-    /// Keys that were started and have no end here, at most 1,000 of them.
+    /// Keys that were started and have no recorded outcome in the local replica; at most 1,000 are listed.
     pub started: Vec<String>,
 }
 
-/// What may be lost. The field names are those of the JSON output.
+/// The possible loss in all shards. The field names are those of the JSON output.
 #[derive(Debug, Serialize)]
 pub struct RecoveryReport {
     /// The group's generation after the recovery.
     pub generation: u64,
-    /// The shards of which there is a replica here.
+    /// The shards with a local replica.
     pub shards: Vec<ShardLoss>,
-    /// Shards of which this disk has no replica: they begin empty.
+    /// Shards of which this disk has no replica: they are empty after the recovery.
     pub missing: Vec<u16>,
 }
 
-/// What a recovery does with a store.
+/// Whether a recovery changes the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryMode {
-    /// Only reports what would be lost.
+    /// Only reports the possible loss.
     Report,
-    /// Accepts the loss: the store is rewritten.
+    /// Accepts the loss and rewrites the store.
     AcceptLoss,
 }
 
-/// A snapshot that replaces a shard's log.
+/// A snapshot that replaces a shard's log and snapshot.
 struct ReplacementSnapshot {
     shard: u16,
     snapshot: Snapshot,
 }
 
-/// Reports what would be lost and, with [`RecoveryMode::AcceptLoss`], makes this disk the group's only one. Every entry that is here
-/// counts as committed: a start or result whose commit is not known is better kept than forgotten.
+/// Reports the possible loss and, with [`RecoveryMode::AcceptLoss`], makes this disk the group's only one. Every local
+/// entry is treated as committed: retaining a start or result that was not committed is safer than losing one that was.
 ///
 /// # Errors
 /// If the folder is in use, damaged, or holds no member's store.
@@ -79,19 +80,19 @@
         recovered,
     } = rainstand_storage::recover(&mut disk)?;
     let identity = identity.ok_or(ClusterError::NoStore)?;
-    let before = decode_recovered(&identity, &recovered)?;
-    let bootstrap = before.bootstrap.ok_or(ClusterError::NeverBootstrapped)?;
+    let old_state = decode_recovered(&identity, &recovered)?;
+    let bootstrap = old_state.bootstrap.ok_or(ClusterError::NeverBootstrapped)?;
     let mut report = RecoveryReport {
-        generation: before.generation + 1,
+        generation: old_state.generation + 1,
         shards: Vec::new(),
         missing: Vec::new(),
     };
     let only_voter = Membership::from_voters([(identity.disk, name.to_owned())]);
     let mut replacements = Vec::new();
     for shard in 0..bootstrap.shards as u16 {
-        let state = before.shards.get(&shard);
-        let snapshot = if let Some(found) = state.and_then(RecoverableShard::from_state) {
-            let (loss, snapshot) = found.replay(shard, only_voter.clone())?;
+        let state = old_state.shards.get(&shard);
+        let snapshot = if let Some(recoverable) = state.and_then(RecoverableShard::from_state) {
+            let (loss, snapshot) = recoverable.replay(shard, only_voter.clone())?;
             report.shards.push(loss);
             snapshot
         } else {
@@ -121,7 +122,7 @@
     Ok(report)
 }
 
-/// A shard of which there is a snapshot.
+/// A shard whose local state has a snapshot.
 struct RecoverableShard<'a> {
     state: &'a PersistentState,
     snapshot: &'a Snapshot,
@@ -133,7 +134,7 @@
         Some(Self { state, snapshot })
     }
 
-    /// Applies all entries behind the snapshot.
+    /// Applies all entries after the snapshot; returns the possible loss and the shard's new snapshot.
     fn replay(
         &self,
         shard: u16,
@@ -165,7 +166,7 @@
             started: started_keys(&table),
         };
         metadata.config = membership;
-        // Behind everything before: no earlier entry has this index and another content.
+        // Beyond every earlier index, so that no earlier entry with other content has this index.
         metadata.index += 1;
         metadata.term = metadata.term.max(self.state.hard_state.term) + 1;
         let snapshot = Snapshot {
@@ -176,17 +177,17 @@
     }
 }
 
-/// Keys without an end as `type/name`.
+/// The keys without a recorded outcome, as `type/name`.
 fn started_keys(table: &IdempotencyTable) -> Vec<String> {
-    let shown = |key: &[u8]| String::from_utf8_lossy(key).replacen('\0', "/", 1);
+    let display_key = |key: &[u8]| String::from_utf8_lossy(key).replacen('\0', "/", 1);
     table
         .started()
         .take(MAX_LISTED_KEYS)
-        .map(|key| shown(key))
+        .map(|key| display_key(key))
         .collect()
 }
 
-/// The snapshot with which a shard of a new group begins.
+/// The first snapshot of a shard in a new group.
 fn empty_snapshot(membership: Membership) -> Snapshot {
     Snapshot {
         metadata: SnapshotMetadata {
--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -1,5 +1,5 @@
-//! Questions of operators to any member: one question in a frame, one answer in JSON, in text for metrics, or the packed
-//! snapshot of the published configuration. A version that is to be published comes in a frame of its own.
+//! Operators' questions, which every member answers: each frame holds one question. The answer is JSON, text for
+//! metrics, or the packed snapshot of the published configuration. A version to be published is sent in its own frame.
 
 mod metrics;
 mod report;
@@ -21,49 +21,50 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// The first bytes of a question. No protobuf message of a member begins so.
+/// The first bytes of a question. No protobuf message of a member starts with them.
 const QUESTION_PREFIX: &[u8] = b"ask ";
-/// The first bytes of a version that is to be published.
+/// The first bytes of a message that holds a version to be published.
 const PUBLISH_PREFIX: &[u8] = b"publish ";
 /// The longest question, in bytes.
 const MAX_QUESTION_BYTES: usize = 4_096;
-/// For a version to be committed: a few elections.
+/// Time limit for committing a version: long enough for a few elections.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// For a read to be confirmed: a few elections, and less than an operator's command waits for an answer.
+/// Time limit for confirming a read: long enough for a few elections, and shorter than the time that an operator's
+/// command waits for an answer.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Versions that are listed where the question names no number.
+/// Number of versions that are listed if the question specifies none.
 const DEFAULT_LISTED_VERSIONS: usize = 16;
 
-/// The words of a question, if the message is one.
+/// The text of a question; `None` if the message is not a question.
 pub fn decode_question(message: &[u8]) -> Option<&str> {
     std::str::from_utf8(message.strip_prefix(QUESTION_PREFIX)?)
         .ok()
-        .filter(|words| words.len() <= MAX_QUESTION_BYTES)
+        .filter(|text| text.len() <= MAX_QUESTION_BYTES)
 }
 
-/// A question as a message.
-pub fn encode_question(words: &str) -> Vec<u8> {
-    [QUESTION_PREFIX, words.as_bytes()].concat()
+/// Encodes a question as a message.
+pub fn encode_question(text: &str) -> Vec<u8> {
+    [QUESTION_PREFIX, text.as_bytes()].concat()
 }
 
-/// A version to be published as a message.
+/// Encodes a version to be published as a message.
 pub fn encode_publish(publish: &Publish) -> Vec<u8> {
     [PUBLISH_PREFIX, &publish.encode_to_vec()].concat()
 }
 
-/// The version that is to be published, if the message holds one.
+/// Decodes the version to be published; `None` if the message holds none.
 pub fn decode_publish(message: &[u8]) -> Option<Publish> {
     Publish::decode(message.strip_prefix(PUBLISH_PREFIX)?).ok()
 }
 
-/// Commits a version; the answer in JSON.
+/// Commits a version; returns the answer in JSON.
 pub(crate) async fn commit_version(member: &Rc<ClusterMember>, publish: Publish) -> Vec<u8> {
     let version = publish.from + 1;
     let answer = match commit(member, publish).await {
         Ok(ClaimOutcome::Recorded) => json!({"committed": version}),
         Ok(ClaimOutcome::Conflict(reason)) => json!({"conflict": String::from_utf8_lossy(&reason)}),
         Ok(ClaimOutcome::Rejected(reason)) => json!({"refused": String::from_utf8_lossy(&reason)}),
-        Ok(other) => json!({"refused": outcome_word(&other)}),
+        Ok(other) => json!({"refused": outcome_name(&other)}),
         Err(reason) => json!({"unknown": reason}),
     };
     answer.to_string().into()
@@ -75,7 +76,7 @@
 ) -> Result<ClaimOutcome, &'static str> {
     let rejected = |reason: &'static str| Ok(ClaimOutcome::Rejected(reason.into()));
     if member.config_server().is_none() {
-        return rejected("this member is no control machine");
+        return rejected("this member is not a config server");
     }
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -98,15 +99,14 @@
         .request(command, COMMIT_TIMEOUT, Rc::new(reply))
         .is_none()
     {
-        return rejected("this member takes no questions now");
+        return rejected("this member accepts no requests now");
     }
-    let outcome = receiver
-        .await
-        .ok()
-        .flatten()
-        .ok_or("no majority answered in time: it may be committed yet, see the versions")?;
-    // The leader applies a version before its followers do: who is told of it finds it here. If nobody confirms that in
-    // time, the version is committed all the same, and the next read here waits for it.
+    let outcome = receiver.await.ok().flatten().ok_or(
+        "no majority answered in time: the version may still be committed, check `versions`",
+    )?;
+    // The leader applies a version before its followers do. Wait until the local replica has it, so that the client
+    // can read it here after the answer. If the read is not confirmed in time, the version is committed nevertheless,
+    // and the next read here waits for it.
     if !planted("stale-publish") {
         member
             .confirm_read(SHARD_OF_REGISTERS, CONFIRM_TIMEOUT)
@@ -115,8 +115,8 @@
     Ok(outcome)
 }
 
-/// An outcome as the JSON output names it.
-fn outcome_word(outcome: &ClaimOutcome) -> &'static str {
+/// The name of an outcome in the JSON output.
+fn outcome_name(outcome: &ClaimOutcome) -> &'static str {
     match outcome {
         ClaimOutcome::Granted => "Granted",
         ClaimOutcome::Completed(_) => "Known",
@@ -134,8 +134,8 @@
 
 /// The answer to a question: JSON, `OpenMetrics` text, or the packed snapshot.
 ///
-/// What operators act on is confirmed by the shard's leader first, and the answer says whether it was: the replica here
-/// may be behind by any amount after a partition or a stop of the process.
+/// Reads of keys and versions, which operators act on, are first confirmed by the shard's leader, and the answer says
+/// whether they were: the local replica may be arbitrarily far behind after a partition or a suspension of the process.
 pub(crate) async fn answer_question(member: &ClusterMember, question: &str) -> Vec<u8> {
     let (name, argument) = question.split_once(' ').unwrap_or((question, ""));
     member.catch_up_time();
@@ -170,18 +170,18 @@
 fn unknown_question(name: &str) -> Value {
     json!({
         "error": format!(
-            "{name:.40} is no question: status, members, why KEY, versions, whole, metrics"
+            "unknown question {name:.40}; known: status, members, why KEY, versions, whole, metrics"
         )
     })
 }
 
-/// JSON with its keys in alphabetical order.
+/// Serializes a report as JSON with its keys in alphabetical order.
 fn json_bytes(report: &impl Serialize) -> Vec<u8> {
     let value = serde_json::to_value(report).unwrap_or_default();
     value.to_string().into()
 }
 
-/// The newest published version, packed; empty if there is none, or no replica of it here.
+/// The packed snapshot of the newest published version; empty if there is none, or no local replica of it.
 fn packed_snapshot(member: &ClusterMember) -> Vec<u8> {
     member.inspect(|state| {
         let versions = state
@@ -189,12 +189,12 @@
             .map(|published| published.versions);
         let versions = versions.filter(|versions| versions.version() > 0);
         versions
-            .and_then(|all| snapshot::encode(all.version(), all.state()).ok())
+            .and_then(|versions| snapshot::encode(versions.version(), versions.state()).ok())
             .unwrap_or_default()
     })
 }
 
-/// A disk or a digest as the JSON output writes it.
+/// Formats a disk's identity or a digest for the JSON output.
 fn hexadecimal(number: u64) -> String {
     format!("{number:016x}")
 }
--- a/crates/cluster/src/status/metrics.rs
+++ b/crates/cluster/src/status/metrics.rs
@@ -9,10 +9,10 @@
 use prometheus_client::registry::Registry;
 use rainstand_config_distribution::publisher::Publisher;
 
-/// The name that all metrics begin with.
+/// The prefix of all metric names.
 const PREFIX: &str = "rainstand_group";
 
-/// One gauge or counter.
+/// A gauge or counter.
 struct Metric<T> {
     name: &'static str,
     help: &'static str,
--- a/crates/cluster/src/status/report.rs
+++ b/crates/cluster/src/status/report.rs
@@ -1,4 +1,4 @@
-//! A member's answers about itself, its peers and a key. The serialized names are those of the JSON output.
+//! A member's reports about itself, its peers and a key. The serialized names are those of the JSON output.
 
 use super::hexadecimal;
 use crate::driver::ClusterMember;
@@ -33,19 +33,19 @@
     pub(super) shards: Vec<ShardReport>,
 }
 
-/// From request to outcome, in milliseconds; none before the first request.
+/// Times from request to outcome, in milliseconds; `None` before the first outcome.
 #[derive(Serialize)]
 pub(super) struct CommitTimes {
     median: Option<f64>,
     pub(super) p99: Option<f64>,
 }
 
-/// One shard of which there is a replica here.
+/// A shard with a local replica.
 #[derive(Serialize)]
 pub(super) struct ShardReport {
     shard: u16,
     role: &'static str,
-    /// None if no leader is known, or not which member has its disk.
+    /// `None` if no leader is known, or if the member that has its disk is not known.
     leader: Option<String>,
     pub(super) term: u64,
     commit: u64,
@@ -68,7 +68,7 @@
     is_voter: bool,
 }
 
-/// What a leader knows of a follower.
+/// A follower's progress as its leader knows it.
 #[derive(Serialize)]
 pub(super) struct FollowerReport {
     disk: String,
@@ -109,13 +109,13 @@
     key: Option<KeyStateReport>,
     #[serde(rename = "asked")]
     member: String,
-    /// Whether the replica here was known to hold everything that was committed.
+    /// Whether the local replica was confirmed to hold everything that was committed.
     confirmed: bool,
     #[serde(rename = "says")]
     explanation: &'static str,
 }
 
-/// How far the replica is from which a key was read.
+/// The progress of the replica from which a key was read.
 #[derive(Serialize)]
 struct ReplicaReport {
     applied: u64,
@@ -123,7 +123,7 @@
     log_time_ms: u64,
 }
 
-/// A key as the replica here has it.
+/// The state of a key in the local replica.
 #[derive(Serialize)]
 struct KeyStateReport {
     state: &'static str,
@@ -134,8 +134,8 @@
     expires_at_log_ms: u64,
 }
 
-/// A role as the JSON output names it.
-fn role_word(role: Role) -> &'static str {
+/// The name of a role in the JSON output.
+fn role_name(role: Role) -> &'static str {
     match role {
         Role::Follower => "follower",
         Role::PreCandidate => "asking",
@@ -145,8 +145,8 @@
     }
 }
 
-/// The member that has a disk, as far as this member knows.
-fn member_of(state: &GroupMember, disk: ReplicaId) -> Option<String> {
+/// The name of the member that has a disk, if this member knows it.
+fn member_name(state: &GroupMember, disk: ReplicaId) -> Option<String> {
     if disk == state.disk() {
         return Some(state.name().to_owned());
     }
@@ -192,7 +192,7 @@
     let last = replica.log().last_index();
     let follower = |follower: rainstand_raft::FollowerProgress| FollowerReport {
         disk: hexadecimal(follower.id),
-        name: member_of(state, follower.id),
+        name: member_name(state, follower.id),
         behind: last.saturating_sub(follower.match_index),
         last_contact_ms: state
             .now()
@@ -206,8 +206,8 @@
     };
     ShardReport {
         shard: view.shard,
-        role: role_word(replica.role()),
-        leader: replica.leader().and_then(|disk| member_of(state, disk)),
+        role: role_name(replica.role()),
+        leader: replica.leader().and_then(|disk| member_name(state, disk)),
         term: replica.term(),
         commit: replica.commit(),
         applied: replica.applied(),
@@ -241,12 +241,12 @@
     })
 }
 
-/// A key, which is written as its type and its name with a slash between.
+/// Converts a key from its textual form `type/name`.
 pub(super) fn key_bytes(key: &str) -> Vec<u8> {
     key.replacen('/', "\0", 1).into_bytes()
 }
 
-/// `outcome` is that of a read of the key's shard just before.
+/// Reports a key. `outcome` is the outcome of the preceding read of the key's shard.
 pub(super) fn key(member: &ClusterMember, key: &[u8], outcome: ReadOutcome) -> KeyReport {
     member.inspect(|state| {
         let KeyLookup {
@@ -273,7 +273,7 @@
     KeyStateReport {
         state: found.state_name(),
         holder: hexadecimal(found.holder()),
-        holder_name: member_of(state, found.holder()),
+        holder_name: member_name(state, found.holder()),
         result_bytes: found.result().len(),
         expires_at_log_ms: found.expires_at() / 1_000_000,
     }
@@ -281,11 +281,11 @@
 
 fn explanation(has_replica: bool, has_key: bool, outcome: ReadOutcome) -> &'static str {
     match (has_replica, outcome, has_key) {
-        (false, ..) => "this member holds no copy of the shard",
+        (false, ..) => "this member holds no replica of the shard",
         (true, ReadOutcome::Unconfirmed, _) => {
-            "not known: no majority confirms the copy here, it may be behind"
+            "unconfirmed: no majority confirmed the read; the local replica may be behind"
         }
-        (true, ReadOutcome::Confirmed, false) => "not there: never asked, or aged out",
-        (true, ReadOutcome::Confirmed, true) => "as of the entry applied here",
+        (true, ReadOutcome::Confirmed, false) => "not found: never requested, or expired",
+        (true, ReadOutcome::Confirmed, true) => "as of the last entry applied by the local replica",
     }
 }
--- a/crates/cluster/src/status/rollout.rs
+++ b/crates/cluster/src/status/rollout.rs
@@ -1,4 +1,4 @@
-//! The answer to `versions`: published versions, and how far the attached subscribers are.
+//! The answer to `versions`: published versions, and the progress of the attached subscribers.
 
 use super::hexadecimal;
 use crate::config_server::{ConfigServer, MAX_LISTED_VERSIONS};
@@ -8,10 +8,10 @@
 use rainstand_replicated_state::versions::Versions;
 use serde_json::{json, Value};
 
-/// `outcome` is that of a read of the versions just before.
+/// Reports the published versions. `outcome` is the outcome of the preceding read of the versions.
 pub(super) fn answer(member: &ClusterMember, max_versions: usize, outcome: ReadOutcome) -> Value {
     let Some(server) = member.config_server() else {
-        return json!({"error": "this member is no control machine"});
+        return json!({"error": "this member is not a config server"});
     };
     let members: Vec<Value> = member
         .members()
@@ -41,7 +41,7 @@
     })
 }
 
-/// A subscriber that holds on to an older version than the one that it rejected.
+/// The rejection of a subscriber whose version is older than the one that it rejected.
 fn rejection(subscriber: &SubscriberStatus) -> Option<Value> {
     let rejected = subscriber.rejected.as_ref()?;
     if subscriber.version >= rejected.version {
@@ -56,13 +56,16 @@
 }
 
 fn rows(server: &ConfigServer, versions: &Versions, max_versions: usize) -> Vec<Value> {
-    let progress = server.progress(max_versions);
-    progress.into_iter().map(|one| row(versions, one)).collect()
+    let newest = server.progress(max_versions);
+    newest
+        .into_iter()
+        .map(|progress| row(versions, progress))
+        .collect()
 }
 
 fn row(versions: &Versions, progress: RolloutProgress) -> Value {
-    let before = progress.version.checked_sub(1);
-    let change = before.and_then(|before| versions.changes_since(before)?.next());
+    let previous = progress.version.checked_sub(1);
+    let change = previous.and_then(|previous| versions.changes_since(previous)?.next());
     let slowest = progress
         .slowest
         .map(|slowest| json!({"name": slowest.name, "version": slowest.version}));
--- a/crates/cluster/src/transport.rs
+++ b/crates/cluster/src/transport.rs
@@ -1,7 +1,7 @@
-//! Outgoing links among members: each member keeps one connection to each other, on which it only sends. What comes,
-//! comes on the connections that the others opened.
+//! Outgoing links between members: each member maintains one connection to each other member, on which it only sends.
+//! It receives on the connections that the other members opened.
 //!
-//! A link that accepts no bytes for [`WRITE_TIMEOUT`] is closed, and what waited on it is lost.
+//! A link that accepts no bytes for [`WRITE_TIMEOUT`] is closed, and its queued frames are lost.
 
 use crate::framing::{OPEN_TIMEOUT, WRITE_TIMEOUT};
 use crate::outbox::Outbox;
@@ -12,12 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Pause before the next attempt to connect, at first and at most.
+/// The initial and the maximum delay before the next attempt to connect.
 const RETRY_BACKOFF: RetryBackoff = RetryBackoff {
     initial: Duration::from_millis(10),
     max: Duration::from_millis(250),
 };
-/// Bytes that are written with one call where several frames wait.
+/// Queued frames are combined into one write until it has this many bytes.
 const WRITE_BATCH_BYTES: usize = 64 << 10;
 
 struct RetryBackoff {
@@ -25,35 +25,35 @@
     max: Duration,
 }
 
-/// Who has to know of a link's state.
+/// Observes the state of links, and resolves the addresses of peers.
 pub(crate) trait LinkObserver {
-    /// Where a peer listens, by the newest configuration; none if it left the group.
+    /// A peer's address in the newest configuration; `None` if it is not in the group.
     fn peer_address(&self, peer: &str) -> Option<SocketAddr>;
-    /// The link is open.
+    /// Called when the link was opened.
     fn on_link_open(&self, peer: &str);
-    /// The link is closed; a new one is opened.
+    /// Called when the link was closed; it is reopened.
     fn on_link_closed(&self, peer: &str);
 }
 
-/// Keeps the link to one peer, for ever.
+/// Maintains the link to one peer; never returns.
 pub(crate) async fn maintain_link(
     observer: Rc<impl LinkObserver>,
     outbox: Rc<Outbox>,
     peer: String,
 ) {
-    let mut pause = RETRY_BACKOFF.initial;
+    let mut delay = RETRY_BACKOFF.initial;
     loop {
         if let Some(stream) = connect(&*observer, &peer).await {
             let _ = stream.set_nodelay(true);
-            pause = RETRY_BACKOFF.initial;
+            delay = RETRY_BACKOFF.initial;
             outbox.open();
             observer.on_link_open(&peer);
             write_until_closed(&outbox, stream).await;
             outbox.close();
             observer.on_link_closed(&peer);
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(RETRY_BACKOFF.max);
+        sleep(delay).await;
+        delay = (delay * 2).min(RETRY_BACKOFF.max);
     }
 }
 
@@ -65,15 +65,15 @@
         .ok()
 }
 
-/// Writes what is queued until the link ends or accepts nothing for [`WRITE_TIMEOUT`]. The peer sends nothing on the
-/// link, so whatever can be read is its end. Public for tests of a peer that stops reading.
+/// Writes queued frames until the link ends or accepts no bytes for [`WRITE_TIMEOUT`]. The peer sends nothing on the
+/// link: it is read only to detect its end. Public for tests of a peer that stops reading.
 pub async fn write_until_closed(outbox: &Outbox, stream: TcpStream) {
     let (mut read, mut write) = stream.into_split();
-    let ended = async {
+    let closed_by_peer = async {
         let mut ignored = [0; 64];
         while read.read(&mut ignored).await.is_ok_and(|n| n > 0) {}
     };
-    let writing = async {
+    let write_failure = async {
         loop {
             let Some(bytes) = next_batch(outbox) else {
                 outbox.notified().await;
@@ -87,12 +87,12 @@
         }
     };
     tokio::select! {
-        () = ended => {}
-        () = writing => {}
+        () = closed_by_peer => {}
+        () = write_failure => {}
     }
 }
 
-/// Queued frames in one piece.
+/// Queued frames, combined into one write.
 fn next_batch(outbox: &Outbox) -> Option<Vec<u8>> {
     let mut bytes = outbox.next()?;
     while bytes.len() < WRITE_BATCH_BYTES {
--- a/crates/cluster/tests/fault_injection.rs
+++ b/crates/cluster/tests/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Clocks and disks that fail on purpose.
+//! Injected clock and disk faults.
 
 #![allow(
     missing_docs,
@@ -11,24 +11,24 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_skewed_clock_never_goes_back_and_runs_at_its_rate() {
+fn skewed_clock_is_monotonic_and_runs_at_its_configured_rate() {
     let start = Instant::now();
-    let fast = SkewedClock::new(1_500, Duration::from_secs(3_600));
-    let mut before = Duration::ZERO;
+    let fast_clock = SkewedClock::new(1_500, Duration::from_secs(3_600));
+    let mut previous = Duration::ZERO;
     while start.elapsed() < STEP_DELAY + Duration::from_millis(20) {
-        let now = fast.now();
-        assert!(now >= before);
-        before = now;
+        let now = fast_clock.now();
+        assert!(now >= previous);
+        previous = now;
     }
-    assert!(before > Duration::from_secs(3_600));
+    assert!(previous > Duration::from_secs(3_600));
     assert_eq!(
-        fast.real(Duration::from_millis(150)),
+        fast_clock.to_real_time(Duration::from_millis(150)),
         Duration::from_millis(100)
     );
 }
 
 #[test]
-fn a_disk_fails_as_the_file_asks_at_that_moment() {
+fn flush_fails_only_while_the_file_specifies_a_fault() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("testing");
     let fault = fault_hook(path.clone());
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A member's folder as an earlier version left it: identity, log, snapshots, notes, keyed results and published
-//! versions. The present version starts from it.
+//! Compatibility with stored data: the current version starts from a member's folder that an earlier version wrote,
+//! with identity, log, snapshots, metadata, keyed results and published versions. Messages keep their encoding.
 
 #![allow(
     missing_docs,
@@ -21,14 +21,14 @@
 use rainstand_replicated_state::idempotency::{ClaimOutcome, Operation, Register};
 use rainstand_replicated_state::versions::Publish;
 use std::path::{Path, PathBuf};
-use world::{known, start, world, Running, World};
+use world::{completed, start_operation, test_cluster, RunningMember, TestCluster};
 
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/member");
 const QUESTIONS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/questions.hex");
 
 fn configuration(tenants: usize) -> Configuration {
-    let tenants = (0..tenants).map(|at| Tenant {
-        name: format!("t{at}"),
+    let tenants = (0..tenants).map(|index| Tenant {
+        name: format!("t{index}"),
         ..Tenant::default()
     });
     Configuration {
@@ -38,8 +38,8 @@
     }
 }
 
-fn publish(member: &Running, from: u64, tenants: usize) {
-    let state = member.tell(|group| {
+fn publish(member: &RunningMember, from: u64, tenants: usize) {
+    let state = member.inspect(|group| {
         group.inspect(|member| {
             member
                 .published(member.now())
@@ -51,31 +51,32 @@
     });
     let publish = Publish::from_configuration(&state, from, &configuration(tenants)).unwrap();
     assert_eq!(
-        member.ask_until_told(9, "configuration", &Operation::Publish(publish)),
+        member.execute_until_outcome(9, "configuration", &Operation::Publish(publish)),
         ClaimOutcome::Recorded
     );
 }
 
-/// A member alone: keys in each state and two versions in snapshots, more of both in the log behind them.
-fn write_member(w: &World) {
-    let member = w.up("n1");
-    w.all_led(&[&member]);
+/// Writes the folder of a single member: keys in each state and two versions in the snapshots, and one further key and
+/// version in the log after them.
+fn write_member(cluster: &TestCluster) {
+    let member = cluster.start_member("n1");
+    cluster.wait_until_all_shards_led(&[&member]);
     for key in ["known", "uncertain", "started", "withdrawn"] {
         assert_eq!(
-            member.ask_until_told(1, key, &start()),
+            member.execute_until_outcome(1, key, &start_operation()),
             ClaimOutcome::Granted
         );
     }
     assert_eq!(
-        member.ask_until_told(1, "known", &Operation::Done("R".into())),
+        member.execute_until_outcome(1, "known", &Operation::Done("R".into())),
         ClaimOutcome::Recorded
     );
     assert_eq!(
-        member.ask_until_told(1, "uncertain", &Operation::Failed(true)),
+        member.execute_until_outcome(1, "uncertain", &Operation::Failed(true)),
         ClaimOutcome::Recorded
     );
     assert_eq!(
-        member.ask_until_told(1, "withdrawn", &Operation::Withdraw(true)),
+        member.execute_until_outcome(1, "withdrawn", &Operation::Withdraw(true)),
         ClaimOutcome::Recorded
     );
     let register = Register {
@@ -83,27 +84,27 @@
         data: Bytes::from_static(b"value"),
     };
     assert_eq!(
-        member.ask_until_told(1, "register", &Operation::Set(register)),
+        member.execute_until_outcome(1, "register", &Operation::Set(register)),
         ClaimOutcome::Recorded
     );
     publish(&member, 0, 1);
     publish(&member, 1, 2);
     drop(member);
-    // Writes the snapshots.
-    recovery::recover(&w.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
-    let member = w.up("n1");
+    // The recovery writes the snapshots.
+    recovery::recover(&cluster.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
+    let member = cluster.start_member("n1");
     assert_eq!(
-        member.ask_until_told(2, "late", &start()),
+        member.execute_until_outcome(2, "late", &start_operation()),
         ClaimOutcome::Granted
     );
     assert_eq!(
-        member.ask_until_told(2, "late", &Operation::Done("L".into())),
+        member.execute_until_outcome(2, "late", &Operation::Done("L".into())),
         ClaimOutcome::Recorded
     );
     publish(&member, 2, 3);
 }
 
-fn copy(from: &Path, to: &Path) {
+fn copy_folder(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).unwrap();
     for file in std::fs::read_dir(from).unwrap() {
         let file = file.unwrap();
@@ -114,15 +115,15 @@
 }
 
 #[test]
-fn a_member_starts_from_a_folder_of_before() {
+fn member_starts_from_a_folder_written_by_an_earlier_version() {
     let stored = PathBuf::from(FOLDER);
     if !stored.exists() && std::env::var_os(WRITE_VARIABLE).is_some() {
-        let w = world(1);
-        write_member(&w);
-        copy(&w.folder(0), &stored);
+        let cluster = test_cluster(1);
+        write_member(&cluster);
+        copy_folder(&cluster.folder(0), &stored);
     }
-    let w = world(1);
-    copy(&stored, &w.folder(0));
+    let cluster = test_cluster(1);
+    copy_folder(&stored, &cluster.folder(0));
     let files = std::fs::read_dir(&stored)
         .unwrap()
         .map(|file| file.unwrap().file_name().into_string().unwrap());
@@ -130,22 +131,28 @@
     for kind in ["identity", "log-", "snap-"] {
         assert!(files.iter().any(|file| file.starts_with(kind)), "{files:?}");
     }
-    let member = w.up("n1");
-    w.all_led(&[&member]);
-    assert_eq!(member.tell(|group| group.quarantines()), 0);
-    assert_eq!(member.ask_until_told(7, "known", &start()), known("R"));
-    assert_eq!(member.ask_until_told(7, "late", &start()), known("L"));
+    let member = cluster.start_member("n1");
+    cluster.wait_until_all_shards_led(&[&member]);
+    assert_eq!(member.inspect(|group| group.quarantines()), 0);
     assert_eq!(
-        member.ask_until_told(7, "uncertain", &start()),
+        member.execute_until_outcome(7, "known", &start_operation()),
+        completed("R")
+    );
+    assert_eq!(
+        member.execute_until_outcome(7, "late", &start_operation()),
+        completed("L")
+    );
+    assert_eq!(
+        member.execute_until_outcome(7, "uncertain", &start_operation()),
         ClaimOutcome::Indeterminate
     );
     assert_eq!(
-        member.ask_until_told(7, "started", &start()),
+        member.execute_until_outcome(7, "started", &start_operation()),
         ClaimOutcome::InProgress
     );
     let identity: serde_json::Value =
         serde_json::from_slice(&std::fs::read(stored.join("identity")).unwrap()).unwrap();
-    let (disk, register, version, published) = member.tell(|group| {
+    let (disk, register, version, published) = member.inspect(|group| {
         group.inspect(|member| {
             let versions = member.published(member.now()).unwrap().versions;
             let register = member.register(b"register").unwrap().clone();
@@ -163,7 +170,7 @@
 }
 
 #[test]
-fn questions_of_operators_and_frames_are_carried_as_before() {
+fn encoding_of_questions_and_frames_is_unchanged() {
     let publish = Publish {
         from: 4,
         published_at_ms: 5,
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -1,5 +1,5 @@
-//! Members on loopback, each with a thread, a runtime and a disk of its own: what is asked at one is known at the others,
-//! over restarts, lost disks and the loss of a majority.
+//! Members on loopback, each with its own thread, runtime and disk: an outcome recorded at one member is known at the
+//! others, across restarts, lost disks and the loss of a majority.
 
 #![allow(
     missing_docs,
@@ -16,265 +16,322 @@
 use rainstand_replicated_state::member::ReadOutcome;
 use rainstand_replicated_state::placement::{holders, MemberPlacement};
 use std::time::{Duration, Instant};
-use world::{known, start, world, HANGS};
+use world::{completed, start_operation, test_cluster, HANG_TIMEOUT};
 
 #[test]
-fn what_is_asked_at_one_is_known_at_the_others_and_after_restarts() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
-    assert_eq!(n1.ask_until_told(1, "a", &start()), ClaimOutcome::Granted);
+fn outcome_recorded_at_one_member_is_known_at_the_others_and_after_restarts() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     assert_eq!(
-        n2.ask_until_told(2, "a", &start()),
+        n1.execute_until_outcome(1, "a", &start_operation()),
+        ClaimOutcome::Granted
+    );
+    assert_eq!(
+        n2.execute_until_outcome(2, "a", &start_operation()),
         ClaimOutcome::InProgress
     );
     assert_eq!(
-        n1.ask_until_told(1, "a", &Operation::Done("R".into())),
+        n1.execute_until_outcome(1, "a", &Operation::Done("R".into())),
         ClaimOutcome::Recorded
     );
-    assert_eq!(n3.ask_until_told(3, "a", &start()), known("R"));
-    // One is gone, and comes back with its disk; the others go on without it.
+    assert_eq!(
+        n3.execute_until_outcome(3, "a", &start_operation()),
+        completed("R")
+    );
+    // One member stops and restarts with its disk; meanwhile the others continue without it.
     drop(n2);
-    assert_eq!(n3.ask_until_told(4, "b", &start()), ClaimOutcome::Granted);
-    let n2 = w.up("n2");
     assert_eq!(
-        n2.ask_until_told(5, "b", &start()),
+        n3.execute_until_outcome(4, "b", &start_operation()),
+        ClaimOutcome::Granted
+    );
+    let n2 = cluster.start_member("n2");
+    assert_eq!(
+        n2.execute_until_outcome(5, "b", &start_operation()),
         ClaimOutcome::InProgress
     );
     assert_eq!(
-        n3.ask_until_told(4, "b", &Operation::Failed(true)),
+        n3.execute_until_outcome(4, "b", &Operation::Failed(true)),
         ClaimOutcome::Recorded
     );
     assert_eq!(
-        n2.ask_until_told(5, "b", &start()),
+        n2.execute_until_outcome(5, "b", &start_operation()),
         ClaimOutcome::Indeterminate
     );
-    // All at once.
+    // All members stop and restart.
     drop((n1, n2, n3));
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
-    assert_eq!(n2.ask_until_told(6, "a", &start()), known("R"));
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
+    assert_eq!(
+        n2.execute_until_outcome(6, "a", &start_operation()),
+        completed("R")
+    );
 }
 
 #[test]
-fn a_minority_is_told_that_its_time_is_over_and_a_start_of_it_does_not_block_its_key() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
+fn request_at_a_minority_times_out_and_its_start_does_not_block_the_key() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     drop((n2, n3));
-    assert_eq!(n1.ask(1, "a", start(), Duration::from_millis(300)), None);
-    let [n2, n3] = ["n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
-    // What timed out is taken back, whether or not it was written meanwhile.
-    let begun = Instant::now();
-    while n2.ask_until_told(2, "a", &start()) != ClaimOutcome::Granted {
-        assert!(begun.elapsed() < HANGS, "the key is blocked");
+    assert_eq!(
+        n1.execute(1, "a", start_operation(), Duration::from_millis(300)),
+        None
+    );
+    let [n2, n3] = ["n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
+    // The start that timed out is withdrawn, whether or not it was written meanwhile.
+    let started_at = Instant::now();
+    while n2.execute_until_outcome(2, "a", &start_operation()) != ClaimOutcome::Granted {
+        assert!(
+            started_at.elapsed() < HANG_TIMEOUT,
+            "the key is still blocked"
+        );
     }
     assert_eq!(
-        n1.ask_until_told(1, "a", &start()),
+        n1.execute_until_outcome(1, "a", &start_operation()),
         ClaimOutcome::InProgress
     );
 }
 
 #[test]
-fn an_emptied_disk_is_a_new_member_and_learns_everything() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
+fn member_with_an_emptied_disk_joins_as_a_voter_and_gets_all_entries() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     for n in 0..20 {
         assert_eq!(
-            n1.ask_until_told(n, &format!("k{n}"), &start()),
+            n1.execute_until_outcome(n, &format!("k{n}"), &start_operation()),
             ClaimOutcome::Granted
         );
         assert_eq!(
-            n1.ask_until_told(n, &format!("k{n}"), &Operation::Done("R".into())),
+            n1.execute_until_outcome(n, &format!("k{n}"), &Operation::Done("R".into())),
             ClaimOutcome::Recorded
         );
     }
     drop(n3);
-    std::fs::remove_dir_all(w.folder(2)).unwrap();
-    let n3 = w.up("n3");
-    let begun = Instant::now();
-    let votes = |group: &ClusterMember| {
+    std::fs::remove_dir_all(cluster.folder(2)).unwrap();
+    let n3 = cluster.start_member("n3");
+    let started_at = Instant::now();
+    let votes_in_all_shards = |group: &ClusterMember| {
         group.inspect(|member| {
             let own = member.disk();
-            let in_all = |config: &rainstand_raft::Membership| {
+            let has_all_members = |config: &rainstand_raft::Membership| {
                 config.is_voter(own) && config.members.len() == 3
             };
             member.shards().count() == 2
                 && member.shards().all(|view| {
-                    view.replica.is_membership_committed() && in_all(view.replica.membership())
+                    view.replica.is_membership_committed()
+                        && has_all_members(view.replica.membership())
                 })
         })
     };
-    while !n3.tell(move |group| votes(group)) {
-        assert!(begun.elapsed() < HANGS, "it does not vote");
+    while !n3.inspect(move |group| votes_in_all_shards(group)) {
+        assert!(
+            started_at.elapsed() < HANG_TIMEOUT,
+            "n3 did not become a voter"
+        );
     }
-    // It votes: with it and one other everything is known.
+    // n3 votes: with n3 and one other member all results are available.
     drop(n1);
     for n in 0..20 {
         assert_eq!(
-            n3.ask_until_told(100 + n, &format!("k{n}"), &start()),
-            known("R")
+            n3.execute_until_outcome(100 + n, &format!("k{n}"), &start_operation()),
+            completed("R")
         );
     }
     drop(n2);
 }
 
 #[test]
-fn after_the_loss_of_a_majority_an_operator_brings_back_what_is_left() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
-    assert_eq!(n2.ask_until_told(1, "a", &start()), ClaimOutcome::Granted);
+fn recovery_after_the_loss_of_a_majority_keeps_the_remaining_entries() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     assert_eq!(
-        n2.ask_until_told(1, "a", &Operation::Done("R".into())),
+        n2.execute_until_outcome(1, "a", &start_operation()),
+        ClaimOutcome::Granted
+    );
+    assert_eq!(
+        n2.execute_until_outcome(1, "a", &Operation::Done("R".into())),
         ClaimOutcome::Recorded
     );
-    assert_eq!(n2.ask_until_told(2, "b", &start()), ClaimOutcome::Granted);
-    // n1 must have it all before it is the only one.
-    let begun = Instant::now();
-    let has = |group: &ClusterMember, key: &str, word: &str| {
+    assert_eq!(
+        n2.execute_until_outcome(2, "b", &start_operation()),
+        ClaimOutcome::Granted
+    );
+    // n1 must hold all entries before it is the only remaining member.
+    let started_at = Instant::now();
+    let has_state = |group: &ClusterMember, key: &str, state_name: &str| {
         group.inspect(|member| {
             member
                 .key_state(key.as_bytes())
                 .state
-                .is_some_and(|row| row.state_name() == word)
+                .is_some_and(|state| state.state_name() == state_name)
         })
     };
-    while !n1.tell(move |group| has(group, "a", "known") && has(group, "b", "started")) {
-        assert!(begun.elapsed() < HANGS, "n1 lags");
+    while !n1
+        .inspect(move |group| has_state(group, "a", "known") && has_state(group, "b", "started"))
+    {
+        assert!(started_at.elapsed() < HANG_TIMEOUT, "n1 is still behind");
     }
     drop((n1, n2, n3));
-    std::fs::remove_dir_all(w.folder(1)).unwrap();
-    let alone = w.up("n1");
-    assert_eq!(alone.ask(3, "c", start(), Duration::from_millis(300)), None);
+    std::fs::remove_dir_all(cluster.folder(1)).unwrap();
+    let alone = cluster.start_member("n1");
+    assert_eq!(
+        alone.execute(3, "c", start_operation(), Duration::from_millis(300)),
+        None
+    );
     drop(alone);
-    let told = recovery::recover(&w.folder(0), "n1", RecoveryMode::Report).unwrap();
+    let report = recovery::recover(&cluster.folder(0), "n1", RecoveryMode::Report).unwrap();
     assert!(
-        told.missing.is_empty() && told.shards.iter().any(|shard| shard.started == ["b"]),
-        "{told:?}"
+        report.missing.is_empty() && report.shards.iter().any(|shard| shard.started == ["b"]),
+        "{report:?}"
     );
-    recovery::recover(&w.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
-    let n1 = w.up("n1");
-    assert_eq!(n1.ask_until_told(4, "a", &start()), known("R"));
+    recovery::recover(&cluster.folder(0), "n1", RecoveryMode::AcceptLoss).unwrap();
+    let n1 = cluster.start_member("n1");
     assert_eq!(
-        n1.ask_until_told(4, "b", &start()),
+        n1.execute_until_outcome(4, "a", &start_operation()),
+        completed("R")
+    );
+    assert_eq!(
+        n1.execute_until_outcome(4, "b", &start_operation()),
         ClaimOutcome::InProgress
     );
-    // n2 comes with an empty disk, n3 with its old one, which is set aside: both learn anew.
-    let [n2, n3] = ["n2", "n3"].map(|name| w.up(name));
-    assert_eq!(n2.ask_until_told(5, "a", &start()), known("R"));
-    assert_eq!(n3.ask_until_told(6, "a", &start()), known("R"));
-    let asides = n3.tell(|group| group.quarantines());
-    assert_eq!(asides, 1);
+    // n2 starts with an empty disk, n3 with its old one, which is quarantined: both get all entries again.
+    let [n2, n3] = ["n2", "n3"].map(|name| cluster.start_member(name));
+    assert_eq!(
+        n2.execute_until_outcome(5, "a", &start_operation()),
+        completed("R")
+    );
+    assert_eq!(
+        n3.execute_until_outcome(6, "a", &start_operation()),
+        completed("R")
+    );
+    let quarantines = n3.inspect(|group| group.quarantines());
+    assert_eq!(quarantines, 1);
 }
 
 #[test]
-fn a_new_member_of_a_running_group_takes_its_part_of_the_shards() {
-    let mut w = world(4);
-    w.group.shards = 4;
-    let all = w.group.clone();
-    w.group.members.truncate(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
+fn member_added_to_a_running_group_becomes_a_voter_of_its_shards() {
+    let mut cluster = test_cluster(4);
+    cluster.group.shards = 4;
+    let all = cluster.group.clone();
+    cluster.group.members.truncate(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     for n in 0..20 {
         assert_eq!(
-            n1.ask_until_told(n, &format!("k{n}"), &start()),
+            n1.execute_until_outcome(n, &format!("k{n}"), &start_operation()),
             ClaimOutcome::Granted
         );
         assert_eq!(
-            n1.ask_until_told(n, &format!("k{n}"), &Operation::Done("R".into())),
+            n1.execute_until_outcome(n, &format!("k{n}"), &Operation::Done("R".into())),
             ClaimOutcome::Recorded
         );
     }
-    w.group = all.clone();
-    let n4 = w.up("n4");
-    for one in [&n1, &n2, &n3] {
+    cluster.group = all.clone();
+    let n4 = cluster.start_member("n4");
+    for member in [&n1, &n2, &n3] {
         let (all, mut other) = (all.clone(), all.clone());
         other.name = "another".into();
-        one.on(move |group, answer| {
-            assert!(group.set_members(&other).is_err());
-            assert!(answer.send(group.set_members(&all)).is_ok());
-        })
-        .recv_timeout(HANGS)
-        .unwrap()
-        .unwrap();
+        member
+            .run_job(move |group, sender| {
+                assert!(group.set_members(&other).is_err());
+                assert!(sender.send(group.set_members(&all)).is_ok());
+            })
+            .recv_timeout(HANG_TIMEOUT)
+            .unwrap()
+            .unwrap();
     }
-    let wanted: usize = {
+    let expected_shards: usize = {
         let names: Vec<MemberPlacement> = all
             .members
             .iter()
-            .map(|m| MemberPlacement {
-                name: m.name.clone(),
-                site: m.site.clone(),
+            .map(|member| MemberPlacement {
+                name: member.name.clone(),
+                site: member.site.clone(),
             })
             .collect();
         (0..4)
-            .filter(|s| {
-                holders(&names, *s, 3)
+            .filter(|shard| {
+                holders(&names, *shard, 3)
                     .iter()
-                    .any(|k| names[*k].name == "n4")
+                    .any(|index| names[*index].name == "n4")
             })
             .count()
     };
-    let begun = Instant::now();
-    let votes = |group: &ClusterMember| {
+    let started_at = Instant::now();
+    let voter_shards = |group: &ClusterMember| {
         group.inspect(|member| {
             let own = member.disk();
             member
                 .shards()
-                .filter(|one| {
-                    one.replica.is_membership_committed() && one.replica.membership().is_voter(own)
+                .filter(|view| {
+                    view.replica.is_membership_committed()
+                        && view.replica.membership().is_voter(own)
                 })
                 .count()
         })
     };
-    while n4.tell(move |group| votes(group)) < wanted {
-        assert!(begun.elapsed() < HANGS, "it does not get its shards");
+    while n4.inspect(move |group| voter_shards(group)) < expected_shards {
+        assert!(
+            started_at.elapsed() < HANG_TIMEOUT,
+            "n4 did not get its shards"
+        );
     }
-    assert!(wanted > 0);
+    assert!(expected_shards > 0);
     for n in 0..20 {
         assert_eq!(
-            n4.ask_until_told(100 + n, &format!("k{n}"), &start()),
-            known("R")
+            n4.execute_until_outcome(100 + n, &format!("k{n}"), &start_operation()),
+            completed("R")
         );
     }
 }
 
 #[test]
-fn another_member_s_disk_is_set_aside_and_both_go_on() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
-    assert_eq!(n1.ask_until_told(1, "a", &start()), ClaimOutcome::Granted);
+fn copied_disk_of_another_member_is_quarantined_and_both_members_continue() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
+    assert_eq!(
+        n1.execute_until_outcome(1, "a", &start_operation()),
+        ClaimOutcome::Granted
+    );
     assert_eq!(
-        n1.ask_until_told(1, "a", &Operation::Done("R".into())),
+        n1.execute_until_outcome(1, "a", &Operation::Done("R".into())),
         ClaimOutcome::Recorded
     );
     drop((n2, n3));
-    for file in std::fs::read_dir(w.folder(2)).unwrap() {
+    for file in std::fs::read_dir(cluster.folder(2)).unwrap() {
         std::fs::remove_file(file.unwrap().path()).unwrap();
     }
-    for file in std::fs::read_dir(w.folder(1)).unwrap() {
+    for file in std::fs::read_dir(cluster.folder(1)).unwrap() {
         let file = file.unwrap();
-        std::fs::copy(file.path(), w.folder(2).join(file.file_name())).unwrap();
+        std::fs::copy(file.path(), cluster.folder(2).join(file.file_name())).unwrap();
     }
-    let [n2, n3] = ["n2", "n3"].map(|name| w.up(name));
-    assert_eq!(n3.ask_until_told(2, "a", &start()), known("R"));
-    assert_eq!(n2.ask_until_told(3, "a", &start()), known("R"));
-    let disks =
-        [&n2, &n3].map(|one| one.tell(|group| (group.inspect(|m| m.disk()), group.quarantines())));
+    let [n2, n3] = ["n2", "n3"].map(|name| cluster.start_member(name));
+    assert_eq!(
+        n3.execute_until_outcome(2, "a", &start_operation()),
+        completed("R")
+    );
+    assert_eq!(
+        n2.execute_until_outcome(3, "a", &start_operation()),
+        completed("R")
+    );
+    let disks = [&n2, &n3].map(|member| {
+        member.inspect(|group| (group.inspect(|member| member.disk()), group.quarantines()))
+    });
     assert!(
         disks[0].0 != disks[1].0 && disks[0].1 == 0 && disks[1].1 == 1,
         "{disks:?}"
     );
 }
 
-/// How a read of a key's shard at a member ended, and whether its replica has the key's result after it.
-fn confirmed_read(member: &world::Running, key: &str) -> (ReadOutcome, bool) {
+/// The outcome of a read of a key's shard at a member, and whether its replica holds the key's result afterwards.
+fn confirmed_read(member: &world::RunningMember, key: &str) -> (ReadOutcome, bool) {
     let key = key.to_owned();
-    let told = member.on(move |group, answer| {
+    let outcomes = member.run_job(move |group, sender| {
         tokio::task::spawn_local(async move {
             let shard = group.inspect(|member| member.key_state(key.as_bytes()).shard);
             let outcome = group.confirm_read(shard, Duration::from_secs(2)).await;
@@ -282,33 +339,38 @@
                 let state = member.key_state(key.as_bytes()).state;
                 state.is_some_and(|state| state.state_name() == "known")
             });
-            answer.send((outcome, is_completed)).unwrap();
+            sender.send((outcome, is_completed)).unwrap();
         });
     });
-    told.recv_timeout(HANGS).expect("an outcome")
+    outcomes
+        .recv_timeout(HANG_TIMEOUT)
+        .expect("the read did not end")
 }
 
 #[test]
-fn a_confirmed_read_sees_what_was_recorded_before_it_at_any_member() {
-    let w = world(3);
-    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| w.up(name));
-    w.all_led(&[&n1, &n2, &n3]);
+fn confirmed_read_at_any_member_returns_earlier_results() {
+    let cluster = test_cluster(3);
+    let [n1, n2, n3] = ["n1", "n2", "n3"].map(|name| cluster.start_member(name));
+    cluster.wait_until_all_shards_led(&[&n1, &n2, &n3]);
     let members = [&n1, &n2, &n3];
     for n in 0..60 {
         let key = format!("k{n}");
-        assert_eq!(n1.ask_until_told(1, &key, &start()), ClaimOutcome::Granted);
         assert_eq!(
-            n1.ask_until_told(1, &key, &Operation::Done("R".into())),
+            n1.execute_until_outcome(1, &key, &start_operation()),
+            ClaimOutcome::Granted
+        );
+        assert_eq!(
+            n1.execute_until_outcome(1, &key, &Operation::Done("R".into())),
             ClaimOutcome::Recorded
         );
-        // At a member that follows the replica is behind until the read has waited for it.
+        // A follower's replica may be behind until the read has waited for it.
         assert_eq!(
             confirmed_read(members[n % 3], &key),
             (ReadOutcome::Confirmed, true),
             "{key}"
         );
     }
-    // Alone, a member that has it all cannot know that.
+    // A member without a majority cannot confirm a read, even if it holds all entries.
     drop((n1, n2));
     let (outcome, _) = confirmed_read(&n3, "k0");
     assert_eq!(outcome, ReadOutcome::Unconfirmed);
--- a/crates/cluster/tests/transport.rs
+++ b/crates/cluster/tests/transport.rs
@@ -14,12 +14,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// More than the system's buffers of both sides hold.
-const FRAMES: usize = 64;
+/// Together, frames of the maximum size exceed the socket buffers of both sides.
+const FRAME_COUNT: usize = 64;
 
-/// The peer reads nothing more and sends nothing: no reset, no end.
+/// The peer neither reads nor sends, and neither resets nor closes the connection.
 #[test]
-fn a_link_that_accepts_nothing_is_closed() {
+fn link_is_closed_when_the_peer_stops_reading() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -29,16 +29,16 @@
         let stream = TcpStream::connect(listener.local_addr().unwrap())
             .await
             .unwrap();
-        let (_reads_nothing, _) = listener.accept().await.unwrap();
-        let outbox = Outbox::with_capacity(FRAMES * MAX_FRAME_BYTES);
+        let (_idle_peer, _) = listener.accept().await.unwrap();
+        let outbox = Outbox::with_capacity(FRAME_COUNT * MAX_FRAME_BYTES);
         outbox.open();
-        for _ in 0..FRAMES {
+        for _ in 0..FRAME_COUNT {
             outbox.send_bytes(vec![0; MAX_FRAME_BYTES]);
         }
         assert_eq!(outbox.dropped_frames(), 0);
         timeout(Duration::from_secs(60), write_until_closed(&outbox, stream))
             .await
-            .expect("a link that ends");
-        assert!(outbox.sent_bytes() < (FRAMES * MAX_FRAME_BYTES) as u64);
+            .expect("the link should be closed after the write timeout");
+        assert!(outbox.sent_bytes() < (FRAME_COUNT * MAX_FRAME_BYTES) as u64);
     });
 }
--- a/crates/cluster/tests/world/mod.rs
+++ b/crates/cluster/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Members, each with a thread, a runtime and a disk of its own; for tests and the bench.
-#![allow(dead_code)] // neither uses all of it
+//! Runs members, each with its own thread, runtime and disk, for the tests and the benchmark.
+#![allow(dead_code)] // no target uses all helpers
 
 use rainstand_cluster::{ClusterMember, MemberOptions};
 use rainstand_config::schema;
@@ -12,18 +12,18 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::LocalSet;
 
-/// Only what hangs is caught by this; nothing is timed.
-pub const HANGS: Duration = Duration::from_secs(30);
+/// Time limit of each wait: it only catches a hang, no test measures times.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 type Job = Box<dyn FnOnce(Rc<ClusterMember>) + Send>;
 
-pub struct Running {
+pub struct RunningMember {
     jobs: Option<UnboundedSender<Job>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Drop for Running {
-    /// As a kill: nothing is handed over, and the disk is free again when this returns.
+impl Drop for RunningMember {
+    /// Stops the member without transferring leadership; its folder is unlocked on return.
     fn drop(&mut self) {
         self.jobs.take();
         if let Some(thread) = self.thread.take() {
@@ -32,15 +32,15 @@
     }
 }
 
-impl Running {
+impl RunningMember {
     pub fn start(group: schema::Group, name: &str) -> Self {
-        let (jobs, mut todo) = unbounded_channel::<Job>();
+        let (jobs, mut job_queue) = unbounded_channel::<Job>();
         let (name, folder) = (
             name.to_owned(),
             group
                 .members
                 .iter()
-                .find(|m| m.name == name)
+                .find(|member| member.name == name)
                 .unwrap()
                 .folder
                 .clone(),
@@ -52,34 +52,38 @@
                 .unwrap();
             let local = LocalSet::new();
             local.block_on(&runtime, async move {
-                // The port was this member's before, and may be lent to somebody's connection just now.
-                let begun = Instant::now();
+                // Retry: the system may have assigned this member's port to another connection for a moment.
+                let started_at = Instant::now();
                 let group = loop {
-                    let setup = MemberOptions {
+                    let options = MemberOptions {
                         name: name.clone(),
                         group: group.clone(),
                         log: Box::new(|_| {}),
                     };
-                    match rainstand_cluster::start(setup).await {
+                    match rainstand_cluster::start(options).await {
                         Ok(group) => break group,
-                        Err(why) => {
+                        Err(error) => {
                             assert!(
-                                why.to_string().contains("in use") && begun.elapsed() < HANGS,
-                                "{why}"
+                                error.to_string().contains("in use")
+                                    && started_at.elapsed() < HANG_TIMEOUT,
+                                "{error}"
                             )
                         }
                     }
                     tokio::task::yield_now().await;
                 };
-                while let Some(job) = todo.recv().await {
+                while let Some(job) = job_queue.recv().await {
                     job(group.clone());
                 }
             });
             drop((local, runtime));
-            // The disk's own thread ends once nobody gives it anything.
-            let begun = Instant::now();
+            // The storage thread ends, and unlocks the folder, after its job queue is dropped.
+            let started_at = Instant::now();
             while rainstand_storage::FolderDisk::open(Path::new(&folder)).is_err() {
-                assert!(begun.elapsed() < HANGS, "the disk is not free");
+                assert!(
+                    started_at.elapsed() < HANG_TIMEOUT,
+                    "the folder is still locked"
+                );
                 std::thread::yield_now();
             }
         });
@@ -89,135 +93,159 @@
         }
     }
 
-    pub fn on<T: Send + 'static>(
+    /// Runs a job on the member's thread; the job sends its result to the returned receiver.
+    pub fn run_job<T: Send + 'static>(
         &self,
-        what: impl FnOnce(Rc<ClusterMember>, Sender<T>) + Send + 'static,
+        job: impl FnOnce(Rc<ClusterMember>, Sender<T>) + Send + 'static,
     ) -> Receiver<T> {
-        let (answer, told) = channel();
-        let job: Job = Box::new(move |group| what(group, answer));
+        let (sender, receiver) = channel();
+        let job: Job = Box::new(move |group| job(group, sender));
         assert!(self.jobs.as_ref().unwrap().send(job).is_ok());
-        told
+        receiver
     }
 
-    /// What a command is told first; none if its time was over.
-    pub fn ask(
+    /// Executes an operation; returns its first outcome, or `None` if the request timed out or was rejected.
+    pub fn execute(
         &self,
         trace: u8,
         key: &str,
-        what: Operation,
-        within: Duration,
+        operation: Operation,
+        timeout: Duration,
     ) -> Option<ClaimOutcome> {
         let key = key.to_owned();
-        let told = self.on(move |group, answer: Sender<Option<ClaimOutcome>>| {
+        let outcomes = self.run_job(move |group, sender: Sender<Option<ClaimOutcome>>| {
             let claim = group.inspect(|member| member.claim(&[trace; 16]));
             let command = Command {
                 key: key.into_bytes().into(),
                 claim,
-                operation: Some(what),
+                operation: Some(operation),
             };
-            let back = answer.clone();
+            let reply_sender = sender.clone();
             if group
-                .request(command, within, Rc::new(move |told| drop(back.send(told))))
+                .request(
+                    command,
+                    timeout,
+                    Rc::new(move |outcome| drop(reply_sender.send(outcome))),
+                )
                 .is_none()
             {
-                let _ = answer.send(None);
+                let _ = sender.send(None);
             }
         });
-        told.recv_timeout(HANGS).expect("an answer")
+        outcomes
+            .recv_timeout(HANG_TIMEOUT)
+            .expect("no reply to the request")
     }
 
-    /// The same until something is told.
-    pub fn ask_until_told(&self, trace: u8, key: &str, what: &Operation) -> ClaimOutcome {
-        let begun = Instant::now();
+    /// Executes an operation, and repeats it until it has an outcome.
+    pub fn execute_until_outcome(
+        &self,
+        trace: u8,
+        key: &str,
+        operation: &Operation,
+    ) -> ClaimOutcome {
+        let started_at = Instant::now();
         loop {
-            if let Some(told) = self.ask(trace, key, what.clone(), Duration::from_secs(2)) {
-                return told;
+            if let Some(outcome) =
+                self.execute(trace, key, operation.clone(), Duration::from_secs(2))
+            {
+                return outcome;
             }
-            assert!(begun.elapsed() < HANGS, "{key} is told nothing");
+            assert!(started_at.elapsed() < HANG_TIMEOUT, "no outcome for {key}");
         }
     }
 
-    /// What a look at the member tells.
-    pub fn tell<T: Send + 'static>(
+    /// Reads the member's state on its thread.
+    pub fn inspect<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&ClusterMember) -> T + Send + 'static,
+        read: impl FnOnce(&ClusterMember) -> T + Send + 'static,
     ) -> T {
-        let told = self.on(move |group, answer| assert!(answer.send(look(&group)).is_ok()));
-        told.recv_timeout(HANGS).expect("an answer")
+        let results = self.run_job(move |group, sender| assert!(sender.send(read(&group)).is_ok()));
+        results
+            .recv_timeout(HANG_TIMEOUT)
+            .expect("no result of the job")
     }
 
-    pub fn leads(&self) -> usize {
-        self.tell(|group| group.inspect(|member| member.led_shard_count()))
+    pub fn led_shard_count(&self) -> usize {
+        self.inspect(|group| group.inspect(|member| member.led_shard_count()))
     }
 }
 
-pub fn start() -> Operation {
+pub fn start_operation() -> Operation {
     Operation::Start(Start {
         fingerprint: 1,
         window_ns: 60_000_000_000,
     })
 }
 
-pub fn known(result: &'static str) -> ClaimOutcome {
+pub fn completed(result: &'static str) -> ClaimOutcome {
     ClaimOutcome::Completed(result.into())
 }
 
-pub struct World {
+pub struct TestCluster {
     _folder: tempfile::TempDir,
     pub group: schema::Group,
 }
 
-pub fn world(n: usize) -> World {
+pub fn test_cluster(member_count: usize) -> TestCluster {
     let folder = tempfile::tempdir().unwrap();
-    let listeners: Vec<_> = (0..n)
+    let listeners: Vec<_> = (0..member_count)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
-    let member = |(k, listener): (usize, &std::net::TcpListener)| schema::GroupMember {
-        name: format!("n{}", k + 1),
+    let member = |(index, listener): (usize, &std::net::TcpListener)| schema::GroupMember {
+        name: format!("n{}", index + 1),
         site: String::new(),
         address: listener.local_addr().unwrap().to_string(),
         folder: folder
             .path()
-            .join(format!("n{}", k + 1))
+            .join(format!("n{}", index + 1))
             .display()
             .to_string(),
     };
     let members = listeners.iter().enumerate().map(member).collect();
-    let ms = 1_000_000;
+    let ms_in_ns = 1_000_000;
     let group = schema::Group {
         name: "test".into(),
         shards: 2,
         copies: 3,
-        heartbeat_ns: 30 * ms,
-        election_least_ns: 150 * ms,
-        election_most_ns: 300 * ms,
-        commit_wait_ns: ms / 2,
+        heartbeat_ns: 30 * ms_in_ns,
+        election_least_ns: 150 * ms_in_ns,
+        election_most_ns: 300 * ms_in_ns,
+        commit_wait_ns: ms_in_ns / 2,
         keys: 1_000,
         moves: 2,
         testing: false,
         members,
-        start_within_ns: 500 * ms,
-        come_back_ns: 100 * ms,
+        start_within_ns: 500 * ms_in_ns,
+        come_back_ns: 100 * ms_in_ns,
     };
-    World {
+    TestCluster {
         _folder: folder,
         group,
     }
 }
 
-impl World {
-    pub fn up(&self, name: &str) -> Running {
-        Running::start(self.group.clone(), name)
+impl TestCluster {
+    pub fn start_member(&self, name: &str) -> RunningMember {
+        RunningMember::start(self.group.clone(), name)
     }
 
-    pub fn folder(&self, k: usize) -> PathBuf {
-        self.group.members[k].folder.clone().into()
+    pub fn folder(&self, index: usize) -> PathBuf {
+        self.group.members[index].folder.clone().into()
     }
 
-    pub fn all_led(&self, running: &[&Running]) {
-        let begun = Instant::now();
-        while running.iter().map(|one| one.leads()).sum::<usize>() < self.group.shards as usize {
-            assert!(begun.elapsed() < HANGS, "no leaders");
+    pub fn wait_until_all_shards_led(&self, running: &[&RunningMember]) {
+        let started_at = Instant::now();
+        while running
+            .iter()
+            .map(|member| member.led_shard_count())
+            .sum::<usize>()
+            < self.group.shards as usize
+        {
+            assert!(
+                started_at.elapsed() < HANG_TIMEOUT,
+                "some shards have no leader"
+            );
             std::thread::yield_now();
         }
     }
