--- a/crates/cluster/src/attachment.rs
+++ b/crates/cluster/src/attachment.rs
@@ -176,7 +176,7 @@
 struct Attachment {
     subscriber: Subscriber,
     policy: AttachmentPolicy,
-    machines: Vec<schema::ControlMember>,
+    servers: Vec<schema::ControlMember>,
     started: Instant,
     apply: ApplyCallback,
     on_event: EventCallback,
@@ -190,8 +190,8 @@
     while let Some(deadline) = attachment.policy.next_deadline() {
         sleep(deadline.saturating_sub(attachment.now())).await;
         let now = attachment.now();
-        if let Some(machine) = attachment.policy.next_server(now) {
-            attachment.run_link(machine).await;
+        if let Some(server) = attachment.policy.next_server(now) {
+            attachment.run_link(server).await;
         }
     }
 }
@@ -201,10 +201,10 @@
         let identities: Vec<NodeIdentity> = options
             .machines
             .iter()
-            .map(|machine| NodeIdentity {
-                name: machine.name.clone(),
-                region: machine.region.clone(),
-                zone: machine.zone.clone(),
+            .map(|server| NodeIdentity {
+                name: server.name.clone(),
+                region: server.region.clone(),
+                zone: server.zone.clone(),
             })
             .collect();
         let policy =
@@ -212,7 +212,7 @@
         Self {
             subscriber: options.subscriber,
             policy,
-            machines: options.machines,
+            servers: options.machines,
             started: Instant::now(),
             apply: options.apply,
             on_event: options.on_event,
@@ -226,10 +226,10 @@
     }
 
     /// Opens a link, serves it until it ends, and reports its end.
-    async fn run_link(&mut self, machine: usize) {
-        let name = self.machines[machine].name.clone();
+    async fn run_link(&mut self, server: usize) {
+        let name = self.servers[server].name.clone();
         self.status.borrow_mut().connection_attempts += 1;
-        let end = match connect(&self.machines[machine].address).await {
+        let end = match connect(&self.servers[server].address).await {
             Ok(stream) => self.exchange_frames(stream, &name).await,
             Err(reason) => LinkEnd::Lost(reason),
         };
@@ -259,7 +259,7 @@
         }
     }
 
-    async fn exchange_frames(&mut self, stream: TcpStream, machine: &str) -> LinkEnd {
+    async fn exchange_frames(&mut self, stream: TcpStream, server: &str) -> LinkEnd {
         let _ = stream.set_nodelay(true);
         let (mut read, mut write) = stream.into_split();
         let mut frames = FrameBuffer::new(MAX_SERVER_FRAME_BYTES);
@@ -268,7 +268,7 @@
             if let Err(end) = self.send_effects(&mut write).await {
                 return end;
             }
-            self.update_status(machine);
+            self.update_status(server);
             let now = self.now();
             if self.subscriber.is_server_lost(now) {
                 return LinkEnd::Lost(DisconnectReason::ServerLost);
@@ -353,7 +353,7 @@
     }
 
     /// Updates the status; reports when this process becomes attached.
-    fn update_status(&mut self, machine: &str) {
+    fn update_status(&mut self, server: &str) {
         (self.on_status)(&self.subscriber, AttachmentPhase::Linked);
         let now = self.now();
         let is_attached = self.subscriber.is_attached();
@@ -369,19 +369,19 @@
             is_attached && status.machine.is_none()
         };
         if is_newly_attached {
-            self.on_attached(now, machine);
+            self.on_attached(now, server);
         }
     }
 
-    fn on_attached(&mut self, now: Duration, machine: &str) {
+    fn on_attached(&mut self, now: Duration, server: &str) {
         {
             let mut status = self.status.borrow_mut();
-            status.machine = Some(machine.to_owned());
+            status.machine = Some(server.to_owned());
             status.attachments += 1;
         }
         self.policy.on_attached(now);
         let event = AttachmentEvent::Attached {
-            machine: machine.to_owned(),
+            machine: server.to_owned(),
         };
         (self.on_event)(&event, &self.subscriber);
     }
