--- a/crates/testbed/src/commands/check.rs
+++ b/crates/testbed/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: whether a history keeps the rules.
+//! `check`: whether a history satisfies the invariants.
 
 use clap::Args;
 use rainstand_testbed::check::{check, Verdict, Violation};
@@ -17,14 +17,14 @@
     json: bool,
 }
 
-/// A history that was checked.
-struct Checked<'t> {
+/// A checked history.
+struct CheckedHistory<'t> {
     verdict: Verdict,
     lines: usize,
     text: Vec<&'t str>,
 }
 
-/// A line of the history, as it is shown beside a violation.
+/// A line of the history, shown with a violation.
 #[derive(Serialize)]
 struct ShownLine<'t> {
     line: usize,
@@ -54,7 +54,7 @@
         }
     };
     let text = text.unwrap_or_default();
-    let checked = Checked {
+    let checked = CheckedHistory {
         verdict: check(&history),
         lines,
         text: text.lines().collect(),
@@ -74,8 +74,8 @@
     io::read_to_string(BufReader::new(File::open(path)?))
 }
 
-impl<'t> Checked<'t> {
-    /// The text of a line by its number, from 1.
+impl<'t> CheckedHistory<'t> {
+    /// Text of a line by its number, starting at 1.
     fn line(&self, number: usize) -> &'t str {
         self.text.get(number - 1).copied().unwrap_or("")
     }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module a subcommand: its options, what it does, what it prints. Each says whether all was clean.
+//! One module per subcommand: its options, implementation and output. Each returns whether all checks passed.
 
 pub(crate) mod check;
 pub(crate) mod ready;
@@ -22,16 +22,16 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// The longest run that `--seconds` asks for.
+/// Upper limit of `--seconds`.
 const MAX_SECONDS: u64 = 3_600;
-/// Violations of a run that are shown with their lines.
+/// Violations of a run that are printed with their history lines.
 const MAX_VIOLATIONS_SHOWN: usize = 3;
-/// Runs side by side.
+/// Concurrent runs.
 const MAX_JOBS: usize = 64;
 
 // No doc comment: it would become the subcommand's help.
 #[derive(Args, Clone)]
-pub(crate) struct PlayOptions {
+pub(crate) struct ScenarioOptions {
     /// A `.rain` file with a `rig` block; for `sweep` also `soak`
     file: PathBuf,
     /// The block's name, where the file has several
@@ -48,8 +48,8 @@
     plant: Option<String>,
 }
 
-impl PlayOptions {
-    /// The rig of the file, with the options put in.
+impl ScenarioOptions {
+    /// Reads the rig of the file and applies the options.
     fn read_rig(&self) -> io::Result<Rig> {
         let path = self.file.display().to_string();
         let outcome = rainstand_config::load(&Disk, &path);
@@ -74,8 +74,8 @@
         Ok(rig)
     }
 
-    /// Plays one schedule in a folder that is kept if it is named; its report, and the lines of its history.
-    fn play(
+    /// Runs one schedule in the folder `keep`, or in a temporary one; returns the report and the lines of the history.
+    fn run(
         &self,
         rig: &Rig,
         seed: u64,
@@ -94,18 +94,18 @@
     }
 }
 
-/// Runs a future, and whatever it spawns, on this thread.
+/// Runs a future and its spawned tasks on this thread.
 pub(crate) fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let done = LocalSet::new().block_on(&runtime, future);
-    // Dropping the runtime would wait for a reader of standard input to which nobody writes any more.
+    let result = LocalSet::new().block_on(&runtime, future);
+    // Dropping the runtime would block on a pending read of standard input, which may never get more input.
     runtime.shutdown_background();
-    done
+    result
 }
 
-/// Writes a run's report for people, with the first violations and the lines of the history that show them.
+/// Writes a run's report as text, with the first violations and the history lines that show them.
 fn write_report(
     out: &mut impl Write,
     rig: &Rig,
@@ -132,9 +132,9 @@
     }
     let lines: Vec<&[u8]> = history.split(|b| *b == b'\n').collect();
     let shown = report.violations.iter().take(MAX_VIOLATIONS_SHOWN);
-    for (k, violation) in shown.enumerate() {
-        let head = if k == 0 { "broken: " } else { "then: " };
-        writeln!(out, "{head}{violation}")?;
+    for (index, violation) in shown.enumerate() {
+        let prefix = if index == 0 { "broken: " } else { "then: " };
+        writeln!(out, "{prefix}{violation}")?;
         for number in &violation.lines {
             if let Some(line) = lines.get(number - 1) {
                 writeln!(out, "  {number}: {}", String::from_utf8_lossy(line))?;
@@ -148,12 +148,12 @@
     )
 }
 
-/// `1..200`, the last one left out.
+/// Parses a half-open range of seeds such as `1..200`.
 fn parse_seeds(text: &str) -> io::Result<Range<u64>> {
     let invalid = || {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            format!("{text}: seeds are written 1..200"),
+            format!("{text}: not a range of seeds such as 1..200"),
         )
     };
     let (first, last) = text.split_once("..").ok_or_else(invalid)?;
--- a/crates/testbed/src/commands/ready.rs
+++ b/crates/testbed/src/commands/ready.rs
@@ -1,4 +1,4 @@
-//! `ready`: many processes restarted at once.
+//! `ready`: concurrent restart of many processes.
 
 use super::block_on;
 use clap::Args;
@@ -7,7 +7,7 @@
 use std::io;
 use std::path::PathBuf;
 
-// Named apart from the options of the library, which are flattened into it.
+// Must differ in name from the library's `Options`, which are flattened into it.
 #[derive(Args)]
 pub(crate) struct ReadyOptions {
     #[command(flatten)]
@@ -24,7 +24,7 @@
     let temporary = tempfile::tempdir()?;
     let folder = options.keep.unwrap_or(temporary.path().to_owned());
     fs::create_dir_all(&folder)?;
-    let report = block_on(ready::play(&options.options, &folder))?;
+    let report = block_on(ready::run(&options.options, &folder))?;
     let mut out = io::stdout().lock();
     ready::write_report(&mut out, &options.options, &report, options.json)?;
     Ok(report.meets_target())
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -1,6 +1,6 @@
-//! `run`: one run of a rig.
+//! `run`: one run of a testbed scenario (rig).
 
-use super::{write_report, PlayOptions};
+use super::{write_report, ScenarioOptions};
 use clap::Args;
 use rainstand_testbed::fault_schedule::schedule;
 use serde_json::json;
@@ -11,7 +11,7 @@
 #[derive(Args)]
 pub(crate) struct Options {
     #[command(flatten)]
-    play: PlayOptions,
+    scenario: ScenarioOptions,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Where the history is written
@@ -26,12 +26,12 @@
 }
 
 pub(crate) fn run(options: &Options) -> io::Result<bool> {
-    let rig = options.play.read_rig()?;
+    let rig = options.scenario.read_rig()?;
     let seed = options.seed;
     let steps = schedule(&rig, seed);
     let (report, history) = options
-        .play
-        .play(&rig, seed, &steps, options.keep.as_deref())?;
+        .scenario
+        .run(&rig, seed, &steps, options.keep.as_deref())?;
     if let Some(path) = &options.history {
         fs::write(path, &history)?;
     }
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -1,6 +1,6 @@
-//! `shrink`: a smaller schedule of a failing seed.
+//! `shrink`: finds a smaller schedule for a failing seed.
 
-use super::{write_report, PlayOptions};
+use super::{write_report, ScenarioOptions};
 use clap::Args;
 use rainstand_config::schema::Rig;
 use rainstand_testbed::fault_schedule::{schedule, FaultStep};
@@ -11,7 +11,7 @@
 #[derive(Args)]
 pub(crate) struct Options {
     #[command(flatten)]
-    play: PlayOptions,
+    scenario: ScenarioOptions,
     #[arg(long)]
     seed: u64,
     /// Plays of each smaller schedule before it counts as passing
@@ -22,38 +22,38 @@
     most: usize,
 }
 
-/// Plays schedules of one seed until they fail.
-struct Player<'o> {
+/// Runs schedules of one seed and records failures.
+struct ScheduleRunner<'o> {
     options: &'o Options,
     rig: &'o Rig,
-    plays: usize,
+    runs: usize,
     /// The last run that failed, with its history.
     last_failure: Option<(Report, Vec<u8>)>,
 }
 
-impl Player<'_> {
-    /// Whether one of several plays of a schedule fails.
+impl ScheduleRunner<'_> {
+    /// Whether any of `tries` runs of a schedule fails.
     fn fails(&mut self, steps: &[FaultStep]) -> bool {
-        (0..self.options.tries.max(1)).any(|_| self.play_fails(steps))
+        (0..self.options.tries.max(1)).any(|_| self.run_fails(steps))
     }
 
-    /// A run that could not be set up counts as passing.
-    fn play_fails(&mut self, steps: &[FaultStep]) -> bool {
-        self.plays += 1;
-        let (plays, count) = (self.plays, steps.len());
+    /// Whether one run fails. A run that cannot be set up counts as passing.
+    fn run_fails(&mut self, steps: &[FaultStep]) -> bool {
+        self.runs += 1;
+        let (runs, count) = (self.runs, steps.len());
         let options = self.options;
-        match options.play.play(self.rig, options.seed, steps, None) {
+        match options.scenario.run(self.rig, options.seed, steps, None) {
             Ok((report, history)) if !report.is_clean() => {
-                eprintln!("play {plays}: {count} steps, broken");
+                eprintln!("run {runs}: {count} steps, broken");
                 self.last_failure = Some((report, history));
                 true
             }
             Ok(_) => {
-                eprintln!("play {plays}: {count} steps, clean");
+                eprintln!("run {runs}: {count} steps, clean");
                 false
             }
             Err(error) => {
-                eprintln!("play {plays}: {error}");
+                eprintln!("run {runs}: {error}");
                 false
             }
         }
@@ -61,21 +61,21 @@
 }
 
 pub(crate) fn run(options: &Options) -> io::Result<bool> {
-    let rig = options.play.read_rig()?;
+    let rig = options.scenario.read_rig()?;
     let (seed, tries) = (options.seed, options.tries);
     let steps = schedule(&rig, seed);
-    let mut player = Player {
+    let mut runner = ScheduleRunner {
         options,
         rig: &rig,
-        plays: 0,
+        runs: 0,
         last_failure: None,
     };
-    if !player.fails(&steps) {
-        println!("seed {seed} did not fail in {tries} plays");
+    if !runner.fails(&steps) {
+        println!("seed {seed} did not fail in {tries} runs");
         return Ok(true);
     }
-    let smallest = shrink(&steps, options.most, |steps| player.fails(steps));
-    if let Some((report, history)) = &player.last_failure {
+    let smallest = shrink(&steps, options.most, |steps| runner.fails(steps));
+    if let Some((report, history)) = &runner.last_failure {
         write_report(&mut io::stdout().lock(), &rig, report, history)?;
     }
     for step in &smallest {
--- a/crates/testbed/src/commands/simulate.rs
+++ b/crates/testbed/src/commands/simulate.rs
@@ -1,4 +1,4 @@
-//! `sim`: a range of seeds on a virtual clock, on several threads; each seed's run is the same on any of them.
+//! `sim`: runs a range of seeds on a virtual clock, on several threads; a seed's run is the same on any thread.
 
 use super::{parse_seeds, progress_bar, MAX_JOBS};
 use clap::Args;
@@ -12,7 +12,7 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// Failed seeds that are printed.
+/// Number of failed seeds that are printed.
 const MAX_FAILURES_SHOWN: usize = 5;
 
 #[derive(Args)]
@@ -55,19 +55,19 @@
     }
 }
 
-/// A seed that failed, and what it showed first.
+/// A failed seed, and its first failure.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Failure {
     seed: u64,
     reason: String,
 }
 
-/// What all seeds came to.
+/// Results of all seeds.
 #[derive(Default)]
 struct Summary {
-    played: u64,
+    seeds_run: u64,
     failures: Vec<Failure>,
-    /// The smallest seed that failed, with its history.
+    /// The smallest failed seed, with its history.
     first_failed: Option<(u64, Vec<Observation>)>,
     events: u64,
     restarts: u64,
@@ -78,8 +78,8 @@
 }
 
 impl Summary {
-    fn add(&mut self, seed: u64, outcome: Outcome) {
-        self.played += 1;
+    fn add_outcome(&mut self, seed: u64, outcome: Outcome) {
+        self.seeds_run += 1;
         self.events += outcome.events;
         self.restarts += outcome.restarts;
         self.elections += outcome.elections;
@@ -102,7 +102,7 @@
     fn print(&self) {
         println!(
             "{} seeds, {} events: {} failed; {} starts, {} elections, {} disks swapped or set aside, {} of {} keyed tickets answered",
-            self.played, self.events, self.failures.len(), self.restarts, self.elections, self.replaced_disks,
+            self.seeds_run, self.events, self.failures.len(), self.restarts, self.elections, self.replaced_disks,
             self.served, self.requests
         );
         for Failure { seed, reason } in self.failures.iter().take(MAX_FAILURES_SHOWN) {
@@ -122,19 +122,19 @@
     let config = options.config();
     let bar = progress_bar(seeds.end - seeds.start);
     let (next, summary) = (AtomicU64::new(seeds.start), Mutex::new(Summary::default()));
-    let play_seeds = || {
+    let run_seeds = || {
         #[cfg(feature = "planted")]
         rainstand_raft::plant::plant(bug);
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
-            let is_found =
+            let found_bug =
                 bug.is_some() && summary.lock().is_ok_and(|all| !all.failures.is_empty());
-            if seed >= seeds.end || is_found {
+            if seed >= seeds.end || found_bug {
                 return;
             }
-            let outcome = play_caught(&config, seed);
+            let outcome = run_catching_panic(&config, seed);
             if let Ok(mut summary) = summary.lock() {
-                summary.add(seed, outcome);
+                summary.add_outcome(seed, outcome);
                 bar.set_message(format!("{} failed", summary.failures.len()));
             }
             bar.inc(1);
@@ -142,7 +142,7 @@
     };
     thread::scope(|scope| {
         for _ in 0..options.jobs.clamp(1, MAX_JOBS) {
-            scope.spawn(play_seeds);
+            scope.spawn(run_seeds);
         }
     });
     bar.finish_and_clear();
@@ -155,8 +155,8 @@
     Ok(summary.failures.is_empty())
 }
 
-/// A panic of the code under test is a finding too.
-fn play_caught(config: &SimulationConfig, seed: u64) -> Outcome {
+/// Runs one seed; a panic of the code under test counts as a fault.
+fn run_catching_panic(config: &SimulationConfig, seed: u64) -> Outcome {
     let outcome = std::panic::catch_unwind(|| simulation::play(config, seed));
     outcome.unwrap_or_else(|_| Outcome {
         faults: vec!["panicked".to_owned()],
@@ -164,14 +164,14 @@
     })
 }
 
-/// A line as callers and agents write it.
-fn to_line(seen: &Observation) -> String {
+/// Encodes an observation as a history line, as callers and agents write it.
+fn to_line(observation: &Observation) -> String {
     let line = HistoryLine {
-        at: seen.at,
-        observer: seen.observer.clone(),
+        at: observation.at,
+        observer: observation.observer.clone(),
         ..HistoryLine::default()
     };
-    let line = match seen.event.clone() {
+    let line = match observation.event.clone() {
         Event::Requested {
             request,
             request_class,
--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: processes that are used until their kill.
+//! `soak`: processes that clients use until they are killed.
 
 use super::block_on;
 use clap::Args;
@@ -29,12 +29,12 @@
     json: bool,
 }
 
-/// Plays one soak in a folder that is kept if it is named.
+/// Runs one soak in the folder `--keep`, or in a temporary one.
 pub(crate) fn run(options: Options) -> io::Result<bool> {
     let is_known = |bug: &String| soak::BUGS.contains(&bug.as_str());
     if options.plant.as_ref().is_some_and(|bug| !is_known(bug)) {
         let bugs = soak::BUGS.join(", ");
-        return Err(io::Error::other(format!("no such bug; there are {bugs}")));
+        return Err(io::Error::other(format!("no such bug; known bugs: {bugs}")));
     }
     let temporary = tempfile::tempdir()?;
     let folder = options.keep.unwrap_or(temporary.path().to_owned());
@@ -42,10 +42,10 @@
     if fs::read_dir(&folder)?.next().is_some() {
         let folder = folder.display();
         return Err(io::Error::other(format!(
-            "{folder}: holds another run's files"
+            "{folder}: the folder is not empty"
         )));
     }
-    let report = block_on(soak::soak(&SoakOptions {
+    let report = block_on(soak::run(&SoakOptions {
         seed: options.seed,
         programs: options.programs,
         folder: folder.canonicalize()?,
--- a/crates/testbed/src/commands/sweep.rs
+++ b/crates/testbed/src/commands/sweep.rs
@@ -1,9 +1,9 @@
-//! `sweep`: a range of seeds, several runs side by side, each a process of its own so that none can take the others along.
+//! `sweep`: runs a range of seeds concurrently, each in a separate process, so that a crash does not affect other runs.
 
-use super::{parse_seeds, progress_bar, PlayOptions, MAX_JOBS};
+use super::{parse_seeds, progress_bar, ScenarioOptions, MAX_JOBS};
 use clap::Args;
 use indicatif::ProgressBar;
-use rainstand_testbed::play_identity::PlayIdentity;
+use rainstand_testbed::run_identity::RunIdentity;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, OpenOptions};
@@ -18,7 +18,7 @@
 #[derive(Args)]
 pub(crate) struct Options {
     #[command(flatten)]
-    play: PlayOptions,
+    scenario: ScenarioOptions,
     /// Such as 1..200, the last one not played
     #[arg(long)]
     seeds: String,
@@ -30,33 +30,37 @@
 }
 
 impl Options {
-    /// Whether soaks are played in place of a file.
+    /// Whether the sweep runs soaks instead of a file.
     fn is_soak(&self) -> bool {
-        self.play.file == Path::new("soak")
+        self.scenario.file == Path::new("soak")
     }
 
-    /// What the results of this sweep are of.
-    fn identity(&self) -> io::Result<PlayIdentity> {
-        let plant = self.play.plant.iter().map(|bug| format!("planted {bug}"));
+    /// Identity of the runs of this sweep.
+    fn identity(&self) -> io::Result<RunIdentity> {
+        let plant = self
+            .scenario
+            .plant
+            .iter()
+            .map(|bug| format!("planted {bug}"));
         let options: Vec<String> = plant.collect();
         let options = options.join(", ");
-        let programs = self.play.programs.as_deref();
+        let programs = self.scenario.programs.as_deref();
         if self.is_soak() {
-            return PlayIdentity::of_soak(self.play.seconds, programs, options);
+            return RunIdentity::of_soak(self.scenario.seconds, programs, options);
         }
-        PlayIdentity::new(&self.play.read_rig()?, programs, options)
+        RunIdentity::new(&self.scenario.read_rig()?, programs, options)
     }
 
-    /// Where the folder of a seed is.
+    /// Path of a seed's folder.
     fn folder(&self, seed: u64) -> PathBuf {
         self.out.join(format!("seed-{seed}"))
     }
 }
 
-/// What all seeds came to; one line of JSON a seed stands in `results.jsonl`.
+/// Results of all seeds; `results.jsonl` has one JSON line per seed.
 #[derive(Default)]
 struct Summary {
-    played: usize,
+    seeds_run: usize,
     failed: Vec<u64>,
     kills: u64,
     requests: u64,
@@ -66,8 +70,8 @@
 
 impl Summary {
     fn add(&mut self, line: &Value) {
-        let number = |of: &Value| of.as_u64().unwrap_or(0);
-        self.played += 1;
+        let number = |value: &Value| value.as_u64().unwrap_or(0);
+        self.seeds_run += 1;
         if line["good"] != Value::Bool(true) {
             self.failed.push(number(&line["seed"]));
         }
@@ -81,7 +85,7 @@
     fn print(&self, options: &Options) {
         println!(
             "{} seeds: {} failed, {} kills, {} tickets asked, {} answered, {} keys",
-            self.played,
+            self.seeds_run,
             self.failed.len(),
             self.kills,
             self.requests,
@@ -95,22 +99,23 @@
     }
 }
 
-/// What a file of results holds already.
+/// Results that are already in the results file.
 #[derive(Default)]
 struct EarlierResults {
-    /// Results of the same play.
+    /// Results of runs with the same identity.
     summary: Summary,
     done: BTreeSet<u64>,
-    /// How many results of these seeds there are of each other play.
+    /// Number of results for these seeds by each other identity.
     others: BTreeMap<String, usize>,
 }
 
 impl EarlierResults {
-    /// Seeds of another rig, build or set of options are played: their results say nothing of this one.
-    fn read(path: &Path, seeds: &Range<u64>, identity: &PlayIdentity) -> io::Result<Self> {
+    /// Reads the results of `seeds`. Seeds with results of another rig, build or set of options are run again, because
+    /// those results do not apply to this sweep.
+    fn read(path: &Path, seeds: &Range<u64>, identity: &RunIdentity) -> io::Result<Self> {
         let mut earlier = Self::default();
         for line in lines_of(path)? {
-            // The last line may have been cut by an interrupt: its seed is played again.
+            // An interrupt may have truncated the last line: its seed is run again.
             let Ok(line) = serde_json::from_str::<Value>(&line) else {
                 continue;
             };
@@ -118,9 +123,10 @@
             if !seeds.contains(&seed) {
                 continue;
             }
-            let of = serde_json::from_value::<PlayIdentity>(line["of"].clone()).ok();
-            if of.as_ref() != Some(identity) {
-                let name = of.map_or("no named play".to_owned(), |of| of.to_string());
+            let found = serde_json::from_value::<RunIdentity>(line["of"].clone()).ok();
+            if found.as_ref() != Some(identity) {
+                let name =
+                    found.map_or("an unidentified run".to_owned(), |found| found.to_string());
                 *earlier.others.entry(name).or_default() += 1;
             } else if earlier.done.insert(seed) {
                 earlier.summary.add(&line);
@@ -130,7 +136,7 @@
     }
 }
 
-/// Lines of a file; none if it is not there.
+/// Lines of a file; none if the file does not exist.
 fn lines_of(path: &Path) -> io::Result<Vec<String>> {
     match File::open(path) {
         Ok(file) => BufReader::new(file).lines().collect(),
@@ -148,20 +154,20 @@
     for (other, count) in &earlier.others {
         println!("not counted: {count} results of {other}");
     }
-    let left: Vec<u64> = seeds.filter(|seed| !earlier.done.contains(seed)).collect();
+    let remaining: Vec<u64> = seeds.filter(|seed| !earlier.done.contains(seed)).collect();
     let sweep = Sweep {
         options,
         identity,
         program: std::env::current_exe()?,
-        bar: progress_bar(left.len() as u64),
-        left,
+        bar: progress_bar(remaining.len() as u64),
+        remaining,
         next: AtomicUsize::new(0),
         results: Mutex::new(OpenOptions::new().create(true).append(true).open(&path)?),
         summary: Mutex::new(earlier.summary),
     };
     thread::scope(|scope| {
         for _ in 0..options.jobs.clamp(1, MAX_JOBS) {
-            scope.spawn(|| sweep.play_seeds());
+            scope.spawn(|| sweep.run_seeds());
         }
     });
     sweep.bar.finish_and_clear();
@@ -171,14 +177,14 @@
     Ok(summary.failed.is_empty())
 }
 
-/// What the threads of a sweep share.
+/// State shared by the threads of a sweep.
 struct Sweep<'o> {
     options: &'o Options,
-    identity: PlayIdentity,
-    /// This program.
+    identity: RunIdentity,
+    /// Path of the current executable.
     program: PathBuf,
     bar: ProgressBar,
-    left: Vec<u64>,
+    remaining: Vec<u64>,
     /// Index of the next seed.
     next: AtomicUsize,
     results: Mutex<File>,
@@ -186,10 +192,13 @@
 }
 
 impl Sweep<'_> {
-    /// Plays seeds until none is left, or a result cannot be written.
-    fn play_seeds(&self) {
-        while let Some(seed) = self.left.get(self.next.fetch_add(1, Ordering::Relaxed)) {
-            let result = self.play(*seed);
+    /// Runs seeds until none is left or a result cannot be written.
+    fn run_seeds(&self) {
+        while let Some(seed) = self
+            .remaining
+            .get(self.next.fetch_add(1, Ordering::Relaxed))
+        {
+            let result = self.run_seed(*seed);
             let text = format!("{result}\n");
             let is_written = self
                 .results
@@ -207,8 +216,8 @@
         }
     }
 
-    /// One seed in a process of its own; its folder is kept if it failed.
-    fn play(&self, seed: u64) -> Value {
+    /// Runs one seed in a separate process and returns its result; keeps the folder of a failed seed.
+    fn run_seed(&self, seed: u64) -> Value {
         let folder = self.options.folder(seed);
         let _ = fs::remove_dir_all(&folder);
         let output = self.command(seed, &folder).stdin(Stdio::null()).output();
@@ -226,28 +235,28 @@
         result
     }
 
-    /// The command that plays one seed, and prints its result.
+    /// Command that runs one seed and prints its result.
     fn command(&self, seed: u64, folder: &Path) -> Command {
-        let play = &self.options.play;
+        let scenario = &self.options.scenario;
         let mut command = Command::new(&self.program);
         if self.options.is_soak() {
             command.arg("soak");
         } else {
-            command.arg("run").arg(&play.file);
+            command.arg("run").arg(&scenario.file);
         }
         command
             .args(["--seed", &seed.to_string(), "--json"])
             .arg("--keep")
             .arg(folder);
-        for (flag, value) in [("--rig", &play.rig), ("--plant", &play.plant)] {
+        for (flag, value) in [("--rig", &scenario.rig), ("--plant", &scenario.plant)] {
             if let Some(value) = value {
                 command.args([flag, value]);
             }
         }
-        if let Some(seconds) = play.seconds {
+        if let Some(seconds) = scenario.seconds {
             command.args(["--seconds", &seconds.to_string()]);
         }
-        if let Some(programs) = &play.programs {
+        if let Some(programs) = &scenario.programs {
             command.arg("--programs").arg(programs);
         }
         command
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,29 +1,29 @@
-//! Several processes of the program on loopback, the faults between them, and the checkers that say afterwards whether
-//! the rules held.
+//! Runs several processes of the program on loopback, injects faults between them, and checks afterwards whether the
+//! invariants held.
 //!
-//! | module | what it is | I/O |
+//! | module | purpose | I/O |
 //! | --- | --- | --- |
-//! | [`history`] | what callers and agents saw, one JSON object a line | reads a stream |
-//! | [`check`] | whether a history keeps the rules; knows nothing of the run | none |
-//! | [`fault_schedule`] | a rig of a configuration and a seed to a schedule of faults | none |
-//! | [`shrink`] | a smaller schedule that still fails | none |
-//! | [`proxy`] | a link between two processes, with two directions that can be broken | sockets |
+//! | [`history`] | observations of callers and agents, one JSON object per line | reads a stream |
+//! | [`check`] | whether a history satisfies the invariants, independent of the run | none |
+//! | [`fault_schedule`] | derives a schedule of faults from a testbed scenario (rig) and a seed | none |
+//! | [`shrink`] | finds a smaller schedule that still fails | none |
+//! | [`proxy`] | a link between two processes, with faults in each direction | sockets |
 //! | [`process`] | child processes: started, stopped, killed | processes |
-//! | [`peers`] | stand-in agent and caller, each a process of its own | sockets |
-//! | [`simulation`] | members of a group on a virtual clock, with faulty disks and links; a seed replays to the byte | none |
-//! | [`soak`] | processes used until their kill, with signals in series, crowds and publishes | all of it |
-//! | [`ready`] | many processes restarted at once, and how long each takes until it is ready | all of it |
-//! | [`scale`] | what the program costs by size, measured here and worked out at a size | processes, sockets |
-//! | [`scenario`] | one run: all of it started, the schedule played, the history gathered | all of it |
+//! | [`peers`] | test agent and caller, each in a separate process | sockets |
+//! | [`simulation`] | members of a group on a virtual clock, with faulty disks and links; deterministic by seed | none |
+//! | [`soak`] | processes in use until their kill, with signals in series, crowds and publishes | all of it |
+//! | [`ready`] | concurrent restart of many processes, and the time until each is ready | all of it |
+//! | [`scale`] | resource cost of the program by size, measured on this machine and extrapolated | processes, sockets |
+//! | [`scenario`] | one run: starts the processes, executes the schedule, collects the history | all of it |
 
 pub mod check;
 pub mod fault_schedule;
 pub mod history;
 pub mod peers;
-pub mod play_identity;
 pub mod process;
 pub mod proxy;
 pub mod ready;
+pub mod run_identity;
 pub mod scale;
 pub mod scenario;
 pub mod shrink;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `rainstand-testbed`: runs several processes of the program under faults and says whether the rules held.
+//! `rainstand-testbed`: runs several processes of the program under faults and reports whether the invariants held.
 
 mod commands;
 
@@ -59,7 +59,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Run(options) => run::run(&options),
         Command::Check(options) => check::run(&options),
         Command::Sweep(options) => sweep::run(&options),
@@ -71,7 +71,7 @@
         Command::Agent { options } => serve(&options, agent::serve),
         Command::Caller { options } => serve(&options, caller::call),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Runs a child of another run, whose options are one JSON object.
+/// Serves as a child process of another run, with options given as one JSON object.
 fn serve<T: DeserializeOwned, F: Future<Output = io::Result<()>>>(
     options: &str,
     serve: impl FnOnce(T) -> F,
--- a/crates/testbed/src/ready/client.rs
+++ b/crates/testbed/src/ready/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connection that sends requests to one process until it answers.
+//! A caller's connection that sends requests to one process until they are served.
 
 use rainstand_protocol::thrift::{self, Answered, What};
 use std::cell::Cell;
@@ -9,34 +9,34 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// After an answer without a result, if it named no longer wait.
+/// Shortest wait after an answer without a result; the answer may specify a longer one.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What is asked of a process, again and again.
+/// Contents of the requests that are sent to a process repeatedly.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestTemplate {
     /// Name of the request class.
     pub(super) class: &'static str,
     pub(super) tenant: String,
-    /// The idempotency key at a node, what a route is chosen by at a forwarder; empty: none.
+    /// The idempotency key at a node, or the entity that selects a route at a forwarder; empty for none.
     pub(super) entity: String,
 }
 
-/// How a request was answered.
+/// Answer to a request.
 pub(super) enum Answer {
-    /// With this result.
+    /// An answer with this result.
     Served(Vec<u8>),
-    /// Without a result.
+    /// An answer without a result.
     Unserved {
-        /// Until the next attempt.
+        /// Wait before the next attempt.
         retry_after: Duration,
-        /// What an exception said.
+        /// Message of an exception.
         exception: Option<String>,
     },
 }
 
 thread_local! {
-    /// Requests of one run have different traces.
+    /// Number of the next request; requests of one run have different traces.
     static NEXT_REQUEST: Cell<u64> = const { Cell::new(1) };
 }
 
@@ -65,7 +65,7 @@
         self.stream.write_all(&frame).await?;
         loop {
             let frame = self.next_frame().await?;
-            // The notice of a drain is no answer.
+            // Skip the notice of a drain, which is not an answer.
             if thrift::kind(&frame) != Some(thrift::ONEWAY) {
                 let answered = thrift::answered(&frame).map_err(io::Error::other)?;
                 return Ok(Answer::from(answered));
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sends a request until the answer is a result.
+    /// Repeats a request until the answer has a result.
     pub(super) async fn request_until_served(
         &mut self,
         request: &RequestTemplate,
@@ -101,14 +101,14 @@
 fn encode(sequence: i32, request: &RequestTemplate) -> Vec<u8> {
     let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
     let trace = format!("{number:016x}");
-    let unix = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let born = unix.as_millis().to_string();
+    let created_ms = since_epoch.as_millis().to_string();
     let mut fields = vec![
         ("route", request.class),
         ("trace", &trace),
-        ("born", &born),
+        ("born", &created_ms),
         ("customer", &request.tenant),
     ];
     if !request.entity.is_empty() {
@@ -126,8 +126,8 @@
             What::Backoff(texts) => {
                 let pause = texts.iter().find(|(name, _)| *name == b"pause");
                 let ms = pause.and_then(|(_, ms)| std::str::from_utf8(ms).ok()?.parse().ok());
-                let named = ms.map_or(MIN_RETRY_DELAY, Duration::from_millis);
-                retry_after = named.max(MIN_RETRY_DELAY);
+                let requested = ms.map_or(MIN_RETRY_DELAY, Duration::from_millis);
+                retry_after = requested.max(MIN_RETRY_DELAY);
             }
             What::Exception { why, .. } => {
                 exception = Some(String::from_utf8_lossy(why).into_owned());
--- a/crates/testbed/src/ready/fleet.rs
+++ b/crates/testbed/src/ready/fleet.rs
@@ -1,4 +1,4 @@
-//! All processes of a run: started, filled with keys, stopped, started again.
+//! All processes of a run: started, filled with keys, stopped and restarted.
 
 use super::client::{ClientConnection, RequestTemplate};
 use super::options::{Discovery, Options, StopMode};
@@ -20,9 +20,9 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// For the group to answer a request with one key, with all attempts.
+/// Time limit for the group to serve a request with a key, including all attempts.
 const KEY_TIMEOUT: Duration = Duration::from_mins(1);
-/// Callers that fill one member's disk side by side.
+/// Concurrent callers that store keys through one member.
 const CALLERS_PER_MEMBER: usize = 8;
 
 /// All processes of a run.
@@ -31,24 +31,24 @@
     pub(super) folder: PathBuf,
     pub(super) processes: Vec<Rc<FleetProcess>>,
     pub(super) registry: Rc<Registry>,
-    /// Where the registry listens.
+    /// Address on which the registry listens.
     pub(super) announce: SocketAddr,
-    /// The registry's port, and those of all processes.
+    /// Reserved ports of the registry and all processes.
     pub(super) _reserved_ports: Vec<Socket>,
     pub(super) _agents: Vec<Process>,
-    /// Results of the stored keys.
+    /// Results of the stored keys, by key.
     pub(super) results: RefCell<BTreeMap<String, Vec<u8>>>,
 }
 
-/// Keys that were asked for again after the restart.
+/// Result of requesting stored keys again after the restart.
 pub(super) struct KeyCheck {
     pub(super) checked: usize,
-    /// Those whose result was the same.
+    /// Number of keys with the same result as before.
     pub(super) preserved: usize,
 }
 
 impl Fleet<'_> {
-    /// Starts all at once; returns when each is ready, has ended, or is given up on.
+    /// Starts all processes concurrently; returns when each is ready, has exited or has timed out.
     pub(super) async fn start(
         &self,
         round: usize,
@@ -62,7 +62,7 @@
             let must_register = self.must_register(process.kind);
             let mut request = process.request.clone();
             if process.kind == Kind::Member {
-                // A key of its own: the result of an earlier one would come from the replicas, without any run.
+                // A new key: the result of an earlier key would come from the replicas, without a run.
                 request.entity = format!("start-{round}-{index}");
             }
             watches.spawn_local(async move {
@@ -72,8 +72,8 @@
         }
         let mut times = vec![StartupTimes::default(); self.processes.len()];
         while let Some(done) = watches.join_next().await {
-            let (index, of_process) = done.map_err(io::Error::other)?;
-            times[index] = of_process;
+            let (index, process_times) = done.map_err(io::Error::other)?;
+            times[index] = process_times;
         }
         self.record_exits(process_faults);
         for (process, times) in self.processes.iter().zip(&times) {
@@ -86,18 +86,18 @@
         Ok(reports.into_iter().flatten().collect())
     }
 
-    /// Processes that ended by themselves.
+    /// Records processes that exited by themselves.
     fn record_exits(&self, process_faults: &mut Vec<String>) {
         let exits = self.processes.iter().filter_map(|process| process.ended());
         process_faults.extend(exits);
     }
 
-    /// Whether a process is ready only once it is in the registry's list.
+    /// Whether a process must be registered to be ready.
     fn must_register(&self, kind: Kind) -> bool {
         kind != Kind::Forwarder && self.registry.mode.get() == Discovery::Up
     }
 
-    /// None if there is no process of this kind.
+    /// Report for one kind of process; none if there is no process of this kind.
     fn report_of(&self, kind: Kind, times: &[StartupTimes]) -> Option<KindReport> {
         let times: Vec<&StartupTimes> = self
             .processes
@@ -109,24 +109,24 @@
         (!times.is_empty()).then(|| KindReport::new(kind, &times, self.must_register(kind)))
     }
 
-    /// Signals all at once, and waits until all have ended.
+    /// Signals all processes, then waits until all have exited.
     pub(super) async fn stop(&self, mode: StopMode, process_faults: &mut Vec<String>) {
         self.record_exits(process_faults);
         let signal = match mode {
             StopMode::Kill => Signal::KILL,
             StopMode::Term => Signal::TERM,
         };
-        let mut ending = Vec::new();
+        let mut stopping = Vec::new();
         for process in &self.processes {
             if let Some(process) = process.process.borrow_mut().take() {
                 process.signal(signal);
-                ending.push(process);
+                stopping.push(process);
             }
         }
-        for mut process in ending {
+        for mut process in stopping {
             match process.wait(DRAIN_TIMEOUT + START_TIMEOUT).await {
                 Ok(status) if status.success() || mode == StopMode::Kill => {}
-                other => process_faults.push(format!("{} at its end: {other:?}", process.name)),
+                other => process_faults.push(format!("{} at its exit: {other:?}", process.name)),
             }
         }
     }
@@ -136,7 +136,7 @@
         processes.filter(|process| process.kind == Kind::Member)
     }
 
-    /// Requests with keys through all members, so that the keys lie on the disks of the group; how many were served.
+    /// Stores keys on the disks of the group by sending requests through all members; returns the number of stored keys.
     pub(super) async fn store_keys(&self) -> io::Result<usize> {
         let members: Vec<Rc<FleetProcess>> = self.members().cloned().collect();
         if members.is_empty() {
@@ -165,31 +165,31 @@
         Ok(self.results.borrow().len())
     }
 
-    /// One of the stored keys at each member: the result must be that of before the restart.
+    /// Requests one of the stored keys at each member: the result must be the same as before the restart.
     pub(super) async fn check_keys(&self) -> KeyCheck {
         let mut check = KeyCheck {
             checked: 0,
             preserved: 0,
         };
         for (n, member) in self.members().enumerate() {
-            // Keys are bound to their body and tenant, which differ by member.
+            // A key is bound to its body and tenant, which differ by member.
             let key = format!("key-{n}");
-            let Some(before) = self.results.borrow().get(&key).cloned() else {
+            let Some(expected) = self.results.borrow().get(&key).cloned() else {
                 continue;
             };
             check.checked += 1;
-            let again = async {
+            let repeated = async {
                 let mut connection = ClientConnection::open(member.address).await?;
                 request_key(&mut connection, member, &key).await
             };
-            let again = timeout(KEY_TIMEOUT, again).await;
-            let is_preserved = matches!(again, Ok(Ok(result)) if result == before);
+            let repeated = timeout(KEY_TIMEOUT, repeated).await;
+            let is_preserved = matches!(repeated, Ok(Ok(result)) if result == expected);
             check.preserved += usize::from(is_preserved);
         }
         check
     }
 
-    /// The registry answers again: when each node was in its list, from then on.
+    /// Makes the registry answer again; returns the time until each node registered.
     pub(super) async fn wait_for_registration(&self) -> io::Result<Vec<Option<Duration>>> {
         let started = Instant::now();
         if self.registry.mode.replace(Discovery::Up) == Discovery::Down {
@@ -202,8 +202,12 @@
                 continue;
             }
             let registered = self.registry.wait_until_registered(&process.name);
-            let at = timeout_at(started + READY_TIMEOUT, registered).await;
-            times.push(at.ok().map(|at| at.saturating_duration_since(started)));
+            let registered_at = timeout_at(started + READY_TIMEOUT, registered).await;
+            times.push(
+                registered_at
+                    .ok()
+                    .map(|at| at.saturating_duration_since(started)),
+            );
         }
         Ok(times)
     }
--- a/crates/testbed/src/ready/mod.rs
+++ b/crates/testbed/src/ready/mod.rs
@@ -1,9 +1,9 @@
-//! Processes that are restarted all at once, and how long each takes until it is ready.
+//! Concurrent restart of many processes, and the time that each takes until it is ready.
 //!
-//! A process is ready once it listens, is in the list of the service registry, and has served its first request, with
-//! the work done by an agent. Forwarders report to nobody; where the registry does not answer, nobody is in its list,
-//! and a node is ready once it listens and answers: it must get into the list once the registry is back. Agents and the
-//! registry are stand-ins and keep running: what is restarted are nodes and forwarders.
+//! A process is ready once it listens, is registered in the service registry, and has served its first request with the
+//! help of an agent. Forwarders do not register. If the registry does not answer, no node is registered, and a node is
+//! ready once it listens and serves; it must register once the registry is back. Agents and the registry are test
+//! servers and keep running: only nodes and forwarders are restarted.
 
 mod client;
 mod fleet;
@@ -15,7 +15,7 @@
 
 pub use options::{ConfigFormat, Discovery, Options, StopMode};
 pub use process::Kind;
-pub use report::{write_report, KindReport, Report, Times};
+pub use report::{write_report, KindReport, ReadyTimes, Report};
 
 use fleet::Fleet;
 use std::io;
@@ -24,18 +24,18 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Nine in ten processes must be ready by then.
+/// Nine in ten processes must be ready within this time.
 pub const READY_TARGET: Duration = Duration::from_secs(10);
-/// Between two looks whether a process listens: a measured time is so much too long at the most.
+/// Interval between two checks whether a process listens; also the largest error of a measured time.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// From the signal to drain to the kill, as nodes and forwarders are configured.
+/// Configured time from the drain signal to the kill of a node or forwarder.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Starts all, restarts them at once, and reports how long each took.
+/// Starts all processes, restarts them concurrently, and reports how long each took.
 ///
 /// # Errors
-/// If the run could not be set up.
-pub async fn play(options: &Options, folder: &Path) -> io::Result<Report> {
+/// If the run cannot be set up.
+pub async fn run(options: &Options, folder: &Path) -> io::Result<Report> {
     options.check()?;
     let fleet = Fleet::set_up(options, folder).await?;
     let mut report = Report {
@@ -56,8 +56,8 @@
     (report.keys_checked, report.keys_preserved) = (keys.checked, keys.preserved);
     if options.discovery != Discovery::Up {
         let times = fleet.wait_for_registration().await?;
-        report.back_in_list = times.iter().flatten().count();
-        report.back = Some(Times::of(times));
+        report.reregistered_nodes = times.iter().flatten().count();
+        report.reregistration_times = Some(ReadyTimes::from_durations(times));
     }
     report.early_reports = fleet.registry.early_reports();
     fleet.stop(StopMode::Term, &mut report.process_faults).await;
--- a/crates/testbed/src/ready/options.rs
+++ b/crates/testbed/src/ready/options.rs
@@ -1,4 +1,4 @@
-//! What is restarted, how, and in which size.
+//! Which processes are restarted, how, and with how large a configuration.
 
 use clap::{Args, ValueEnum};
 use rainstand_test_servers::size::{Limited, Size};
@@ -6,11 +6,11 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Processes of one run.
+/// Child processes of one run.
 const MAX_CHILDREN: usize = 280;
-/// Keys on the disks of the group.
+/// Keys stored on the disks of the group.
 const MAX_KEYS: usize = 100_000;
-/// Tenants and routes: the capacity of the language.
+/// Tenants and routes: the limits of the configuration language.
 const MAX_TENANTS: usize = 60_000;
 const MAX_ROUTES: usize = 20_000;
 /// Members of a group.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum ConfigFormat {
-    /// The language of the pages.
+    /// The configuration language.
     #[value(help = None::<&str>)]
     Rain,
     /// The compiled form as text.
@@ -89,7 +89,7 @@
     /// In which form forwarders read their configuration
     #[arg(long, value_enum, default_value = "rain")]
     pub form: ConfigFormat,
-    /// Of all that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1, help = None::<&str>)]
     pub seed: u64,
     /// Where the programs lie, if not beside this one
@@ -100,34 +100,37 @@
 
 impl Options {
     /// # Errors
-    /// What there is too many or too few of.
+    /// If a number is out of range; the error names the range.
     pub(super) fn check(&self) -> io::Result<()> {
-        let refused = |why: String| Err(io::Error::new(io::ErrorKind::InvalidInput, why));
+        let invalid = |reason: String| Err(io::Error::new(io::ErrorKind::InvalidInput, reason));
         if self.nodes == 0 || self.nodes * 2 + self.forwarders > MAX_CHILDREN {
-            return refused(format!(
-                "each node has an agent: 1 to {MAX_CHILDREN} processes"
+            return invalid(format!(
+                "at least 1 node, and at most {MAX_CHILDREN} processes in all, with one agent per node"
             ));
         }
         if !(1..=MAX_TENANTS).contains(&self.tenants) || !(1..=MAX_ROUTES).contains(&self.routes) {
-            return refused(format!(
+            return invalid(format!(
                 "1 to {MAX_TENANTS} tenants and 1 to {MAX_ROUTES} routes"
             ));
         }
         if matches!(self.group, 1 | 2) || self.group > self.nodes.min(MAX_GROUP) {
-            return refused("a group has 3 members or more, at most all nodes and 64".into());
+            return invalid(
+                "a group has at least 3 members, and at most 64 or the number of nodes".into(),
+            );
         }
         if self.keys > MAX_KEYS {
-            return refused(format!("at most {MAX_KEYS} keys"));
+            return invalid(format!("at most {MAX_KEYS} keys"));
         }
         Ok(())
     }
 
-    /// The shape of two years with the routes and tenants asked for. No pool has two members at one node.
+    /// Size of the two-year configuration, scaled to the routes and tenants of the options. No pool has two members on
+    /// the same node.
     pub(super) fn size(&self) -> Size {
-        let whole = Size::two_years();
-        let part = |of: usize| (of * self.routes / whole.routes).clamp(1, of);
-        let (services, pools) = (part(whole.services), part(whole.pools));
-        let members = whole.members.min(pools * self.nodes);
+        let full_size = Size::two_years();
+        let scale_down = |count: usize| (count * self.routes / full_size.routes).clamp(1, count);
+        let (services, pools) = (scale_down(full_size.services), scale_down(full_size.pools));
+        let members = full_size.members.min(pools * self.nodes);
         let limits = if self.limits_on_routes {
             Limited::PerTenantOnRoutes
         } else {
@@ -140,7 +143,7 @@
             limits,
             routes: self.routes,
             tenants: self.tenants,
-            ..whole
+            ..full_size
         }
     }
 }
--- a/crates/testbed/src/ready/process.rs
+++ b/crates/testbed/src/ready/process.rs
@@ -1,4 +1,4 @@
-//! One process that is restarted, and how it is watched until it is ready.
+//! One restarted process, and how it is observed until it is ready.
 
 use super::client::{Answer, ClientConnection, RequestTemplate};
 use super::registry::Registry;
@@ -15,10 +15,10 @@
 use tokio::process::Command;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Who is not ready by then never is.
+/// A process that is not ready within this time counts as never ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// What a process of the fleet is.
+/// Kind of a process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -30,18 +30,18 @@
     Forwarder,
 }
 
-/// One process that is restarted.
+/// A process of the fleet, with what is needed to restart it.
 pub(super) struct FleetProcess {
     pub(super) kind: Kind,
     pub(super) name: String,
-    /// Where it listens for callers.
+    /// Address on which the process listens for callers.
     pub(super) address: SocketAddr,
     pub(super) request: RequestTemplate,
     /// A node's settings, or a forwarder's configuration.
     pub(super) file: PathBuf,
-    /// A forwarder's number, which is its seed too.
+    /// A forwarder's number, which is also its seed.
     pub(super) number: usize,
-    /// A member's configuration of its group.
+    /// Configuration of a member's group.
     pub(super) group: Option<PathBuf>,
     pub(super) process: RefCell<Option<Process>>,
 }
@@ -82,13 +82,13 @@
         Ok(command)
     }
 
-    /// Why it is not there, if it ended by itself.
+    /// Description of the exit, if the process exited by itself.
     pub(super) fn ended(&self) -> Option<String> {
         let status = self.process.borrow_mut().as_mut()?.ended()?;
-        Some(format!("{} ended by itself: {status}", self.name))
+        Some(format!("{} exited by itself: {status}", self.name))
     }
 
-    /// From its start on, until it is ready, has ended, or is given up on.
+    /// Observes the process from its start until it is ready, has exited or has timed out.
     pub(super) async fn watch(
         &self,
         started: Instant,
@@ -98,7 +98,7 @@
     ) -> StartupTimes {
         let times = RefCell::new(StartupTimes::default());
         let until_ready = async {
-            // A process that ended by itself is never registered.
+            // A process that exited by itself never registers.
             if self.wait_until_served(started, request, &times).await && must_register {
                 let at = registry.wait_until_registered(&self.name).await;
                 times.borrow_mut().registered = Some(at.saturating_duration_since(started));
@@ -108,7 +108,7 @@
         times.into_inner()
     }
 
-    /// False if it ended by itself.
+    /// Waits until the process serves a request; returns false if it exited by itself.
     async fn wait_until_served(
         &self,
         started: Instant,
@@ -118,7 +118,7 @@
         while self.ended().is_none() {
             if let Ok(mut connection) = ClientConnection::open(self.address).await {
                 times.borrow_mut().listens.get_or_insert(started.elapsed());
-                // A connection that breaks is opened again: its process may be gone.
+                // After a broken connection, check again whether the process has exited, then reconnect.
                 while let Ok(answer) = connection.request(request).await {
                     let Answer::Unserved {
                         retry_after,
--- a/crates/testbed/src/ready/registry.rs
+++ b/crates/testbed/src/ready/registry.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the service registry (the announce service): the list of nodes that reported.
+//! A test server for the service registry (the announce service): the list of registered nodes.
 
 use super::options::Discovery;
 use super::POLL_INTERVAL;
@@ -14,23 +14,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest report that is taken.
+/// Longest accepted report.
 const MAX_REPORT_BYTES: usize = 8 << 10;
-/// A node has one connection, and one that it has just left; as much again is taken.
+/// A node may have its connection and one that it has just closed; the limit is twice that.
 const MAX_CONNECTIONS_PER_NODE: usize = 4;
 
-/// The registry, and what it heard since the processes were started.
+/// The registry, and the reports received since the processes were started.
 pub(super) struct Registry {
     pub(super) mode: Cell<Discovery>,
-    /// Where each node listens.
+    /// Address on which each node listens, by name.
     addresses: BTreeMap<String, SocketAddr>,
     /// Nodes that reported.
     reported: RefCell<BTreeSet<String>>,
-    /// Nodes in the list, and since when.
+    /// Registered nodes, with the time of registration.
     registered: RefCell<BTreeMap<String, Instant>>,
-    /// First reports of nodes that nobody could connect to yet.
+    /// Number of first reports from nodes that did not accept connections yet.
     early_reports: Cell<u64>,
-    /// Whose connection was taken last.
+    /// Peer of the connection accepted last.
     last_peer: Cell<Option<SocketAddr>>,
     connections: Cell<usize>,
     changed: Notify,
@@ -54,8 +54,8 @@
         self.early_reports.get()
     }
 
-    /// Empties the list, once all nodes are gone. What they reported last is read first, or it would count as reported
-    /// by the nodes that come next.
+    /// Clears the list after all nodes have exited. Reads their last reports first, because these would otherwise count
+    /// as reports of the restarted nodes.
     pub(super) async fn clear(&self, address: SocketAddr) {
         if self.mode.get() != Discovery::Down {
             let _ = timeout(START_TIMEOUT, self.read_all(address)).await;
@@ -64,16 +64,17 @@
         self.registered.borrow_mut().clear();
     }
 
-    /// Connections are taken in their order: all that came before this one have been taken once it is.
+    /// Opens a marker connection and waits until it is accepted: connections are accepted in order, so all earlier ones
+    /// are accepted by then. Then waits until all connections are closed.
     async fn read_all(&self, address: SocketAddr) {
-        let Ok(last) = TcpStream::connect(address).await else {
+        let Ok(marker) = TcpStream::connect(address).await else {
             return;
         };
-        let own = last.local_addr().ok();
-        while self.last_peer.get() != own {
+        let own_address = marker.local_addr().ok();
+        while self.last_peer.get() != own_address {
             sleep(POLL_INTERVAL).await;
         }
-        drop(last);
+        drop(marker);
         while self.connections.get() > 0 {
             sleep(POLL_INTERVAL).await;
         }
@@ -117,7 +118,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The first report of a process says that callers may come: it must listen by then.
+    /// The first report of a process announces that it accepts callers: it must listen by then.
     async fn on_report(&self, node: &str) {
         let Some(address) = self.addresses.get(node) else {
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Waits until a node is in the list; returns since when.
+    /// Waits until a node is registered; returns the time of registration.
     pub(super) async fn wait_until_registered(&self, node: &str) -> Instant {
         loop {
             if let Some(at) = self.registered.borrow().get(node) {
@@ -142,13 +143,13 @@
 /// A report of a node.
 struct NodeReport {
     node: String,
-    /// Of the whole request, with its body.
+    /// Length of the complete request in bytes, including its body.
     length: usize,
 }
 
 /// The report at the front of the bytes, if it is complete.
 fn parse_report(bytes: &[u8]) -> Option<NodeReport> {
-    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")?;
+    let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&bytes[..end]).ok()?;
     let node = head.strip_prefix("PUT /announce/")?.split(' ').next()?;
     let body = head
--- a/crates/testbed/src/ready/report.rs
+++ b/crates/testbed/src/ready/report.rs
@@ -1,4 +1,4 @@
-//! Times until ready, by kind of process, and their forms for people and programs.
+//! Times until ready by kind of process, and their text and JSON output.
 
 use super::options::Options;
 use super::process::Kind;
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use std::{fmt, io};
 
-/// When each sign of life of a process was seen, from its start; none if not in time.
+/// Time from the start of a process to each readiness sign; none if it was not observed in time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StartupTimes {
     pub(super) listens: Option<Duration>,
     pub(super) registered: Option<Duration>,
     pub(super) answered: Option<Duration>,
-    /// Answers without a result before the first one with a result.
+    /// Number of answers without a result before the first one with a result.
     rejected: u64,
-    /// What the last of them said, if it was an exception.
+    /// Message of the last of these answers, if it was an exception.
     pub(super) exception: Option<String>,
 }
 
@@ -27,7 +27,7 @@
         self.exception = exception;
     }
 
-    /// When the process was ready, which may ask for it to be registered too.
+    /// Time until the process was ready, including its registration if `must_register`.
     fn ready(&self, must_register: bool) -> Option<Duration> {
         let registered = if must_register {
             self.registered?
@@ -38,34 +38,35 @@
     }
 }
 
-/// Times of all processes of a kind; none where the process at that place never came to it.
+/// Summary of a time over all processes of a kind; none where the process at that rank never reached the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
+pub struct ReadyTimes {
     /// The smallest time that nine in ten processes do not exceed, in milliseconds.
     pub ninth_decile_ms: Option<u64>,
     /// The largest time, in milliseconds.
     pub worst_ms: Option<u64>,
 }
 
-impl Times {
-    /// Of all processes; none for one that never came to it.
-    pub fn of(times: impl IntoIterator<Item = Option<Duration>>) -> Self {
+impl ReadyTimes {
+    /// Summarises the times of all processes; a process that never reached the state has none.
+    pub fn from_durations(times: impl IntoIterator<Item = Option<Duration>>) -> Self {
         let mut all: Vec<u128> = times
             .into_iter()
             .map(|time| time.map_or(u128::MAX, |time| time.as_millis()))
             .collect();
         all.sort_unstable();
-        let at = |index: usize| all.get(index).and_then(|ms| u64::try_from(*ms).ok());
+        let ms_at = |index: usize| all.get(index).and_then(|ms| u64::try_from(*ms).ok());
         Self {
-            ninth_decile_ms: at((all.len() * 9).div_ceil(10).saturating_sub(1)),
-            worst_ms: at(all.len().saturating_sub(1)),
+            ninth_decile_ms: ms_at((all.len() * 9).div_ceil(10).saturating_sub(1)),
+            worst_ms: ms_at(all.len().saturating_sub(1)),
         }
     }
 }
 
-impl fmt::Display for Times {
+impl fmt::Display for ReadyTimes {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ms = |of: Option<u64>| of.map_or_else(|| "never".to_owned(), |ms| format!("{ms} ms"));
+        let ms =
+            |time: Option<u64>| time.map_or_else(|| "never".to_owned(), |ms| format!("{ms} ms"));
         write!(
             out,
             "ninth decile {}, worst {}",
@@ -75,46 +76,50 @@
     }
 }
 
-/// What one start of all processes of a kind came to.
+/// Results of one start of all processes of a kind.
 #[derive(Clone, Debug, Serialize)]
 pub struct KindReport {
-    /// What the processes are.
+    /// Kind of the processes.
     pub kind: Kind,
-    /// How many there are.
+    /// Number of processes.
     pub processes: usize,
-    /// How many were ready before the run gave up on them.
+    /// Number of processes that were ready before their timeout.
     pub ready: usize,
-    /// How many were ready within [`READY_TARGET`].
+    /// Number of processes that were ready within [`READY_TARGET`].
     pub in_time: usize,
-    /// Until ready.
-    pub times: Times,
-    /// Until somebody could connect.
-    pub listens: Times,
-    /// Until registered; none where there is no registry to be in.
+    /// Times until ready.
+    pub times: ReadyTimes,
+    /// Times until the processes accepted connections.
+    pub listens: ReadyTimes,
+    /// Times until registered; none if registration is not required.
     #[serde(rename = "listed")]
-    pub registered: Option<Times>,
-    /// Until the first answer with a result.
-    pub answered: Times,
-    /// Answers without a result before that.
+    pub registered: Option<ReadyTimes>,
+    /// Times until the first answer with a result.
+    pub answered: ReadyTimes,
+    /// Number of answers without a result before that.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
 }
 
 impl KindReport {
     pub(super) fn new(kind: Kind, times: &[&StartupTimes], must_register: bool) -> Self {
-        let ready: Vec<Option<Duration>> =
-            times.iter().map(|one| one.ready(must_register)).collect();
+        let ready: Vec<Option<Duration>> = times
+            .iter()
+            .map(|process| process.ready(must_register))
+            .collect();
         let in_time = |time: &&Duration| **time <= READY_TARGET;
         Self {
             kind,
             processes: times.len(),
             ready: ready.iter().flatten().count(),
             in_time: ready.iter().flatten().filter(in_time).count(),
-            times: Times::of(ready),
-            listens: Times::of(times.iter().map(|one| one.listens)),
-            registered: must_register.then(|| Times::of(times.iter().map(|one| one.registered))),
-            answered: Times::of(times.iter().map(|one| one.answered)),
-            rejected: times.iter().map(|one| one.rejected).sum(),
+            times: ReadyTimes::from_durations(ready),
+            listens: ReadyTimes::from_durations(times.iter().map(|process| process.listens)),
+            registered: must_register.then(|| {
+                ReadyTimes::from_durations(times.iter().map(|process| process.registered))
+            }),
+            answered: ReadyTimes::from_durations(times.iter().map(|process| process.answered)),
+            rejected: times.iter().map(|process| process.rejected).sum(),
         }
     }
 
@@ -138,57 +143,59 @@
     }
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// The restart, by kind.
+    /// Results of the restart, by kind.
     pub restarted: Vec<KindReport>,
-    /// The first start, with empty disks, by kind.
+    /// Results of the first start, with empty disks, by kind.
     pub first: Vec<KindReport>,
-    /// Reports to the registry of nodes that nobody could connect to yet.
+    /// Number of reports to the registry from nodes that did not accept connections yet.
     #[serde(rename = "told_before_listening")]
     pub early_reports: u64,
-    /// Processes that ended by themselves, or not when they were told.
+    /// Processes that exited by themselves, or did not exit when signalled.
     #[serde(rename = "fell")]
     pub process_faults: Vec<String>,
-    /// Where the registry was down or silent: nodes in its list once it was back.
-    pub back_in_list: usize,
-    /// How long that took.
-    pub back: Option<Times>,
-    /// Keys on the disks before the restart.
+    /// If the registry was down or silent: number of nodes that registered once it was back.
+    #[serde(rename = "back_in_list")]
+    pub reregistered_nodes: usize,
+    /// Times from the return of the registry until these nodes were registered.
+    #[serde(rename = "back")]
+    pub reregistration_times: Option<ReadyTimes>,
+    /// Number of keys on the disks before the restart.
     pub keys: usize,
-    /// Keys that were asked for again after it.
+    /// Number of keys requested again after the restart.
     #[serde(rename = "keys_asked")]
     pub keys_checked: usize,
-    /// Those of them whose result was the same.
+    /// Number of these keys with the same result as before.
     #[serde(rename = "keys_kept")]
     pub keys_preserved: usize,
-    /// Nodes, members among them.
+    /// Number of nodes, including members.
     pub nodes: usize,
 }
 
 impl Report {
-    /// Whether all is as it should be but for the times: the same on any machine.
+    /// Whether all checks except those of the times passed; does not depend on the machine's speed.
     pub fn is_complete(&self) -> bool {
         let all_ready = |kind: &KindReport| kind.ready == kind.processes;
         self.process_faults.is_empty()
             && self.early_reports == 0
             && self.restarted.iter().all(all_ready)
-            && (self.back.is_none() || self.back_in_list == self.nodes)
+            && (self.reregistration_times.is_none() || self.reregistered_nodes == self.nodes)
             && self.keys_preserved == self.keys_checked
     }
 
-    /// Whether nine in ten of each kind were in time, and all else is as it should be.
+    /// Whether nine in ten processes of each kind were ready in time, and all other checks passed.
     pub fn meets_target(&self) -> bool {
         let in_time = |kind: &KindReport| kind.in_time * 10 >= kind.processes * 9;
         self.is_complete() && self.restarted.iter().all(in_time)
     }
 }
 
-/// Writes a report for people or as one JSON object.
+/// Writes a report as text or as one JSON object.
 ///
 /// # Errors
-/// If it cannot be written.
+/// If the report cannot be written.
 pub fn write_report(
     out: &mut impl Write,
     options: &Options,
@@ -205,11 +212,11 @@
     for kind in &report.restarted {
         kind.write(out, "restarted")?;
     }
-    if let Some(back) = report.back {
-        let (back_in, nodes) = (report.back_in_list, report.nodes);
+    if let Some(reregistration_times) = report.reregistration_times {
+        let (reregistered, nodes) = (report.reregistered_nodes, report.nodes);
         writeln!(
             out,
-            "announce service back: {back_in} of {nodes} nodes in the list; {back}"
+            "announce service back: {reregistered} of {nodes} nodes in the list; {reregistration_times}"
         )?;
     }
     if report.keys > 0 {
--- a/crates/testbed/src/ready/setup.rs
+++ b/crates/testbed/src/ready/setup.rs
@@ -1,4 +1,4 @@
-//! Ports, configuration files and agents of a run, before anything is started.
+//! Ports, configuration files and agents of a run, prepared before nodes and forwarders are started.
 
 use super::client::RequestTemplate;
 use super::fleet::Fleet;
@@ -25,24 +25,25 @@
 /// Shards of the group, and replicas of each.
 const SHARDS: u64 = 16;
 const REPLICAS_PER_SHARD: u64 = 3;
-/// Deadlines of the group's requests and of a node's.
+/// Request deadlines of the group and of a node.
 const GROUP_DEADLINE: Duration = Duration::from_secs(2);
 const NODE_DEADLINE: Duration = Duration::from_secs(4);
-/// One route in so many names tenants.
+/// One in this many routes names tenants.
 const ROUTES_PER_TENANT_ROUTE: usize = 8;
 
-/// A port that stays ours while whoever listens there is restarted: bound here without listening, which hinders
-/// nobody who binds it to be used again, and everybody who looks for a free one.
+/// Reserves a port while the process that listens on it is restarted. The port is bound here without listening: a
+/// process that binds it with address reuse can listen on it, but the system does not hand it out as a free port.
 fn reserve_port() -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
     let address = socket.local_addr()?.as_socket();
-    let address = address.ok_or_else(|| io::Error::other("no address"))?;
+    let address =
+        address.ok_or_else(|| io::Error::other("the reserved socket has no IP address"))?;
     Ok((socket, address))
 }
 
-/// A run whose files are being written.
+/// A run whose files are being prepared.
 struct Setup<'o> {
     options: &'o Options,
     folder: PathBuf,
@@ -93,11 +94,11 @@
         Ok(address)
     }
 
-    fn draw(&mut self, of: usize) -> usize {
-        self.random.generate_range(0..of)
+    fn draw(&mut self, bound: usize) -> usize {
+        self.random.generate_range(0..bound)
     }
 
-    /// The configuration of the group of the first nodes.
+    /// Writes the configuration of the group, whose members are the first nodes.
     fn write_group(&mut self) -> io::Result<PathBuf> {
         let mut members = Vec::new();
         for n in 0..self.options.group {
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// Writes the configuration of all forwarders, with the nodes as members of its pools.
+    /// Adds the forwarders and writes their shared configuration, with the nodes as members of its pools.
     fn add_forwarders(&mut self, nodes: &[SocketAddr]) -> io::Result<()> {
         let options = self.options;
         let size = options.size();
@@ -169,7 +170,7 @@
             ConfigFormat::Text => "fleet.txtpb",
             ConfigFormat::Binary => "fleet.pb",
         });
-        // A pool's members are at different nodes: they come in steps of the number of pools.
+        // The members of a pool, whose numbers differ by the number of pools, are on different nodes.
         let node_of =
             |member: usize| (member % size.pools * 7 + member / size.pools) % options.nodes;
         let text = size.rain_to(|member| nodes[node_of(member)].to_string());
@@ -196,7 +197,7 @@
         Ok(())
     }
 
-    /// A route that names no tenants, if there is one.
+    /// Draws a route that names no tenants, if there is one.
     fn draw_route(&mut self) -> usize {
         let routes = self.options.routes;
         let route = self.draw(routes);
@@ -211,7 +212,7 @@
     (0..count).map(tenant).collect()
 }
 
-/// A configuration in the form in which forwarders read it.
+/// Encodes a configuration in the format that forwarders read.
 fn encode_configuration(text: &str, format: ConfigFormat) -> io::Result<Vec<u8>> {
     if format == ConfigFormat::Rain {
         return Ok(text.into());
@@ -219,7 +220,7 @@
     let outcome = rainstand_config::load(&Memory::new([("fleet.rain", text)]), "fleet.rain");
     let configuration = outcome
         .configuration
-        .ok_or_else(|| io::Error::other("the configuration is refused"))?;
+        .ok_or_else(|| io::Error::other("the generated configuration is invalid"))?;
     Ok(match format {
         ConfigFormat::Binary => schema::to_binary(&configuration),
         _ => schema::to_text(&configuration).into(),
--- a/crates/testbed/src/play_identity.rs
+++ b/crates/testbed/src/run_identity.rs
@@ -1,4 +1,4 @@
-//! What a result of a sweep is of: results of another schedule, build or set of options are not counted with it.
+//! Identifies the runs of a sweep: results of another schedule, build or set of options are not counted.
 
 use crate::peers::hash;
 use crate::process::program;
@@ -9,24 +9,24 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What determines a run beside its seed.
+/// What determines a run besides its seed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct PlayIdentity {
+pub struct RunIdentity {
     /// Name of the rig.
     pub rig: String,
-    /// Digest of the rig, of which a seed makes its schedule.
+    /// Digest of the rig, from which a seed derives its schedule.
     pub schedule: String,
     /// Digest of the testbed's and the node's programs.
     pub programs: String,
-    /// The options that change a run; empty if there are none.
+    /// Options that change a run; empty if there are none.
     pub options: String,
 }
 
-impl PlayIdentity {
-    /// Of a rig as it is played, with the programs of a folder, or beside this one.
+impl RunIdentity {
+    /// Identity of the runs of a rig, with the programs in `programs` or in the folder of the current executable.
     ///
     /// # Errors
-    /// If this program cannot be read. A node's program that is missing has the digest of no bytes.
+    /// If the current executable cannot be read. A missing node program counts as empty.
     pub fn new(rig: &Rig, programs: Option<&Path>, options: String) -> io::Result<Self> {
         Ok(Self {
             rig: rig.name.clone(),
@@ -36,10 +36,10 @@
         })
     }
 
-    /// Of soaks, which have no rig: a seed alone makes what is played.
+    /// Identity of soaks, which have no rig: the seed alone determines the run.
     ///
     /// # Errors
-    /// If this program cannot be read.
+    /// If the current executable cannot be read.
     pub fn of_soak(
         seconds: Option<u64>,
         programs: Option<&Path>,
@@ -54,10 +54,10 @@
     }
 }
 
-/// Digest of this program and of others.
+/// Digest of the current executable and the named programs.
 fn digest(names: &[&str], folder: Option<&Path>) -> io::Result<String> {
-    let own: PathBuf = std::env::current_exe()?;
-    let mut contents = fs::read(own)?;
+    let executable: PathBuf = std::env::current_exe()?;
+    let mut contents = fs::read(executable)?;
     for name in names {
         if let Ok(path) = program(name, folder) {
             contents.extend(fs::read(path).unwrap_or_default());
@@ -66,7 +66,7 @@
     Ok(hash(&contents))
 }
 
-impl fmt::Display for PlayIdentity {
+impl fmt::Display for RunIdentity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             rig,
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// If a process cannot be started or a file cannot be written; the run proves nothing then.
-pub async fn soak(options: &SoakOptions) -> io::Result<SoakReport> {
+pub async fn run(options: &SoakOptions) -> io::Result<SoakReport> {
     let mut report = SoakReport {
         seed: options.seed,
         ..SoakReport::default()
--- a/crates/testbed/tests/ready.rs
+++ b/crates/testbed/tests/ready.rs
@@ -1,4 +1,4 @@
-//! Processes that are restarted all at once. Verdicts are on what came, not on when: the times are the command's.
+//! Concurrent restart of many processes. The tests check results, not times: times are checked by the command only.
 
 #![allow(
     missing_docs,
@@ -8,7 +8,7 @@
 )]
 
 use rainstand_testbed::ready::{
-    play, ConfigFormat, Discovery, Kind, KindReport, Options, Report, StopMode, Times,
+    run, ConfigFormat, Discovery, Kind, KindReport, Options, ReadyTimes, Report, StopMode,
 };
 use serde_json::Value;
 use std::path::Path;
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-const RIG: &str = env!("CARGO_BIN_EXE_rainstand-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_rainstand-testbed");
 
-fn few(discovery: Discovery, end: StopMode) -> Options {
+fn small_fleet(discovery: Discovery, end: StopMode) -> Options {
     Options {
         nodes: 4,
         forwarders: 2,
@@ -31,36 +31,37 @@
         end,
         form: ConfigFormat::Rain,
         seed: 1,
-        programs: Path::new(RIG).parent().map(Path::to_owned),
+        programs: Path::new(TESTBED).parent().map(Path::to_owned),
     }
 }
 
-fn run(options: &Options) -> Report {
+fn run_fleet(options: &Options) -> Report {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     LocalSet::new()
-        .block_on(&runtime, play(options, folder.path()))
+        .block_on(&runtime, run(options, folder.path()))
         .unwrap()
 }
 
-fn counts(of: &[KindReport]) -> Vec<(Kind, usize, usize)> {
-    of.iter()
+fn counts(reports: &[KindReport]) -> Vec<(Kind, usize, usize)> {
+    reports
+        .iter()
         .map(|kind| (kind.kind, kind.processes, kind.ready))
         .collect()
 }
 
 #[test]
-fn all_are_ready_again_after_a_kill_and_the_group_has_its_keys() {
+fn all_processes_are_ready_after_a_kill_and_the_group_retains_its_keys() {
     let options = Options {
         group: 3,
         keys: 90,
         form: ConfigFormat::Binary,
-        ..few(Discovery::Up, StopMode::Kill)
+        ..small_fleet(Discovery::Up, StopMode::Kill)
     };
-    let report = run(&options);
+    let report = run_fleet(&options);
     assert!(report.is_complete(), "{report:#?}");
     let all = [
         (Kind::Node, 1, 1),
@@ -75,40 +76,40 @@
         (report.keys, report.keys_checked, report.keys_preserved),
         (90, 3, 3)
     );
-    // Nobody is ready who is not in the list.
+    // Only forwarders are ready without being registered.
     assert!(report
         .restarted
         .iter()
         .all(|kind| kind.registered.is_some() == (kind.kind != Kind::Forwarder)));
 }
 
-/// They serve without it, and are in the list once it is there.
+/// Nodes serve without the registry, and register once it is back.
 #[test]
-fn without_the_announce_service_all_are_ready_and_it_finds_them_later() {
+fn processes_are_ready_without_the_registry_and_nodes_register_when_it_returns() {
     for (discovery, end) in [
         (Discovery::Down, StopMode::Term),
         (Discovery::Silent, StopMode::Kill),
     ] {
-        let report = run(&few(discovery, end));
+        let report = run_fleet(&small_fleet(discovery, end));
         assert!(report.is_complete(), "{discovery:?} {report:#?}");
         assert_eq!(
             counts(&report.restarted),
             [(Kind::Node, 4, 4), (Kind::Forwarder, 2, 2)],
             "{discovery:?}"
         );
-        assert_eq!(report.back_in_list, 4, "{discovery:?} {report:#?}");
+        assert_eq!(report.reregistered_nodes, 4, "{discovery:?} {report:#?}");
     }
 }
 
 #[test]
-fn the_ninth_decile_is_that_of_nine_in_ten() {
+fn ninth_decile_is_the_smallest_time_that_nine_in_ten_do_not_exceed() {
     let ms = |ms: u64| Some(Duration::from_millis(ms));
     let cases = [
         ((1..=10).map(ms).collect(), (Some(9), Some(10))),
         ((1..=30).rev().map(ms).collect(), (Some(27), Some(30))),
         ((1..=11).map(ms).collect(), (Some(10), Some(11))),
         (vec![ms(7)], (Some(7), Some(7))),
-        // One of ten never came; two of ten.
+        // One of ten processes, then two of ten, never reached the state.
         ((1..=9).map(ms).chain([None]).collect(), (Some(9), None)),
         (
             (1..=8).map(ms).chain([None, None]).collect::<Vec<_>>(),
@@ -117,8 +118,8 @@
     ];
     for (times, (ninth_decile_ms, worst_ms)) in cases {
         assert_eq!(
-            Times::of(times.clone()),
-            Times {
+            ReadyTimes::from_durations(times.clone()),
+            ReadyTimes {
                 ninth_decile_ms,
                 worst_ms
             },
@@ -128,8 +129,8 @@
 }
 
 #[test]
-fn a_report_is_good_if_nine_in_ten_of_each_kind_are_in_time() {
-    let times = Times::default();
+fn report_meets_the_target_if_nine_in_ten_of_each_kind_are_in_time() {
+    let times = ReadyTimes::default();
     let kind = |kind, in_time| KindReport {
         kind,
         processes: 20,
@@ -151,44 +152,50 @@
         early_reports: 1,
         ..report(20, 20)
     };
-    let fell = Report {
+    let exited = Report {
         process_faults: vec!["n1".into()],
         ..report(20, 20)
     };
-    let lost = Report {
+    let lost_key = Report {
         keys_checked: 3,
         keys_preserved: 2,
         ..report(20, 20)
     };
-    let gone = Report {
-        back: Some(times),
-        back_in_list: 3,
+    let unregistered = Report {
+        reregistration_times: Some(times),
+        reregistered_nodes: 3,
         nodes: 4,
         ..report(20, 20)
     };
-    assert!([early, fell, lost, gone]
+    assert!([early, exited, lost_key, unregistered]
         .iter()
-        .all(|one| !one.meets_target() && !one.is_complete()));
+        .all(|report| !report.meets_target() && !report.is_complete()));
 }
 
 #[test]
-fn the_command_says_what_it_measured_and_refuses_wrong_use() {
-    let ready = |args: &[&str]| Command::new(RIG).arg("ready").args(args).output().unwrap();
-    for wrong in [
+fn command_reports_measurements_and_rejects_invalid_options() {
+    let ready = |args: &[&str]| {
+        Command::new(TESTBED)
+            .arg("ready")
+            .args(args)
+            .output()
+            .unwrap()
+    };
+    for invalid in [
         &["--nodes", "0"][..],
         &["--nodes", "200"],
         &["--group", "2"],
         &["--routes", "0"],
         &["--at"],
     ] {
-        let done = ready(wrong);
+        let completed = ready(invalid);
         assert_eq!(
-            (done.status.code(), done.stdout.len()),
+            (completed.status.code(), completed.stdout.len()),
             (Some(2), 0),
-            "{wrong:?}"
+            "{invalid:?}"
         );
     }
-    let few = [
+    let small = [
         "--nodes",
         "2",
         "--forwarders",
@@ -199,21 +206,21 @@
         "9",
         "--json",
     ];
-    let done = ready(&few);
-    let told: Value = serde_json::from_slice(&done.stdout).unwrap();
+    let completed = ready(&small);
+    let output: Value = serde_json::from_slice(&completed.stdout).unwrap();
     assert_eq!(
-        (&told["whole"], &told["asked"]["nodes"]),
+        (&output["whole"], &output["asked"]["nodes"]),
         (&true.into(), &2.into()),
-        "{told}"
+        "{output}"
     );
-    // In time or not is the machine's.
+    // Whether the processes are ready in time depends on the machine.
     assert_eq!(
-        done.status.code(),
-        Some(if told["good"] == true { 0 } else { 1 }),
-        "{told}"
+        completed.status.code(),
+        Some(if output["good"] == true { 0 } else { 1 }),
+        "{output}"
     );
     assert!(
-        told["report"]["restarted"][1]["times"]["ninth_decile_ms"].is_u64(),
-        "{told}"
+        output["report"]["restarted"][1]["times"]["ninth_decile_ms"].is_u64(),
+        "{output}"
     );
 }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A soak of each kind: requests that are open until the kill, a crowd, and signals before the node is ready.
+//! Three soaks that cover requests open until the kill, a crowd of bad connections, and signals before readiness.
 
 #![allow(
     missing_docs,
@@ -7,12 +7,12 @@
     reason = "a test target: clippy's default lints hold"
 )]
 
-use rainstand_testbed::soak::{soak, SoakOptions};
+use rainstand_testbed::soak::{run, SoakOptions};
 use std::path::Path;
 use tokio::task::LocalSet;
 
 #[test]
-fn processes_that_are_used_until_their_kill_keep_the_rules() {
+fn processes_in_use_until_their_kill_satisfy_the_invariants() {
     for seed in 1..4 {
         let folder = tempfile::tempdir().unwrap();
         let programs = Path::new(env!("CARGO_BIN_EXE_rainstand-testbed")).parent();
@@ -27,9 +27,9 @@
             .enable_all()
             .build()
             .unwrap();
-        let report = LocalSet::new().block_on(&runtime, soak(&options)).unwrap();
+        let report = LocalSet::new().block_on(&runtime, run(&options)).unwrap();
         assert!(report.is_clean(), "{report:#?}");
-        // It has to have seen something.
+        // The soak must have served requests and committed changes.
         assert!(report.answers > 100 && report.committed > 2, "{report:#?}");
         assert!(report.crowd > 0 || seed % 3 != 0, "{report:#?}");
     }
--- a/crates/testbed/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -1,8 +1,8 @@
-//! What a sweep counts.
+//! Which results a sweep counts.
 //!
-//! What happened: a sweep of chased.rain in a folder where site.rain had been swept said "29 seeds: 0 failed" at once and
-//! had played nothing. Why: a result was known by its seed alone, so that those of another file, build or set of options
-//! counted. What showed it: `results.jsonl` had no line more than before.
+//! Guards against this failure: a sweep of chased.rain in the output folder of a sweep of site.rain reported
+//! "29 seeds: 0 failed" without running a seed. Results were identified by their seed alone, so those of another file,
+//! build or set of options were counted. `results.jsonl` got no new line.
 
 #![allow(
     missing_docs,
@@ -14,13 +14,13 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// A sweep of one seed. `programs` is a folder without any, so that each seed that is played fails at once.
+/// Sweeps one seed and returns the output. `programs` is a folder without the programs, so each run fails immediately.
 fn sweep(file: &str, out: &Path, programs: &Path, seconds: u64) -> String {
     let file = format!(
         "{}/../../experiments/rig/{file}",
         env!("CARGO_MANIFEST_DIR")
     );
-    let output = Command::new(env!("CARGO_BIN_EXE_rainstand-testbed"))
+    let completed = Command::new(env!("CARGO_BIN_EXE_rainstand-testbed"))
         .args([
             "sweep",
             &file,
@@ -36,7 +36,7 @@
         .stderr(Stdio::null())
         .output()
         .unwrap();
-    String::from_utf8(output.stdout).unwrap()
+    String::from_utf8(completed.stdout).unwrap()
 }
 
 fn results(out: &Path) -> usize {
@@ -45,22 +45,22 @@
 }
 
 #[test]
-fn a_sweep_counts_results_of_its_own_play_alone() {
+fn sweep_counts_only_results_of_identical_runs() {
     let folder = tempfile::tempdir().unwrap();
     let (out, programs) = (folder.path().join("out"), folder.path().join("programs"));
     std::fs::create_dir(&programs).unwrap();
-    let told = sweep("site.rain", &out, &programs, 1);
-    assert!(told.contains("1 seeds: 1 failed"), "{told}");
+    let output = sweep("site.rain", &out, &programs, 1);
+    assert!(output.contains("1 seeds: 1 failed"), "{output}");
     assert_eq!(results(&out), 1);
-    // The same once more: the seed is not played again.
-    let told = sweep("site.rain", &out, &programs, 1);
-    assert!(told.contains("1 seeds: 1 failed"), "{told}");
+    // The same sweep again does not run the seed again.
+    let output = sweep("site.rain", &out, &programs, 1);
+    assert!(output.contains("1 seeds: 1 failed"), "{output}");
     assert_eq!(results(&out), 1);
-    // Another file, another option: played, and the others are named.
-    let told = sweep("chased.rain", &out, &programs, 1);
+    // With another file or option the seed is run, and the other results are named.
+    let output = sweep("chased.rain", &out, &programs, 1);
     assert!(
-        told.contains("not counted: 1 results of rig site"),
-        "{told}"
+        output.contains("not counted: 1 results of rig site"),
+        "{output}"
     );
     assert_eq!(results(&out), 2);
     sweep("chased.rain", &out, &programs, 2);
@@ -69,14 +69,14 @@
     std::fs::write(programs.join("rainstand-node"), "another").unwrap();
     sweep("chased.rain", &out, &programs, 2);
     assert_eq!(results(&out), 4);
-    // One that an older release wrote does not say what it is of.
+    // A result of an older release has no identity.
     std::fs::remove_file(programs.join("rainstand-node")).unwrap();
     let path = out.join("results.jsonl");
     std::fs::write(&path, "{\"seed\":1,\"good\":true}\n").unwrap();
-    let told = sweep("site.rain", &out, &programs, 1);
+    let output = sweep("site.rain", &out, &programs, 1);
     assert!(
-        told.contains("not counted: 1 results of no named play"),
-        "{told}"
+        output.contains("not counted: 1 results of an unidentified run"),
+        "{output}"
     );
     assert_eq!(results(&out), 2);
 }
