--- a/crates/raft/src/divergence.rs
+++ b/crates/raft/src/divergence.rs
@@ -1,34 +1,34 @@
 //! The rule for replicas whose logs diverged.
 //!
-//! Entries of the same index and term are the same by construction. Where their running checksums differ, a log was
-//! changed behind the program's back, or the program has a bug. Then the checksum that a majority of the voters holds is
-//! taken as the right one. The others are quarantined and have to be rebuilt as new members; nothing is overwritten in
-//! silence, and nobody is quarantined where no majority agrees.
+//! Entries of the same index and term are identical by construction. If their running checksums differ, a log was
+//! modified outside the program, or the program has a bug. The checksum of a majority of the voters counts as correct.
+//! Replicas with another checksum are quarantined and must be rebuilt as new members; no log is silently overwritten,
+//! and no replica is quarantined unless a majority agrees.
 
 use crate::wire::ReplicaId;
 
-/// A replica that reported another running checksum than the leader's for the same index and term.
+/// A replica whose reported running checksum differs from the leader's for the same index and term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DivergentReplica {
-    /// The replica.
+    /// The replica's ID.
     pub id: ReplicaId,
     /// The checksum that it reported.
     pub checksum: u64,
 }
 
-/// Which replicas are to be quarantined.
+/// Which replicas to quarantine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DivergenceVerdict {
-    /// No majority agrees yet: nobody.
+    /// None: no majority agrees yet.
     Undecided,
     /// These voters; the leader is part of the majority.
     Minority(Vec<ReplicaId>),
-    /// The leader: a majority of the voters agrees on this checksum instead.
+    /// The leader: a majority of the voters agrees on this other checksum.
     Leader(u64),
 }
 
-/// Judges a divergence. `agreeing` counts the voters known to hold the leader's checksum, the leader included;
-/// `divergent` are the voters that reported another one.
+/// Decides which replicas to quarantine. `agreeing` is the number of voters known to have the leader's checksum,
+/// including the leader; `divergent` are the voters that reported a different one.
 pub fn judge_divergence(
     voters: usize,
     agreeing: usize,
@@ -38,7 +38,7 @@
     if agreeing >= majority {
         return DivergenceVerdict::Minority(divergent.iter().map(|replica| replica.id).collect());
     }
-    let holders = |checksum: u64| {
+    let count_with = |checksum: u64| {
         divergent
             .iter()
             .filter(|replica| replica.checksum == checksum)
@@ -47,6 +47,6 @@
     divergent
         .iter()
         .map(|replica| replica.checksum)
-        .find(|checksum| holders(*checksum) >= majority)
+        .find(|checksum| count_with(*checksum) >= majority)
         .map_or(DivergenceVerdict::Undecided, DivergenceVerdict::Leader)
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -3,18 +3,19 @@
 //! | module | contents |
 //! | --- | --- |
 //! | [`wire`] | entries, messages and memberships, as they are sent and stored |
-//! | [`log`] | the entries in memory, behind a snapshot, with their running checksums |
-//! | [`replica`] | the decisions: elections, replication, membership, snapshots, reads |
+//! | [`log`] | the entries in memory after a snapshot, with their running checksums |
+//! | [`replica`] | the protocol logic: elections, replication, membership, snapshots, reads |
 //! | [`divergence`] | the rule for replicas whose logs diverged |
 //! | [`plant`] | bugs that can be planted by name, for tests |
 //!
-//! How it is driven: [`Replica::tick`], [`Replica::step`], [`Replica::propose`] and the other methods change the state;
-//! [`Replica::take_ready`] then returns the effects. Writes go to the disk in the order of the calls: the hard state, the
-//! snapshot, the entries. Messages in [`Ready::messages`] may be sent at once; those in
-//! [`Ready::messages_after_persist`] wait until all writes handed out so far are durable, which the caller reports with
-//! [`Replica::on_persisted`]. Time and the random seed are handed in, so that the same calls have the same effects.
+//! Usage: [`Replica::tick`], [`Replica::step`], [`Replica::propose`] and the other methods change the state;
+//! [`Replica::take_ready`] then returns the effects. The caller writes to disk in the order of the calls and, within one
+//! [`Ready`], first the hard state, then the snapshot, then the entries. Messages in [`Ready::messages`] may be sent
+//! immediately; those in [`Ready::messages_after_persist`] must wait until all writes returned so far are durable. The
+//! caller reports durable entries with [`Replica::on_persisted`]. Time and the random seed are parameters, so that the
+//! same calls have the same effects.
 //!
-//! A member is identified by its disk, not by its name: a node that comes back with another disk is another member, and
+//! A member is identified by its disk, not by its name: a node that restarts with another disk is another member, and
 //! inherits no vote.
 
 pub mod divergence;
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,11 +1,11 @@
-//! The entries in memory, behind a snapshot, with their running checksums.
+//! The entries in memory after a snapshot, with their running checksums.
 //!
-//! Invariant: `entries[k].index == base.index + 1 + k`, and `checksums[k]` is the running checksum up to it.
+//! Invariant: `entries[k].index == base.index + 1 + k`, and `checksums[k]` is the running checksum up to that entry.
 
 use crate::wire::{Entry, SnapshotMetadata};
 use std::collections::VecDeque;
 
-/// Consecutive entries behind a base, which is a snapshot or the beginning of the log.
+/// Consecutive entries after a base, which is a snapshot or the beginning of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Log {
     base: SnapshotMetadata,
@@ -16,7 +16,7 @@
 }
 
 impl Log {
-    /// A log behind `base`; the first of the entries has the index behind the base's.
+    /// Creates a log that starts at `base`; the index of the first entry must be one above the base's.
     pub fn new(base: SnapshotMetadata, entries: impl IntoIterator<Item = Entry>) -> Self {
         let mut log = Self {
             base,
@@ -30,7 +30,7 @@
         log
     }
 
-    /// The snapshot that the entries follow; all zero if they begin the log.
+    /// The metadata of the snapshot before the entries; all zero if the log starts with them.
     pub fn base(&self) -> &SnapshotMetadata {
         &self.base
     }
@@ -59,12 +59,12 @@
         self.bytes
     }
 
-    /// Number of entries behind the base.
+    /// Number of entries after the base.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry stands behind the base.
+    /// Whether there are no entries after the base.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -75,12 +75,12 @@
         (position < self.entries.len()).then_some(position)
     }
 
-    /// The entry of an index, if it stands behind the base.
+    /// The entry at an index; `None` up to the base and after the last entry.
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         self.entries.get(self.position(index)?)
     }
 
-    /// The term of an entry or of the base; `None` before the base and behind the last entry.
+    /// The term of an entry or of the base; `None` before the base and after the last entry.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -88,7 +88,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The running checksum up to an entry or the base; `None` before the base and behind the last entry.
+    /// The running checksum up to an entry or the base; `None` before the base and after the last entry.
     pub fn checksum(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.checksum);
@@ -114,7 +114,7 @@
         entries
     }
 
-    /// Appends an entry, whose index must be the one behind the last.
+    /// Appends an entry, whose index must be one above the last.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(
             entry.index,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Removes the entries up to the index of `base`, which replaces them.
+    /// Replaces the entries up to the index of `base` with `base`.
     pub fn compact(&mut self, base: SnapshotMetadata) {
         while self
             .entries
@@ -149,15 +149,15 @@
         self.base = base;
     }
 
-    /// The first index of the term that an index belongs to, so that a leader can probe term by term.
+    /// The first index in the log of the term that an index belongs to, so that a leader can probe term by term.
     pub fn first_index_of_term(&self, index: u64) -> u64 {
         let Some(term) = self.term(index) else {
             return index;
         };
-        let mut first = index;
-        while first > self.base.index + 1 && self.term(first - 1) == Some(term) {
-            first -= 1;
+        let mut first_index = index;
+        while first_index > self.base.index + 1 && self.term(first_index - 1) == Some(term) {
+            first_index -= 1;
         }
-        first
+        first_index
     }
 }
--- a/crates/raft/src/plant.rs
+++ b/crates/raft/src/plant.rs
@@ -1,13 +1,13 @@
 //! Bugs that can be planted by name, to test that simulations and searches find them.
 //!
-//! Without the feature `planted` the compiler answers every question with no, and the bugs are not in the program.
+//! Without the feature `planted`, [`planted`] is always `false` and the compiler removes the bugs from the program.
 
 /// A bug that can be planted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlantedBug {
-    /// How it is named on command lines and in the environment variable `RAINSTAND_PLANT`.
+    /// Its name on command lines and in the environment variable `RAINSTAND_PLANT`.
     pub name: &'static str,
-    /// What the program does with it.
+    /// How the program misbehaves with it.
     pub effect: &'static str,
 }
 
@@ -15,15 +15,15 @@
 pub const BUGS: &[PlantedBug] = &[
     PlantedBug {
         name: "early-answer",
-        effect: "an entry is committed when the leader holds it, before a majority does",
+        effect: "the leader commits an entry when it appends it, before a majority has it",
     },
     PlantedBug {
         name: "vote-forgotten",
-        effect: "the vote is not written, so that a restart forgets it",
+        effect: "the vote is not written to disk, so it is lost in a restart",
     },
     PlantedBug {
         name: "tail-kept",
-        effect: "an uncommitted suffix that differs from the leader's stays",
+        effect: "a follower does not truncate an uncommitted suffix that differs from the leader's",
     },
     PlantedBug {
         name: "config-lost",
@@ -31,11 +31,11 @@
     },
     PlantedBug {
         name: "vote-too-soon",
-        effect: "a learner counts towards the majority as if it voted",
+        effect: "a learner counts towards the majority as if it were a voter",
     },
     PlantedBug {
         name: "second-run",
-        effect: "a claim whose holder is out of contact is granted again",
+        effect: "a claim is granted again while its holder is out of contact",
     },
     PlantedBug {
         name: "early-launch",
@@ -43,23 +43,23 @@
     },
     PlantedBug {
         name: "answers-dropped-at-kill",
-        effect: "a node that drains ends its connections before the last answers are written",
+        effect: "a draining node closes its connections before it has written the last responses",
     },
     PlantedBug {
         name: "reload-forgotten",
-        effect: "a signal to reload that comes within milliseconds of the one before is dropped",
+        effect: "a reload signal within milliseconds of the previous one is dropped",
     },
     PlantedBug {
         name: "second-signal-cuts-drain",
-        effect: "a second signal to drain ends the node at once",
+        effect: "a second drain signal ends the node immediately",
     },
     PlantedBug {
         name: "descriptor-leak",
-        effect: "each reload leaves a descriptor open",
+        effect: "each reload leaks an open file descriptor",
     },
     PlantedBug {
         name: "stale-publish",
-        effect: "the published versions are said to be the newest without asking the leader",
+        effect: "the published versions are reported as the newest without a request to the leader",
     },
     PlantedBug {
         name: "sums-twice",
@@ -92,7 +92,7 @@
 #[cfg(feature = "planted")]
 pub use planting::{plant, planted};
 
-/// Whether this bug is planted: never in this build.
+/// Whether this bug is planted: always `false` in this build.
 #[cfg(not(feature = "planted"))]
 #[inline]
 pub const fn planted(_: &str) -> bool {
--- a/crates/raft/src/replica.rs
+++ b/crates/raft/src/replica.rs
@@ -1,6 +1,6 @@
 //! One replica of a replicated log: its state, its clock and the messages that it receives.
 //!
-//! The decisions live in submodules, each of which adds methods to [`Replica`]. Invariants: `applied_index <=
+//! The protocol logic is in submodules, each of which adds methods to [`Replica`]. Invariants: `applied_index <=
 //! commit_index <= log.last_index()`; `role` changes in `transition_to` only; `peers` is empty unless the replica leads.
 
 mod elections;
@@ -37,51 +37,51 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The intervals that a replica works with. All members of a group should use the same ones.
+/// The protocol timeouts of a replica. All members of a group should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
     /// Time between two heartbeats of a leader, and between two rounds of vote requests of a candidate.
     pub heartbeat_interval: Duration,
-    /// Shortest time for which a follower waits for a leader; the time is drawn at random each time.
+    /// Shortest election timeout of a follower; each timeout is drawn at random.
     pub min_election_timeout: Duration,
-    /// Longest time for which a follower waits for a leader.
+    /// Longest election timeout of a follower.
     pub max_election_timeout: Duration,
 }
 
-/// The part that a replica plays in its term.
+/// The role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Requests pre-votes: would a majority elect it? Its term has not changed yet.
+    /// Requests pre-votes to find out whether a majority would elect it. Its term has not changed yet.
     PreCandidate,
-    /// Requests votes in a term of its own.
+    /// Requests votes in a new term.
     Candidate,
     /// Leads its term.
     Leader,
-    /// Its log diverged from the majority's: it takes part in nothing until it is rebuilt. Final.
+    /// Its log diverged from the majority's: it ignores all messages and ticks until it is rebuilt. Final.
     Quarantined,
 }
 
-/// What a replica finds on its disk when it starts.
+/// The state that a replica reads from its disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     /// The last term and vote that were written.
     pub hard_state: HardState,
     /// The newest snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
-    /// The entries behind the snapshot, without a gap.
+    /// The entries after the snapshot, without a gap.
     pub entries: Vec<Entry>,
 }
 
-/// Why a replica refused a request.
+/// Why a replica rejected a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// Another replica leads; which one, if that is known.
-    #[error("this replica does not lead")]
+    /// This replica is not the leader; holds the leader, if it is known.
+    #[error("this replica is not the leader")]
     NotLeader(Option<ReplicaId>),
-    /// Too much is in flight, or leadership is being transferred. A later retry may succeed.
-    #[error("too much is in flight, or leadership is being transferred")]
+    /// Too many requests are in flight, or leadership is being transferred. A later retry may succeed.
+    #[error("too many requests are in flight, or leadership is being transferred")]
     Busy,
     /// The previous membership change is not committed yet.
     #[error("a membership change is in progress")]
@@ -89,24 +89,24 @@
     /// The leader has not committed an entry of its own term yet.
     #[error("the leader has not committed an entry in its term yet")]
     NoCommitInTerm,
-    /// The replica to add is a member already.
-    #[error("the replica is a member already")]
+    /// The replica to add is already a member.
+    #[error("the replica is already a member")]
     AlreadyMember,
     /// The replica to promote is not a member.
     #[error("the replica is not a member")]
     NotMember,
-    /// The learner to promote does not hold all committed entries yet.
+    /// The learner to promote does not have all committed entries yet.
     #[error("the learner has not caught up")]
     NotCaughtUp,
     /// The only voter cannot be removed.
     #[error("the last voter cannot be removed")]
     LastVoter,
-    /// Leadership goes to another voter only.
+    /// The transfer target is this replica or not a voter.
     #[error("leadership can be transferred to another voter only")]
     InvalidTransferTarget,
 }
 
-/// One replica of one replicated log. See the crate's documentation for how it is driven.
+/// One replica of one replicated log. See the crate's documentation for how to use it.
 #[derive(Clone, Debug)]
 pub struct Replica {
     id: ReplicaId,
@@ -114,43 +114,43 @@
     rng: WyRand,
     now: Duration,
     term: u64,
-    /// Voted for in this term; 0: nobody.
+    /// The replica that it voted for in this term; 0: none.
     vote: ReplicaId,
     role: Role,
     leader: Option<ReplicaId>,
     last_leader_contact: Option<Duration>,
     log: Log,
-    /// The memberships that the log holds, by index; the first one is that of the log's base.
+    /// The memberships in the log, by index; the first one is that of the log's base.
     memberships: Vec<IndexedMembership>,
-    /// Data of the snapshot that the log's base describes.
+    /// Data of the snapshot whose metadata is the log's base.
     snapshot_data: Bytes,
     commit_index: u64,
     applied_index: u64,
-    /// All entries up to here are durable on the own disk.
+    /// All entries up to this index are durable on the local disk.
     persisted_index: u64,
-    /// When the next election starts; for a leader, when it next checks that a majority is in contact.
+    /// When the next election starts; for a leader, when it next checks for contact with a majority.
     election_deadline: Duration,
-    /// When the next heartbeats, or repeated vote requests, are due.
+    /// When the next heartbeats or repeated vote requests are due.
     heartbeat_deadline: Duration,
-    /// Voters that granted the vote or pre-vote in the election that is under way.
+    /// Voters that granted the vote or pre-vote in the current election.
     votes: BTreeSet<ReplicaId>,
-    /// Of a leader: the other members.
+    /// The other members; empty unless this replica leads.
     peers: BTreeMap<ReplicaId, PeerProgress>,
     incoming_snapshot: Option<IncomingSnapshot>,
     pending_reads: VecDeque<PendingRead>,
-    /// Number of the newest read; sent with each heartbeat, and confirmed by each response.
+    /// Number of the newest read; each heartbeat carries it and each response confirms it.
     read_round: u64,
     leadership_transfer: Option<LeadershipTransfer>,
     log_clock: LogClock,
-    /// Bytes of data that were proposed here and are not committed.
+    /// Bytes of data proposed to this leader that are not committed yet.
     uncommitted_bytes: usize,
     /// Effects since the last [`Replica::take_ready`].
     ready: Ready,
 }
 
 impl Replica {
-    /// A follower with the state that its disk holds. `seed` determines its election timeouts; `now` is the time on
-    /// the clock that all later calls use.
+    /// Creates a follower with the state from its disk. `seed` determines its election timeouts; `now` is the current
+    /// time, on the clock that all later calls use.
     pub fn new(
         id: ReplicaId,
         timeouts: Timeouts,
@@ -198,12 +198,12 @@
         replica
     }
 
-    /// The replica's identity.
+    /// The replica's ID.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The part that the replica plays in its term.
+    /// The replica's role in its term.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -223,7 +223,7 @@
         self.term
     }
 
-    /// Which replica got the vote in this term; 0: none.
+    /// The replica that it voted for in this term; 0: none.
     pub fn vote(&self) -> ReplicaId {
         self.vote
     }
@@ -233,17 +233,17 @@
         self.commit_index
     }
 
-    /// The index up to which entries were handed out by [`Replica::take_ready`].
+    /// The index up to which [`Replica::take_ready`] has returned entries.
     pub fn applied(&self) -> u64 {
         self.applied_index
     }
 
-    /// The log, committed or not.
+    /// The log, including uncommitted entries.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Of a leader: the progress of each other member, in order of identity. Of any other role: nothing.
+    /// The progress of each other member, in order of ID; empty unless this replica leads.
     pub fn progress(&self) -> impl Iterator<Item = FollowerProgress> + '_ {
         self.peers.iter().map(|(id, peer)| FollowerProgress {
             id: *id,
@@ -252,7 +252,7 @@
         })
     }
 
-    /// When [`Replica::tick`] is next due, if nothing happens before.
+    /// When [`Replica::tick`] is next due, if no other method is called before.
     pub fn next_deadline(&self) -> Duration {
         match self.role {
             Role::Leader | Role::PreCandidate | Role::Candidate => {
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Drains the effects of all calls since the last one. See the crate's documentation for the order in which they
-    /// are to be carried out.
+    /// Returns the effects of all calls since the last `take_ready`. See the crate's documentation for the order in
+    /// which the caller must carry them out.
     pub fn take_ready(&mut self) -> Ready {
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.entry(self.applied_index + 1) else {
@@ -276,8 +276,8 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// Hashes the state without its clock and random numbers, so that a search over all orders of events can tell
-    /// states that it has seen.
+    /// Hashes the state without its clock and random numbers, so that a search over all orders of events can
+    /// recognize visited states.
     pub fn fingerprint(&self, into: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
         (self.id, self.term, self.vote, self.role, self.leader).hash(into);
@@ -292,8 +292,8 @@
         }
     }
 
-    /// Advances the clock and does what is due: elections, heartbeats, repeated requests. `now` never goes back; an
-    /// earlier time counts as the latest one seen.
+    /// Advances the clock and runs what is due: elections, heartbeats, repeated requests. The clock is monotonic: a
+    /// `now` before the latest time seen is replaced by the latter.
     pub fn tick(&mut self, now: Duration) {
         self.advance_clock(now);
         let heartbeat_due = self.now >= self.heartbeat_deadline;
@@ -301,14 +301,14 @@
             Role::Quarantined => {}
             Role::Leader => self.tick_leader(),
             _ if self.now >= self.election_deadline => self.start_pre_vote(),
-            // Requests may have been lost on the way.
+            // Earlier requests may have been lost in transit.
             Role::PreCandidate if heartbeat_due => self.request_pre_votes(),
             Role::Candidate if heartbeat_due => self.request_votes(CampaignKind::Election),
             _ => {}
         }
     }
 
-    /// Processes a message of another replica. Messages for another recipient are ignored.
+    /// Processes a message from another replica. Messages for another recipient are ignored.
     pub fn step(&mut self, now: Duration, message: Message) {
         self.advance_clock(now);
         let Message {
@@ -340,7 +340,7 @@
         }
     }
 
-    /// The only place where the role changes. What only a leader knows goes when it stops leading.
+    /// The only place where the role changes. Clears the leader's state when the replica stops leading.
     fn transition_to(&mut self, role: Role) {
         match role {
             Role::Follower if self.is_leader() => {
@@ -385,13 +385,13 @@
         }
     }
 
-    /// Sends at once, without waiting for the own disk.
+    /// Sends without waiting for the local disk.
     fn send(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
         self.ready.messages.push(message);
     }
 
-    /// Sends once all that was written so far is durable.
+    /// Sends once all writes so far are durable.
     fn send_after_persist(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
         self.ready.messages_after_persist.push(message);
@@ -412,7 +412,7 @@
     }
 }
 
-/// The memberships of a log by index, that of its base first.
+/// The memberships in a log by index, starting with that of its base.
 fn memberships_of(log: &Log, base: IndexedMembership) -> Vec<IndexedMembership> {
     let first_index = base.index + 1;
     let mut memberships = vec![base];
--- a/crates/raft/src/replica/elections.rs
+++ b/crates/raft/src/replica/elections.rs
@@ -15,12 +15,13 @@
 pub enum CampaignKind {
     /// No leader is in contact.
     Election,
-    /// The leader asked for it: voters grant the vote even though they are in contact with a leader.
+    /// The leader requested it: voters grant the vote even while they are in contact with a leader.
     LeadershipTransfer,
 }
 
 impl Replica {
-    /// Starts an election in a new term, whether a leader is known or not. Does nothing on a replica that has no vote.
+    /// Starts an election in a new term, whether or not a leader is known. Does nothing on a replica that is not a
+    /// voter or is quarantined.
     pub fn campaign(&mut self, now: Duration, kind: CampaignKind) {
         self.advance_clock(now);
         if self.role == Role::Quarantined || !self.membership().is_voter(self.id) {
@@ -37,8 +38,8 @@
         self.tally_votes();
     }
 
-    /// Asks the voters whether they would elect this replica, before its term changes. A replica that was cut off
-    /// would otherwise depose a working leader each time its links come back.
+    /// Requests pre-votes before the term changes. Otherwise a partitioned replica would depose a working leader each
+    /// time its links recover.
     pub(super) fn start_pre_vote(&mut self) {
         self.reset_election_deadline();
         if !self.membership().is_voter(self.id) {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// To all voters that have not granted their vote yet.
+    /// Sends a vote request to all voters that have not granted their vote yet.
     fn send_vote_requests(&mut self, term: u64, request: &VoteRequest) {
         self.heartbeat_deadline = self.now + self.timeouts.heartbeat_interval;
         let recipients: Vec<ReplicaId> = self
@@ -112,7 +113,8 @@
         self.tick_leader();
     }
 
-    /// Follows in a term: this one, or a newer one, in which the vote is free again. `leader`: its leader, if known.
+    /// Becomes a follower in the current term, or in a newer one, which clears the vote. `leader` is that term's
+    /// leader, if known.
     pub(super) fn become_follower(&mut self, term: u64, leader: Option<ReplicaId>) {
         if self.role == Role::Quarantined {
             return;
@@ -130,7 +132,7 @@
         self.reset_election_deadline();
     }
 
-    /// What a leader does as time passes: quorum check and heartbeats.
+    /// Runs the leader's timers: quorum check and heartbeats.
     pub(super) fn tick_leader(&mut self) {
         self.expire_leadership_transfer();
         if self.now >= self.election_deadline {
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Whether a majority was in contact within the longest election timeout. A leader that is cut off steps down, so
-    /// that its clients look for another one.
+    /// Whether a majority was in contact within the longest election timeout. A partitioned leader steps down, so that
+    /// its clients look for another one.
     fn has_quorum_contact(&self, now: Duration) -> bool {
         let oldest_contact = now.saturating_sub(self.timeouts.max_election_timeout);
         self.has_majority(|id| {
@@ -159,8 +161,9 @@
         })
     }
 
-    /// Whether this replica leads with a majority in contact, or follows a leader that was in contact, within the longest
-    /// election timeout before `now`: that may be later than the last call, if the process was stopped meanwhile.
+    /// Whether this replica leads and had contact with a majority, or follows and had contact with its leader, within
+    /// the longest election timeout before `now`. `now` may be later than the last call, if the process was suspended
+    /// in between.
     pub fn has_current_leader(&self, now: Duration) -> bool {
         if self.is_leader() {
             return self.has_committed_in_term() && self.has_quorum_contact(now);
@@ -172,7 +175,7 @@
                 .is_some_and(|contact| contact >= oldest_contact)
     }
 
-    /// Whether a leader was in contact so recently that no election is due.
+    /// Whether this replica leads, or had contact with a leader within the shortest election timeout.
     fn has_recent_leader(&self) -> bool {
         self.is_leader()
             || self
@@ -201,7 +204,7 @@
         });
     }
 
-    /// The leader of this term was in contact.
+    /// Records a message from the leader of this term.
     pub(super) fn record_leader_contact(&mut self, from: ReplicaId) {
         if self.role != Role::Follower {
             self.become_follower(self.term, Some(from));
@@ -211,7 +214,7 @@
         self.reset_election_deadline();
     }
 
-    /// A message of a newer term arrived; whether it is to be processed.
+    /// Handles the term of a message from a newer term; returns whether to process the message.
     pub(super) fn accept_newer_term(&mut self, from: ReplicaId, term: u64, body: &Body) -> bool {
         match body {
             Body::VoteRequest(request)
@@ -222,7 +225,7 @@
                 }
                 false
             }
-            // A pre-vote is about a term that does not exist yet.
+            // A pre-vote carries the prospective term, which has not started yet.
             Body::VoteRequest(request) if request.pre_vote => true,
             Body::VoteResponse(response) if response.pre_vote && response.granted => true,
             Body::AppendRequest(_) | Body::SnapshotChunk(_) => {
@@ -236,7 +239,7 @@
         }
     }
 
-    /// A message of an older term arrived: its sender has to learn of the newer one.
+    /// Replies to a message of an older term, so that its sender learns of the newer one.
     pub(super) fn reply_to_older_term(&mut self, from: ReplicaId, body: &Body) {
         let last_index = self.log.last_index();
         match body {
@@ -270,11 +273,11 @@
         let own_position = (self.log.last_term(), self.log.last_index());
         let is_up_to_date = (request.last_term, request.last_index) >= own_position;
         if request.pre_vote {
-            self.answer_pre_vote(from, term, is_up_to_date);
+            self.respond_to_pre_vote(from, term, is_up_to_date);
             return;
         }
-        let vote_is_free = self.vote == 0 || self.vote == from;
-        let granted = is_up_to_date && vote_is_free && self.role != Role::Leader;
+        let can_vote = self.vote == 0 || self.vote == from;
+        let granted = is_up_to_date && can_vote && self.role != Role::Leader;
         if granted {
             self.vote = from;
             self.persist_hard_state();
@@ -287,8 +290,8 @@
         self.send_after_persist(from, Body::VoteResponse(response));
     }
 
-    /// A granted pre-vote carries the term that was asked about, a denied one the own term.
-    fn answer_pre_vote(&mut self, from: ReplicaId, term: u64, is_up_to_date: bool) {
+    /// A granted pre-vote carries the requested term, a denied one this replica's term.
+    fn respond_to_pre_vote(&mut self, from: ReplicaId, term: u64, is_up_to_date: bool) {
         let granted = is_up_to_date && term > self.term && !self.has_recent_leader();
         let response = VoteResponse {
             pre_vote: true,
--- a/crates/raft/src/replica/leadership_transfer.rs
+++ b/crates/raft/src/replica/leadership_transfer.rs
@@ -1,23 +1,23 @@
-//! A leader transfers its leadership to another voter.
+//! Transfer of leadership to another voter.
 
 use super::{CampaignKind, ProposalError, Replica, Role};
 use crate::wire::{Body, ReplicaId};
 use std::time::Duration;
 
-/// A transfer that is under way; no proposals are accepted meanwhile.
+/// A transfer in progress; no proposals are accepted until it ends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeadershipTransfer {
     target: ReplicaId,
-    /// When the leader gives the transfer up.
+    /// When the leader aborts the transfer.
     deadline: Duration,
 }
 
 impl Replica {
-    /// Transfers leadership to a voter, once it holds the whole log. The leader gives up after the shortest election
-    /// timeout and accepts proposals again.
+    /// Transfers leadership to a voter, once it has the complete log. After the shortest election timeout the leader
+    /// aborts the transfer and accepts proposals again.
     ///
     /// # Errors
-    /// [`ProposalError::NotLeader`], or [`ProposalError::InvalidTransferTarget`] if `to` is no other voter.
+    /// [`ProposalError::NotLeader`], or [`ProposalError::InvalidTransferTarget`] if `to` is this replica or not a voter.
     pub fn transfer_leadership(
         &mut self,
         now: Duration,
@@ -50,16 +50,16 @@
         }
     }
 
-    /// Tells `to` to campaign, if leadership goes to it and it holds the whole log.
+    /// Tells `to` to campaign, if it is the transfer target and has the complete log.
     pub(super) fn send_timeout_now(&mut self, to: ReplicaId) {
         let is_target = self
             .leadership_transfer
             .is_some_and(|transfer| transfer.target == to);
-        let holds_whole_log = self
+        let has_complete_log = self
             .peers
             .get(&to)
             .is_some_and(|peer| peer.match_index == self.log.last_index());
-        if is_target && holds_whole_log {
+        if is_target && has_complete_log {
             self.send(to, Body::TimeoutNow(true));
         }
     }
--- a/crates/raft/src/replica/log_time.rs
+++ b/crates/raft/src/replica/log_time.rs
@@ -1,13 +1,14 @@
-//! Log time: nanoseconds that never go back, and stand still while there is no leader.
+//! Log time: a monotonic clock in nanoseconds, which stops while there is no leader.
 
 use super::Replica;
 use std::time::Duration;
 
-/// The newest stamp of the log, and when it was seen on the local clock.
+/// The newest stamp in the log, and when this replica saw it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LogClock {
     /// Log time, in nanoseconds.
     stamp: u64,
+    /// Local time at which `stamp` was seen.
     observed_at: Duration,
 }
 
@@ -18,7 +19,7 @@
 }
 
 impl Replica {
-    /// The newest stamp, and the local time that has passed since.
+    /// Log time now, in nanoseconds: the newest stamp plus the local time elapsed since it was seen.
     pub(super) fn log_time(&self) -> u64 {
         let elapsed = self.now.saturating_sub(self.log_clock.observed_at);
         let elapsed_nanos = u64::try_from(elapsed.as_nanos()).unwrap_or(u64::MAX);
--- a/crates/raft/src/replica/membership.rs
+++ b/crates/raft/src/replica/membership.rs
@@ -7,18 +7,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A change of one member.
+/// A change to one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a member that replicates the log and does not vote.
     AddLearner(Member),
-    /// Gives a learner that has caught up a vote.
+    /// Makes a learner that has caught up a voter.
     Promote(ReplicaId),
     /// Removes a voter or learner.
     Remove(ReplicaId),
 }
 
-/// A membership, and the index of the entry or snapshot that holds it.
+/// A membership, and the index of the entry or snapshot that contains it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct IndexedMembership {
     pub(super) index: u64,
@@ -31,14 +31,14 @@
     }
 }
 
-/// The membership that an entry holds, if it holds one.
+/// The membership in an entry; `None` unless its kind is `Config`.
 pub(super) fn membership_of(entry: &Entry) -> Option<Membership> {
     (entry.kind() == EntryKind::Config)
         .then(|| Membership::decode(&entry.data[..]).unwrap_or_default())
 }
 
 impl Replica {
-    /// The newest membership of the log, committed or not: a membership is in force from when it is appended.
+    /// The newest membership in the log, committed or not: a membership takes effect when it is appended.
     ///
     /// # Panics
     /// Never: the log's base always has a membership, which may be empty.
@@ -54,10 +54,10 @@
             .is_some_and(|newest| newest.index <= self.commit_index)
     }
 
-    /// Proposes a change of one member; returns the index of its entry.
+    /// Proposes a change to one member; returns the index of its entry.
     ///
     /// # Errors
-    /// [`ProposalError::NotLeader`], or why the change would not be safe now.
+    /// [`ProposalError::NotLeader`], or the reason why the change is invalid or not safe yet.
     pub fn propose_membership_change(
         &mut self,
         now: Duration,
@@ -65,8 +65,8 @@
     ) -> Result<u64, ProposalError> {
         self.advance_clock(now);
         self.ensure_leader()?;
-        // Two majorities always overlap, as members change one at a time, and only after the leader has learnt in
-        // its own term what is committed.
+        // The majorities before and after a change overlap only if members change one at a time, and only after the
+        // leader has committed an entry in its term.
         if !self.is_membership_committed() {
             return Err(ProposalError::ChangeInProgress);
         }
@@ -112,14 +112,14 @@
         Ok(membership)
     }
 
-    /// Whether a peer holds all that is committed.
+    /// Whether a peer has all committed entries.
     fn has_caught_up(&self, id: ReplicaId) -> bool {
         self.peers
             .get(&id)
             .is_some_and(|peer| peer.match_index >= self.commit_index)
     }
 
-    /// Makes the peers those of the newest membership.
+    /// Adds and removes peers to match the newest membership.
     pub(super) fn sync_peers(&mut self) {
         let ids: BTreeSet<ReplicaId> = self
             .membership()
--- a/crates/raft/src/replica/progress.rs
+++ b/crates/raft/src/replica/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows about the other members.
+//! The leader's replication state for each other member.
 
 use crate::wire::ReplicaId;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 pub struct FollowerProgress {
     /// The follower.
     pub id: ReplicaId,
-    /// Highest index up to which the follower is known to hold the leader's entries durably.
+    /// Highest index up to which the follower is known to have the leader's entries on disk.
     pub match_index: u64,
-    /// When its last message arrived, on the leader's clock.
+    /// When its last message arrived, by the leader's clock.
     pub last_contact: Duration,
 }
 
-/// How far the transfer of a snapshot is.
+/// Progress of a snapshot transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SnapshotPosition {
     /// Index of the snapshot.
     pub(super) index: u64,
-    /// Bytes that the follower holds.
+    /// Bytes that the follower has received.
     pub(super) offset: u64,
 }
 
-/// A follower whose log holds another running checksum than the leader's.
+/// The index at which a follower's running checksum differs from the leader's, and the follower's checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PeerDivergence {
     pub(super) index: u64,
@@ -35,9 +35,9 @@
 pub(super) struct PeerProgress {
     /// Index of the next entry to send.
     pub(super) next_index: u64,
-    /// Highest index known to be replicated there.
+    /// Highest index known to be replicated to the peer.
     pub(super) match_index: u64,
-    /// When entries or a chunk were sent that are not acknowledged yet.
+    /// When the unacknowledged entries or chunk were sent; `None` if nothing is in flight.
     pub(super) in_flight_since: Option<Duration>,
     /// Set while the peer receives a snapshot.
     pub(super) snapshot_position: Option<SnapshotPosition>,
@@ -48,7 +48,7 @@
 }
 
 impl PeerProgress {
-    /// A peer of which nothing is known yet.
+    /// The initial progress of a peer, before its first response.
     pub(super) fn new(next_index: u64, now: Duration) -> Self {
         Self {
             next_index,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// A response of the peer arrived.
+    /// Records a response of the peer.
     pub(super) fn record_contact(&mut self, now: Duration, read_round: u64) {
         self.last_contact = now;
         self.read_round = self.read_round.max(read_round);
     }
 
-    /// The peer holds all entries up to `index`.
+    /// Records that the peer has all entries up to `index`.
     pub(super) fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -76,14 +76,14 @@
         self.divergence = None;
     }
 
-    /// The peer's log does not match at the probed index; it suggests to go on behind `index`.
+    /// Records that the peer's log does not match at the probed index; the peer suggests continuing after `index`.
     pub(super) fn record_mismatch(&mut self, index: u64) {
         let previous_probe = self.next_index.max(2) - 1;
         self.next_index = (index + 1).min(previous_probe).max(self.match_index + 1);
         self.in_flight_since = None;
     }
 
-    /// Gives up on what was sent longer than `timeout` ago.
+    /// Counts entries or a chunk as lost if sent at least `timeout` ago.
     pub(super) fn expire_in_flight(&mut self, now: Duration, timeout: Duration) {
         let expired = self
             .in_flight_since
--- a/crates/raft/src/replica/quarantine.rs
+++ b/crates/raft/src/replica/quarantine.rs
@@ -4,7 +4,7 @@
 use crate::divergence::{judge_divergence, DivergenceVerdict, DivergentReplica};
 use crate::wire::{Body, QuarantineNotice, ReplicaId};
 
-/// Where a replica's log diverged from the majority's.
+/// Where a replica's log diverges from the majority's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Divergence {
     /// Index of the entry at which the running checksums were compared.
@@ -16,7 +16,7 @@
 }
 
 impl Replica {
-    /// Some peer holds another running checksum: decides which replicas are to be quarantined.
+    /// Decides which replicas to quarantine after a peer reported a different running checksum.
     pub(super) fn resolve_divergence(&mut self) {
         let Some(index) = self.first_divergent_index() else {
             return;
@@ -61,13 +61,13 @@
     }
 
     fn divergent_peers(&self) -> Vec<DivergentReplica> {
-        let divergent = |(id, peer): (&ReplicaId, &super::PeerProgress)| {
+        let divergent_replica = |(id, peer): (&ReplicaId, &super::PeerProgress)| {
             peer.divergence.map(|divergence| DivergentReplica {
                 id: *id,
                 checksum: divergence.checksum,
             })
         };
-        self.peers.iter().filter_map(divergent).collect()
+        self.peers.iter().filter_map(divergent_replica).collect()
     }
 
     fn agrees_up_to(&self, id: ReplicaId, index: u64) -> bool {
--- a/crates/raft/src/replica/reads.rs
+++ b/crates/raft/src/replica/reads.rs
@@ -1,16 +1,16 @@
-//! Linearizable reads without a log entry: the leader notes its commit index, and confirms with a round of heartbeats
-//! that it still leads.
+//! Linearizable reads without a log entry (ReadIndex): the leader records its commit index, and confirms with a round of
+//! heartbeats that it still leads.
 
 use super::{ProposalError, Replica};
 use std::time::Duration;
 
-/// Bound on the reads that wait for a majority.
+/// Limit on the number of reads that wait for a majority.
 const MAX_PENDING_READS: usize = 1_024;
 
 /// A read that the leader confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadState {
-    /// As handed to [`Replica::read`].
+    /// As passed to [`Replica::read`].
     pub token: u64,
     /// The read may be served once this index is applied.
     pub index: u64,
@@ -25,8 +25,8 @@
 }
 
 impl Replica {
-    /// Starts a read that sees everything committed before it. `token` comes back in
-    /// [`Ready::reads`](super::Ready::reads); reads that are pending when leadership ends are dropped.
+    /// Starts a read that observes everything committed before it. [`Ready::reads`](super::Ready::reads) returns
+    /// `token` once the read is confirmed; reads that are pending when leadership ends are dropped.
     ///
     /// # Errors
     /// [`ProposalError::NotLeader`]; [`ProposalError::Busy`] if the leader has not committed an entry in its term yet
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Releases the reads whose round a majority has confirmed.
+    /// Moves the reads whose round a majority has confirmed to [`Ready::reads`](super::Ready::reads).
     pub(super) fn confirm_reads(&mut self) {
         while let Some(read) = self.pending_reads.front().copied() {
             let confirmed = self.has_majority(|id| {
--- a/crates/raft/src/replica/ready.rs
+++ b/crates/raft/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! The effects of a replica's decisions, for its caller to carry out.
+//! The effects of calls of a replica, for the caller to carry out.
 
 use super::{Divergence, ReadState};
 use crate::wire::{Entry, HardState, Message, Snapshot};
@@ -6,9 +6,9 @@
 /// A leader's snapshot, to be stored in place of everything up to its index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotInstall {
-    /// The snapshot, complete.
+    /// The complete snapshot.
     pub snapshot: Snapshot,
-    /// Stored entries behind the snapshot belong to another history and go too.
+    /// Whether stored entries after the snapshot belong to a different history and must be deleted as well.
     pub discard_suffix: bool,
 }
 
@@ -21,15 +21,15 @@
     pub snapshot: Option<SnapshotInstall>,
     /// To be written after `snapshot`: they replace all stored entries from the first one's index on.
     pub entries: Vec<Entry>,
-    /// To be sent at once.
+    /// To be sent without waiting for writes.
     pub messages: Vec<Message>,
-    /// To be sent once all writes handed out up to now are durable.
+    /// To be sent once all writes returned so far are durable.
     pub messages_after_persist: Vec<Message>,
-    /// To be applied in order, after `snapshot` was restored.
+    /// To be applied in order, after `snapshot` is restored.
     pub committed: Vec<Entry>,
     /// Reads that may be served once their index is applied.
     pub reads: Vec<ReadState>,
-    /// The replica was quarantined: it takes part in nothing from now on.
+    /// Set when the replica was quarantined: it ignores all messages and ticks from now on.
     pub divergence: Option<Divergence>,
 }
 
--- a/crates/raft/src/replica/replication.rs
+++ b/crates/raft/src/replica/replication.rs
@@ -8,13 +8,13 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Bound on the entries of one message: some milliseconds of a disk.
+/// Limit on the number of entries in one message: some milliseconds of disk writes.
 const MAX_BATCH_ENTRIES: usize = 512;
-/// Bound on the data of one message, in bytes, unless a single entry is larger: far below the largest frame of a link.
+/// Limit on the data of one message, in bytes, unless a single entry is larger: far below the largest frame of a link.
 const MAX_BATCH_BYTES: usize = 128 << 10;
-/// Bound on the data that is proposed and not committed, in bytes: a leader without a majority refuses more.
+/// Limit on proposed, uncommitted data, in bytes: a leader without a majority rejects proposals beyond it.
 const MAX_UNCOMMITTED_BYTES: usize = 8 << 20;
-/// Heartbeat intervals after which an unacknowledged message counts as lost.
+/// Number of heartbeat intervals after which an unacknowledged message counts as lost.
 const IN_FLIGHT_TIMEOUT_HEARTBEATS: u32 = 2;
 
 /// Why a leader sends an append request.
@@ -22,11 +22,11 @@
 pub(super) enum AppendReason {
     /// There may be new entries.
     Entries,
-    /// The follower is to be contacted now, with entries or without.
+    /// The follower must be contacted now, with or without entries.
     Heartbeat,
 }
 
-/// An entry does not follow the one before it, so that the request is no leader's.
+/// An entry's index is not one above the previous entry's, so the request cannot come from a leader.
 struct IndexGap;
 
 impl Replica {
@@ -48,14 +48,15 @@
         Ok(index)
     }
 
-    /// Whether this leader has committed an entry in its own term; before that it does not know what is committed.
+    /// Whether this replica leads and has committed an entry in its term; before that, a leader does not know which
+    /// entries are committed.
     pub fn has_committed_in_term(&self) -> bool {
         self.is_leader() && self.log.term(self.commit_index) == Some(self.term)
     }
 
-    /// All entries up to the one of this index and term are durable on the own disk.
+    /// Records that all entries up to the one of this index and term are durable on the local disk.
     pub fn on_persisted(&mut self, index: u64, term: u64) {
-        // An entry that was overwritten meanwhile has another term.
+        // An entry that was overwritten in the meantime has another term.
         if self.log.term(index) == Some(term) {
             self.persisted_index = self.persisted_index.max(index);
             self.advance_commit();
@@ -80,7 +81,7 @@
         index
     }
 
-    /// Adds an entry to the log, to be written.
+    /// Appends an entry to the log and to the entries to be written.
     fn push_entry(&mut self, entry: Entry) {
         self.observe_stamp(entry.stamp);
         if let Some(membership) = membership_of(&entry) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Sends a peer the entries or the snapshot chunk that it needs next. Only one of them is in flight at a time.
+    /// Sends a peer the entries or the snapshot chunk that it needs next. Only one such message is in flight at a time.
     pub(super) fn replicate(&mut self, to: ReplicaId, reason: AppendReason) {
         let in_flight_timeout = self.timeouts.heartbeat_interval * IN_FLIGHT_TIMEOUT_HEARTBEATS;
         let base_index = self.log.base().index;
@@ -119,7 +120,7 @@
             return;
         }
         if in_flight {
-            // The probed entry is one that the peer surely holds.
+            // The probed entry is one that the peer is known to have.
             let prev_index = peer.match_index.max(base_index);
             self.send_append_request(to, prev_index, Vec::new());
             return;
@@ -150,7 +151,7 @@
         self.send(to, Body::AppendRequest(request));
     }
 
-    /// Commits what a majority holds durably, if it is of this term.
+    /// Commits the entries that a majority has on disk, if the last of them is of this term.
     fn advance_commit(&mut self) {
         if !self.is_leader() {
             return;
@@ -170,13 +171,13 @@
             self.uncommitted_bytes = self.uncommitted_bytes.saturating_sub(data_bytes);
         }
         self.commit_index = index;
-        // A leader that was removed steps down once a majority holds its removal.
+        // A removed leader steps down once its removal is committed.
         if self.membership().member(self.id).is_none() {
             self.become_follower(self.term, None);
         }
     }
 
-    /// Highest index that a majority of the voters holds durably.
+    /// Highest index that a majority of the voters has on disk.
     fn majority_index(&self) -> Option<u64> {
         let durable_index = |id: ReplicaId| {
             if id == self.id {
@@ -185,9 +186,9 @@
                 self.peers.get(&id).map_or(0, |peer| peer.match_index)
             }
         };
-        let counts = |member: &&Member| member.is_voter || planted("vote-too-soon");
+        let counts_as_voter = |member: &&Member| member.is_voter || planted("vote-too-soon");
         let membership = self.membership();
-        let members = membership.members.iter().filter(counts);
+        let members = membership.members.iter().filter(counts_as_voter);
         let mut indexes: Vec<u64> = members.map(|member| durable_index(member.id)).collect();
         indexes.sort_unstable_by(|a, b| b.cmp(a));
         indexes.get(membership.majority() - 1).copied()
@@ -211,12 +212,13 @@
         self.send_append_response(from, response);
     }
 
-    /// The response to a request whose entries do not follow directly from an entry of this log.
+    /// The response to a request whose previous entry is not in this log, or differs from the one here; `None` if it
+    /// matches.
     fn check_previous_entry(&self, request: &AppendRequest) -> Option<AppendResponse> {
         let (prev_index, read_round) = (request.prev_index, request.read_round);
         let base_index = self.log.base().index;
         if prev_index < base_index {
-            // All up to the base is committed, so that the leader can go on from there.
+            // All entries up to the base are committed, so the leader can continue from there.
             return Some(AppendResponse::success(base_index, read_round));
         }
         let Some(prev_term) = self.log.term(prev_index) else {
@@ -225,7 +227,7 @@
         };
         if prev_term != request.prev_term {
             return Some(if prev_index <= self.commit_index {
-                // No two leaders commit different entries at one index.
+                // No two leaders commit different entries at the same index, so the logs diverged.
                 self.divergence_at(prev_index, read_round)
             } else {
                 let before_term = self.log.first_index_of_term(prev_index).saturating_sub(1);
@@ -236,8 +238,8 @@
         (checksum != request.prev_checksum).then(|| self.divergence_at(prev_index, read_round))
     }
 
-    /// A response that says with which running checksum the log here differs. 0 stands for no divergence there, so that
-    /// an own checksum of 0 is sent as 1.
+    /// A response that reports this log's running checksum at a divergent index. On the wire, 0 means no divergence, so
+    /// a checksum of 0 is sent as 1.
     fn divergence_at(&self, index: u64, read_round: u64) -> AppendResponse {
         let checksum = self.log.checksum(index).unwrap_or(0).max(1);
         AppendResponse::divergence(index, checksum, read_round)
@@ -253,7 +255,7 @@
         Ok(())
     }
 
-    /// Stores an entry of the leader, in place of an uncommitted one of another term.
+    /// Stores an entry from the leader; truncates the log first if it has an uncommitted entry of another term there.
     fn store_entry(&mut self, entry: Entry) {
         if self.log.term(entry.index) == Some(entry.term) {
             return;
@@ -274,7 +276,8 @@
             "committed entries are never removed"
         );
         self.log.truncate_from(from_index);
-        self.memberships.retain(|one| one.index < from_index);
+        self.memberships
+            .retain(|indexed| indexed.index < from_index);
         self.ready.entries.retain(|entry| entry.index < from_index);
         self.persisted_index = self.persisted_index.min(from_index - 1);
     }
@@ -305,7 +308,7 @@
             peer.record_mismatch(response.index);
         }
         self.confirm_reads();
-        // A leader may have stepped down or been quarantined meanwhile.
+        // The replica may have stepped down or been quarantined above.
         if self.is_leader() {
             self.replicate(from, AppendReason::Entries);
         }
--- a/crates/raft/src/replica/snapshots.rs
+++ b/crates/raft/src/replica/snapshots.rs
@@ -10,9 +10,9 @@
 };
 use bytes::Bytes;
 
-/// Bytes of one chunk of a snapshot: two of them fit into the largest frame of a link.
+/// Size of one snapshot chunk, in bytes: two chunks fit into the largest frame of a link.
 const SNAPSHOT_CHUNK_BYTES: usize = 128 << 10;
-/// Largest snapshot that is accepted, in bytes: far past what a shard's bound on keys allows.
+/// Largest snapshot that is accepted, in bytes: far above what a shard's limit on keys allows.
 const MAX_SNAPSHOT_BYTES: u64 = 4 << 30;
 
 /// A snapshot that is being received in chunks.
@@ -24,14 +24,18 @@
 }
 
 impl Replica {
-    /// Replaces the entries up to an applied index by a snapshot with `data`; returns the snapshot, to be stored.
-    /// `None` if the log does not hold the index, or it is not applied yet.
+    /// Replaces the entries up to an applied index with a snapshot of `data`; returns the snapshot, to be stored.
+    /// Returns `None` if the log has no entry at the index, or it is not applied yet.
     pub fn compact(&mut self, index: u64, data: Bytes) -> Option<Snapshot> {
         let entry = self.log.entry(index)?;
         if index > self.applied_index {
             return None;
         }
-        let membership = self.memberships.iter().rev().find(|one| one.index <= index);
+        let membership = self
+            .memberships
+            .iter()
+            .rev()
+            .find(|indexed| indexed.index <= index);
         let metadata = SnapshotMetadata {
             index,
             term: entry.term,
@@ -46,13 +50,14 @@
 
     /// Makes a snapshot the base of the log.
     fn rebase_log(&mut self, base: SnapshotMetadata) {
-        self.memberships.retain(|one| one.index > base.index);
+        self.memberships
+            .retain(|indexed| indexed.index > base.index);
         let base_membership = IndexedMembership::new(base.index, base.config.clone());
         self.memberships.insert(0, base_membership);
         self.log.compact(base);
     }
 
-    /// Sends the chunk that a peer needs next.
+    /// Sends a peer the next chunk of the snapshot.
     pub(super) fn send_snapshot_chunk(&mut self, to: ReplicaId) {
         let metadata = self.log.base().clone();
         let total_bytes = self.snapshot_data.len() as u64;
@@ -111,7 +116,7 @@
         self.send_append_response(from, response);
     }
 
-    /// Adds a chunk to the snapshot that it belongs to: the one being received, or a new one.
+    /// Adds a chunk to its snapshot: the one being received, or a new one. A chunk that is not contiguous is ignored.
     fn receive_chunk(&mut self, chunk: SnapshotChunk) -> IncomingSnapshot {
         let mut snapshot = self
             .incoming_snapshot
@@ -124,20 +129,20 @@
                 total_bytes: chunk.total_bytes,
                 data: Vec::new(),
             });
-        let follows = chunk.offset == snapshot.data.len() as u64;
-        if follows && chunk.offset + chunk.data.len() as u64 <= snapshot.total_bytes {
+        let is_contiguous = chunk.offset == snapshot.data.len() as u64;
+        if is_contiguous && chunk.offset + chunk.data.len() as u64 <= snapshot.total_bytes {
             snapshot.data.extend_from_slice(&chunk.data);
         }
         snapshot
     }
 
-    /// Takes over a leader's snapshot, in place of everything up to its index.
+    /// Replaces everything up to the index of a leader's snapshot with the snapshot.
     fn install_snapshot(&mut self, mut metadata: SnapshotMetadata, data: Bytes) {
         if planted("config-lost") {
             metadata.config = self.membership().clone();
         }
         let index = metadata.index;
-        // Entries behind the snapshot stay only if they are of the same history.
+        // Entries after the snapshot are retained only if they belong to the same history.
         let same_history = self.log.term(index) == Some(metadata.term);
         if !same_history {
             self.log.truncate_from(self.log.base().index + 1);
--- a/crates/raft/src/wire.rs
+++ b/crates/raft/src/wire.rs
@@ -5,15 +5,15 @@
 use bytes::Bytes;
 use twox_hash::XxHash3_64;
 
-/// Identity of a replica's disk: drawn when the disk was first used, never 0. A member that comes back with another
-/// disk is another replica.
+/// ID of a replica's disk: drawn when the disk is first used, never 0. A member that restarts with another disk is
+/// another replica.
 pub type ReplicaId = u64;
 
-/// What an entry holds.
+/// The kind of an entry's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum EntryKind {
-    /// Nothing: a new leader's first entry, with which all entries before it are committed.
+    /// No data: a new leader's first entry; committing it commits all entries before it.
     NoOp = 0,
     /// A command of the state machine.
     Data = 1,
@@ -30,13 +30,13 @@
     /// Term of the leader that created it.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Log time in nanoseconds: it never goes back, and stands still while there is no leader.
+    /// Log time in nanoseconds: monotonic, and stopped while there is no leader.
     #[prost(uint64, tag = "3")]
     pub stamp: u64,
     /// An [`EntryKind`].
     #[prost(enumeration = "EntryKind", tag = "4")]
     pub kind: i32,
-    /// By kind.
+    /// Contents, by kind.
     #[prost(bytes = "bytes", tag = "5")]
     pub data: Bytes,
 }
@@ -56,13 +56,13 @@
 /// A member of the group.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
 pub struct Member {
-    /// Identity of its disk.
+    /// ID of its disk.
     #[prost(uint64, tag = "1")]
     pub id: ReplicaId,
     /// Name of the node that it runs on.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Whether it votes; a member that does not is a learner.
+    /// Whether it is a voter; otherwise it is a learner.
     #[prost(bool, tag = "3")]
     pub is_voter: bool,
 }
@@ -70,13 +70,13 @@
 /// The members of the group.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Membership {
-    /// In order of identity.
+    /// In order of ID.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// Members that all vote, by identity and name.
+    /// A membership in which all members are voters, from their IDs and names.
     pub fn from_voters(members: impl IntoIterator<Item = (ReplicaId, String)>) -> Self {
         let members = members.into_iter().map(|(id, name)| Member {
             id,
@@ -88,7 +88,7 @@
         Self { members }
     }
 
-    /// The identities of the members that vote.
+    /// The IDs of the voters.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.members
             .iter()
@@ -96,34 +96,34 @@
             .map(|member| member.id)
     }
 
-    /// Whether `id` is a member that votes.
+    /// Whether `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.voters().any(|voter| voter == id)
     }
 
-    /// The member with this identity, voter or learner.
+    /// The member with this ID, voter or learner.
     pub fn member(&self, id: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// How many voters make a majority.
+    /// Number of voters in the smallest majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 }
 
-/// What a replica must have on its disk before it answers.
+/// State that a replica must write to its disk before it responds.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct HardState {
     /// The newest term that it has seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Which replica got its vote in that term; 0: none.
+    /// The replica that it voted for in that term; 0: none.
     #[prost(uint64, tag = "2")]
     pub vote: ReplicaId,
 }
 
-/// What a snapshot stands for, and so where the log behind it begins.
+/// The position of a snapshot in the log, which is the base of the entries after it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct SnapshotMetadata {
     /// Index of the last entry that it replaces.
@@ -146,7 +146,7 @@
 /// A snapshot as it is stored.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Snapshot {
-    /// What it stands for.
+    /// Its position in the log.
     #[prost(message, required, tag = "1")]
     pub metadata: SnapshotMetadata,
     /// The encoded state machine.
@@ -157,7 +157,7 @@
 /// Requests a vote, or a pre-vote.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct VoteRequest {
-    /// Only asks whether the vote would be granted: nobody's term or vote changes.
+    /// Whether this is a pre-vote: the voter reports if it would grant the vote, and no term or vote changes.
     #[prost(bool, tag = "1")]
     pub pre_vote: bool,
     /// Index of the candidate's last entry.
@@ -166,23 +166,23 @@
     /// Term of the candidate's last entry.
     #[prost(uint64, tag = "3")]
     pub last_term: u64,
-    /// The leader transfers its leadership: the vote is granted though the leader is in contact.
+    /// Whether the leader is transferring its leadership: the vote may be granted while the leader is in contact.
     #[prost(bool, tag = "4")]
     pub leadership_transfer: bool,
 }
 
-/// Answers a [`VoteRequest`].
+/// Responds to a [`VoteRequest`].
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct VoteResponse {
     /// As in the request.
     #[prost(bool, tag = "1")]
     pub pre_vote: bool,
-    /// Whether the vote is the candidate's.
+    /// Whether the candidate got the vote.
     #[prost(bool, tag = "2")]
     pub granted: bool,
 }
 
-/// Entries of the leader; without any, a heartbeat.
+/// Entries from the leader; a heartbeat if there are none.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct AppendRequest {
     /// Index of the entry before the first one sent.
@@ -205,19 +205,19 @@
     pub entries: Vec<Entry>,
 }
 
-/// Answers an [`AppendRequest`], and a [`SnapshotChunk`] that completed a snapshot or was not needed.
+/// Responds to an [`AppendRequest`], and to a [`SnapshotChunk`] that completed a snapshot or was not needed.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct AppendResponse {
     /// Whether the logs match up to `index`.
     #[prost(bool, tag = "1")]
     pub success: bool,
-    /// On success, the index up to which the logs match; else the index that the leader should probe next.
+    /// On success, the index up to which the logs match; otherwise the index that the leader should probe next.
     #[prost(uint64, tag = "2")]
     pub index: u64,
     /// As in the request.
     #[prost(uint64, tag = "3")]
     pub read_round: u64,
-    /// The follower's running checksum up to `index`, if the logs diverged there; 0: they did not.
+    /// The follower's running checksum up to `index`, if the logs diverge there; 0 if they do not.
     #[prost(uint64, tag = "4")]
     pub divergent_checksum: u64,
 }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// The logs do not match; `index` is to be probed next.
+    /// The logs do not match; the leader should probe `index` next.
     pub(crate) fn mismatch(index: u64, read_round: u64) -> Self {
         Self {
             success: false,
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The logs should match up to `index` and do not: the follower's running checksum is `checksum`.
+    /// The logs should match up to `index` but do not: the follower's running checksum is `checksum`.
     pub(crate) fn divergence(index: u64, checksum: u64, read_round: u64) -> Self {
         Self {
             success: false,
@@ -257,13 +257,13 @@
 /// A part of a snapshot.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct SnapshotChunk {
-    /// What the snapshot stands for.
+    /// The snapshot's position in the log.
     #[prost(message, required, tag = "1")]
     pub metadata: SnapshotMetadata,
-    /// Bytes of the complete snapshot.
+    /// Size of the complete snapshot, in bytes.
     #[prost(uint64, tag = "2")]
     pub total_bytes: u64,
-    /// Position of the first byte of `data`.
+    /// Offset of the first byte of `data` in the snapshot.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
     /// Bytes of the snapshot.
@@ -274,13 +274,13 @@
     pub read_round: u64,
 }
 
-/// Answers a [`SnapshotChunk`] that did not complete its snapshot.
+/// Responds to a [`SnapshotChunk`] that did not complete its snapshot.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct ChunkAck {
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Bytes that the follower holds: the next chunk begins here.
+    /// Number of bytes that the follower has received, which is the offset of the next chunk.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
     /// As in the chunk.
@@ -288,7 +288,7 @@
     pub read_round: u64,
 }
 
-/// The receiver's log diverged from that of the majority.
+/// Notifies the receiver that its log diverged from that of the majority.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct QuarantineNotice {
     /// Index of the entry at which the running checksums differ.
@@ -299,7 +299,7 @@
     pub majority_checksum: u64,
 }
 
-/// What a message carries.
+/// The payload of a message.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Oneof)]
 pub enum Body {
     /// From a candidate to a voter.
@@ -320,7 +320,7 @@
     /// From a member to its leader.
     #[prost(message, tag = "9")]
     ChunkAck(ChunkAck),
-    /// From a leader to the voter that is to campaign at once. The value means nothing.
+    /// From a leader to the voter that must campaign without waiting for its election timeout. The value is unused.
     #[prost(bool, tag = "10")]
     TimeoutNow(bool),
     /// From a leader to a member whose log diverged.
@@ -337,10 +337,10 @@
     /// The sender.
     #[prost(uint64, tag = "2")]
     pub from: ReplicaId,
-    /// The sender's term; of a pre-vote that is requested or granted, the term that it is about.
+    /// The sender's term; for a pre-vote request or a granted pre-vote, the prospective term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Messages without a body that this version knows are ignored.
+    /// `None` for a body that this version does not know; such messages are ignored.
     #[prost(oneof = "Body", tags = "4, 5, 6, 7, 8, 9, 10, 11")]
     pub body: Option<Body>,
 }
--- a/crates/raft/tests/divergence.rs
+++ b/crates/raft/tests/divergence.rs
@@ -1,4 +1,4 @@
-//! The rule for replicas whose logs diverged, as a table.
+//! Table test of the quarantine rule for replicas whose logs diverged.
 
 #![allow(
     missing_docs,
@@ -11,9 +11,9 @@
 use rainstand_raft::ReplicaId;
 
 #[test]
-fn the_checksum_of_a_majority_of_voters_wins() {
+fn replicas_without_the_majority_checksum_are_quarantined() {
     type Case<'a> = (usize, usize, &'a [(ReplicaId, u64)], DivergenceVerdict);
-    let table: &[Case] = &[
+    let cases: &[Case] = &[
         (3, 2, &[(9, 5)], DivergenceVerdict::Minority(vec![9])),
         (3, 1, &[(9, 5)], DivergenceVerdict::Undecided),
         (3, 1, &[(8, 5), (9, 5)], DivergenceVerdict::Leader(5)),
@@ -38,7 +38,7 @@
         ),
         (1, 1, &[], DivergenceVerdict::Minority(vec![])),
     ];
-    for (voters, agreeing, reports, expected) in table {
+    for (voters, agreeing, reports, expected) in cases {
         let divergent: Vec<DivergentReplica> = reports
             .iter()
             .map(|&(id, checksum)| DivergentReplica { id, checksum })
--- a/crates/raft/tests/golden.rs
+++ b/crates/raft/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The replicated log's messages and what is stored of it, byte for byte as the version that introduced each
-//! wrote it.
+//! Messages and stored records of the replicated log: their encoding must stay the one of the version that introduced
+//! each.
 
 #![allow(
     missing_docs,
@@ -30,11 +30,11 @@
     }
 }
 
-fn config() -> Membership {
-    let member = |id: u64, name: &str, votes: bool| Member {
+fn membership() -> Membership {
+    let member = |id: u64, name: &str, is_voter: bool| Member {
         id,
         name: name.into(),
-        is_voter: votes,
+        is_voter,
     };
     Membership {
         members: vec![
@@ -45,13 +45,13 @@
     }
 }
 
-fn base() -> SnapshotMetadata {
+fn snapshot_metadata() -> SnapshotMetadata {
     SnapshotMetadata {
         index: 250,
         term: 6,
         stamp: 999,
         checksum: 0xabcd_ef01_2345_6789,
-        config: config(),
+        config: membership(),
     }
 }
 
@@ -101,7 +101,7 @@
         (
             "piece",
             Body::SnapshotChunk(SnapshotChunk {
-                metadata: base(),
+                metadata: snapshot_metadata(),
                 total_bytes: 900,
                 offset: 512,
                 data: Bytes::from_static(b"piece"),
@@ -142,39 +142,39 @@
 }
 
 #[test]
-fn messages_are_written_as_before() {
-    let all = messages()
+fn messages_encode_to_the_golden_bytes() {
+    let encoded = messages()
         .into_iter()
         .map(|(name, message)| NamedBytes::new(name, message.encode_to_vec()));
-    assert_bytes(MESSAGES, &all.collect::<Vec<_>>());
+    assert_bytes(MESSAGES, &encoded.collect::<Vec<_>>());
 }
 
 #[test]
-fn messages_of_before_are_read_and_written_back() {
-    let known = messages();
+fn golden_messages_decode_and_encode_unchanged() {
+    let expected = messages();
     let stored = read_bytes(MESSAGES);
-    assert_eq!(stored.len(), known.len());
-    for (NamedBytes { name, bytes }, (_, message)) in stored.into_iter().zip(known) {
-        let read = Message::decode(&bytes[..]).unwrap();
-        assert_eq!(read, message, "{name}");
-        assert_eq!(read.encode_to_vec(), bytes, "{name}");
+    assert_eq!(stored.len(), expected.len());
+    for (NamedBytes { name, bytes }, (_, message)) in stored.into_iter().zip(expected) {
+        let decoded = Message::decode(&bytes[..]).unwrap();
+        assert_eq!(decoded, message, "{name}");
+        assert_eq!(decoded.encode_to_vec(), bytes, "{name}");
     }
 }
 
 #[test]
-fn stored_parts_are_written_as_before_and_read_back() {
+fn stored_records_encode_to_the_golden_bytes_and_decode() {
     let snapshot = Snapshot {
-        metadata: base(),
+        metadata: snapshot_metadata(),
         data: Bytes::from_static(b"table"),
     };
-    let data = entry(EntryKind::Data, b"command");
+    let data_entry = entry(EntryKind::Data, b"command");
     assert_bytes(
         STORED,
         &[
             NamedBytes::new("hard", HardState { term: 7, vote: 2 }.encode_to_vec()),
-            NamedBytes::new("entry", data.encode_to_vec()),
-            NamedBytes::new("entry-checksum", data.checksum(0x1234).to_be_bytes()),
-            NamedBytes::new("configuration", config().encode_to_vec()),
+            NamedBytes::new("entry", data_entry.encode_to_vec()),
+            NamedBytes::new("entry-checksum", data_entry.checksum(0x1234).to_be_bytes()),
+            NamedBytes::new("configuration", membership().encode_to_vec()),
             NamedBytes::new("snapshot", snapshot.encode_to_vec()),
         ],
     );
@@ -183,7 +183,10 @@
         HardState::decode(&stored[0].bytes[..]).unwrap(),
         HardState { term: 7, vote: 2 }
     );
-    assert_eq!(Entry::decode(&stored[1].bytes[..]).unwrap(), data);
-    assert_eq!(Membership::decode(&stored[3].bytes[..]).unwrap(), config());
+    assert_eq!(Entry::decode(&stored[1].bytes[..]).unwrap(), data_entry);
+    assert_eq!(
+        Membership::decode(&stored[3].bytes[..]).unwrap(),
+        membership()
+    );
     assert_eq!(Snapshot::decode(&stored[4].bytes[..]).unwrap(), snapshot);
 }
--- a/crates/raft/tests/quarantine.rs
+++ b/crates/raft/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a replica says and keeps when logs diverged.
+//! Behaviour of a replica when logs diverge.
 
 #![allow(
     missing_docs,
@@ -18,7 +18,7 @@
 const NOW: Duration = Duration::from_secs(1);
 const BASE_INDEX: u64 = 5;
 
-/// A replica of three voters in term 1, all of whose log is a snapshot with this running checksum.
+/// One of three voters, in term 1, with a log that is only a snapshot with this running checksum.
 fn replica(id: ReplicaId, checksum: u64) -> Replica {
     let member = |id: ReplicaId| Member {
         id,
@@ -59,11 +59,10 @@
     }
 }
 
-/// What happened: a follower whose running checksum is 0 answered a leader with another one as if their terms differed,
-/// and was never found to have diverged. Why: in the response 0 stands for "no divergence", and the own checksum was
-/// sent as it is. Seen in the code beside the other case, which sends at least 1; a checksum is 0 once in 2^64.
+/// Guards against an undetected divergence: in the response, checksum 0 means "no divergence". A divergent follower with
+/// running checksum 0 (probability 2^-64) therefore seemed to report a term mismatch; it must send at least 1.
 #[test]
-fn a_follower_whose_checksum_is_zero_reports_its_divergence() {
+fn follower_with_checksum_zero_reports_its_divergence() {
     let mut follower = replica(2, 0);
     let request = AppendRequest {
         prev_index: BASE_INDEX,
@@ -74,18 +73,18 @@
         entries: Vec::new(),
     };
     follower.step(NOW, message(1, 2, 1, Body::AppendRequest(request)));
-    let sent = follower.take_ready().messages_after_persist;
-    let reported = sent.iter().any(|message| {
+    let responses = follower.take_ready().messages_after_persist;
+    let reported = responses.iter().any(|message| {
         matches!(&message.body, Some(Body::AppendResponse(response))
             if !response.success && response.index == BASE_INDEX && response.divergent_checksum != 0)
     });
-    assert!(reported, "{sent:?}");
+    assert!(reported, "{responses:?}");
 }
 
-/// What happened: a leader that was quarantined while it handed over its leadership went on reporting a transfer for
-/// ever, as the transfer ends by the leader's clock or with its role as a follower. Seen in the code of the role change.
+/// Guards against a transfer that never ends: it was cleared only by the leader's clock or when the leader became a
+/// follower, so a leader quarantined during a transfer reported it forever.
 #[test]
-fn a_quarantined_leader_transfers_nothing() {
+fn quarantined_leader_ends_its_leadership_transfer() {
     let mut leader = replica(1, 7);
     leader.campaign(NOW, CampaignKind::Election);
     let vote = VoteResponse {
@@ -96,7 +95,7 @@
     assert_eq!(leader.role(), Role::Leader);
     leader.transfer_leadership(NOW, 2).unwrap();
     assert!(leader.is_transferring_leadership());
-    // A majority has another history than the leader.
+    // A majority reports a different history from the leader's.
     for from in [2, 3] {
         let response = AppendResponse {
             success: false,
--- a/crates/raft/tests/small_worlds.rs
+++ b/crates/raft/tests/small_worlds.rs
@@ -1,8 +1,8 @@
 //! Exhaustive search over small clusters: every order of elections, deliveries, losses, duplicates, flushes, crashes, a
-//! proposal and membership changes, up to stated numbers of each. In every state: at most one leader in a term, at most
-//! one committed entry at an index, and every new leader holds all committed entries.
+//! proposal and membership changes, up to a given number of each. Invariants, checked in every state: at most one leader
+//! per term, at most one committed entry per index, and every new leader has all committed entries.
 //!
-//! An election may start at any time, even while a leader is in contact: the search allows more than the program does.
+//! An election may start at any time, even while a leader is in contact, so the search covers more than can occur.
 
 #![allow(
     missing_docs,
@@ -21,7 +21,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// How often each event may still happen.
+/// How many more times each event may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     elections: u8,
@@ -33,7 +33,7 @@
     membership_changes: u8,
 }
 
-const NONE: Budget = Budget {
+const NO_EVENTS: Budget = Budget {
     elections: 0,
     drops: 0,
     duplicates: 0,
@@ -43,7 +43,7 @@
     membership_changes: 0,
 };
 
-/// A disk: what is durable, and the writes in flight with the messages that wait for them.
+/// A disk: the durable state, and the writes in flight with the messages that wait for them.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     state: PersistentState,
@@ -51,20 +51,21 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Cluster {
     now: Duration,
     nodes: Vec<(Replica, Disk)>,
     network: Vec<Message>,
     budget: Budget,
-    /// The leader of each term, and the term and checksum of each committed entry by index.
+    /// The leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
+    /// The term and checksum of each committed entry, by index.
     committed: BTreeMap<u64, (u64, u64)>,
     /// The earliest term in which each index was committed.
     first_committed_term: BTreeMap<u64, u64>,
-    /// Flushes are events of their own.
+    /// Whether flushes are separate events; otherwise each write is flushed immediately.
     slow_disks: bool,
-    /// Only elections are searched: what leaders send is dropped.
-    votes_only: bool,
+    /// Whether only elections are searched: messages from leaders, which do not wait for writes, are dropped.
+    elections_only: bool,
 }
 
 fn timeouts() -> Timeouts {
@@ -76,7 +77,7 @@
     }
 }
 
-fn world(budget: Budget, slow_disks: bool, nodes: u64) -> World {
+fn initial_state(budget: Budget, slow_disks: bool, nodes: u64) -> Cluster {
     let config = Membership::from_voters((1..=3).map(|id| (id, format!("n{id}"))));
     let base = SnapshotMetadata {
         index: 1,
@@ -103,7 +104,7 @@
             },
         )
     };
-    World {
+    Cluster {
         now: Duration::ZERO,
         nodes: (1..=nodes).map(node).collect(),
         network: Vec::new(),
@@ -112,30 +113,32 @@
         committed: BTreeMap::new(),
         first_committed_term: BTreeMap::new(),
         slow_disks,
-        votes_only: slow_disks,
+        elections_only: slow_disks,
     }
 }
 
 impl Disk {
-    fn write(&mut self, out: &Ready) {
-        if let Some(hard) = out.hard_state {
-            self.state.hard_state = hard;
+    fn write(&mut self, ready: &Ready) {
+        if let Some(hard_state) = ready.hard_state {
+            self.state.hard_state = hard_state;
         }
-        if let Some(install) = &out.snapshot {
+        if let Some(install) = &ready.snapshot {
             let index = install.snapshot.metadata.index;
             self.state
                 .entries
                 .retain(|entry| entry.index > index && !install.discard_suffix);
             self.state.snapshot = Some(install.snapshot.clone());
         }
-        for entry in &out.entries {
-            self.state.entries.retain(|one| one.index < entry.index);
+        for entry in &ready.entries {
+            self.state
+                .entries
+                .retain(|stored| stored.index < entry.index);
             self.state.entries.push(entry.clone());
         }
     }
 }
 
-impl World {
+impl Cluster {
     fn fingerprint(&self) -> u64 {
         let mut hasher = std::hash::DefaultHasher::new();
         for (replica, disk) in &self.nodes {
@@ -146,8 +149,8 @@
                 disk.state.entries.last(),
             )
                 .hash(&mut hasher);
-            for (out, after) in &disk.pending {
-                (out.hard_state, &out.entries, after).hash(&mut hasher);
+            for (ready, messages) in &disk.pending {
+                (ready.hard_state, &ready.entries, messages).hash(&mut hasher);
             }
         }
         // The order in which messages were sent does not matter.
@@ -164,134 +167,139 @@
         hasher.finish()
     }
 
-    /// Collects the effects of a call and checks the guarantees.
-    fn collect_effects(&mut self, k: usize) -> Result<(), String> {
-        let out = self.nodes[k].0.take_ready();
-        let id = self.nodes[k].0.id();
-        for entry in &out.committed {
+    /// Collects the effects of a call and checks the invariants.
+    fn collect_effects(&mut self, node: usize) -> Result<(), String> {
+        let ready = self.nodes[node].0.take_ready();
+        let id = self.nodes[node].0.id();
+        for entry in &ready.committed {
             let found_entry = (entry.term, entry_hash(entry));
             if *self.committed.entry(entry.index).or_insert(found_entry) != found_entry {
-                return Err(format!("{id} committed another entry {}", entry.index));
+                return Err(format!("{id} committed a different entry {}", entry.index));
             }
-            let term = self.nodes[k].0.term();
+            let term = self.nodes[node].0.term();
             let first = self.first_committed_term.entry(entry.index).or_insert(term);
             *first = term.min(*first);
         }
-        if self.nodes[k].0.is_leader() {
-            let term = self.nodes[k].0.term();
+        if self.nodes[node].0.is_leader() {
+            let term = self.nodes[node].0.term();
             if *self.leaders.entry(term).or_insert(id) != id {
-                return Err(format!("two lead in term {term}"));
+                return Err(format!("two replicas lead in term {term}"));
             }
-            let log = self.nodes[k].0.log();
-            let own = self.nodes[k].0.term();
+            let log = self.nodes[node].0.log();
+            let own_term = self.nodes[node].0.term();
             for (index, (term, _)) in &self.committed {
-                // A leader of an older term may not know of entries that a newer term committed.
-                let before = self
+                // A leader of an older term need not have entries that were committed in a newer term.
+                let was_committed_earlier = self
                     .first_committed_term
                     .get(index)
-                    .is_some_and(|first| *first < own);
-                if before && *index > log.base().index && log.term(*index) != Some(*term) {
+                    .is_some_and(|first| *first < own_term);
+                if was_committed_earlier
+                    && *index > log.base().index
+                    && log.term(*index) != Some(*term)
+                {
                     return Err(format!("{id} leads without the committed entry {index}"));
                 }
             }
         }
-        if !self.votes_only {
-            self.network.extend(out.messages.iter().cloned());
+        if !self.elections_only {
+            self.network.extend(ready.messages.iter().cloned());
         }
-        let after = out.messages_after_persist.clone();
-        if out.writes() || !self.nodes[k].1.pending.is_empty() {
-            self.nodes[k].1.pending.push((out, after));
+        let messages = ready.messages_after_persist.clone();
+        if ready.writes() || !self.nodes[node].1.pending.is_empty() {
+            self.nodes[node].1.pending.push((ready, messages));
             if !self.slow_disks {
-                return self.flush(k);
+                return self.flush(node);
             }
         } else {
-            self.network.extend(after);
+            self.network.extend(messages);
         }
         Ok(())
     }
 
-    fn flush(&mut self, k: usize) -> Result<(), String> {
-        let pending = std::mem::take(&mut self.nodes[k].1.pending);
-        for (out, after) in pending {
-            self.nodes[k].1.write(&out);
-            self.network.extend(after);
-            for entry in &out.entries {
-                self.nodes[k].0.on_persisted(entry.index, entry.term);
+    fn flush(&mut self, node: usize) -> Result<(), String> {
+        let pending = std::mem::take(&mut self.nodes[node].1.pending);
+        for (ready, messages) in pending {
+            self.nodes[node].1.write(&ready);
+            self.network.extend(messages);
+            for entry in &ready.entries {
+                self.nodes[node].0.on_persisted(entry.index, entry.term);
             }
         }
-        self.collect_effects(k)
+        self.collect_effects(node)
     }
 
-    /// All worlds that one event leads to.
-    fn successors(&self) -> Vec<Result<World, String>> {
-        let mut all = Vec::new();
-        let mut step = |budget: Budget, what: &dyn Fn(&mut World) -> Result<(), String>| {
-            let mut next = self.clone();
-            next.budget = budget;
-            let done = what(&mut next);
-            all.push(done.map(|()| next));
-        };
+    /// The states that one event leads to, or the invariant that it violates.
+    fn successors(&self) -> Vec<Result<Cluster, String>> {
+        let mut successors = Vec::new();
+        let mut add_successor =
+            |budget: Budget, event: &dyn Fn(&mut Cluster) -> Result<(), String>| {
+                let mut next = self.clone();
+                next.budget = budget;
+                let result = event(&mut next);
+                successors.push(result.map(|()| next));
+            };
         let budget = self.budget;
-        for k in 0..self.nodes.len() {
-            let (replica, disk) = &self.nodes[k];
+        for node in 0..self.nodes.len() {
+            let (replica, disk) = &self.nodes[node];
             if budget.elections > 0
                 && !replica.is_leader()
                 && replica.membership().is_voter(replica.id())
             {
-                step(
+                add_successor(
                     Budget {
                         elections: budget.elections - 1,
                         ..budget
                     },
-                    &|w| {
-                        w.nodes[k]
+                    &|cluster| {
+                        cluster.nodes[node]
                             .0
-                            .campaign(w.now, CampaignKind::LeadershipTransfer);
-                        w.collect_effects(k)
+                            .campaign(cluster.now, CampaignKind::LeadershipTransfer);
+                        cluster.collect_effects(node)
                     },
                 );
             }
             if budget.proposals > 0 && replica.is_leader() {
-                step(
+                add_successor(
                     Budget {
                         proposals: budget.proposals - 1,
                         ..budget
                     },
-                    &|w| {
-                        let data = vec![k as u8, w.budget.proposals].into();
-                        let _ = w.nodes[k].0.propose(w.now, data);
-                        w.collect_effects(k)
+                    &|cluster| {
+                        let data = vec![node as u8, cluster.budget.proposals].into();
+                        let _ = cluster.nodes[node].0.propose(cluster.now, data);
+                        cluster.collect_effects(node)
                     },
                 );
             }
             if budget.heartbeats > 0 && replica.is_leader() {
-                step(
+                add_successor(
                     Budget {
                         heartbeats: budget.heartbeats - 1,
                         ..budget
                     },
-                    &|w| {
-                        w.now += Duration::from_millis(4);
-                        let now = w.now;
-                        w.nodes[k].0.tick(now);
-                        w.collect_effects(k)
+                    &|cluster| {
+                        cluster.now += Duration::from_millis(4);
+                        let now = cluster.now;
+                        cluster.nodes[node].0.tick(now);
+                        cluster.collect_effects(node)
                     },
                 );
             }
             if !disk.pending.is_empty() {
-                step(budget, &|w| w.flush(k));
+                add_successor(budget, &|cluster| cluster.flush(node));
             }
             if budget.crashes > 0 {
-                step(
+                add_successor(
                     Budget {
                         crashes: budget.crashes - 1,
                         ..budget
                     },
-                    &|w| {
-                        let state = w.nodes[k].1.state.clone();
-                        w.nodes[k].1.pending.clear();
-                        w.nodes[k].0 = Replica::new(k as u64 + 1, timeouts(), 9, w.now, state);
-                        w.collect_effects(k)
+                    &|cluster| {
+                        let state = cluster.nodes[node].1.state.clone();
+                        cluster.nodes[node].1.pending.clear();
+                        cluster.nodes[node].0 =
+                            Replica::new(node as u64 + 1, timeouts(), 9, cluster.now, state);
+                        cluster.collect_effects(node)
                     },
                 );
             }
@@ -311,55 +319,57 @@
                         .propose_membership_change(self.now, &change)
                         .is_ok()
                     {
-                        step(
+                        add_successor(
                             Budget {
                                 membership_changes: budget.membership_changes - 1,
                                 ..budget
                             },
-                            &|w| {
-                                let now = w.now;
-                                let _ = w.nodes[k].0.propose_membership_change(now, &change);
-                                w.collect_effects(k)
+                            &|cluster| {
+                                let now = cluster.now;
+                                let _ = cluster.nodes[node]
+                                    .0
+                                    .propose_membership_change(now, &change);
+                                cluster.collect_effects(node)
                             },
                         );
                     }
                 }
             }
         }
-        for m in 0..self.network.len() {
-            let to = self.network[m].to as usize - 1;
-            step(budget, &|w| {
-                let message = w.network.swap_remove(m);
-                w.nodes[to].0.step(w.now, message);
-                w.collect_effects(to)
+        for message_index in 0..self.network.len() {
+            let to = self.network[message_index].to as usize - 1;
+            add_successor(budget, &|cluster| {
+                let message = cluster.network.swap_remove(message_index);
+                cluster.nodes[to].0.step(cluster.now, message);
+                cluster.collect_effects(to)
             });
             if budget.drops > 0 {
-                step(
+                add_successor(
                     Budget {
                         drops: budget.drops - 1,
                         ..budget
                     },
-                    &|w| {
-                        w.network.swap_remove(m);
+                    &|cluster| {
+                        cluster.network.swap_remove(message_index);
                         Ok(())
                     },
                 );
             }
             if budget.duplicates > 0 {
-                step(
+                add_successor(
                     Budget {
                         duplicates: budget.duplicates - 1,
                         ..budget
                     },
-                    &|w| {
-                        let message = w.network[m].clone();
-                        w.nodes[to].0.step(w.now, message);
-                        w.collect_effects(to)
+                    &|cluster| {
+                        let message = cluster.network[message_index].clone();
+                        cluster.nodes[to].0.step(cluster.now, message);
+                        cluster.collect_effects(to)
                     },
                 );
             }
         }
-        all
+        successors
     }
 }
 
@@ -373,34 +383,34 @@
     entry.checksum(0)
 }
 
-/// Visits all states; returns how many there are, and in how many something is committed. Fails at the first one that
-/// breaks a guarantee.
-fn search(world: World, max_states: usize) -> Result<(usize, usize), String> {
-    let mut seen = HashSet::new();
-    let mut open = VecDeque::from([world]);
+/// Visits all states; returns how many there are, and how many have committed entries. Fails at the first state that
+/// violates an invariant.
+fn search(cluster: Cluster, max_states: usize) -> Result<(usize, usize), String> {
+    let mut visited = HashSet::new();
+    let mut queue = VecDeque::from([cluster]);
     let mut committed = 0;
-    while let Some(world) = open.pop_front() {
-        for next in world.successors() {
+    while let Some(cluster) = queue.pop_front() {
+        for next in cluster.successors() {
             let next = next?;
-            if seen.insert(next.fingerprint()) {
+            if visited.insert(next.fingerprint()) {
                 committed += usize::from(!next.committed.is_empty());
-                open.push_back(next);
+                queue.push_back(next);
             }
         }
-        assert!(seen.len() < max_states, "more than {max_states} states");
+        assert!(visited.len() < max_states, "more than {max_states} states");
     }
-    Ok((seen.len(), committed))
+    Ok((visited.len(), committed))
 }
 
-/// Worlds that are searched completely, and a lower bound on the states of each.
-fn worlds() -> Vec<(&'static str, World, usize)> {
+/// Scenarios that are searched completely, each with a lower bound on its number of states.
+fn scenarios() -> Vec<(&'static str, Cluster, usize)> {
     vec![
         (
             "two elections",
-            world(
+            initial_state(
                 Budget {
                     elections: 2,
-                    ..NONE
+                    ..NO_EVENTS
                 },
                 false,
                 3,
@@ -408,14 +418,14 @@
             10_000,
         ),
         (
-            "one election, a loss, a repeat, a heartbeat",
-            world(
+            "one election, one loss, one duplicate, one heartbeat",
+            initial_state(
                 Budget {
                     elections: 1,
                     drops: 1,
                     duplicates: 1,
                     heartbeats: 1,
-                    ..NONE
+                    ..NO_EVENTS
                 },
                 false,
                 3,
@@ -423,13 +433,13 @@
             1_000,
         ),
         (
-            "one election, a proposal, a loss",
-            world(
+            "one election, one proposal, one loss",
+            initial_state(
                 Budget {
                     elections: 1,
                     proposals: 1,
                     drops: 1,
-                    ..NONE
+                    ..NO_EVENTS
                 },
                 false,
                 3,
@@ -437,12 +447,12 @@
             1_000,
         ),
         (
-            "two elections, slow disks, a crash; votes alone",
-            world(
+            "two elections, slow disks, one crash; elections only",
+            initial_state(
                 Budget {
                     elections: 2,
                     crashes: 1,
-                    ..NONE
+                    ..NO_EVENTS
                 },
                 true,
                 3,
@@ -450,12 +460,12 @@
             1_000,
         ),
         (
-            "one election, two changes of members",
-            world(
+            "one election, two membership changes",
+            initial_state(
                 Budget {
                     elections: 1,
                     membership_changes: 2,
-                    ..NONE
+                    ..NO_EVENTS
                 },
                 false,
                 4,
@@ -466,41 +476,41 @@
 }
 
 #[test]
-fn every_order_of_events_keeps_the_guarantees_in_a_small_world() {
-    for (name, world, min_states) in worlds() {
-        let begun = std::time::Instant::now();
-        let votes = world.votes_only;
-        let found = search(world, 3_000_000);
-        let (states, committed) = found.unwrap_or_else(|why| panic!("{name}: {why}"));
+fn safety_invariants_hold_for_every_order_of_events_in_small_clusters() {
+    for (name, cluster, min_states) in scenarios() {
+        let started = std::time::Instant::now();
+        let elections_only = cluster.elections_only;
+        let found = search(cluster, 3_000_000);
+        let (states, committed) = found.unwrap_or_else(|violation| panic!("{name}: {violation}"));
         println!(
-            "{name}: {states} states, {committed} with something committed, {:?}",
-            begun.elapsed()
+            "{name}: {states} states, {committed} with committed entries, {:?}",
+            started.elapsed()
         );
         assert!(
-            states >= min_states && (committed > 0 || votes),
-            "{name}: {states} states, {committed} committed"
+            states >= min_states && (committed > 0 || elections_only),
+            "{name}: {states} states, {committed} with committed entries"
         );
     }
 }
 
-/// With a bug planted the search finds it: cargo test -p rainstand-raft --features planted
+/// The search finds planted bugs. Run with: cargo test -p rainstand-raft --features planted
 #[cfg(feature = "planted")]
 #[test]
 fn planted_bugs_are_found() {
     use rainstand_raft::plant::plant;
-    // `tail-kept` wants two leaders and a proposal of each, which is past a million states: the simulation finds it.
+    // `tail-kept` requires two leaders and a proposal to each, which exceeds a million states: the simulation finds it.
     for bug in ["early-answer", "vote-forgotten"] {
         plant(Some(bug));
-        let found = worlds().into_iter().find_map(|(name, world, _)| {
-            let caught = std::panic::catch_unwind(|| search(world, 3_000_000));
-            match caught {
-                Ok(Err(why)) => Some(format!("{name}: {why}")),
+        let found = scenarios().into_iter().find_map(|(name, cluster, _)| {
+            let search_result = std::panic::catch_unwind(|| search(cluster, 3_000_000));
+            match search_result {
+                Ok(Err(violation)) => Some(format!("{name}: {violation}")),
                 Ok(Ok(_)) => None,
-                Err(_) => Some(format!("{name}: panicked")),
+                Err(_) => Some(format!("{name}: panic")),
             }
         });
         plant(None);
         println!("{bug}: {found:?}");
-        assert!(found.is_some(), "{bug} is not found");
+        assert!(found.is_some(), "the search did not find {bug}");
     }
 }
