--- a/crates/cli/src/pcap/capture_file.rs
+++ b/crates/cli/src/pcap/capture_file.rs
@@ -1,4 +1,4 @@
-//! Capture files: opened, read, and how much of one could be read.
+//! Opens and reads capture files, and reports whether a file was read completely.
 
 use crate::error::CommandError;
 use crate::output::ExitStatus;
@@ -8,10 +8,10 @@
 use std::fs::File;
 use std::io::{self, IsTerminal, Read};
 
-/// Reads a capture. That it is cut off is printed.
+/// Reads a capture. Prints a warning if it is truncated.
 ///
 /// # Errors
-/// If the file cannot be opened, or is no capture.
+/// If the file cannot be opened, or is not a capture.
 pub(super) fn read_capture(
     path: &str,
     on_event: impl FnMut(Event<'_>),
@@ -21,12 +21,12 @@
         if summary.file.format.is_empty() {
             return Err(CommandError::unusable(path, reason.as_str()));
         }
-        eprintln!("rainstand: {path}: {reason}; what stands before it was read");
+        eprintln!("rainstand: {path}: {reason}; the part before it was read");
     }
     Ok(summary)
 }
 
-/// Whether all of a capture was read.
+/// `Found` for a truncated capture, `Success` for one that was read completely.
 pub(super) fn exit_status(summary: &Summary) -> ExitStatus {
     if summary.cut_off.is_some() {
         ExitStatus::Found
@@ -35,7 +35,7 @@
     }
 }
 
-/// Opens a capture, with a progress bar on a terminal for a file of a known size.
+/// Opens a capture; `-` is standard input. If standard error is a terminal, a file gets a progress bar.
 fn open(path: &str) -> Result<Box<dyn Read + Send>, CommandError> {
     if path == "-" {
         return Ok(Box::new(io::stdin()));
--- a/crates/cli/src/pcap/cut.rs
+++ b/crates/cli/src/pcap/cut.rs
@@ -1,4 +1,4 @@
-//! `rainstand pcap cut`: a capture of some requests only.
+//! `rainstand pcap cut`: writes the selected requests of a capture to a new capture.
 
 use super::capture_file::{exit_status, read_capture};
 use super::time_range::{TimeBounds, TimeRange};
@@ -58,17 +58,17 @@
     Ok(exit_status(&summary))
 }
 
-/// Which requests are selected.
+/// Selects requests.
 struct Filter<'a> {
     bounds: TimeBounds,
-    /// Any of them; all if there are none.
+    /// Selected types; empty selects all.
     types: &'a [String],
-    /// Any of them; all if there are none.
+    /// Selected tenants; empty selects all.
     tenants: &'a [String],
 }
 
 impl Filter<'_> {
-    /// Whether a call is selected, `after` the capture's first connection was opened.
+    /// Whether a call is selected. `after` is the time from the opening of the capture's first connection to the call.
     fn matches(&self, call: &Call, after: Duration) -> bool {
         self.bounds.contains(after)
             && allows(self.types, call.field("route"))
@@ -80,9 +80,10 @@
     names.is_empty() || names.iter().any(|allowed| allowed == name)
 }
 
-/// Writes packets until a write fails.
+/// Writes packets to a capture; drops them after the first failed write.
 struct CaptureWriter {
     file: BufWriter<File>,
+    /// The error of the first failed write.
     written: io::Result<()>,
 }
 
@@ -96,10 +97,10 @@
         })
     }
 
-    fn write(&mut self, at: u64, packets: impl IntoIterator<Item = Vec<u8>>) {
+    fn write(&mut self, at_ns: u64, packets: impl IntoIterator<Item = Vec<u8>>) {
         let mut blocks = Vec::new();
         for packet in packets {
-            write::packet(&mut blocks, at, &packet, packet.len());
+            write::packet(&mut blocks, at_ns, &packet, packet.len());
         }
         if self.written.is_ok() {
             self.written = self.file.write_all(&blocks);
@@ -112,19 +113,19 @@
     }
 }
 
-/// The selected calls of one connection, as they are written again.
+/// The output conversation of one connection, with its selected calls.
 struct SelectedConnection {
     conversation: Conversation,
-    /// Sequence numbers of the calls that are not answered yet.
+    /// Sequence numbers of the written calls without an answer.
     open_calls: HashSet<i32>,
 }
 
-/// The connections of a capture, and those of them with selected calls.
+/// Tracks the connections of a capture, and writes those with selected calls.
 struct Selection<'a> {
     filter: Filter<'a>,
-    /// When the first connection was opened, in ns.
-    first_at: Option<u64>,
-    /// Both ends of each open connection.
+    /// When the first connection was opened.
+    first_at_ns: Option<u64>,
+    /// Both endpoints of each open connection.
     ends: HashMap<u32, [End; 2]>,
     connections: HashMap<u32, SelectedConnection>,
     request_count: u64,
@@ -134,7 +135,7 @@
     fn new(filter: Filter<'a>) -> Self {
         Self {
             filter,
-            first_at: None,
+            first_at_ns: None,
             ends: HashMap::new(),
             connections: HashMap::new(),
             request_count: 0,
@@ -148,7 +149,7 @@
                 ends,
                 at,
             } => {
-                self.first_at.get_or_insert(at);
+                self.first_at_ns.get_or_insert(at);
                 self.ends.insert(connection, ends);
             }
             Event::Call {
@@ -159,7 +160,7 @@
                 seq,
                 at,
             } => {
-                if let Some(selected) = self.connection_with(connection, seq) {
+                if let Some(selected) = self.connection_with_open_call(connection, seq) {
                     let frame = thrift::give_up(seq);
                     writer.write(at, selected.conversation.data(0, &frame));
                 }
@@ -170,7 +171,7 @@
                 frame,
                 at,
             } => {
-                if let Some(selected) = self.connection_with(connection, seq) {
+                if let Some(selected) = self.connection_with_open_call(connection, seq) {
                     selected.open_calls.remove(&seq);
                     let frame = with_length_prefix(frame);
                     writer.write(at, selected.conversation.data(1, &frame));
@@ -187,9 +188,9 @@
         }
     }
 
-    /// `side`: the caller's place among the connection's ends.
+    /// `side`: index of the caller in the connection's endpoints.
     fn on_call(&mut self, call: &Call, frame: &[u8], side: usize, writer: &mut CaptureWriter) {
-        let after = call.at.saturating_sub(self.first_at.unwrap_or(call.at));
+        let after = call.at.saturating_sub(self.first_at_ns.unwrap_or(call.at));
         if !self.filter.matches(call, Duration::from_nanos(after)) {
             return;
         }
@@ -210,11 +211,15 @@
         writer.write(call.at, selected.conversation.data(0, &frame));
     }
 
-    /// The connection with a selected call of this number that is not answered yet.
-    fn connection_with(&mut self, connection: u32, call: i32) -> Option<&mut SelectedConnection> {
+    /// The connection, if it has a selected call with this sequence number and without an answer.
+    fn connection_with_open_call(
+        &mut self,
+        connection: u32,
+        sequence_number: i32,
+    ) -> Option<&mut SelectedConnection> {
         self.connections
             .get_mut(&connection)
-            .filter(|selected| selected.open_calls.contains(&call))
+            .filter(|selected| selected.open_calls.contains(&sequence_number))
     }
 }
 
--- a/crates/cli/src/pcap/export.rs
+++ b/crates/cli/src/pcap/export.rs
@@ -1,4 +1,5 @@
-//! `rainstand pcap export`: requests as columns: a Parquet file with a row a request, in the order in which they ended.
+//! `rainstand pcap export`: writes the requests of a capture to a Parquet file, one row per request, in the order in
+//! which they ended.
 
 use super::capture_file::{exit_status, read_capture};
 use crate::error::{CommandError, CommandResult};
@@ -15,10 +16,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Rows of one group: some MB of memory, whatever the capture's size.
+/// Rows of one row group. Limits memory to some MB for a capture of any size.
 const GROUP_ROWS: usize = 1 << 16;
 
-/// Columns in this order; a time that is not there is null.
+/// The columns in their order; a missing time is null.
 const SCHEMA: &str = "message tickets {
     required int64 at_us (TIMESTAMP(MICROS, true));
     required int32 conn (INTEGER(32, false));
@@ -63,7 +64,7 @@
     Ok(exit_status(&summary))
 }
 
-/// Why requests cannot be written.
+/// Why the Parquet file cannot be written.
 #[derive(Debug, thiserror::Error)]
 enum ExportError {
     #[error(transparent)]
@@ -72,7 +73,7 @@
     Parquet(#[from] ParquetError),
 }
 
-/// The rows of one group, column by column.
+/// The rows of one row group, by column.
 #[derive(Default)]
 struct Columns {
     at_us: Vec<i64>,
@@ -101,7 +102,7 @@
     fn push(&mut self, request: &Ticket) {
         let call = &request.call;
         let text = |key| ByteArray::from(call.field(key));
-        let since_call_us = |then: u64| (then.saturating_sub(call.at) / 1_000) as i64;
+        let since_call_us = |at_ns: u64| (at_ns.saturating_sub(call.at) / 1_000) as i64;
         self.at_us.push((call.at / 1_000) as i64);
         self.connection.push(call.connection as i32);
         self.sequence_number.push(call.seq);
@@ -184,7 +185,7 @@
     Ok(())
 }
 
-/// Writes requests to a Parquet file, a group of rows at a time.
+/// Writes requests to a Parquet file, one row group at a time.
 struct RequestWriter {
     writer: SerializedFileWriter<File>,
     columns: Columns,
@@ -223,7 +224,7 @@
         Ok(())
     }
 
-    /// Writes what is left; how many requests were written in all.
+    /// Writes the last row group and the file's footer. Returns the number of rows in the file.
     fn finish(mut self) -> Result<u64, ExportError> {
         if self.columns.len() > 0 {
             self.write_group()?;
--- a/crates/cli/src/pcap/info.rs
+++ b/crates/cli/src/pcap/info.rs
@@ -1,4 +1,4 @@
-//! `rainstand pcap info`: what a capture holds, as counts.
+//! `rainstand pcap info`: prints the counts of a capture.
 
 use super::capture_file::{exit_status, read_capture};
 use crate::error::CommandResult;
@@ -26,7 +26,7 @@
     Ok(exit_status(&summary))
 }
 
-/// All counts of a capture.
+/// All counts of a capture, under the keys of the JSON output.
 pub(super) fn summary_json(summary: &Summary) -> Value {
     let Summary {
         file,
@@ -64,7 +64,7 @@
     })
 }
 
-/// Counts as lines of words, an object within on one line.
+/// One line per count; a nested object takes one line.
 fn as_text(counts: &Value) -> String {
     let counts = counts.as_object().into_iter().flatten();
     counts
@@ -80,7 +80,7 @@
         .collect()
 }
 
-/// Zeros are left out.
+/// A nested object on one line, without its zero counts.
 fn inner_counts(counts: &Map<String, Value>) -> String {
     let parts: Vec<String> = counts
         .iter()
--- a/crates/cli/src/pcap/mod.rs
+++ b/crates/cli/src/pcap/mod.rs
@@ -1,4 +1,4 @@
-//! `rainstand pcap …`: recorded traffic, one module a subcommand.
+//! `rainstand pcap …`: commands for recorded traffic, one module per subcommand.
 
 mod capture_file;
 mod cut;
@@ -11,7 +11,7 @@
 use crate::error::CommandResult;
 use clap::Subcommand;
 
-// Doc comments here and in the modules' `Options` are help texts.
+// The doc comments here and in the modules' `Options` are help texts.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Tell what a capture holds
--- a/crates/cli/src/pcap/replay/client.rs
+++ b/crates/cli/src/pcap/replay/client.rs
@@ -1,6 +1,6 @@
-//! Sends a schedule's calls when they are due, and records what became of each.
+//! Sends the calls of a schedule at their due times, and records the outcome of each.
 //!
-//! Invariant: `open_call_count` is the number of calls that have neither an outcome nor a caller that left.
+//! Invariant: `open_call_count` is the number of calls without an outcome that were not abandoned.
 
 use super::connection::{FlushOutcome, ReplayConnection};
 use super::trace_text;
@@ -19,39 +19,39 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, yield_now};
 
-/// From the start to the first call, so that it is not late for what is done here.
+/// Time from the start of the replay to its time zero, so that setup does not delay the first call.
 const START_DELAY: Duration = Duration::from_millis(20);
-/// Before a send is due the clock is polled, since timers are only good to a millisecond.
+/// For this long before a send is due the clock is polled, since timers have a resolution of one millisecond.
 const POLL_BEFORE_DUE: Duration = Duration::from_millis(2);
-/// A call that was sent within this before its connection closed is sent once more, as the protocol has it.
+/// A call that was sent at most this long before its connection closed is sent once more, as the protocol requires.
 const RESEND_WINDOW: Duration = Duration::from_millis(50);
-/// Bytes that are read with one call.
+/// Size of the buffer for one read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of a frame's length.
+/// Size of a frame's length prefix.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// What became of one call here.
+/// A call in this replay.
 #[derive(Clone, Default)]
 pub(super) struct ReplayedCall {
     pub(super) trace: u64,
     /// When its last byte was written.
     pub(super) sent_at: Option<Instant>,
-    /// How long after it was due.
+    /// Time from when the call was due until it was sent first.
     pub(super) lateness: Duration,
     pub(super) outcome: Option<Outcome>,
-    /// From its last byte to its answer.
+    /// Time from writing the last byte to the answer.
     pub(super) took: Option<Duration>,
-    /// It was sent a second time, as it crossed the close of its connection.
+    /// The connection closed before the answer, and the call was sent a second time.
     pub(super) resent: bool,
-    /// Its caller gave it up.
-    left: bool,
+    /// The recorded caller gave up on the call, and so did the replay.
+    abandoned: bool,
 }
 
-/// What happened to the connections.
+/// Counters of connection events.
 #[derive(Default)]
 pub(super) struct ConnectionCounters {
     pub(super) opened: Cell<u64>,
-    /// Those that could not be opened.
+    /// Connections that could not be opened.
     pub(super) refused: Cell<u64>,
     pub(super) broken: Cell<u64>,
     /// Frames that could not be decoded.
@@ -61,19 +61,19 @@
 /// How reading from a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// Nothing was open on it.
+    /// No call was open.
     Proper,
     Broken,
 }
 
-/// A replay under way.
+/// A replay in progress.
 pub(super) struct ReplayClient {
     to: SocketAddr,
     pub(super) schedule: Schedule,
-    /// When each call is due, from the replay's start.
+    /// When each call is due, as time after `started`.
     due: Vec<Duration>,
     pub(super) calls: RefCell<Vec<ReplayedCall>>,
-    /// The present connection for each of the schedule's.
+    /// The current connection for each connection of the schedule ("slot").
     connections: RefCell<Vec<Option<Rc<ReplayConnection>>>>,
     open_call_count: Cell<usize>,
     started: Cell<Option<Instant>>,
@@ -86,7 +86,7 @@
 }
 
 impl ReplayClient {
-    /// `seed`: of the new traces.
+    /// `seed`: seeds the generator of the new traces.
     pub(super) fn new(schedule: Schedule, to: SocketAddr, seed: u64) -> Self {
         let mut rng = WyRand::new_seed(seed);
         let new_call = |_: &Recorded| ReplayedCall {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sends everything when it is due, then waits for the last answers.
+    /// Sends all calls and notices when they are due, then waits up to `wait` for the last answers.
     pub(super) async fn run(self: Rc<Self>, wait: Duration) {
         let bar = if io::stderr().is_terminal() {
             ProgressBar::new(self.schedule.sends.len() as u64)
@@ -124,7 +124,7 @@
             sleep_until_due(started + send.after).await;
             match send.what {
                 What::Call => self.send(send.call, send.connection),
-                What::Left => self.leave(send.call, send.connection),
+                What::Left => self.abandon(send.call, send.connection),
             }
             bar.inc(1);
         }
@@ -140,12 +140,17 @@
                 break;
             }
         }
-        for call in self.calls.borrow_mut().iter_mut().filter(|call| call.left) {
+        for call in self
+            .calls
+            .borrow_mut()
+            .iter_mut()
+            .filter(|call| call.abandoned)
+        {
             call.outcome.get_or_insert(Outcome::Gone);
         }
     }
 
-    /// The connection of a slot that can take a call, opened now if there is none.
+    /// The usable connection of a slot; opens one if there is none.
     fn connection(self: &Rc<Self>, slot: usize) -> Rc<ReplayConnection> {
         let mut connections = self.connections.borrow_mut();
         let current = connections[slot].as_ref();
@@ -167,9 +172,9 @@
         self.flush(&connection);
     }
 
-    /// The caller of a call gives it up.
-    fn leave(&self, call: usize, slot: usize) {
-        self.mark_left(call);
+    /// Abandons a call, as its recorded caller did, and notifies the other side.
+    fn abandon(&self, call: usize, slot: usize) {
+        self.mark_abandoned(call);
         let Some(connection) = self.connections.borrow()[slot].clone() else {
             return;
         };
@@ -179,12 +184,12 @@
         }
     }
 
-    fn mark_left(&self, call: usize) {
+    fn mark_abandoned(&self, call: usize) {
         let mut calls = self.calls.borrow_mut();
         let call = &mut calls[call];
-        if call.outcome.is_none() && !call.left {
-            call.left = true;
-            // Nothing is owed any more; an answer still counts if it comes.
+        if call.outcome.is_none() && !call.abandoned {
+            call.abandoned = true;
+            // The replay no longer waits for the call; an answer that still arrives is recorded.
             self.open_call_count.set(self.open_call_count.get() - 1);
         }
     }
@@ -197,16 +202,16 @@
         }
     }
 
-    /// The last bytes of calls were written.
+    /// Records the send time of calls whose last bytes were written.
     fn on_sent(&self, sent: &[usize]) {
         let now = Instant::now();
         let started = self.started.get().unwrap_or(now);
         let mut calls = self.calls.borrow_mut();
-        for number in sent {
-            let call = &mut calls[*number];
+        for index in sent {
+            let call = &mut calls[*index];
             call.sent_at = Some(now);
             if !call.resent {
-                call.lateness = now.saturating_duration_since(started + self.due[*number]);
+                call.lateness = now.saturating_duration_since(started + self.due[*index]);
             }
         }
     }
@@ -220,13 +225,13 @@
         let sent_at = call.sent_at.filter(|_| outcome != Outcome::Gone);
         call.took = sent_at.map(|sent_at| sent_at.elapsed());
         call.outcome = Some(outcome);
-        if !call.left {
+        if !call.abandoned {
             self.open_call_count.set(self.open_call_count.get() - 1);
             self.call_ended.notify_one();
         }
     }
 
-    /// A connection's whole life.
+    /// Opens a connection, serves it until it ends, and handles its open calls.
     async fn run_connection(self: Rc<Self>, connection: Rc<ReplayConnection>) {
         match TcpStream::connect(self.to).await {
             Ok(stream) => {
@@ -243,7 +248,7 @@
         self.on_disconnected(&connection);
     }
 
-    /// Writes what is queued and reads answers until the connection is over.
+    /// Writes queued bytes and reads answers until the connection ends.
     async fn exchange(&self, connection: &ReplayConnection, stream: &TcpStream) -> ConnectionEnd {
         let mut received = Ring::default();
         let mut chunk = vec![0; READ_CHUNK_BYTES];
@@ -279,7 +284,10 @@
         }
     }
 
-    /// Handles the frames that were received whole; an error if what follows is none.
+    /// Handles the complete frames in the buffer.
+    ///
+    /// # Errors
+    /// If the bytes after them do not begin a frame.
     fn handle_frames(
         &self,
         connection: &ReplayConnection,
@@ -295,7 +303,7 @@
 
     fn on_frame(&self, connection: &ReplayConnection, frame: &[u8]) {
         if thrift::kind(frame) == Some(thrift::ONEWAY) {
-            // `shutdown`: nothing new here; what is open is still answered.
+            // `shutdown`: the other side accepts no new calls here, but still answers the open ones.
             connection.retire();
             return;
         }
@@ -308,7 +316,7 @@
         }
     }
 
-    /// A connection is over; its open calls are, too, but for those that crossed its close.
+    /// Ends the open calls of a closed connection, except those that are sent once more on a new one.
     fn on_disconnected(self: &Rc<Self>, connection: &ReplayConnection) {
         connection.retire();
         let was_connected = connection.stream.get().is_some();
@@ -321,13 +329,13 @@
         }
     }
 
-    /// Whether a call crossed the close of its connection and is sent once more.
+    /// Whether a call is sent once more after its connection closed; marks it as resent if so.
     fn mark_resent(&self, call: usize) -> bool {
         let call = &mut self.calls.borrow_mut()[call];
         let is_recent = call
             .sent_at
             .is_none_or(|sent_at| sent_at.elapsed() <= RESEND_WINDOW);
-        let is_resent_now = is_recent && !call.resent && !call.left;
+        let is_resent_now = is_recent && !call.resent && !call.abandoned;
         call.resent |= is_resent_now;
         is_resent_now
     }
@@ -335,18 +343,18 @@
 
 async fn sleep_until_due(due: Instant) {
     loop {
-        let left = due.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = due.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
-        match left.checked_sub(POLL_BEFORE_DUE) {
+        match remaining.checked_sub(POLL_BEFORE_DUE) {
             Some(pause) if !pause.is_zero() => tokio::time::sleep(pause).await,
             _ => yield_now().await,
         }
     }
 }
 
-/// A call as it goes out: new trace and birth, everything else as recorded.
+/// The frame of a call, with a new `trace` and `born`, and everything else as recorded.
 fn call_frame(recorded: &Recorded, sequence_number: i32, trace: u64) -> Vec<u8> {
     let trace = trace_text(trace);
     let now = SystemTime::now()
--- a/crates/cli/src/pcap/replay/connection.rs
+++ b/crates/cli/src/pcap/replay/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a replay, from its opening to its end.
+//! One connection of a replay.
 
 use rainstand_protocol::ring::Ring;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -8,30 +8,30 @@
 use tokio::sync::Notify;
 
 pub(super) struct ReplayConnection {
-    /// Which of the schedule's connections it plays.
+    /// Index of the schedule's connection that this one replays.
     pub(super) slot: usize,
-    /// Empty until it is connected.
+    /// Empty until the connection is established.
     pub(super) stream: OnceCell<TcpStream>,
-    /// Bytes that the socket did not take yet.
+    /// Queued bytes that are not written to the socket yet.
     unsent_bytes: RefCell<Ring>,
     /// Calls without an answer, by sequence number.
     open_calls: RefCell<HashMap<i32, usize>>,
-    /// Calls whose last byte is not sent.
+    /// Calls whose last byte is not written to the socket yet.
     unsent_calls: RefCell<Vec<usize>>,
     next_sequence_number: Cell<i32>,
-    /// The other side wants nothing new here, or it is broken.
+    /// No new call may be sent: the other side sent `shutdown`, or the connection ended.
     retired: Cell<bool>,
-    /// There are bytes that the socket did not take.
+    /// Notified when a flush leaves unsent bytes.
     wake: Notify,
 }
 
-/// Whether everything queued was sent.
+/// The result of writing the queued bytes to the socket.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FlushOutcome {
     AllSent,
-    /// The socket takes no more now.
+    /// The socket's send buffer is full.
     Blocked,
-    /// The connection is broken, and what was queued is dropped: its reader ends it.
+    /// The connection is broken and the queued bytes are dropped; the connection's reader ends it.
     Broken,
     NotConnected,
 }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The number of the next call on this connection.
+    /// Returns the sequence number for the next call, and increments it.
     pub(super) fn take_sequence_number(&self) -> i32 {
         let number = self.next_sequence_number.get();
         self.next_sequence_number.set(number + 1);
@@ -64,12 +64,12 @@
         self.unsent_calls.borrow_mut().push(call);
     }
 
-    /// Queues a frame that has no answer.
+    /// Queues a frame that is not answered.
     pub(super) fn queue_notice(&self, frame: &[u8]) {
         self.unsent_bytes.borrow_mut().put(frame);
     }
 
-    /// Writes what the socket takes now; the rest is written when it takes more.
+    /// Writes queued bytes until the socket would block; the rest stays queued.
     pub(super) fn flush(&self) -> FlushOutcome {
         let Some(stream) = self.stream.get() else {
             return FlushOutcome::NotConnected;
@@ -90,12 +90,12 @@
         FlushOutcome::AllSent
     }
 
-    /// Has its task wait until the socket takes the bytes that it did not take now.
+    /// Wakes the connection's task, so that it waits until the socket is writable.
     pub(super) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Returns when there are bytes that the socket did not take.
+    /// Returns after [`Self::wake`].
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
@@ -104,7 +104,7 @@
         !self.unsent_bytes.borrow().is_empty()
     }
 
-    /// Calls whose last byte was sent since the last call of this.
+    /// Removes and returns the calls in `unsent_calls`; called when all queued bytes are sent.
     pub(super) fn take_sent_calls(&self) -> Vec<usize> {
         std::mem::take(&mut *self.unsent_calls.borrow_mut())
     }
@@ -116,12 +116,12 @@
         found.map(|(sequence_number, _)| *sequence_number)
     }
 
-    /// An answer came; the call that it is for.
+    /// Removes and returns the call that an answer with this sequence number belongs to.
     pub(super) fn remove_call(&self, sequence_number: i32) -> Option<usize> {
         self.open_calls.borrow_mut().remove(&sequence_number)
     }
 
-    /// The connection ended; the calls that were not answered on it.
+    /// Removes and returns the calls without an answer.
     pub(super) fn take_open_calls(&self) -> Vec<usize> {
         let mut open_calls = self.open_calls.borrow_mut();
         open_calls.drain().map(|(_, call)| call).collect()
@@ -131,7 +131,7 @@
         !self.open_calls.borrow().is_empty()
     }
 
-    /// No call is sent on it from now on.
+    /// Stops sending new calls on this connection.
     pub(super) fn retire(&self) {
         self.retired.set(true);
     }
--- a/crates/cli/src/pcap/replay/mod.rs
+++ b/crates/cli/src/pcap/replay/mod.rs
@@ -1,8 +1,8 @@
-//! `rainstand pcap replay`: the calls of a capture, sent again with their timing.
+//! `rainstand pcap replay`: sends the calls of a capture again with their timing.
 //!
-//! Open loop: what is sent when was decided before ([`rainstand_capture::schedule`]), and a slow node does not slow it.
-//! Each recorded connection is one here; a connection that breaks ends its open calls, and the next call opens it anew.
-//! Calls get a new `trace` and `born`, all else goes as it was recorded.
+//! The load is open loop: the send times are planned in advance ([`rainstand_capture::schedule`]), and a slow node does
+//! not delay them. Each recorded connection is replayed on its own connection; if it breaks, its open calls end, and
+//! the next call opens it again. Calls get a new `trace` and `born`; everything else is sent as recorded.
 
 mod client;
 mod connection;
@@ -23,9 +23,9 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Connections that `--connections` may ask for.
+/// Upper limit of `--connections`.
 const MAX_CONNECTIONS: usize = 10_000;
-/// How many times as fast as recorded a replay may be.
+/// Upper limit of `--speed`, as a multiple of the recorded speed.
 const MAX_SPEED: f64 = 1_000.0;
 
 #[derive(Args)]
@@ -67,8 +67,12 @@
 
 pub(super) fn run(options: &Options) -> CommandResult {
     let choice = choice(options)?;
-    let wait = Duration::try_from_secs_f64(options.wait)
-        .map_err(|_| CommandError::unusable("--wait", format!("{} is no time", options.wait)))?;
+    let wait = Duration::try_from_secs_f64(options.wait).map_err(|_| {
+        CommandError::unusable(
+            "--wait",
+            format!("{} is not a valid duration", options.wait),
+        )
+    })?;
     let schedule = read_schedule(&options.file, &choice)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -82,7 +86,7 @@
     report::print(&client, options)
 }
 
-/// What of the capture is replayed, and how.
+/// The part of the capture to replay, and its speed and connections.
 fn choice(options: &Options) -> Result<Choice, CommandError> {
     let connections = parse_connections(&options.connections)?;
     let range = TimeRange {
@@ -122,19 +126,19 @@
     read_capture(path, |event| collector.take(&event))?;
     if collector.left_out > 0 {
         let reason = format!(
-            "{} calls do not fit in memory; choose a stretch with --from and --until",
+            "{} calls do not fit in memory; choose a time range with --from and --until",
             collector.left_out
         );
         return Err(CommandError::unusable(path, reason));
     }
     let schedule = collector.schedule(choice);
     if schedule.calls.is_empty() {
-        return Err(CommandError::unusable(path, "no calls in this stretch"));
+        return Err(CommandError::unusable(path, "no calls in this time range"));
     }
     Ok(schedule)
 }
 
-/// Writes each call's recorded and new trace, a JSON object a line.
+/// Writes the recorded and the new trace of each call, one JSON object per line.
 fn write_mapping(client: &ReplayClient, path: &Path) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     for (recorded, replayed) in client.schedule.calls.iter().zip(&*client.calls.borrow()) {
@@ -145,7 +149,7 @@
     file.flush()
 }
 
-/// A trace as it stands in a call.
+/// A trace in the form that calls carry.
 fn trace_text(trace: u64) -> String {
     format!("{trace:016x}")
 }
--- a/crates/cli/src/pcap/replay/report.rs
+++ b/crates/cli/src/pcap/replay/report.rs
@@ -1,4 +1,4 @@
-//! What a replay came to, beside what was recorded.
+//! Reports the outcomes and times of a replay next to the recorded ones.
 
 use super::client::{ReplayClient, ReplayedCall};
 use super::{trace_text, Options};
@@ -11,13 +11,13 @@
 use std::io;
 use std::time::Duration;
 
-/// Longest time in histograms, in µs: ten minutes.
+/// Upper bound of the histograms: ten minutes. Longer times count as this.
 const MAX_TIME_US: u64 = 600_000_000;
-/// Digits of the histograms.
+/// Precision of the histograms, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Differences that are printed as text.
+/// Differences that the text report lists.
 const MAX_PRINTED_DIFFERENCES: usize = 20;
-/// The words for how calls end, in the order of the report.
+/// The outcomes of calls, in the order of the report.
 const OUTCOME_WORDS: [&str; 6] = [
     "honoured",
     "dismissed",
@@ -50,7 +50,7 @@
     })
 }
 
-/// A call as it was recorded, and what became of it here.
+/// A recorded call and its replay.
 #[derive(Clone, Copy)]
 struct CallPair<'a> {
     recorded: &'a Recorded,
@@ -58,7 +58,7 @@
 }
 
 impl CallPair<'_> {
-    /// Whether the outcome is another one than was recorded; where the recording shows none, it is not.
+    /// Whether the outcome differs from the recorded one; false if no outcome was recorded.
     fn differs(self, kinds_only: bool) -> bool {
         let Some(before) = &self.recorded.outcome else {
             return false;
@@ -108,25 +108,25 @@
     outcome.unwrap_or(&Outcome::None)
 }
 
-/// How many calls ended in one way.
+/// How many calls ended with one outcome.
 struct OutcomeRow {
     word: &'static str,
     recorded: u64,
     replayed: u64,
 }
 
-/// The figures of a replay.
+/// The results of a replay.
 struct Report<'a> {
     client: &'a ReplayClient,
     call_count: usize,
     resent_count: usize,
     differences: Vec<CallPair<'a>>,
     outcomes: Vec<OutcomeRow>,
-    /// How late calls were sent.
+    /// Time from when calls were due until they were sent.
     lateness: Histogram<u64>,
-    /// From calls to their answers, as recorded.
+    /// Time from calls to their answers, as recorded.
     recorded_times: Histogram<u64>,
-    /// The same, here.
+    /// Time from calls to their answers in the replay.
     replayed_times: Histogram<u64>,
 }
 
@@ -232,10 +232,10 @@
         .collect()
 }
 
-/// Times as a histogram of µs.
+/// A histogram of times, in µs.
 fn histogram(times: impl Iterator<Item = Duration>) -> Histogram<u64> {
     let mut histogram = Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
-        .expect("constant bounds that fit");
+        .expect("the constant bounds are valid");
     for time in times {
         histogram.saturating_record((time.as_micros() as u64).max(1));
     }
--- a/crates/cli/src/pcap/tickets.rs
+++ b/crates/cli/src/pcap/tickets.rs
@@ -1,4 +1,4 @@
-//! `rainstand pcap tickets`: every request of a capture, and then what was not readable.
+//! `rainstand pcap tickets`: prints every request of a capture, then a summary with the counts of unreadable data.
 
 use super::capture_file::{exit_status, read_capture};
 use super::info::summary_json;
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::io::{self, BufWriter, Write};
 
-/// Bytes of output that are written with one call.
+/// Size of the output buffer.
 const OUTPUT_BUFFER_BYTES: usize = 64 << 10;
 
 #[derive(Args)]
@@ -22,7 +22,7 @@
 
 pub(super) fn run(options: &Options) -> CommandResult {
     let mut out = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
-    // Once nobody reads any more the rest is not written.
+    // After the first failed write, e.g. to a closed pipe, the rest is not written.
     let mut written: io::Result<()> = Ok(());
     let summary = read_capture(&options.file, |event| {
         if let (Event::Ticket(request), true) = (event, written.is_ok()) {
@@ -58,7 +58,7 @@
     )
 }
 
-/// From the call to its answer, in µs.
+/// Time from the call to its answer.
 fn took_us(request: &Ticket) -> Option<u64> {
     let answered = request.answered?;
     Some(answered.saturating_sub(request.call.at) / 1_000)
--- a/crates/cli/src/pcap/time_range.rs
+++ b/crates/cli/src/pcap/time_range.rs
@@ -1,9 +1,9 @@
-//! A part of a capture, by time.
+//! A time range of a capture.
 
 use clap::Args;
 use std::time::{Duration, TryFromFloatSecsError};
 
-// A part of a capture, in seconds after its first packet.
+// A time range of a capture, as given in options. No doc comment: it would become a help text.
 #[derive(Args, Clone, Copy, Debug)]
 pub(super) struct TimeRange {
     /// Seconds after the first packet
@@ -14,33 +14,33 @@
     pub(super) to: Option<f64>,
 }
 
-/// The same as times after the first packet.
+/// A valid [`TimeRange`], as durations.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeBounds {
-    /// The first that belongs to it.
+    /// Inclusive start.
     pub(super) from: Duration,
-    /// The first that does not; none: to the capture's end.
+    /// Exclusive end; `None` is the capture's end.
     pub(super) to: Option<Duration>,
 }
 
-/// Why a range cannot be used.
+/// Why a time range is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum TimeRangeError {
     #[error("--{option} {seconds}: {error}")]
-    NoTime {
+    InvalidSeconds {
         option: &'static str,
         seconds: f64,
         error: TryFromFloatSecsError,
     },
-    #[error("--to {to:?} does not lie after --from {from:?}")]
+    #[error("--to {to:?} is not after --from {from:?}")]
     Empty { from: Duration, to: Duration },
 }
 
 impl TimeRange {
-    /// The bounds in full.
+    /// Converts the range to durations.
     ///
     /// # Errors
-    /// If a bound is negative or too large, or nothing lies between them.
+    /// If a bound is negative or too large, or the range is empty.
     pub(super) fn bounds(&self) -> Result<TimeBounds, TimeRangeError> {
         let from = parse("from", self.from)?;
         let to = self.to.map(|to| parse("to", to)).transpose()?;
@@ -52,7 +52,7 @@
 }
 
 fn parse(option: &'static str, seconds: f64) -> Result<Duration, TimeRangeError> {
-    Duration::try_from_secs_f64(seconds).map_err(|error| TimeRangeError::NoTime {
+    Duration::try_from_secs_f64(seconds).map_err(|error| TimeRangeError::InvalidSeconds {
         option,
         seconds,
         error,
--- a/crates/cli/tests/traffic.rs
+++ b/crates/cli/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Captures on the command line: looked at, cut, exported, replayed against stand-ins that misbehave.
+//! `rainstand pcap`: captures are listed, cut, exported, and replayed against fake nodes with faults.
 
 #![allow(
     missing_docs,
@@ -14,16 +14,16 @@
 use parquet::record::RowAccessor;
 use program::{command, run_lines as run};
 use serde_json::Value;
-use stand_ins::{capture, node, Manners};
+use stand_ins::{capture, start_node, NodeFaults};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-/// Only what hangs is caught by this.
-const HANGS: Duration = Duration::from_secs(20);
+/// A program that runs longer is taken as hung.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Every kind of answer, on three connections within 60 ms.
+/// Calls (time in ms, connection, body, entity) with every kind of answer, on three connections within 60 ms.
 const CALLS: [(u64, usize, &str, &str); 12] = [
     (0, 0, "one", "e1"),
     (4, 1, "two", "e2"),
@@ -39,13 +39,14 @@
     (58, 1, "eight", "e12"),
 ];
 
+/// A folder with a capture of [`CALLS`] as `a.pcapng`.
 fn folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("a.pcapng"), capture(&CALLS)).unwrap();
     folder
 }
 
-/// A replay of that capture to an address.
+/// Replays `a.pcapng` to an address. Returns the exit code, the lines of standard output, and standard error.
 fn replay(folder: &Path, to: &str, more: &[&str]) -> (i32, Vec<Value>, String) {
     run(
         folder,
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn tickets_are_told_a_line_each_and_then_the_summary() {
+fn requests_are_listed_one_per_line_before_the_summary() {
     let folder = folder();
     let (code, lines, _) = run(folder.path(), &["pcap", "tickets", "a.pcapng", "--json"]);
     assert_eq!((code, lines.len()), (0, 13));
@@ -63,14 +64,14 @@
         let line = lines.iter().find(|line| line["trace"] == trace).unwrap();
         (line["end"].as_str().unwrap(), line["took_us"].as_u64())
     };
-    let wanted = [
+    let expected = [
         (0, "honoured"),
         (2, "dismissed"),
         (3, "given_up"),
         (4, "exception"),
         (11, "honoured"),
     ];
-    for (trace, word) in wanted {
+    for (trace, word) in expected {
         assert_eq!(end(trace), (word, Some(1_000)));
     }
     assert_eq!(end(5), ("gone", None));
@@ -95,17 +96,17 @@
 }
 
 #[test]
-fn what_is_no_capture_or_half_of_one_is_told() {
+fn truncated_or_invalid_captures_are_reported() {
     let folder = folder();
-    let at = folder.path();
-    let whole = std::fs::read(at.join("a.pcapng")).unwrap();
-    std::fs::write(at.join("half.pcapng"), &whole[..whole.len() / 2]).unwrap();
+    let path = folder.path();
+    let complete = std::fs::read(path.join("a.pcapng")).unwrap();
+    std::fs::write(path.join("half.pcapng"), &complete[..complete.len() / 2]).unwrap();
     std::fs::write(
-        at.join("text.pcapng"),
+        path.join("text.pcapng"),
         "not a capture, and long enough to be looked at",
     )
     .unwrap();
-    std::fs::write(at.join("empty.pcapng"), "").unwrap();
+    std::fs::write(path.join("empty.pcapng"), "").unwrap();
     let table = [
         ("half.pcapng", 1, "middle of a packet"),
         ("text.pcapng", 2, "neither pcap nor pcapng"),
@@ -114,18 +115,18 @@
         (".", 2, "a folder"),
     ];
     for (file, code, words) in table {
-        let (found, _, told) = run(at, &["pcap", "info", file]);
-        assert_eq!(found, code, "{file}: {told}");
-        assert!(told.contains(file) && told.contains(words), "{told}");
+        let (found, _, errors) = run(path, &["pcap", "info", file]);
+        assert_eq!(found, code, "{file}: {errors}");
+        assert!(errors.contains(file) && errors.contains(words), "{errors}");
     }
 }
 
 #[test]
-fn a_cut_has_the_chosen_tickets_and_no_others() {
+fn cut_writes_only_the_selected_requests() {
     let folder = folder();
-    let at = folder.path();
+    let path = folder.path();
     let (code, _, _) = run(
-        at,
+        path,
         &[
             "pcap",
             "cut",
@@ -138,18 +139,18 @@
         ],
     );
     assert_eq!(code, 0);
-    let (_, lines, _) = run(at, &["pcap", "tickets", "part.pcapng", "--json"]);
+    let (_, lines, _) = run(path, &["pcap", "tickets", "part.pcapng", "--json"]);
     let mut traces: Vec<_> = lines[..lines.len() - 1]
         .iter()
-        .map(|l| l["trace"].as_str().unwrap().to_owned())
+        .map(|line| line["trace"].as_str().unwrap().to_owned())
         .collect();
     traces.sort();
-    let wanted: Vec<_> = (3..9).map(|n| format!("{n:016x}")).collect();
-    assert_eq!(traces, wanted);
+    let expected: Vec<_> = (3..9).map(|n| format!("{n:016x}")).collect();
+    assert_eq!(traces, expected);
     let ends = &lines[lines.len() - 1]["summary"]["ends"];
     assert_eq!((&ends["honoured"], &ends["gone"]), (&3.into(), &1.into()));
-    let (_, _, told) = run(
-        at,
+    let (_, _, errors) = run(
+        path,
         &[
             "pcap",
             "cut",
@@ -159,10 +160,10 @@
             "other",
         ],
     );
-    assert!(told.contains("0 tickets"));
+    assert!(errors.contains("0 tickets"));
     assert_eq!(
         run(
-            at,
+            path,
             &["pcap", "cut", "a.pcapng", "b.pcapng", "--from", "3", "--to", "2"]
         )
         .0,
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn columns_hold_what_lines_say() {
+fn exported_columns_match_the_listed_requests() {
     let folder = folder();
     let (code, _, _) = run(
         folder.path(),
@@ -186,38 +187,38 @@
         .map(Result::unwrap)
         .collect();
     assert_eq!(rows.len(), 12);
-    let of = |trace: &str| {
+    let row_of = |trace: &str| {
         rows.iter()
             .find(|row| row.get_string(3).unwrap() == trace)
             .unwrap()
     };
-    let dismissed = of("0000000000000002");
+    let rejected = row_of("0000000000000002");
     assert_eq!(
         (
-            dismissed.get_string(11).unwrap().as_str(),
-            dismissed.get_long(15).unwrap()
+            rejected.get_string(11).unwrap().as_str(),
+            rejected.get_long(15).unwrap()
         ),
         ("dismissed", 100)
     );
-    let left = of("0000000000000005");
+    let abandoned = row_of("0000000000000005");
     assert_eq!(
         (
-            left.get_string(11).unwrap().as_str(),
-            left.get_long(13).unwrap()
+            abandoned.get_string(11).unwrap().as_str(),
+            abandoned.get_long(13).unwrap()
         ),
         ("gone", 5_000)
     );
     assert!(
-        left.get_long(12).is_err(),
-        "an answer's time that was none is null"
+        abandoned.get_long(12).is_err(),
+        "the time of a missing answer is null"
     );
-    assert_eq!(dismissed.get_string(4).unwrap(), "check");
+    assert_eq!(rejected.get_string(4).unwrap(), "check");
 }
 
 #[test]
-fn a_replay_brings_the_same_answers_under_new_traces() {
+fn replay_gets_the_same_answers_under_new_traces() {
     let folder = folder();
-    let node = node(Manners::default());
+    let node = start_node(NodeFaults::default());
     let to = node.addr.to_string();
     let more = [
         "--compare",
@@ -227,38 +228,38 @@
         "--mapping",
         "map.jsonl",
     ];
-    let (code, lines, told) = replay(folder.path(), &to, &more);
-    // What is never answered is waited for in vain: its caller left it, and it is told as unanswered.
+    let (code, lines, errors) = replay(folder.path(), &to, &more);
+    // The call that is never answered was abandoned in the capture, and is reported as unanswered.
     let summary = &lines[lines.len() - 1]["summary"];
     assert_eq!(
         (code, &summary["calls"], &summary["connections"]),
         (0, &12.into(), &3.into()),
-        "{told}{summary}"
+        "{errors}{summary}"
     );
     assert_eq!(
         summary["ends"]["honoured"],
         serde_json::json!({"recorded": 8, "now": 8})
     );
-    let got = node.got.lock().unwrap();
-    let bodies: Vec<_> = got
+    let received = node.received.lock().unwrap();
+    let bodies: Vec<_> = received
         .iter()
-        .map(|one| String::from_utf8(one.body.clone()).unwrap())
+        .map(|call| String::from_utf8(call.body.clone()).unwrap())
         .collect();
-    for on in 0..3 {
-        // In the recorded order on each connection; further tries still say so.
-        let wanted: Vec<_> = CALLS
+    for connection in 0..3 {
+        // On each connection the recorded order is kept.
+        let expected: Vec<_> = CALLS
             .iter()
-            .filter(|call| call.1 == on)
+            .filter(|call| call.1 == connection)
             .map(|call| call.2)
             .collect();
-        let first = bodies.iter().position(|body| body == wanted[0]).unwrap();
-        let found: Vec<_> = got
+        let first = bodies.iter().position(|body| body == expected[0]).unwrap();
+        let found: Vec<_> = received
             .iter()
             .zip(&bodies)
-            .filter(|(one, _)| one.connection == got[first].connection)
+            .filter(|(call, _)| call.connection == received[first].connection)
             .map(|(_, body)| body.as_str())
             .collect();
-        assert_eq!(found, wanted);
+        assert_eq!(found, expected);
     }
     let field = |fields: &[(String, String)], key: &str| {
         fields
@@ -269,22 +270,23 @@
             .clone()
     };
     let mapping = std::fs::read_to_string(folder.path().join("map.jsonl")).unwrap();
-    for one in got.iter() {
-        assert_eq!(field(&one.fields, "redo"), "1");
-        assert_ne!(field(&one.fields, "born"), "1");
-        let trace = field(&one.fields, "trace");
+    for call in received.iter() {
+        // Retries are still marked as retries.
+        assert_eq!(field(&call.fields, "redo"), "1");
+        assert_ne!(field(&call.fields, "born"), "1");
+        let trace = field(&call.fields, "trace");
         assert!(!trace.starts_with("00000000000000") && mapping.contains(&trace));
     }
     assert_eq!(mapping.lines().count(), 12);
-    assert_eq!(node.left.lock().unwrap().len(), 1);
+    assert_eq!(node.abandoned.lock().unwrap().len(), 1);
 }
 
 #[test]
-fn a_different_answer_is_named() {
+fn compare_names_the_call_with_a_different_answer() {
     let folder = folder();
-    let node = node(Manners {
-        wrong_about: Some("e8"),
-        ..Manners::default()
+    let node = start_node(NodeFaults {
+        wrong_for: Some("e8"),
+        ..NodeFaults::default()
     });
     let to = node.addr.to_string();
     let (code, lines, _) = replay(folder.path(), &to, &["--compare", "--json"]);
@@ -293,17 +295,17 @@
         (&lines[0]["trace"], &lines[0]["now"]),
         (&"0000000000000007".into(), &"honoured".into())
     );
-    // By kinds alone it is the same.
+    // Compared by kind alone, the answers are the same.
     let (code, ..) = replay(folder.path(), &to, &["--compare", "--kinds"]);
     assert_eq!(code, 0);
 }
 
 #[test]
-fn broken_and_refused_connections_do_not_end_a_replay() {
+fn replay_continues_after_broken_and_refused_connections() {
     let folder = folder();
-    let breaking = node(Manners {
-        breaks_after: Some(2),
-        ..Manners::default()
+    let breaking = start_node(NodeFaults {
+        closes_at_call: Some(2),
+        ..NodeFaults::default()
     });
     let to = breaking.addr.to_string();
     let (code, lines, _) = replay(folder.path(), &to, &["--json", "--wait", "2"]);
@@ -313,16 +315,16 @@
         summary["connections"].as_u64().unwrap() > 3 && summary["broken"].as_u64().unwrap() > 0,
         "{summary}"
     );
-    assert!(breaking.got.lock().unwrap().len() >= 12);
-    // Nobody listens there any more.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+    assert!(breaking.received.lock().unwrap().len() >= 12);
+    // The port of a closed listener refuses connections.
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
     let (code, lines, _) = replay(
         folder.path(),
-        &gone,
+        &closed_port,
         &["--json", "--compare", "--wait", "2"],
     );
     assert_eq!(
@@ -332,11 +334,11 @@
         ),
         (1, &12.into())
     );
-    let shutting = node(Manners {
-        shuts_after: Some(1),
-        ..Manners::default()
+    let shutting_down = start_node(NodeFaults {
+        shutdown_after: Some(1),
+        ..NodeFaults::default()
     });
-    let to = shutting.addr.to_string();
+    let to = shutting_down.addr.to_string();
     let (code, lines, _) = replay(folder.path(), &to, &["--json", "--wait", "2", "--compare"]);
     let summary = &lines[lines.len() - 1]["summary"];
     assert!(
@@ -345,14 +347,14 @@
     );
 }
 
-/// A peer that accepts connections and resets each at once, or up to a millisecond later; it ends with the process.
+/// Starts a peer that accepts connections and resets each 0 to 1 ms later; it ends with the process.
 fn resetting_peer() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for (number, stream) in (0..).zip(listener.incoming().flatten()) {
             std::thread::sleep(Duration::from_micros(100) * (number % 11));
-            // Closing without lingering sends a reset.
+            // Closing a socket with a linger time of zero sends a reset.
             socket2::SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
@@ -361,10 +363,10 @@
     address
 }
 
-/// Whether a program ends within [`HANGS`]; it is killed if not.
-fn ends(mut child: Child) -> bool {
+/// Whether a program ends within [`HANG_TIMEOUT`]; kills it if not.
+fn ends_in_time(mut child: Child) -> bool {
     let started = Instant::now();
-    while started.elapsed() < HANGS {
+    while started.elapsed() < HANG_TIMEOUT {
         if child.try_wait().unwrap().is_some() {
             return true;
         }
@@ -375,9 +377,9 @@
     false
 }
 
-// Guards against a replay that spins on a connection which broke while a frame was not written, and never ends.
+// Guards against a replay that never ends because it spins on a connection that broke before a frame was written.
 #[test]
-fn a_replay_to_a_peer_that_resets_at_once_ends() {
+fn replay_to_a_peer_that_resets_connections_ends() {
     let calls: Vec<_> = (0..400)
         .map(|n| (n / 20, (n % 20) as usize, "body", "e"))
         .collect();
@@ -387,34 +389,34 @@
     let arguments = [
         "pcap", "replay", "a.pcapng", "--to", &to, "--wait", "1", "--json",
     ];
-    for play in 0..5 {
+    for run_number in 0..5 {
         let mut command = command(folder.path(), &arguments);
         let child = command.stdout(Stdio::null()).spawn().unwrap();
-        assert!(ends(child), "play {play} does not end");
+        assert!(ends_in_time(child), "replay {run_number} does not end");
     }
 }
 
 #[test]
-fn wrong_words_are_told() {
+fn invalid_arguments_are_reported() {
     let folder = folder();
     let table: [(&[&str], &str); 5] = [
         (&["--speed", "0"], "not above 0"),
         (&["--connections", "many"], "neither `as-recorded` nor"),
-        (&["--from", "90"], "no calls in this stretch"),
-        (&["--from", "2", "--until", "1"], "does not lie after"),
-        (&["--wait", "-1"], "is no time"),
+        (&["--from", "90"], "no calls in this time range"),
+        (&["--from", "2", "--until", "1"], "is not after --from"),
+        (&["--wait", "-1"], "is not a valid duration"),
     ];
     for (more, words) in table {
-        let all = [&["pcap", "replay", "a.pcapng", "--to", "127.0.0.1:9"], more].concat();
-        let all: Vec<&str> = all
+        let arguments = [&["pcap", "replay", "a.pcapng", "--to", "127.0.0.1:9"], more].concat();
+        let arguments: Vec<&str> = arguments
             .into_iter()
-            .map(|one| if one == "-1" { "-1" } else { one })
+            .map(|argument| if argument == "-1" { "-1" } else { argument })
             .collect();
-        let (code, _, told) = run(folder.path(), &all);
-        assert_eq!(code, 2, "{told}");
+        let (code, _, errors) = run(folder.path(), &arguments);
+        assert_eq!(code, 2, "{errors}");
         assert!(
-            told.contains(words) || told.contains("unexpected argument"),
-            "{told}"
+            errors.contains(words) || errors.contains("unexpected argument"),
+            "{errors}"
         );
     }
 }
