--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab compare`: two variants, by pairs of runs with one seed.
+//! `rainstand lab compare`: compares two variants by pairs of runs with the same seed.
 
 use crate::error::{CommandError, CommandResult};
 use crate::output::{json, line, ExitStatus};
@@ -28,7 +28,7 @@
     json: bool,
 }
 
-/// Which variant is meant where no label is given.
+/// The variant that is compared if no label is given.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DefaultVariant {
     First,
@@ -104,7 +104,7 @@
         .into_iter()
         .map(|variant| variant.label)
         .collect();
-    let reason = format!("no such variant; there are: {}", labels.join("; "));
+    let reason = format!("no such variant; known variants: {}", labels.join("; "));
     CommandError::unusable("--before or --after", reason)
 }
 
--- a/crates/cli/src/lab/load/client.rs
+++ b/crates/cli/src/lab/load/client.rs
@@ -1,4 +1,4 @@
-//! The connections of a load, and what becomes of the requests on them.
+//! Sends the requests of a load, and records their outcomes and times.
 //!
 //! Invariant: each request is counted once, as served, rejected or failed.
 
@@ -16,18 +16,18 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Requests in flight on one connection: half of what the protocol allows.
+/// Limit of requests in flight on one connection: half of the protocol's limit.
 const MAX_IN_FLIGHT_PER_CONNECTION: usize = 16;
-/// Connections at a time: half of what a machine's descriptors allow.
+/// Limit of open connections: half of what a machine's limit of file descriptors allows.
 const MAX_CONNECTIONS: usize = 2_000;
-/// Bytes that are read with one call.
+/// Size of the buffer for one read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of a frame's length.
+/// Size of a frame's length prefix.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Digits of the histograms.
+/// Precision of the histograms, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A request that is due.
+/// A request to send.
 pub(super) struct LoadRequest {
     pub(super) class: String,
     pub(super) trace: String,
@@ -36,31 +36,31 @@
     pub(super) latency_objective: Duration,
 }
 
-/// How requests ended.
+/// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutcomeCounts {
     pub(super) requests: u64,
     pub(super) served: u64,
-    /// Of those served, within their latency objective.
+    /// Served requests within their latency objective.
     pub(super) in_time: u64,
     pub(super) rejected: u64,
     pub(super) failed: u64,
 }
 
-/// Sends requests over as many connections as they need.
+/// Sends requests, and opens connections as needed.
 pub(super) struct LoadClient {
     entry_points: Vec<SocketAddr>,
     connections: RefCell<Vec<Rc<ClientConnection>>>,
     counts: Cell<OutcomeCounts>,
-    /// From when a request was due to its response, in µs.
+    /// Times from when a request was due to its response, in µs.
     pub(super) times: RefCell<Histogram<u64>>,
-    /// From when a request was due to when it was sent, in µs.
+    /// Times from when a request was due to when it was sent, in µs.
     pub(super) lateness: RefCell<Histogram<u64>>,
-    /// Counts up, so that connections and entry points are used in turn.
+    /// Round-robin position for connections and entry points.
     turn: Cell<usize>,
 }
 
-/// A request that was sent and is not answered.
+/// A request that was sent and is not answered yet.
 #[derive(Clone, Copy)]
 struct InFlight {
     due: Instant,
@@ -81,7 +81,7 @@
     NotSent,
 }
 
-/// Time since an instant, as histograms hold it.
+/// A time as histograms record it: at least 1 µs.
 fn recordable_us(elapsed: Duration) -> u64 {
     (elapsed.as_micros() as u64).max(1)
 }
@@ -103,12 +103,12 @@
         })
     }
 
-    /// How requests ended so far.
+    /// Counts of requests by outcome so far.
     pub(super) fn counts(&self) -> OutcomeCounts {
         self.counts.get()
     }
 
-    /// Requests that were sent and are not answered.
+    /// Number of requests that were sent and are not answered yet.
     pub(super) fn in_flight(&self) -> usize {
         let connections = self.connections.borrow();
         connections
@@ -117,16 +117,17 @@
             .sum()
     }
 
-    /// Counts all requests that are not answered as failed.
+    /// Counts all requests in flight as failed.
     pub(super) fn fail_in_flight(&self) {
         let unanswered = self.in_flight() as u64;
         self.count(|counts| counts.failed += unanswered);
     }
 
-    /// Sends a request on a connection with capacity, or else on a new one; one that cannot be sent has failed.
+    /// Sends a request on a connection with capacity, or else on a new one. A request that cannot be sent counts as
+    /// failed.
     pub(super) async fn send(self: &Rc<Self>, request: &LoadRequest) {
         let lateness = recordable_us(request.due.elapsed());
-        // A time beyond the histogram's range is left out.
+        // A time beyond the histogram's range is not recorded.
         let _ = self.lateness.borrow_mut().record(lateness);
         self.count(|counts| counts.requests += 1);
         if self.send_on_open_connection(request) == SendOutcome::NotSent
@@ -180,7 +181,7 @@
         connection.send(request)
     }
 
-    /// Reads until the connection ends; what is in flight on it then has failed.
+    /// Reads responses until the connection ends, then counts its requests in flight as failed.
     async fn read_responses(
         self: Rc<Self>,
         connection: Rc<ClientConnection>,
@@ -221,7 +222,7 @@
 
     fn on_served(&self, request: InFlight) {
         let time = request.due.elapsed();
-        // A time beyond the histogram's range is left out.
+        // A time beyond the histogram's range is not recorded.
         let _ = self.times.borrow_mut().record(recordable_us(time));
         let is_in_time = time <= request.latency_objective;
         self.count(|counts| {
@@ -236,8 +237,8 @@
         !self.broken.get() && self.in_flight.borrow().len() < MAX_IN_FLIGHT_PER_CONNECTION
     }
 
-    /// Writes a request at once: a frame is far below what a socket accepts, and a connection that does not take it
-    /// whole is broken.
+    /// Writes a request without waiting. A frame is far smaller than a socket's send buffer, so a connection that does
+    /// not accept the complete frame is treated as broken.
     fn send(&self, request: &LoadRequest) -> SendOutcome {
         let sequence_number = self.next_sequence_number.get();
         self.next_sequence_number.set(sequence_number + 1);
--- a/crates/cli/src/lab/load/generator.rs
+++ b/crates/cli/src/lab/load/generator.rs
@@ -1,4 +1,4 @@
-//! When which request is sent: arrivals by a Poisson process whose rate follows the plan.
+//! Generates the requests of a load: arrivals are a Poisson process whose rate follows the plan.
 
 use super::client::{LoadClient, LoadRequest};
 use nanorand::{Rng, WyRand};
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Sets this generator's random numbers apart from those of the model with the same seed.
+/// Makes this generator's random numbers differ from those of the model with the same seed.
 const SEED_SALT: u64 = 0x6c6f_6164;
-/// Bytes of a request's body.
+/// Size of a request's body.
 const BODY_BYTES: usize = 200;
-/// Between two looks at the rate while no requests come.
+/// Interval between checks of the rate while it is zero.
 const IDLE_STEP_SECONDS: f64 = 0.01;
-/// How long responses are waited for past the latest deadline.
+/// How long to wait for responses after the longest deadline.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(500);
-/// Between two looks whether all requests are answered.
+/// Interval between checks whether all requests are answered.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sends a plan's requests when they are due, and waits for the responses.
@@ -35,17 +35,17 @@
     let class_parts: Vec<f64> = plan.types.iter().map(|class| class.part).collect();
     let tenant_parts: Vec<f64> = plan.tenants.iter().map(|tenant| tenant.part).collect();
     let start = Instant::now();
-    let mut at = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let mut number = 0u64;
     loop {
-        let rate = load_share(plan, at) * plan.whole_rate();
+        let rate = load_share(plan, elapsed) * plan.whole_rate();
         let gap = if rate > 0.0 {
             -(1.0 - unit_interval(&mut rng)).ln() / rate
         } else {
             IDLE_STEP_SECONDS
         };
-        at += Duration::from_secs_f64(gap);
-        if at >= plan.lasts {
+        elapsed += Duration::from_secs_f64(gap);
+        if elapsed >= plan.lasts {
             return;
         }
         let class = &plan.types[weighted_choice(&mut rng, &class_parts)];
@@ -58,7 +58,7 @@
             class: class.name.clone(),
             trace: format!("{:016x}", number << 16),
             tenant: tenant.name.clone(),
-            due: start + at,
+            due: start + elapsed,
             latency_objective: class.goal,
         };
         sleep_until(request.due).await;
@@ -66,29 +66,29 @@
     }
 }
 
-/// The load as a share of all cores at a time.
-fn load_share(plan: &Plan, at: Duration) -> f64 {
-    let step = plan.load.iter().rev().find(|(from, _)| *from <= at);
+/// The load, as a share of the capacity of all cores, at a time after the start.
+fn load_share(plan: &Plan, elapsed: Duration) -> f64 {
+    let step = plan.load.iter().rev().find(|(from, _)| *from <= elapsed);
     step.map_or(0.0, |(_, share)| *share)
 }
 
-/// A number from 0 up to 1.
+/// A random number in [0, 1).
 fn unit_interval(rng: &mut WyRand) -> f64 {
     f64::from(rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
 }
 
-/// The position of one of the parts, each as likely as it is large.
+/// A random index into `parts`, with probabilities proportional to the values.
 fn weighted_choice(rng: &mut WyRand, parts: &[f64]) -> usize {
-    let mut left = unit_interval(rng) * parts.iter().sum::<f64>();
+    let mut remaining = unit_interval(rng) * parts.iter().sum::<f64>();
     let fits = |part: &f64| {
-        left -= part;
-        left < 0.0
+        remaining -= part;
+        remaining < 0.0
     };
     parts.iter().position(fits).unwrap_or(parts.len() - 1)
 }
 
 impl LoadRequest {
-    /// The request as a frame with this sequence number.
+    /// Encodes the request as a frame with this sequence number.
     pub(super) fn frame(&self, sequence_number: i32) -> Vec<u8> {
         let fields = [
             ("route", &*self.class),
--- a/crates/cli/src/lab/load/mod.rs
+++ b/crates/cli/src/lab/load/mod.rs
@@ -1,8 +1,8 @@
-//! `rainstand lab load`: an experiment's requests on sockets, against a forwarder or node that runs, or against a fleet
-//! that it starts itself on loopback; then the model's figures stand beside them.
+//! `rainstand lab load`: sends an experiment's requests on sockets to a running forwarder or node, or to a fleet that
+//! it starts on loopback. For its own fleet it also prints the figures of the model.
 //!
-//! The load is open: requests leave when they are due, whatever became of those before, and times count from when a
-//! request was due, not from when it could be sent. So a stall shows in all that it delayed.
+//! The load is open loop: requests are sent when they are due, independent of earlier ones, and times count from when a
+//! request was due, not from when it was sent. So a stall shows in every request that it delayed.
 
 mod client;
 mod generator;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-/// Runs of the model, each with another seed, whose mean is printed.
+/// Number of model runs, each with its own seed, whose mean is printed.
 const MODEL_RUNS: u64 = 5;
 
 #[derive(Args)]
@@ -68,7 +68,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// The mean of some runs of the model, without retries by callers, as the generator makes none.
+/// The mean of [`MODEL_RUNS`] runs of the model. Retries by callers are off, since the generator makes none.
 fn model_figures(file: &str, plan: &Plan) -> Result<Figures, CommandError> {
     let mut mean = Figures::new("model");
     for run in 0..MODEL_RUNS {
--- a/crates/cli/src/lab/load/report.rs
+++ b/crates/cli/src/lab/load/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a load, measured on sockets or simulated by the model.
+//! Reports the figures of a load, measured on sockets or simulated by the model.
 
 use super::client::LoadClient;
 use crate::output::{json, line};
@@ -7,10 +7,10 @@
 use serde_json::json;
 use std::io;
 
-/// The quantiles of times that are printed.
+/// The printed quantiles of times.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// How requests ended, as shares of all.
+/// Shares of all requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeShares {
     in_time: f64,
@@ -23,7 +23,7 @@
 pub(super) struct Figures {
     source: &'static str,
     shares: OutcomeShares,
-    /// Of served requests, at [`QUANTILES`].
+    /// Times of served requests at [`QUANTILES`].
     times_ms: [f64; 4],
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What the client saw.
+    /// The figures that the client measured.
     pub(super) fn measured(client: &LoadClient) -> Self {
         let counts = client.counts();
         let share = |part: u64| part as f64 / counts.requests.max(1) as f64;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds one of `runs` runs of the model to their mean.
+    /// Adds the part of one model run to the mean of `runs` runs.
     pub(super) fn add_part(&mut self, measured: &Measured, runs: f64) {
         let jobs = measured.jobs();
         let share = |part: u64| part as f64 / jobs.asked.max(1) as f64 / runs;
@@ -68,7 +68,7 @@
     }
 }
 
-/// A quantile of times in µs, in ms.
+/// A quantile, in ms, of a histogram of times in µs.
 fn quantile_ms(times: &Histogram<u64>, quantile: f64) -> f64 {
     times.value_at_quantile(quantile) as f64 / 1e3
 }
--- a/crates/cli/src/lab/loopback_fleet.rs
+++ b/crates/cli/src/lab/loopback_fleet.rs
@@ -1,5 +1,5 @@
-//! Nodes and forwarders of a plan, on loopback: test servers that play the plan's faults, and the project's own
-//! forwarders before them.
+//! The nodes and forwarders of a plan, on loopback. The nodes are test servers that simulate the plan's faults; the
+//! forwarders are the real ones.
 
 use rainstand_config::schema::Configuration;
 use rainstand_fleet_model::plan::{NodeKind, Plan, Trouble, TypePlan, Work};
@@ -17,37 +17,39 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Nodes that are started here, each with a thread of its own.
+/// Upper limit of nodes, since each has its own thread.
 const MAX_NODES: u32 = 64;
-/// How long a forwarder that is told to end drains.
+/// How long a forwarder drains before it ends.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a plan's fleet cannot be started on loopback.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetError {
-    #[error("{0} nodes; at most {MAX_NODES} are started here")]
+    #[error("{0} nodes; at most {MAX_NODES} can be started on loopback")]
     TooManyNodes(u32),
-    #[error("stand-ins are plain nodes; start the project's own and say --to")]
+    #[error(
+        "only plain nodes can be started as test servers; start other nodes yourself and pass --to"
+    )]
     NotPlain,
-    #[error("{0:?} is not played on sockets (die, hang, fail-fast and lie are)")]
+    #[error("fault {0:?} is not supported on sockets (supported: die, hang, fail-fast, lie)")]
     UnsupportedFault(Trouble),
     #[error(transparent)]
     Script(#[from] ScriptError),
-    #[error("a forwarder that does not start")]
+    #[error("a forwarder did not start")]
     ForwarderNotStarted,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A fleet that runs. Its forwarders end with the program.
+/// A running fleet. Its forwarders end with the program.
 pub(super) struct LoopbackFleet {
     pub(super) nodes: Vec<TestServer>,
-    /// Where to send requests: the forwarders, or the nodes where there are none.
+    /// Where to send requests: the forwarders, or the nodes if there are no forwarders.
     pub(super) entry_points: Vec<SocketAddr>,
 }
 
 impl LoopbackFleet {
-    /// Nothing of its own, before something that runs already.
+    /// Starts nothing; requests go to a forwarder or node that is already running.
     pub(super) fn at(entry_point: SocketAddr) -> Self {
         Self {
             nodes: Vec::new(),
@@ -58,7 +60,7 @@
     /// Starts the nodes and forwarders of a plan.
     ///
     /// # Errors
-    /// If there are too many nodes, one of them cannot be played by a test server, or a forwarder does not start.
+    /// If there are too many nodes, a test server cannot act as one of them, or a forwarder does not start.
     pub(super) fn start(plan: &Plan) -> Result<Self, FleetError> {
         let nodes: Vec<TestServer> = node_scripts(plan)?
             .into_iter()
@@ -80,7 +82,7 @@
     }
 }
 
-/// A test server for the node of this number.
+/// The options of the test server for the node with this number.
 pub(super) fn test_server(number: usize, script: Script) -> TestServerOptions {
     TestServerOptions {
         script,
@@ -90,10 +92,10 @@
     }
 }
 
-/// The script of each node: how it runs requests, and its faults.
+/// The test server script of each node: how long it processes requests, and its faults.
 ///
 /// # Errors
-/// If there are too many nodes, or a test server cannot play one.
+/// If there are too many nodes, or a test server cannot act as one of them.
 pub(super) fn node_scripts(plan: &Plan) -> Result<Vec<Script>, FleetError> {
     if plan.nodes.count > MAX_NODES {
         return Err(FleetError::TooManyNodes(plan.nodes.count));
@@ -122,7 +124,7 @@
         .collect()
 }
 
-/// How a healthy node runs the requests of a class, as a line of a script.
+/// The script line for how a healthy node processes the requests of a class.
 fn route_line(class: &TypePlan) -> String {
     let run_time = match class.work {
         Work::Fixed(time) => format!("{}us", time.as_micros()),
@@ -132,7 +134,7 @@
     format!("route {} honour after {run_time}\n", class.name)
 }
 
-/// A fault in the words of a script.
+/// The script words for a fault.
 fn fault_words(fault: Trouble) -> Result<String, FleetError> {
     Ok(match fault {
         Trouble::Die => "refuse".into(),
@@ -143,7 +145,7 @@
     })
 }
 
-/// Starts a forwarder on a thread of its own; its address.
+/// Starts a forwarder on its own thread, and returns its address.
 fn start_forwarder(
     plan: &Plan,
     number: u32,
@@ -170,7 +172,7 @@
     Ok(address)
 }
 
-/// Runs a forwarder for ever, and sends its address; sends none if it does not start.
+/// Runs a forwarder until the program ends. Sends its address, or nothing if it does not start.
 async fn run_forwarder(
     configuration: Configuration,
     seed: u64,
@@ -179,7 +181,7 @@
     let context = ForwarderContext::new(configuration, "", seed);
     let listener = TcpListener::bind("127.0.0.1:0").await;
     if let (Ok(context), Ok(listener)) = (context, listener) {
-        // Nobody waits for it if the program ends.
+        // Sending fails only if the receiver is gone because the program ends.
         let _ = address.send(listener.local_addr());
         serve(context, listener, DRAIN_TIMEOUT, std::future::pending()).await;
     }
--- a/crates/cli/src/lab/mod.rs
+++ b/crates/cli/src/lab/mod.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab`: experiments with the fleet model, one module a subcommand.
+//! `rainstand lab`: experiments with the fleet model, one module per subcommand.
 
 mod compare;
 mod load;
@@ -12,7 +12,7 @@
 use crate::error::CommandResult;
 use clap::Subcommand;
 
-// Doc comments here and in the modules' `Options` are help texts.
+// The doc comments here and in the modules' `Options` are help texts.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Play an experiment: every variant with every seed, side by side
--- a/crates/cli/src/lab/plot.rs
+++ b/crates/cli/src/lab/plot.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab plot`: a folder's results as a page with pictures.
+//! `rainstand lab plot`: draws the results of a folder as SVG pictures and an HTML page.
 
 use crate::error::{CommandError, CommandResult};
 use crate::output::{line, ExitStatus};
@@ -9,7 +9,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The page that shows all pictures.
+/// The HTML page with all pictures.
 const PAGE_FILE: &str = "index.html";
 
 #[derive(Args)]
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab run`: plays every variant of an experiment with every seed.
+//! `rainstand lab run`: runs every variant of an experiment with every seed.
 
 use super::selection::SelectedExperiment;
 use crate::error::{CommandError, CommandResult};
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Where results go, in a folder for each experiment, unless options say another place.
+/// The default folder for results; each experiment has a folder in it.
 const RESULTS_FOLDER: &str = "lab-out";
-/// The exit status of a shell's command that was interrupted.
+/// The exit status by which a shell reports an interrupted command.
 const INTERRUPTED: i32 = 130;
 /// Confidence level of the printed intervals.
 const CONFIDENCE_LEVEL: f64 = 0.95;
@@ -51,37 +51,37 @@
         .out
         .clone()
         .unwrap_or_else(|| Path::new(RESULTS_FOLDER).join(&selected.experiment().name));
-    let mut played = play(options, &selected, &folder)?;
-    for failed in &played.failed {
+    let mut outcome = run_missing(options, &selected, &folder)?;
+    for failed in &outcome.failed {
         eprintln!(
             "{}: seed {} failed: {}",
             failed.variant, failed.seed, failed.reason
         );
     }
     let unusable_folder = |reason| CommandError::unusable(folder.display(), reason);
-    results::write(&folder, &mut played.rows).map_err(unusable_folder)?;
+    results::write(&folder, &mut outcome.rows).map_err(unusable_folder)?;
     let results = results::read(&folder).map_err(unusable_folder)?;
     if options.json {
         results.runs.iter().try_for_each(json)?;
     } else {
         print_table(&results)?;
     }
-    if played.remaining > 0 {
+    if outcome.remaining > 0 {
         eprintln!(
-            "stopped with {} runs left; ask again to go on",
-            played.remaining
+            "stopped with {} runs left; run the same command again to continue",
+            outcome.remaining
         );
     }
     let violations = report_violations(&results);
-    Ok(if violations == 0 && played.failed.is_empty() {
+    Ok(if violations == 0 && outcome.failed.is_empty() {
         ExitStatus::Success
     } else {
         ExitStatus::Found
     })
 }
 
-/// Plays the runs that the folder does not hold yet, until all are played or an interrupt comes.
-fn play(
+/// Does the runs whose results are not in the folder yet, until all are done or an interrupt arrives.
+fn run_missing(
     options: &Options,
     selected: &SelectedExperiment,
     folder: &Path,
@@ -103,14 +103,14 @@
     let stop = Arc::new(AtomicBool::new(false));
     stop_at_interrupt(stop.clone())?;
     let bar = progress_bar(work.seeds * variants.len() as u64);
-    let played = jobs::play(&work, folder, &stop, |rows| {
+    let outcome = jobs::play(&work, folder, &stop, |rows| {
         bar.inc(1);
         if !rows.run.broken.is_empty() {
-            bar.set_message("a rule broke");
+            bar.set_message("an invariant was violated");
         }
     });
     bar.finish_and_clear();
-    played.map_err(|reason| CommandError::unusable(folder.display(), reason))
+    outcome.map_err(|reason| CommandError::unusable(folder.display(), reason))
 }
 
 fn progress_bar(runs: u64) -> ProgressBar {
@@ -122,7 +122,7 @@
     bar
 }
 
-/// A first interrupt ends the play after the runs that are under way; a second one ends the program.
+/// The first interrupt stops the experiment after the runs in progress; the second one ends the program.
 fn stop_at_interrupt(stop: Arc<AtomicBool>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -132,7 +132,7 @@
             if tokio::signal::ctrl_c().await.is_ok() {
                 stop.store(true, Ordering::Relaxed);
                 eprintln!(
-                    "stopping when the runs under way have ended; interrupt again to end at once"
+                    "stopping after the runs in progress; interrupt again to exit immediately"
                 );
             }
             if tokio::signal::ctrl_c().await.is_ok() {
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-/// Prints the runs in which a rule broke; how many they are.
+/// Prints the runs that violated an invariant, and returns their number.
 fn report_violations(results: &Results) -> usize {
     let broken = results.runs.iter().filter(|run| !run.broken.is_empty());
     broken
@@ -151,7 +151,7 @@
         .count()
 }
 
-/// A row for each variant, a column for each measure.
+/// Prints a table with a row per variant and a column per measure.
 fn print_table(results: &Results) -> io::Result<()> {
     let variants = results.variants();
     let label_width = variants
--- a/crates/cli/src/lab/selection.rs
+++ b/crates/cli/src/lab/selection.rs
@@ -1,4 +1,4 @@
-//! The experiment of a file, and the variant of it, that options name.
+//! Selects the experiment of a file, and its variant, that the options name.
 
 use crate::config_file::read;
 use crate::error::CommandError;
@@ -6,10 +6,11 @@
 use rainstand_experiments::plans::variants;
 use rainstand_fleet_model::plan::Plan;
 
-/// An experiment and the configuration that it stands in.
+/// An experiment and the configuration that contains it.
 pub(super) struct SelectedExperiment<'a> {
     file: &'a str,
     pub(super) configuration: Configuration,
+    /// Index in the configuration's experiments.
     position: usize,
 }
 
@@ -34,7 +35,6 @@
         })
     }
 
-    /// The experiment.
     pub(super) fn experiment(&self) -> &Experiment {
         &self.configuration.experiments[self.position]
     }
@@ -54,7 +54,7 @@
             .into_iter()
             .find(|variant| label.is_none_or(|label| label == variant.label));
         let variant = selected.ok_or_else(|| {
-            let reason = format!("no such variant; there are: {}", labels.join("; "));
+            let reason = format!("no such variant; known variants: {}", labels.join("; "));
             CommandError::unusable(self.file, reason)
         })?;
         Ok(Plan {
@@ -64,14 +64,14 @@
     }
 }
 
-/// Why no experiment of a file is selected.
+/// Why no experiment could be selected.
 #[derive(Debug, thiserror::Error)]
 enum SelectionError {
-    #[error("there is no experiment in it")]
+    #[error("the file has no experiment")]
     NoExperiments,
-    #[error("there is no experiment `{name}`; there are {known}")]
+    #[error("there is no experiment `{name}`; known experiments: {known}")]
     Unknown { name: String, known: String },
-    #[error("say which with --experiment: {known}")]
+    #[error("the file has several experiments; choose one with --experiment: {known}")]
     Ambiguous { known: String },
 }
 
--- a/crates/cli/src/lab/shrink.rs
+++ b/crates/cli/src/lab/shrink.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab shrink`: looks for a smaller run that still breaks a rule.
+//! `rainstand lab shrink`: looks for a smaller run that still violates an invariant.
 
 use super::selection::SelectedExperiment;
 use crate::error::CommandResult;
--- a/crates/cli/src/lab/stand_ins.rs
+++ b/crates/cli/src/lab/stand_ins.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab stand-ins`: an experiment's nodes as test servers on loopback, until the program is ended.
+//! `rainstand lab stand-ins`: runs the nodes of an experiment as test servers on loopback until the program is ended.
 
 use super::loopback_fleet::{node_scripts, test_server};
 use super::selection::SelectedExperiment;
@@ -33,7 +33,7 @@
     let mut nodes = Vec::new();
     for (number, script) in scripts.into_iter().enumerate() {
         let address = address(options.port, number)?;
-        // A test server that cannot have its address ends in a panic.
+        // Checked first, since a test server panics if it cannot bind its address.
         if let Err(error) = TcpListener::bind(address) {
             return Err(CommandError::unusable(address, error));
         }
@@ -50,7 +50,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// The address of a node: any free port for 0, else the ports from the first one on.
+/// The address of a node: port `first_port + number`, or any free port if `first_port` is 0.
 fn address(first_port: u16, number: usize) -> Result<SocketAddr, CommandError> {
     let port = if first_port == 0 {
         Some(0)
@@ -61,12 +61,12 @@
         Some(port) => Ok(SocketAddr::from(([127, 0, 0, 1], port))),
         None => Err(CommandError::unusable(
             "--port",
-            "the last ports lie past 65535",
+            "the port numbers would exceed 65535",
         )),
     }
 }
 
-/// Returns at SIGTERM or an interrupt.
+/// Waits for SIGTERM or an interrupt.
 fn wait_for_end() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -1,4 +1,4 @@
-//! `rainstand lab` and `rainstand ask` as an operator uses them.
+//! `rainstand lab` and `rainstand ask`, run as programs.
 
 #![allow(
     missing_docs,
@@ -31,7 +31,7 @@
 ";
 
 #[test]
-fn an_experiment_is_played_compared_and_drawn() {
+fn an_experiment_is_run_compared_plotted_and_loaded() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("small.rain"), EXPERIMENT).unwrap();
     let (code, out, errors) =
@@ -41,9 +41,9 @@
         out.contains("tries=1 ") && out.contains("tries=3 ") && out.contains("unevenness"),
         "{out}"
     );
-    // Again: all of it is there, and the same figures are told.
-    let (code, again, _) = rainstand(folder.path(), &["lab", "run", "small.rain"]);
-    assert_eq!((code, &again), (0, &out));
+    // A second run finds all results in the folder, and prints the same figures.
+    let (code, repeated, _) = rainstand(folder.path(), &["lab", "run", "small.rain"]);
+    assert_eq!((code, &repeated), (0, &out));
     let (code, lines, _) = rainstand(folder.path(), &["lab", "run", "small.rain", "--json"]);
     assert_eq!((code, lines.lines().count()), (0, 6));
     let (code, out, _) = rainstand(folder.path(), &["lab", "compare", "lab-out/small"]);
@@ -60,21 +60,21 @@
         &["lab", "shrink", "small.rain", "--seed", "2"],
     );
     assert_eq!((code, out.as_str()), (0, "seed 2: no rule breaks\n"));
-    // The same on sockets, with the model beside it.
+    // The experiment's load on sockets, and the figures of the model.
     let (code, out, errors) = rainstand(folder.path(), &["lab", "load", "small.rain", "--json"]);
     assert_eq!((code, out.lines().count()), (0, 2), "{errors}");
-    for one in out.lines() {
-        let value: serde_json::Value = serde_json::from_str(one).unwrap();
-        let parts = ["honoured", "dismissed", "given_up"].map(|key| value[key].as_f64().unwrap());
+    for line in out.lines() {
+        let value: serde_json::Value = serde_json::from_str(line).unwrap();
+        let shares = ["honoured", "dismissed", "given_up"].map(|key| value[key].as_f64().unwrap());
         assert!(
-            (parts.iter().sum::<f64>() - 1.0).abs() < 1e-9 && value["asked"].as_u64() > Some(50),
-            "{one}"
+            (shares.iter().sum::<f64>() - 1.0).abs() < 1e-9 && value["asked"].as_u64() > Some(50),
+            "{line}"
         );
     }
 }
 
 #[test]
-fn what_is_wrong_is_told_with_an_exit_code() {
+fn errors_are_reported_with_an_exit_code() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("none.rain"), "rain 1\ntenant acme { }\n").unwrap();
     std::fs::write(
@@ -86,23 +86,23 @@
         (
             &["lab", "run", "none.rain"][..],
             2,
-            "there is no experiment in it",
+            "the file has no experiment",
         ),
         (&["lab", "run", "bad.rain"], 1, "`nodes` cannot be zero"),
         (&["lab", "compare", "nowhere"], 2, "nowhere"),
         (&["ask", "members", "--at", "127.0.0.1:1"], 2, "127.0.0.1:1"),
     ];
-    for (arguments, wanted, words) in table {
+    for (arguments, expected, words) in table {
         let (code, _, errors) = rainstand(folder.path(), arguments);
         assert!(
-            code == wanted && errors.contains(words),
+            code == expected && errors.contains(words),
             "{arguments:?}: {code} {errors}"
         );
     }
 }
 
 #[test]
-fn an_experiments_nodes_stand_until_they_are_ended() {
+fn test_servers_of_an_experiment_serve_until_they_are_ended() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("small.rain"), EXPERIMENT).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand"))
@@ -127,17 +127,17 @@
     child.wait().unwrap();
 }
 
-/// A forwarder as a process, with its admin address; ended when dropped.
-struct Forwarder(std::process::Child, String);
+/// A forwarder process and its admin address; the process is killed on drop.
+struct ForwarderProcess(std::process::Child, String);
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn forwarder(config: &PathBuf, number: &str) -> Forwarder {
+fn start_forwarder(config: &PathBuf, number: &str) -> ForwarderProcess {
     let mut child = Command::new(env!("CARGO_BIN_EXE_rainstand"))
         .args([
             "forward",
@@ -158,7 +158,7 @@
         .map_while(Result::ok)
         .find(|line| line.contains("admin="))
         .unwrap();
-    let at = line
+    let admin_address = line
         .split("admin=")
         .nth(1)
         .unwrap()
@@ -166,11 +166,11 @@
         .next()
         .unwrap()
         .to_owned();
-    Forwarder(child, at)
+    ForwarderProcess(child, admin_address)
 }
 
 #[test]
-fn forwarders_know_their_part_and_tell_of_it() {
+fn forwarders_report_the_members_of_their_subset() {
     let folder = tempfile::tempdir().unwrap();
     let config = folder.path().join("main.rain");
     let members: String = (0..4)
@@ -182,23 +182,29 @@
     std::fs::write(&config, text).unwrap();
     let mut known = Vec::new();
     for number in ["0", "1"] {
-        let one = forwarder(&config, number);
-        let (code, out, errors) =
-            rainstand(folder.path(), &["ask", "members", "--at", &one.1, "--json"]);
+        let forwarder = start_forwarder(&config, number);
+        let (code, out, errors) = rainstand(
+            folder.path(),
+            &["ask", "members", "--at", &forwarder.1, "--json"],
+        );
         assert_eq!((code, out.lines().count()), (0, 2), "{errors}");
         for line in out.lines() {
             let value: serde_json::Value = serde_json::from_str(line).unwrap();
             assert_eq!(value["standing"], "in");
             known.push(value["member"].as_str().unwrap().to_owned());
         }
-        let (code, out, _) = rainstand(folder.path(), &["ask", "metrics", "--at", &one.1]);
+        let (code, out, _) = rainstand(folder.path(), &["ask", "metrics", "--at", &forwarder.1]);
         assert!(
             code == 0 && out.contains("rainstand_forwarder_version 1"),
             "{out}"
         );
-        let (code, out, _) = rainstand(folder.path(), &["ask", "decisions", "--at", &one.1]);
+        let (code, out, _) = rainstand(folder.path(), &["ask", "decisions", "--at", &forwarder.1]);
         assert!(code == 0 && out.starts_with("ago"), "{out}");
     }
     known.sort();
-    assert_eq!(known, ["n0", "n1", "n2", "n3"], "together they know all");
+    assert_eq!(
+        known,
+        ["n0", "n1", "n2", "n3"],
+        "the subsets cover all members"
+    );
 }
