--- a/crates/capture/src/frames.rs
+++ b/crates/capture/src/frames.rs
@@ -1,148 +1,149 @@
-//! Bytes and holes of one direction to whole frames.
+//! Splits the bytes and holes of one direction into frames.
 //!
-//! Where a frame begins is known at the start of a connection and, from then on, by arithmetic: each frame
-//! says how long it is. A hole within a frame whose length was read ends that frame at a known place, so
-//! reading goes on there. A hole that reaches past the frame's end, or into its first four bytes, leaves no
-//! proof where the next one begins: whatever looks like a frame may be part of a body. Nothing more is read
-//! in that direction then, rather than to invent a ticket.
+//! Frame boundaries follow from the start of the connection and the length prefix of each frame. If a hole
+//! lies within a frame whose length is known, parsing resumes at the end of that frame. If a hole extends
+//! past the end of the frame or covers part of its four-byte length, the next boundary is unknown: bytes that
+//! look like a frame may be part of a body. Parsing of that direction then stops, so that no request is
+//! invented.
 
 use rainstand_protocol::thrift::MAX_FRAME_BYTES;
 
-/// Why a direction is not read further.
+/// Why parsing of a direction stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
-    /// It began before the capture.
-    Midway,
-    /// A hole covers where a frame begins.
+pub enum StopReason {
+    /// The direction began before the capture.
+    StartMissing,
+    /// A hole covers the start of a frame.
     Hole,
-    /// A frame says that it is longer than any.
-    TooLong,
-    /// Memory was needed.
-    Memory,
-    /// The first frame is no message: another protocol.
+    /// The declared frame length exceeds the maximum.
+    FrameTooLong,
+    /// The memory limit was reached.
+    MemoryLimit,
+    /// The first frame is not a Thrift message: another protocol.
     NotThrift,
 }
 
-/// What a direction told.
-pub enum Told<'b> {
-    /// A whole frame, without its length; complete at that time.
-    Frame(&'b [u8], u64),
-    /// A frame that a hole touches: what there is before the hole, behind the length.
-    Cut(&'b [u8]),
+/// A frame found in a direction.
+pub enum FrameEvent<'b> {
+    /// A complete frame without its length prefix, and the time of its last part.
+    Complete(&'b [u8], u64),
+    /// A frame that a hole overlaps: the bytes between the length prefix and the hole.
+    Truncated(&'b [u8]),
 }
 
-/// One direction's frames as they come together.
+/// Assembles the frames of one direction.
 #[derive(Default)]
 pub struct Frames {
-    /// The beginning of a frame, with its length.
-    part: Vec<u8>,
-    /// Bytes of a cut frame that are still to come.
-    skip: u64,
-    /// The latest time of any part of the frame.
+    /// The received part of an incomplete frame, with its length prefix.
+    partial: Vec<u8>,
+    /// Remaining bytes of a truncated frame, to be skipped.
+    skip_bytes: u64,
+    /// The latest timestamp of any part of the frame.
     at: u64,
-    pub lost: Option<Lost>,
-    pub unread: u64,
+    pub stopped: Option<StopReason>,
+    pub unread_bytes: u64,
 }
 
 impl Frames {
-    /// The next bytes. `told` says whether to go on.
+    /// Processes the next bytes. An error from `on_frame` stops parsing.
     pub fn bytes(
         &mut self,
         mut bytes: &[u8],
         at: u64,
-        mut told: impl FnMut(Told<'_>) -> Result<(), Lost>,
+        mut on_frame: impl FnMut(FrameEvent<'_>) -> Result<(), StopReason>,
     ) {
         while !bytes.is_empty() {
-            if self.lost.is_some() {
-                self.unread += bytes.len() as u64;
+            if self.stopped.is_some() {
+                self.unread_bytes += bytes.len() as u64;
                 return;
             }
-            if self.skip > 0 {
-                let over = (self.skip).min(bytes.len() as u64);
-                self.skip -= over;
-                bytes = &bytes[over as usize..];
+            if self.skip_bytes > 0 {
+                let skipped = (self.skip_bytes).min(bytes.len() as u64);
+                self.skip_bytes -= skipped;
+                bytes = &bytes[skipped as usize..];
                 continue;
             }
-            if self.part.is_empty() {
+            if self.partial.is_empty() {
                 self.at = at;
-                // The usual case: a whole frame in one piece is not copied.
+                // The usual case: a complete frame in one piece is not copied.
                 if let Some(length) = length(bytes) {
                     if length > MAX_FRAME_BYTES {
-                        self.lost = Some(Lost::TooLong);
+                        self.stopped = Some(StopReason::FrameTooLong);
                         continue;
                     }
                     if bytes.len() - 4 >= length {
                         let (frame, rest) = bytes[4..].split_at(length);
                         bytes = rest;
-                        self.lost = told(Told::Frame(frame, at)).err();
+                        self.stopped = on_frame(FrameEvent::Complete(frame, at)).err();
                         continue;
                     }
                 }
             }
             self.at = self.at.max(at);
-            let wanted = match length(&self.part) {
-                None => 4 - self.part.len(),
-                Some(length) => 4 + length - self.part.len(),
+            let needed = match length(&self.partial) {
+                None => 4 - self.partial.len(),
+                Some(length) => 4 + length - self.partial.len(),
             };
-            let (more, rest) = bytes.split_at(wanted.min(bytes.len()));
-            self.part.extend_from_slice(more);
+            let (more, rest) = bytes.split_at(needed.min(bytes.len()));
+            self.partial.extend_from_slice(more);
             bytes = rest;
-            match length(&self.part) {
-                Some(length) if length > MAX_FRAME_BYTES => self.let_go(Lost::TooLong),
-                Some(length) if self.part.len() == 4 + length => {
-                    self.lost = told(Told::Frame(&self.part[4..], self.at)).err();
-                    self.part.clear();
+            match length(&self.partial) {
+                Some(length) if length > MAX_FRAME_BYTES => self.stop(StopReason::FrameTooLong),
+                Some(length) if self.partial.len() == 4 + length => {
+                    self.stopped =
+                        on_frame(FrameEvent::Complete(&self.partial[4..], self.at)).err();
+                    self.partial.clear();
                 }
                 _ => {}
             }
         }
     }
 
-    /// So many bytes are missing here.
-    pub fn hole(&mut self, missing: u64, mut told: impl FnMut(Told<'_>)) {
-        if self.lost.is_some() || missing == 0 {
+    /// Skips `missing` bytes that are not in the capture.
+    pub fn hole(&mut self, missing: u64, mut on_frame: impl FnMut(FrameEvent<'_>)) {
+        if self.stopped.is_some() || missing == 0 {
             return;
         }
-        if self.skip > 0 {
-            if missing <= self.skip {
-                self.skip -= missing;
+        if self.skip_bytes > 0 {
+            if missing <= self.skip_bytes {
+                self.skip_bytes -= missing;
             } else {
-                self.lost = Some(Lost::Hole);
+                self.stopped = Some(StopReason::Hole);
             }
             return;
         }
-        let Some(length) = length(&self.part) else {
-            if !self.part.is_empty() {
-                told(Told::Cut(&[]));
+        let Some(length) = length(&self.partial) else {
+            if !self.partial.is_empty() {
+                on_frame(FrameEvent::Truncated(&[]));
             }
-            return self.let_go(Lost::Hole);
+            return self.stop(StopReason::Hole);
         };
-        told(Told::Cut(&self.part[4..]));
-        let left = (4 + length - self.part.len()) as u64;
-        self.part.clear();
-        if missing <= left {
-            self.skip = left - missing;
+        on_frame(FrameEvent::Truncated(&self.partial[4..]));
+        let remaining = (4 + length - self.partial.len()) as u64;
+        self.partial.clear();
+        if missing <= remaining {
+            self.skip_bytes = remaining - missing;
         } else {
-            self.let_go(Lost::Hole);
+            self.stop(StopReason::Hole);
         }
     }
 
-    /// Nothing more comes: a frame that is not whole is cut.
-    pub fn end(&mut self, mut told: impl FnMut(Told<'_>)) {
-        if self.lost.is_none() && !self.part.is_empty() {
-            told(Told::Cut(self.part.get(4..).unwrap_or(&[])));
+    /// Ends the direction: an incomplete frame is reported as truncated.
+    pub fn end(&mut self, mut on_frame: impl FnMut(FrameEvent<'_>)) {
+        if self.stopped.is_none() && !self.partial.is_empty() {
+            on_frame(FrameEvent::Truncated(self.partial.get(4..).unwrap_or(&[])));
         }
-        self.part = Vec::new();
+        self.partial = Vec::new();
     }
 
-    /// Bytes of a begun frame that are kept.
-    pub fn held(&self) -> usize {
-        self.part.len()
+    /// Buffered bytes of an incomplete frame.
+    pub fn buffered_bytes(&self) -> usize {
+        self.partial.len()
     }
 
-    pub fn let_go(&mut self, why: Lost) {
-        self.lost.get_or_insert(why);
-        self.part = Vec::new();
+    pub fn stop(&mut self, reason: StopReason) {
+        self.stopped.get_or_insert(reason);
+        self.partial = Vec::new();
     }
 }
 
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,18 +1,18 @@
-//! Recorded traffic: pcap and pcapng files to packets, TCP streams, frames and tickets.
+//! Recorded traffic: parses pcap and pcapng files into packets, TCP streams, frames and requests.
 //!
-//! | module | from | to |
+//! | module | input | output |
 //! | --- | --- | --- |
-//! | [`mod@file`] | a reader | packets with their time and link |
-//! | [`packet`] | a packet | a TCP segment, out of Ethernet, VLANs, cooked or raw links, IPv4 and IPv6, fragments |
-//! | [`stream`] | segments | the bytes of each direction in order, and the holes in them |
-//! | [`frames`] | bytes and holes | whole frames; what a hole touches is cut, and nothing is guessed |
-//! | [`tickets`] | frames of both directions | calls with what came of them |
-//! | [`schedule`] | events | what a replay sends, when, on which connection |
-//! | [`mod@write`] | streams | packets and files again |
-//! | [`read`] | all of it together | |
+//! | [`mod@file`] | a reader | packets with timestamp and link type |
+//! | [`packet`] | a packet | a TCP segment; handles Ethernet, VLAN, Linux cooked and raw links, IPv4, IPv6, fragments |
+//! | [`stream`] | segments | the ordered bytes of each direction, and the holes in them |
+//! | [`frames`] | bytes and holes | complete frames; a frame that a hole overlaps is truncated, never guessed |
+//! | [`tickets`] | frames of both directions | calls with their outcomes |
+//! | [`schedule`] | events | what a replay sends, when and on which connection |
+//! | [`mod@write`] | streams | packets and files |
+//! | [`read`] | a file | all events and a summary |
 //!
-//! Everything but the reader that is handed in is pure. What is kept at one time is bounded by
-//! [`stream::MOST_WAITING`], [`stream::MOST_CONNECTIONS`] and [`tickets::MOST_OPEN`], whatever the file says.
+//! Apart from the given reader, the crate does no I/O. For any input, buffered state is bounded by
+//! [`stream::MAX_BUFFERED_BYTES`], [`stream::MAX_CONNECTIONS`] and [`tickets::MAX_OPEN_CALLS`].
 
 #![allow(
     missing_docs,
@@ -29,52 +29,52 @@
 pub mod tickets;
 pub mod write;
 
-use file::{Ended, FileInfo};
-use packet::{Parts, Seen};
+use file::{FileInfo, ReadEnd};
+use packet::{PacketParser, ParsedPacket};
 use std::io::Read;
 use stream::Streams;
-use tickets::{Event, Pairing};
+use tickets::{CallMatcher, Event};
 
-/// What a whole file came to.
+/// Totals for one file.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     pub file: FileInfo,
     pub packets: packet::Counts,
     pub streams: stream::Counts,
     pub tickets: tickets::Counts,
-    /// Why reading ended before the file's end, if it did.
+    /// Why reading stopped before the end of the file, if it did.
     pub cut_off: Option<String>,
 }
 
-/// The hash by which bodies are told apart in tickets and exports: xxh3.
+/// The xxh3 hash that identifies bodies in requests and exports.
 pub fn hash(body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(body)
 }
 
-/// Reads a whole file; `take` gets every event in the order in which the file tells of it.
+/// Reads a file and calls `on_event` for each event, in file order.
 ///
-/// A file that ends in the middle of a packet is read up to there, and the summary says so.
-pub fn read(reader: impl Read + Send, take: impl FnMut(Event<'_>)) -> Summary {
-    let mut parts = Parts::default();
-    let mut streams = Streams::new(Pairing::new(take));
-    let (file, ended) = file::packets(reader, |packet| match parts.look(packet) {
-        Seen::Segment(segment) => streams.segment(&segment),
-        Seen::Whole(datagram) => {
+/// A file that ends in the middle of a packet is read up to that packet; `Summary::cut_off` says so.
+pub fn read(reader: impl Read + Send, on_event: impl FnMut(Event<'_>)) -> Summary {
+    let mut parser = PacketParser::default();
+    let mut streams = Streams::new(CallMatcher::new(on_event));
+    let (file, ended) = file::packets(reader, |packet| match parser.parse(packet) {
+        ParsedPacket::Segment(segment) => streams.segment(&segment),
+        ParsedPacket::Reassembled(datagram) => {
             if let Some(segment) = datagram.segment() {
                 streams.segment(&segment);
             }
         }
-        Seen::Nothing => {}
+        ParsedPacket::Skipped => {}
     });
-    let (streams, pairing) = streams.end();
+    let (streams, matcher) = streams.end();
     Summary {
         file,
-        packets: parts.end(),
+        packets: parser.end(),
         streams,
-        tickets: pairing.end(),
+        tickets: matcher.end(),
         cut_off: match ended {
-            Ended::Whole => None,
-            Ended::Cut(why) => Some(why),
+            ReadEnd::Complete => None,
+            ReadEnd::Incomplete(reason) => Some(reason),
         },
     }
 }
--- a/crates/capture/src/packet.rs
+++ b/crates/capture/src/packet.rs
@@ -1,5 +1,5 @@
-//! Packets to TCP segments: Ethernet with VLAN tags, Linux cooked links, raw IP, BSD loopback; IPv4 with
-//! its fragments put together, IPv6 with extension headers.
+//! Extracts TCP segments from packets: Ethernet with VLAN tags, Linux cooked links, raw IP, BSD loopback;
+//! IPv4 with fragment reassembly, IPv6 with extension headers.
 
 use crate::file::{Link, Packet};
 use etherparse::defrag::IpDefragBuf;
@@ -7,13 +7,13 @@
 use foldhash::{HashMap, HashMapExt};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// Datagrams whose fragments wait for one another, at most 64 KiB each.
-const MOST_DATAGRAMS: usize = 64;
-/// How long fragments wait for one another, ns: what systems allow is 30 s, and captures are in order to
-/// far less.
-const LONGEST_WAIT: u64 = 30_000_000_000;
+/// Maximum number of incomplete datagrams, at most 64 KiB each.
+const MAX_INCOMPLETE_DATAGRAMS: usize = 64;
+/// Time after which an incomplete datagram is discarded: operating systems allow 30 s, and captures reorder
+/// packets by far less.
+const FRAGMENT_TIMEOUT_NS: u64 = 30_000_000_000;
 
-/// One side of a connection; IPv4 addresses are mapped into IPv6.
+/// One endpoint of a connection; IPv4 addresses are mapped into IPv6.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct End {
     ip: u128,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A TCP segment, as far as streams need it.
+/// The parts of a TCP segment that stream reassembly needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Segment<'p> {
     /// Nanoseconds of Unix time.
@@ -48,40 +48,40 @@
     pub from: End,
     pub to: End,
     pub seq: u32,
-    /// What the sender has received, if it says so.
+    /// Acknowledgment number, if the ACK flag is set.
     pub ack: Option<u32>,
     pub syn: bool,
     pub fin: bool,
     pub rst: bool,
     pub payload: &'p [u8],
-    /// Bytes that followed the payload on the wire and were not kept.
+    /// Payload bytes that were on the wire but are not in the capture.
     pub missing: usize,
 }
 
-/// What became of the packets.
+/// Numbers of packets by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Of a link that is not known, or no IP.
+    /// Unknown link type, or no IP packet.
     pub not_ip: u64,
     pub not_tcp: u64,
-    /// Too short to tell.
+    /// Too short for its headers.
     pub unreadable: u64,
     pub fragments: u64,
-    /// Datagrams put together from fragments.
+    /// Datagrams reassembled from fragments.
     pub put_together: u64,
-    /// Datagrams of which a fragment never came, or that had to make room.
+    /// Datagrams with a missing fragment, or evicted at the capacity limit.
     pub fragments_lost: u64,
 }
 
-/// What a packet brought.
-pub enum Seen<'p> {
+/// The result of parsing one packet.
+pub enum ParsedPacket<'p> {
     Segment(Segment<'p>),
-    /// The last fragment of this datagram.
-    Whole(Datagram),
-    Nothing,
+    /// The packet was the last missing fragment of this datagram.
+    Reassembled(Datagram),
+    Skipped,
 }
 
-/// A datagram put together from fragments.
+/// A datagram reassembled from fragments.
 pub struct Datagram {
     at: u64,
     from: IpAddr,
@@ -97,29 +97,29 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct Key {
+struct DatagramKey {
     from: IpAddr,
     to: IpAddr,
     id: u32,
 }
 
-struct Waiting {
+struct IncompleteDatagram {
     buffer: IpDefragBuf,
     since: u64,
 }
 
-/// The way of packets to segments, with the fragments that wait.
+/// Parses packets and reassembles fragmented datagrams.
 #[derive(Default)]
-pub struct Parts {
+pub struct PacketParser {
     counts: Counts,
-    waiting: Option<HashMap<Key, Waiting>>,
+    incomplete_datagrams: Option<HashMap<DatagramKey, IncompleteDatagram>>,
 }
 
-impl Parts {
-    pub fn look<'p>(&mut self, packet: &Packet<'p>) -> Seen<'p> {
-        let Some(lax) = sliced(packet) else {
+impl PacketParser {
+    pub fn parse<'p>(&mut self, packet: &Packet<'p>) -> ParsedPacket<'p> {
+        let Some(lax) = slice_packet(packet) else {
             self.counts.not_ip += 1;
-            return Seen::Nothing;
+            return ParsedPacket::Skipped;
         };
         let (from, to, incomplete, fragment): (IpAddr, IpAddr, usize, Option<Fragment<'p>>) =
             match &lax.net {
@@ -130,7 +130,7 @@
                         Ipv4Addr::from(header.destination()),
                     );
                     let payload = ip.payload();
-                    let stated =
+                    let declared =
                         usize::from(header.total_len()).saturating_sub(header.slice().len());
                     let fragment = payload.fragmented.then(|| Fragment {
                         id: u32::from(header.identification()),
@@ -138,12 +138,12 @@
                         more: header.more_fragments(),
                         kind: payload.ip_number,
                         bytes: payload.payload,
-                        whole: !payload.incomplete,
+                        complete: !payload.incomplete,
                     });
                     (
                         from.into(),
                         to.into(),
-                        stated.saturating_sub(payload.payload.len()),
+                        declared.saturating_sub(payload.payload.len()),
                         fragment,
                     )
                 }
@@ -151,8 +151,8 @@
                     let header = ip.header();
                     let (from, to) = (header.source_addr(), header.destination_addr());
                     let payload = ip.payload();
-                    let there = ip.extensions().slice().len() + payload.payload.len();
-                    let missing = usize::from(header.payload_length()).saturating_sub(there);
+                    let captured = ip.extensions().slice().len() + payload.payload.len();
+                    let missing = usize::from(header.payload_length()).saturating_sub(captured);
                     let fragment = if payload.fragmented {
                         v6_fragment(ip)
                     } else {
@@ -162,7 +162,7 @@
                 }
                 _ => {
                     self.counts.not_ip += 1;
-                    return Seen::Nothing;
+                    return ParsedPacket::Skipped;
                 }
             };
         if let Some(fragment) = fragment {
@@ -171,15 +171,15 @@
         match &lax.transport {
             Some(TransportSlice::Tcp(tcp)) => {
                 let missing = if incomplete > 0 { incomplete } else { 0 };
-                Seen::Segment(segment(packet.at, from, to, tcp, missing))
+                ParsedPacket::Segment(segment(packet.at, from, to, tcp, missing))
             }
             None if lax.stop_err.is_some() => {
                 self.counts.unreadable += 1;
-                Seen::Nothing
+                ParsedPacket::Skipped
             }
             _ => {
                 self.counts.not_tcp += 1;
-                Seen::Nothing
+                ParsedPacket::Skipped
             }
         }
     }
@@ -190,61 +190,68 @@
         from: IpAddr,
         to: IpAddr,
         fragment: &Fragment<'_>,
-    ) -> Seen<'static> {
+    ) -> ParsedPacket<'static> {
         self.counts.fragments += 1;
         if fragment.kind != IpNumber::TCP {
             self.counts.not_tcp += 1;
-            return Seen::Nothing;
+            return ParsedPacket::Skipped;
         }
-        let waiting = self.waiting.get_or_insert_with(HashMap::new);
-        let before = waiting.len();
-        waiting.retain(|_, one| at.saturating_sub(one.since) <= LONGEST_WAIT);
-        self.counts.fragments_lost += (before - waiting.len()) as u64;
-        let key = Key {
+        let incomplete_datagrams = self.incomplete_datagrams.get_or_insert_with(HashMap::new);
+        let before = incomplete_datagrams.len();
+        incomplete_datagrams
+            .retain(|_, datagram| at.saturating_sub(datagram.since) <= FRAGMENT_TIMEOUT_NS);
+        self.counts.fragments_lost += (before - incomplete_datagrams.len()) as u64;
+        let key = DatagramKey {
             from,
             to,
             id: fragment.id,
         };
-        if !waiting.contains_key(&key) && waiting.len() >= MOST_DATAGRAMS {
-            let oldest = waiting
+        if !incomplete_datagrams.contains_key(&key)
+            && incomplete_datagrams.len() >= MAX_INCOMPLETE_DATAGRAMS
+        {
+            let oldest = incomplete_datagrams
                 .iter()
-                .min_by_key(|(_, one)| one.since)
+                .min_by_key(|(_, datagram)| datagram.since)
                 .map(|(key, _)| *key);
-            oldest.and_then(|oldest| waiting.remove(&oldest));
+            oldest.and_then(|oldest| incomplete_datagrams.remove(&oldest));
             self.counts.fragments_lost += 1;
         }
-        let one = waiting.entry(key).or_insert_with(|| Waiting {
-            buffer: IpDefragBuf::new(fragment.kind, Vec::new(), Vec::new()),
-            since: at,
-        });
-        // A fragment that was itself cut short, or one that cannot be: the datagram is lost.
-        let added = fragment.whole
-            && one
+        let datagram = incomplete_datagrams
+            .entry(key)
+            .or_insert_with(|| IncompleteDatagram {
+                buffer: IpDefragBuf::new(fragment.kind, Vec::new(), Vec::new()),
+                since: at,
+            });
+        // A truncated or invalid fragment makes the datagram unusable.
+        let added = fragment.complete
+            && datagram
                 .buffer
                 .add(fragment.offset, fragment.more, fragment.bytes)
                 .is_ok();
         if !added {
-            waiting.remove(&key);
+            incomplete_datagrams.remove(&key);
             self.counts.fragments_lost += 1;
-            return Seen::Nothing;
+            return ParsedPacket::Skipped;
         }
-        if !one.buffer.is_complete() {
-            return Seen::Nothing;
+        if !datagram.buffer.is_complete() {
+            return ParsedPacket::Skipped;
         }
-        let Some(done) = waiting.remove(&key) else {
-            return Seen::Nothing;
+        let Some(complete) = incomplete_datagrams.remove(&key) else {
+            return ParsedPacket::Skipped;
         };
         self.counts.put_together += 1;
-        Seen::Whole(Datagram {
+        ParsedPacket::Reassembled(Datagram {
             at,
             from,
             to,
-            bytes: done.buffer.take_bufs().0,
+            bytes: complete.buffer.take_bufs().0,
         })
     }
 
     pub fn end(mut self) -> Counts {
-        self.counts.fragments_lost += self.waiting.map_or(0, |waiting| waiting.len() as u64);
+        self.counts.fragments_lost += self
+            .incomplete_datagrams
+            .map_or(0, |incomplete_datagrams| incomplete_datagrams.len() as u64);
         self.counts
     }
 }
@@ -255,7 +262,7 @@
     more: bool,
     kind: IpNumber,
     bytes: &'p [u8],
-    whole: bool,
+    complete: bool,
 }
 
 fn v6_fragment<'p>(ip: &etherparse::LaxIpv6Slice<'p>) -> Option<Fragment<'p>> {
@@ -271,7 +278,7 @@
                     more: header.more_fragments,
                     kind: ip.payload().ip_number,
                     bytes: ip.payload().payload,
-                    whole: !ip.payload().incomplete,
+                    complete: !ip.payload().incomplete,
                 })
             }
             _ => None,
@@ -299,8 +306,8 @@
     }
 }
 
-/// The packet behind its link; none where there is no IP.
-fn sliced<'p>(packet: &Packet<'p>) -> Option<LaxSlicedPacket<'p>> {
+/// Strips the link header; none if there is no IP packet.
+fn slice_packet<'p>(packet: &Packet<'p>) -> Option<LaxSlicedPacket<'p>> {
     let data = packet.data;
     let by_type = |at: usize, header: usize| {
         let kind = u16::from_be_bytes(*data.get(at..)?.first_chunk()?);
@@ -314,7 +321,7 @@
         Link::Cooked => by_type(14, 16),
         Link::Cooked2 => by_type(0, 20),
         Link::RawIp => LaxSlicedPacket::from_ip(data).ok(),
-        // The family's number differs by system; the first half byte of IP tells as much.
+        // The address family's number differs by system; the IP version field holds the same information.
         Link::Loopback => LaxSlicedPacket::from_ip(data.get(4..)?).ok(),
         Link::Unknown => None,
     }
--- a/crates/capture/src/stream.rs
+++ b/crates/capture/src/stream.rs
@@ -1,65 +1,65 @@
-//! Segments to the bytes of each direction, in order, and the holes in them.
+//! TCP stream reassembly: turns segments into the ordered bytes of each direction and the holes in them.
 //!
-//! A hole is waited for: until it is filled, until too much waits behind it, until the capture's clock is
-//! [`PATIENCE`] further, or until the connection ends. Then it is a hole, whose length is known exactly,
-//! and reading goes on behind it. What came first counts where segments contradict each other.
+//! Bytes behind a gap are buffered until the gap is filled, a buffer limit is reached, the capture's clock
+//! advances by [`HOLE_TIMEOUT_NS`], or the connection ends. The gap is then reported as a hole of exact length,
+//! and reassembly continues behind it. If segments contradict each other, the first one wins.
 //!
-//! Invariants: pieces that wait do not overlap and lie behind `next`; `Streams::waiting` is the sum of all
-//! bytes that wait; bytes go to the sink once, in order, with every byte between two holes.
+//! Invariants: buffered pieces do not overlap and are at or above `next`; `Streams::total_buffered` is the sum
+//! of all buffered bytes; the sink receives each byte once, in order, including all bytes between two holes.
 
 use crate::packet::{End, Segment};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
 
-/// Bytes that wait for a hole to be filled, over all connections; past it the connections that wait
-/// longest are given up.
-pub const MOST_WAITING: usize = 24 << 20;
-/// Connections that are followed at a time, some 500 bytes each; past it the longest unused are closed.
-pub const MOST_CONNECTIONS: usize = 20_000;
-/// How long a hole is waited for on the capture's clock, ns: a retransmission comes sooner.
-pub const PATIENCE: u64 = 3_000_000_000;
-/// Bytes and pieces that wait in one direction: a full window, and as many small segments.
-const MOST_BEHIND: usize = 256 << 10;
-const MOST_PIECES: usize = 1_024;
-/// A connection unused for this long is over, ns: dispatchers close theirs after seconds.
-const IDLE: u64 = 300_000_000_000;
-/// After its end a connection's late segments are still known as its own, ns.
-const LINGER: u64 = 5_000_000_000;
-/// Segments further ahead than this belong to another connection, or are nonsense: the largest window.
-const WINDOW: u64 = 16 << 20;
-/// Segments between two looks at connections that wait or are idle.
-const SWEEP: u64 = 4_096;
+/// Limit of buffered bytes over all connections; above it, the buffers of the connections that have waited
+/// longest are flushed.
+pub const MAX_BUFFERED_BYTES: usize = 24 << 20;
+/// Limit of tracked connections, some 500 bytes each; at the limit the least recently used are evicted.
+pub const MAX_CONNECTIONS: usize = 20_000;
+/// Time on the capture's clock after which a gap becomes a hole; retransmissions arrive sooner.
+pub const HOLE_TIMEOUT_NS: u64 = 3_000_000_000;
+/// Limits of buffered bytes and pieces per direction: a full window, and as many small segments.
+const MAX_DIRECTION_BUFFERED_BYTES: usize = 256 << 10;
+const MAX_DIRECTION_PIECES: usize = 1_024;
+/// Idle time after which a connection counts as closed; clients close theirs after seconds.
+const IDLE_TIMEOUT_NS: u64 = 300_000_000_000;
+/// Time for which a closed connection is still tracked, so that late segments are attributed to it.
+const CLOSED_LINGER_NS: u64 = 5_000_000_000;
+/// The largest window: segments further ahead belong to another connection or are invalid.
+const MAX_WINDOW_BYTES: u64 = 16 << 20;
+/// Number of segments between two sweeps for expired gaps and idle connections.
+const SWEEP_INTERVAL_SEGMENTS: u64 = 4_096;
 
-/// How a connection ended, as far as the capture shows.
+/// Why a connection ended, as far as the capture shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
-    /// Both sides said so.
+pub enum CloseReason {
+    /// Both sides sent FIN.
     Finished,
     Reset,
-    /// One side said so, and nothing came after.
-    HalfFinished,
+    /// One side sent FIN, and nothing followed.
+    HalfClosed,
     Idle,
-    /// Its ports were used again.
+    /// Its addresses and ports were reused by a new connection.
     Replaced,
-    /// The capture ended first.
+    /// The capture ended before the connection.
     CaptureEnded,
-    /// Memory was needed.
-    GivenUp,
+    /// Evicted at the connection limit.
+    Evicted,
 }
 
-/// Who is told of bytes and holes.
+/// Receives the bytes and holes of connections.
 pub trait Sink {
-    /// What it keeps of a connection.
+    /// State per connection.
     type State;
 
     fn opened(&mut self, number: u32, ends: [End; 2], at: u64) -> Self::State;
-    /// The next bytes of a direction; `side` is the sender's place in `ends`.
+    /// The next bytes of a direction; `side` is the sender's index in `ends`.
     fn bytes(&mut self, state: &mut Self::State, side: usize, bytes: &[u8], at: u64);
-    /// So many bytes of a direction are not in the capture.
+    /// `length` bytes of a direction are not in the capture.
     fn hole(&mut self, state: &mut Self::State, side: usize, length: u64, at: u64);
-    /// A direction whose beginning is not in the capture; its bytes are not told.
-    fn midway(&mut self, state: &mut Self::State, side: usize, at: u64);
-    fn closed(&mut self, state: Self::State, how: Closed, at: u64);
+    /// The start of a direction is not in the capture; its bytes are not delivered.
+    fn start_missing(&mut self, state: &mut Self::State, side: usize, at: u64);
+    fn closed(&mut self, state: Self::State, reason: CloseReason, at: u64);
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -71,15 +71,15 @@
     pub midway_bytes: u64,
     pub holes: u64,
     pub hole_bytes: u64,
-    /// Segments that came before one that precedes them.
+    /// Segments captured before one that precedes them in the stream.
     pub out_of_order: u64,
-    /// Segments of which nothing was new.
+    /// Segments without new bytes.
     pub repeated: u64,
-    /// Segments that say something else than one that came before.
+    /// Segments whose bytes differ from those of an earlier one.
     pub contradictions: u64,
-    /// Segments that fit no place of their connection.
+    /// Segments outside the window of their connection.
     pub strays: u64,
-    /// Connections given up for memory.
+    /// Connections flushed or evicted at a memory limit.
     pub given_up: u64,
 }
 
@@ -88,29 +88,29 @@
     at: u64,
 }
 
-/// One direction. Offsets count from its first byte.
+/// Reassembly state of one direction. Offsets count from its first byte.
 #[derive(Default)]
-struct Half {
+struct Direction {
     /// Sequence number of offset 0, once known.
     base: Option<u32>,
-    /// Nobody will tell it any more.
-    midway: bool,
+    /// The start is not in the capture, so `base` stays unknown.
+    start_missing: bool,
     /// Offset of the next byte for the sink.
     next: u64,
-    /// The furthest offset that is known to have been sent.
+    /// End offset of the bytes that are known to have been sent.
     sent: u64,
     fin: Option<u64>,
     pieces: BTreeMap<u64, Piece>,
-    /// Before the base is known: by sequence number, as they came.
-    early: Vec<(u32, Piece)>,
-    /// The same for its end.
+    /// Pieces buffered before the base is known, by sequence number, in capture order.
+    early_pieces: Vec<(u32, Piece)>,
+    /// Sequence number of the FIN, buffered likewise.
     early_fin: Option<u32>,
-    /// Bytes in `pieces` and `early`.
-    held: usize,
+    /// Bytes in `pieces` and `early_pieces`.
+    buffered: usize,
 }
 
-impl Half {
-    /// The offset of a sequence number, taken to be near the next one.
+impl Direction {
+    /// The offset of a sequence number, assumed to be near `next`.
     fn offset(&self, base: u32, seq: u32) -> i64 {
         let expected = base.wrapping_add(self.next as u32);
         self.next as i64 + i64::from(seq.wrapping_sub(expected) as i32)
@@ -120,26 +120,26 @@
         self.fin.is_some_and(|fin| self.next >= fin)
     }
 
-    /// Since when something waits.
-    fn waits_since(&self) -> Option<u64> {
+    /// Timestamp of the first buffered piece.
+    fn waiting_since(&self) -> Option<u64> {
         let piece = self.pieces.values().next().map(|piece| piece.at);
-        piece.or(self.early.first().map(|(_, piece)| piece.at))
+        piece.or(self.early_pieces.first().map(|(_, piece)| piece.at))
     }
 }
 
 struct Connection<S> {
-    halves: [Half; 2],
+    directions: [Direction; 2],
     reset: bool,
     last: u64,
-    /// None once it is closed: it stays known for a while.
+    /// None once the connection is closed; it stays tracked for a while.
     state: Option<S>,
 }
 
-/// See the module's head.
+/// Reassembles the streams of all connections; see the module documentation.
 pub struct Streams<K: Sink> {
     sink: K,
     connections: HashMap<[End; 2], Connection<K::State>>,
-    waiting: usize,
+    total_buffered: usize,
     counts: Counts,
     now: u64,
 }
@@ -149,7 +149,7 @@
         Self {
             sink,
             connections: HashMap::new(),
-            waiting: 0,
+            total_buffered: 0,
             counts: Counts::default(),
             now: 0,
         }
@@ -158,7 +158,7 @@
     pub fn segment(&mut self, segment: &Segment<'_>) {
         self.counts.segments += 1;
         self.now = self.now.max(segment.at);
-        if self.counts.segments.is_multiple_of(SWEEP) {
+        if self.counts.segments.is_multiple_of(SWEEP_INTERVAL_SEGMENTS) {
             self.sweep();
         }
         let side = usize::from(segment.from > segment.to);
@@ -170,27 +170,34 @@
         let Self {
             sink,
             connections,
-            waiting,
+            total_buffered,
             counts,
             ..
         } = self;
         let mut found = connections.get_mut(&ends);
         if let Some(connection) = found.as_mut().filter(|_| segment.syn) {
-            if begins_anew(connection, side, segment) {
+            if starts_new_connection(connection, side, segment) {
                 let old = connections.remove(&ends);
                 old.into_iter().for_each(|old| {
-                    close(sink, counts, waiting, old, Closed::Replaced, segment.at)
+                    close(
+                        sink,
+                        counts,
+                        total_buffered,
+                        old,
+                        CloseReason::Replaced,
+                        segment.at,
+                    )
                 });
                 found = None;
             }
         }
         let connection = match found {
             Some(connection) => connection,
-            // An acknowledgement of something long gone opens nothing.
+            // A bare acknowledgement does not open a connection.
             None if !segment.syn && segment.payload.is_empty() && segment.missing == 0 => return,
             None => {
-                if self.connections.len() >= MOST_CONNECTIONS {
-                    self.make_room();
+                if self.connections.len() >= MAX_CONNECTIONS {
+                    self.evict_connections();
                 }
                 let Self {
                     sink,
@@ -200,9 +207,9 @@
                 } = self;
                 let state = sink.opened(counts.connections as u32, ends, segment.at);
                 counts.connections += 1;
-                let halves = [Half::default(), Half::default()];
+                let directions = [Direction::default(), Direction::default()];
                 let fresh = Connection {
-                    halves,
+                    directions,
                     reset: false,
                     last: segment.at,
                     state: Some(state),
@@ -213,7 +220,7 @@
         connection.last = connection.last.max(segment.at);
         let Self {
             sink,
-            waiting,
+            total_buffered,
             counts,
             ..
         } = self;
@@ -221,111 +228,127 @@
             counts.repeated += u64::from(!segment.payload.is_empty());
             return;
         }
-        take(sink, counts, waiting, connection, side, segment);
-        if connection.halves.iter().all(Half::finished) {
+        process_segment(sink, counts, total_buffered, connection, side, segment);
+        if connection.directions.iter().all(Direction::finished) {
             if let Some(state) = connection.state.take() {
-                sink.closed(state, Closed::Finished, segment.at);
+                sink.closed(state, CloseReason::Finished, segment.at);
             }
         }
-        if *waiting > MOST_WAITING {
-            self.give_up();
+        if *total_buffered > MAX_BUFFERED_BYTES {
+            self.flush_longest_waiting();
         }
     }
 
-    /// Looks at all connections: holes that were waited for, idle ones, late ends.
+    /// Flushes expired gaps and closes reset or idle connections.
     fn sweep(&mut self) {
         let Self {
             sink,
             connections,
-            waiting,
+            total_buffered,
             counts,
             now,
         } = self;
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (ends, connection) in connections.iter_mut() {
-            let quiet = now.saturating_sub(connection.last);
+            let idle_ns = now.saturating_sub(connection.last);
             let Some(state) = connection.state.as_mut() else {
-                if quiet > LINGER {
-                    over.push((*ends, None));
+                if idle_ns > CLOSED_LINGER_NS {
+                    expired.push((*ends, None));
                 }
                 continue;
             };
-            for (side, half) in connection.halves.iter_mut().enumerate() {
-                if half
-                    .waits_since()
-                    .is_some_and(|since| now.saturating_sub(since) > PATIENCE)
+            for (side, direction) in connection.directions.iter_mut().enumerate() {
+                if direction
+                    .waiting_since()
+                    .is_some_and(|since| now.saturating_sub(since) > HOLE_TIMEOUT_NS)
                 {
-                    no_longer(sink, counts, waiting, state, side, half, *now);
+                    flush(sink, counts, total_buffered, state, side, direction, *now);
                 }
             }
-            let one_side = connection.halves.iter().any(|half| half.fin.is_some());
+            let one_side_finished = connection
+                .directions
+                .iter()
+                .any(|direction| direction.fin.is_some());
             match connection {
-                Connection { reset: true, .. } if quiet > PATIENCE => {
-                    over.push((*ends, Some(Closed::Reset)))
+                Connection { reset: true, .. } if idle_ns > HOLE_TIMEOUT_NS => {
+                    expired.push((*ends, Some(CloseReason::Reset)))
                 }
-                _ if quiet > IDLE && one_side => over.push((*ends, Some(Closed::HalfFinished))),
-                _ if quiet > IDLE => over.push((*ends, Some(Closed::Idle))),
+                _ if idle_ns > IDLE_TIMEOUT_NS && one_side_finished => {
+                    expired.push((*ends, Some(CloseReason::HalfClosed)))
+                }
+                _ if idle_ns > IDLE_TIMEOUT_NS => expired.push((*ends, Some(CloseReason::Idle))),
                 _ => {}
             }
         }
-        // In an order of their own: that of the map differs from run to run.
-        over.sort_unstable_by_key(|(ends, _)| *ends);
-        for (ends, how) in over {
+        // Sorted, because the map's iteration order differs from run to run.
+        expired.sort_unstable_by_key(|(ends, _)| *ends);
+        for (ends, reason) in expired {
             if let Some(old) = connections.remove(&ends) {
                 let at = old.last;
                 close(
                     sink,
                     counts,
-                    waiting,
+                    total_buffered,
                     old,
-                    how.unwrap_or(Closed::Finished),
+                    reason.unwrap_or(CloseReason::Finished),
                     at,
                 );
             }
         }
     }
 
-    /// Closes the eighth of the connections that were longest unused.
-    fn make_room(&mut self) {
+    /// Evicts an eighth of the connections: closed ones first, then the least recently used.
+    fn evict_connections(&mut self) {
         let Self {
             sink,
             connections,
-            waiting,
+            total_buffered,
             counts,
             ..
         } = self;
-        let mut all: Vec<_> = connections
+        let mut candidates: Vec<_> = connections
             .iter()
-            .map(|(ends, one)| (one.state.is_some(), one.last, *ends))
+            .map(|(ends, connection)| (connection.state.is_some(), connection.last, *ends))
             .collect();
-        all.sort_unstable();
-        for (open, last, ends) in all.into_iter().take(MOST_CONNECTIONS / 8) {
+        candidates.sort_unstable();
+        for (open, last, ends) in candidates.into_iter().take(MAX_CONNECTIONS / 8) {
             counts.given_up += u64::from(open);
             if let Some(old) = connections.remove(&ends) {
-                close(sink, counts, waiting, old, Closed::GivenUp, last);
+                close(
+                    sink,
+                    counts,
+                    total_buffered,
+                    old,
+                    CloseReason::Evicted,
+                    last,
+                );
             }
         }
     }
 
-    /// Those that wait longest wait no longer, until a quarter is free.
-    fn give_up(&mut self) {
+    /// Flushes the connections that have waited longest until a quarter of the buffer is free.
+    fn flush_longest_waiting(&mut self) {
         let Self {
             sink,
             connections,
-            waiting,
+            total_buffered,
             counts,
             now,
         } = self;
-        let mut all: Vec<_> = connections
+        let mut candidates: Vec<_> = connections
             .iter()
-            .filter_map(|(ends, one)| {
-                let since = one.halves.iter().filter_map(Half::waits_since).min()?;
+            .filter_map(|(ends, connection)| {
+                let since = connection
+                    .directions
+                    .iter()
+                    .filter_map(Direction::waiting_since)
+                    .min()?;
                 Some((since, *ends))
             })
             .collect();
-        all.sort_unstable();
-        for (_, ends) in all {
-            if *waiting <= MOST_WAITING / 4 * 3 {
+        candidates.sort_unstable();
+        for (_, ends) in candidates {
+            if *total_buffered <= MAX_BUFFERED_BYTES / 4 * 3 {
                 break;
             }
             let Some(connection) = connections.get_mut(&ends) else {
@@ -335,75 +358,89 @@
                 continue;
             };
             counts.given_up += 1;
-            for (side, half) in connection.halves.iter_mut().enumerate() {
-                no_longer(sink, counts, waiting, state, side, half, *now);
+            for (side, direction) in connection.directions.iter_mut().enumerate() {
+                flush(sink, counts, total_buffered, state, side, direction, *now);
             }
         }
     }
 
-    /// The capture is over: what still waits waits no longer.
+    /// Ends the capture: flushes all buffers and closes all connections.
     pub fn end(mut self) -> (Counts, K) {
         let Self {
             sink,
             connections,
-            waiting,
+            total_buffered,
             counts,
             ..
         } = &mut self;
-        let mut all: Vec<_> = std::mem::take(connections).into_iter().collect();
-        all.sort_unstable_by_key(|(ends, _)| *ends);
-        for (_, connection) in all {
-            let how = match connection {
-                Connection { reset: true, .. } => Closed::Reset,
-                _ if connection.halves.iter().all(|half| half.fin.is_some()) => Closed::Finished,
-                _ if connection.halves.iter().any(|half| half.fin.is_some()) => {
-                    Closed::HalfFinished
+        let mut candidates: Vec<_> = std::mem::take(connections).into_iter().collect();
+        candidates.sort_unstable_by_key(|(ends, _)| *ends);
+        for (_, connection) in candidates {
+            let reason = match connection {
+                Connection { reset: true, .. } => CloseReason::Reset,
+                _ if connection
+                    .directions
+                    .iter()
+                    .all(|direction| direction.fin.is_some()) =>
+                {
+                    CloseReason::Finished
                 }
-                _ => Closed::CaptureEnded,
+                _ if connection
+                    .directions
+                    .iter()
+                    .any(|direction| direction.fin.is_some()) =>
+                {
+                    CloseReason::HalfClosed
+                }
+                _ => CloseReason::CaptureEnded,
             };
             let at = connection.last;
-            close(sink, counts, waiting, connection, how, at);
+            close(sink, counts, total_buffered, connection, reason, at);
         }
         (self.counts, self.sink)
     }
 }
 
-/// Whether a segment that opens a connection opens another one than this.
-fn begins_anew<S>(connection: &Connection<S>, side: usize, segment: &Segment<'_>) -> bool {
-    let half = &connection.halves[side];
+/// Whether a SYN segment opens a new connection rather than this one.
+fn starts_new_connection<S>(
+    connection: &Connection<S>,
+    side: usize,
+    segment: &Segment<'_>,
+) -> bool {
+    let direction = &connection.directions[side];
     let first = segment.seq.wrapping_add(1);
     if connection.state.is_none() {
         return segment.ack.is_none();
     }
-    match (half.base, segment.ack) {
+    match (direction.base, segment.ack) {
         (Some(base), _) if base == first => false,
-        // Its answer to another opening than the one that is known.
-        (None, Some(ack)) => connection.halves[1 - side]
+        // A SYN-ACK for another SYN than the known one.
+        (None, Some(ack)) => connection.directions[1 - side]
             .base
             .is_some_and(|base| base != ack),
         (Some(_), Some(_)) => false,
         (Some(_), None) => true,
-        // Segments came before their opening: it must be near them.
+        // Segments were captured before the SYN: it must be near them.
         (None, None) => {
-            half.midway
-                || half
-                    .early
+            direction.start_missing
+                || direction
+                    .early_pieces
                     .iter()
-                    .any(|(seq, _)| u64::from(seq.wrapping_sub(first)) > WINDOW)
+                    .any(|(seq, _)| u64::from(seq.wrapping_sub(first)) > MAX_WINDOW_BYTES)
         }
     }
 }
 
-fn take<K: Sink>(
+fn process_segment<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     connection: &mut Connection<K::State>,
     side: usize,
     segment: &Segment<'_>,
 ) {
     let Connection {
-        halves,
+        directions,
         state: Some(state),
         reset,
         ..
@@ -412,98 +449,120 @@
         return;
     };
     if segment.syn {
-        begin(
+        set_base(
             sink,
             counts,
-            waiting,
+            total_buffered,
             state,
             side,
-            &mut halves[side],
+            &mut directions[side],
             segment.seq.wrapping_add(1),
         );
         if let Some(ack) = segment.ack {
-            // The answer to an opening says where the other side began.
-            begin(
+            // A SYN-ACK gives the initial sequence number of the other side.
+            set_base(
                 sink,
                 counts,
-                waiting,
+                total_buffered,
                 state,
                 1 - side,
-                &mut halves[1 - side],
+                &mut directions[1 - side],
                 ack,
             );
         }
     }
     if let Some(ack) = segment.ack {
-        let other = &mut halves[1 - side];
+        let other = &mut directions[1 - side];
         if let Some(base) = other.base {
-            let told = other.offset(base, ack);
-            let near = told > 0 && (told as u64) < other.next + WINDOW;
-            if near {
-                other.sent = other.sent.max(told as u64);
+            let acked_offset = other.offset(base, ack);
+            let plausible =
+                acked_offset > 0 && (acked_offset as u64) < other.next + MAX_WINDOW_BYTES;
+            if plausible {
+                other.sent = other.sent.max(acked_offset as u64);
             }
         }
     }
     *reset |= segment.rst;
-    let half = &mut halves[side];
+    let direction = &mut directions[side];
     let seq = segment.seq.wrapping_add(u32::from(segment.syn));
-    match half.base {
-        Some(base) => place(sink, counts, waiting, state, side, half, base, seq, segment),
-        None if half.midway => counts.midway_bytes += segment.payload.len() as u64,
+    match direction.base {
+        Some(base) => place_segment(
+            sink,
+            counts,
+            total_buffered,
+            state,
+            side,
+            direction,
+            base,
+            seq,
+            segment,
+        ),
+        None if direction.start_missing => counts.midway_bytes += segment.payload.len() as u64,
         None => {
             if segment.fin {
                 let length = segment.payload.len() + segment.missing;
-                half.early_fin
+                direction
+                    .early_fin
                     .get_or_insert(seq.wrapping_add(length as u32));
             }
             if segment.payload.is_empty() {
                 return;
             }
             let bytes = segment.payload.to_vec();
-            half.held += bytes.len();
-            *waiting += bytes.len();
-            half.early.push((
+            direction.buffered += bytes.len();
+            *total_buffered += bytes.len();
+            direction.early_pieces.push((
                 seq,
                 Piece {
                     bytes,
                     at: segment.at,
                 },
             ));
-            if half.held > MOST_BEHIND || half.early.len() > MOST_PIECES {
-                no_longer(sink, counts, waiting, state, side, half, segment.at);
+            if direction.buffered > MAX_DIRECTION_BUFFERED_BYTES
+                || direction.early_pieces.len() > MAX_DIRECTION_PIECES
+            {
+                flush(
+                    sink,
+                    counts,
+                    total_buffered,
+                    state,
+                    side,
+                    direction,
+                    segment.at,
+                );
             }
         }
     }
 }
 
-/// The sequence number of a direction's first byte is known.
-fn begin<K: Sink>(
+/// Sets the sequence number of a direction's first byte.
+fn set_base<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
     base: u32,
 ) {
-    if half.base.is_some() || half.midway {
+    if direction.base.is_some() || direction.start_missing {
         return;
     }
-    half.base = Some(base);
-    let fin = half.early_fin.map(|seq| half.offset(base, seq));
-    half.fin = fin.and_then(|fin| u64::try_from(fin).ok());
-    let early = std::mem::take(&mut half.early);
-    *waiting -= half.held;
-    half.held = 0;
-    for (seq, piece) in early {
-        let offset = half.offset(base, seq);
-        add(
+    direction.base = Some(base);
+    let fin = direction.early_fin.map(|seq| direction.offset(base, seq));
+    direction.fin = fin.and_then(|fin| u64::try_from(fin).ok());
+    let early_pieces = std::mem::take(&mut direction.early_pieces);
+    *total_buffered -= direction.buffered;
+    direction.buffered = 0;
+    for (seq, piece) in early_pieces {
+        let offset = direction.offset(base, seq);
+        add_bytes(
             sink,
             counts,
-            waiting,
+            total_buffered,
             state,
             side,
-            half,
+            direction,
             offset,
             &piece.bytes,
             piece.at,
@@ -512,213 +571,238 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-fn place<K: Sink>(
+fn place_segment<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
     base: u32,
     seq: u32,
     segment: &Segment<'_>,
 ) {
-    let offset = half.offset(base, seq);
+    let offset = direction.offset(base, seq);
     let length = (segment.payload.len() + segment.missing) as i64;
-    if offset + length > half.next as i64 + WINDOW as i64 {
+    if offset + length > direction.next as i64 + MAX_WINDOW_BYTES as i64 {
         counts.strays += 1;
         return;
     }
-    if segment.fin && offset + length >= half.next as i64 {
-        half.fin.get_or_insert((offset + length) as u64);
+    if segment.fin && offset + length >= direction.next as i64 {
+        direction.fin.get_or_insert((offset + length) as u64);
     }
-    // A keep-alive has a byte that was sent before, or none: nothing new either way.
+    // A keep-alive repeats one byte or has none: no new bytes in either case.
     if length > 0 {
-        half.sent = half.sent.max((offset + length).max(0) as u64);
-        add(
+        direction.sent = direction.sent.max((offset + length).max(0) as u64);
+        add_bytes(
             sink,
             counts,
-            waiting,
+            total_buffered,
             state,
             side,
-            half,
+            direction,
             offset,
             segment.payload,
             segment.at,
         );
     }
-    if half.pieces.len() > MOST_PIECES || half.held > MOST_BEHIND {
-        over_hole(sink, counts, waiting, state, side, half, segment.at);
+    if direction.pieces.len() > MAX_DIRECTION_PIECES
+        || direction.buffered > MAX_DIRECTION_BUFFERED_BYTES
+    {
+        skip_hole(
+            sink,
+            counts,
+            total_buffered,
+            state,
+            side,
+            direction,
+            segment.at,
+        );
     }
 }
 
 #[allow(clippy::too_many_arguments)]
-fn add<K: Sink>(
+fn add_bytes<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
     offset: i64,
     bytes: &[u8],
     at: u64,
 ) {
     let end = offset + bytes.len() as i64;
-    if end <= half.next as i64 {
+    if end <= direction.next as i64 {
         counts.repeated += u64::from(!bytes.is_empty());
         return;
     }
-    let known = (half.next as i64 - offset).max(0) as usize;
-    let (start, bytes) = ((offset + known as i64) as u64, &bytes[known..]);
-    if start == half.next && half.pieces.is_empty() {
+    let delivered = (direction.next as i64 - offset).max(0) as usize;
+    let (start, bytes) = ((offset + delivered as i64) as u64, &bytes[delivered..]);
+    if start == direction.next && direction.pieces.is_empty() {
         sink.bytes(state, side, bytes, at);
-        half.next += bytes.len() as u64;
+        direction.next += bytes.len() as u64;
         return;
     }
-    counts.out_of_order += u64::from(start > half.next);
-    let (new, contradicts) = insert(&mut half.pieces, start, bytes, at);
+    counts.out_of_order += u64::from(start > direction.next);
+    let (new_bytes, contradicts) = insert_missing(&mut direction.pieces, start, bytes, at);
     counts.contradictions += u64::from(contradicts);
-    counts.repeated += u64::from(new == 0);
-    half.held += new;
-    *waiting += new;
-    drain(sink, waiting, state, side, half);
+    counts.repeated += u64::from(new_bytes == 0);
+    direction.buffered += new_bytes;
+    *total_buffered += new_bytes;
+    deliver_contiguous(sink, total_buffered, state, side, direction);
 }
 
-/// Fills what is free between the pieces; what is there stays. How many bytes were new, and whether any
-/// said something else.
-fn insert(pieces: &mut BTreeMap<u64, Piece>, start: u64, bytes: &[u8], at: u64) -> (usize, bool) {
+/// Fills the gaps between the pieces and keeps existing bytes. Returns the number of new bytes, and whether
+/// any byte differs from an existing one.
+fn insert_missing(
+    pieces: &mut BTreeMap<u64, Piece>,
+    start: u64,
+    bytes: &[u8],
+    at: u64,
+) -> (usize, bool) {
     let end = start + bytes.len() as u64;
-    let (mut place, mut new, mut contradicts) = (start, 0, false);
+    let (mut place, mut new_bytes, mut contradicts) = (start, 0, false);
     while place < end {
         let before = pieces.range(..=place).next_back();
         if let Some((from, piece)) =
             before.filter(|(from, piece)| *from + piece.bytes.len() as u64 > place)
         {
-            let upto = (from + piece.bytes.len() as u64).min(end);
-            let there = &piece.bytes[(place - from) as usize..(upto - from) as usize];
-            contradicts |= *there != bytes[(place - start) as usize..(upto - start) as usize];
-            place = upto;
+            let until = (from + piece.bytes.len() as u64).min(end);
+            let existing = &piece.bytes[(place - from) as usize..(until - from) as usize];
+            contradicts |= *existing != bytes[(place - start) as usize..(until - start) as usize];
+            place = until;
             continue;
         }
-        let free = pieces
+        let gap_end = pieces
             .range(place..)
             .next()
             .map_or(end, |(from, _)| (*from).min(end));
-        let part = bytes[(place - start) as usize..(free - start) as usize].to_vec();
-        new += part.len();
+        let part = bytes[(place - start) as usize..(gap_end - start) as usize].to_vec();
+        new_bytes += part.len();
         pieces.insert(place, Piece { bytes: part, at });
-        place = free;
+        place = gap_end;
     }
-    (new, contradicts)
+    (new_bytes, contradicts)
 }
 
-/// Tells what waits at the next offset, and what follows it.
-fn drain<K: Sink>(
+/// Delivers the buffered pieces that are contiguous from the next offset on.
+fn deliver_contiguous<K: Sink>(
     sink: &mut K,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
 ) {
-    while let Some(first) = half
+    while let Some(first) = direction
         .pieces
         .first_entry()
-        .filter(|first| *first.key() == half.next)
+        .filter(|first| *first.key() == direction.next)
     {
         let piece = first.remove();
-        half.held -= piece.bytes.len();
-        *waiting -= piece.bytes.len();
-        half.next += piece.bytes.len() as u64;
+        direction.buffered -= piece.bytes.len();
+        *total_buffered -= piece.bytes.len();
+        direction.next += piece.bytes.len() as u64;
         sink.bytes(state, side, &piece.bytes, piece.at);
     }
 }
 
-/// The hole before the first piece that waits is not waited for.
-fn over_hole<K: Sink>(
+/// Reports the gap before the first buffered piece as a hole and continues behind it.
+fn skip_hole<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
     at: u64,
 ) {
-    let Some(start) = half.pieces.keys().next().copied() else {
+    let Some(start) = direction.pieces.keys().next().copied() else {
         return;
     };
-    hole(sink, counts, state, side, half, start, at);
-    drain(sink, waiting, state, side, half);
+    report_hole(sink, counts, state, side, direction, start, at);
+    deliver_contiguous(sink, total_buffered, state, side, direction);
 }
 
-fn hole<K: Sink>(
+fn report_hole<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
-    upto: u64,
+    direction: &mut Direction,
+    until: u64,
     at: u64,
 ) {
-    let length = upto - half.next;
+    let length = until - direction.next;
     counts.holes += 1;
     counts.hole_bytes += length;
     sink.hole(state, side, length, at);
-    half.next = upto;
+    direction.next = until;
 }
 
-/// Nothing of a direction waits any longer.
-fn no_longer<K: Sink>(
+/// Delivers everything buffered for a direction, and reports the gaps as holes.
+fn flush<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     state: &mut K::State,
     side: usize,
-    half: &mut Half,
+    direction: &mut Direction,
     at: u64,
 ) {
-    if half.base.is_none() && !half.early.is_empty() {
-        half.midway = true;
+    if direction.base.is_none() && !direction.early_pieces.is_empty() {
+        direction.start_missing = true;
         counts.midway += 1;
-        counts.midway_bytes += half.held as u64;
-        *waiting -= half.held;
-        half.held = 0;
-        half.early = Vec::new();
-        sink.midway(state, side, at);
+        counts.midway_bytes += direction.buffered as u64;
+        *total_buffered -= direction.buffered;
+        direction.buffered = 0;
+        direction.early_pieces = Vec::new();
+        sink.start_missing(state, side, at);
     }
-    while !half.pieces.is_empty() {
-        over_hole(sink, counts, waiting, state, side, half, at);
+    while !direction.pieces.is_empty() {
+        skip_hole(sink, counts, total_buffered, state, side, direction, at);
     }
 }
 
 fn close<K: Sink>(
     sink: &mut K,
     counts: &mut Counts,
-    waiting: &mut usize,
+    total_buffered: &mut usize,
     connection: Connection<K::State>,
-    how: Closed,
+    reason: CloseReason,
     at: u64,
 ) {
     let Connection {
-        mut halves,
+        mut directions,
         state: Some(mut state),
         ..
     } = connection
     else {
         return;
     };
-    for (side, half) in halves.iter_mut().enumerate() {
-        no_longer(sink, counts, waiting, &mut state, side, half, at);
-        // What was sent and never kept. An end that was not kept is acknowledged as one byte more; no frame
-        // fits one byte, and one that misses its last is told as cut.
-        let sent = half.fin.unwrap_or(if half.sent == half.next + 1 {
-            half.next
-        } else {
-            half.sent
-        });
-        if half.base.is_some() && sent > half.next {
-            hole(sink, counts, &mut state, side, half, sent, at);
+    for (side, direction) in directions.iter_mut().enumerate() {
+        flush(
+            sink,
+            counts,
+            total_buffered,
+            &mut state,
+            side,
+            direction,
+            at,
+        );
+        // Bytes that were sent but not captured. A FIN that was not captured is acknowledged as one more byte;
+        // no frame fits in one byte, and a frame without its last byte is reported as truncated.
+        let sent = direction
+            .fin
+            .unwrap_or(if direction.sent == direction.next + 1 {
+                direction.next
+            } else {
+                direction.sent
+            });
+        if direction.base.is_some() && sent > direction.next {
+            report_hole(sink, counts, &mut state, side, direction, sent, at);
         }
     }
-    sink.closed(state, how, at);
+    sink.closed(state, reason, at);
 }
--- a/crates/capture/src/tickets.rs
+++ b/crates/capture/src/tickets.rs
@@ -1,28 +1,28 @@
-//! Frames of both directions to calls and what came of them.
+//! Matches the frames of both directions to calls and their outcomes.
 //!
-//! A call is told when its last byte was seen, a ticket when its end is known: by its answer, else by the
-//! end of its connection. What was told of a call that a hole cut is counted, never paired.
+//! `Event::Call` is emitted at the last byte of a call, `Event::Ticket` when its outcome is known: at its
+//! answer, or else at the end of the connection. A call or answer that a hole truncates is counted, never matched.
 
-use crate::frames::{Frames, Lost, Told};
+use crate::frames::{FrameEvent, Frames, StopReason};
 use crate::packet::End;
-use crate::stream::{Closed, Sink};
+use crate::stream::{CloseReason, Sink};
 use rainstand_protocol::thrift::{self, What};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Calls of one connection that wait for their answers; past it the oldest is told as unanswered. The
-/// protocol allows 32.
-pub const MOST_OPEN: usize = 256;
+/// Limit of unanswered calls per connection; above it, the oldest is reported as unanswered. The protocol
+/// allows 32.
+pub const MAX_OPEN_CALLS: usize = 256;
 
-/// Bytes of open calls, of answers before their calls and of begun frames, over all connections; past it they
-/// are let go, counted.
-pub const MOST_HELD: usize = 24 << 20;
+/// Limit of bytes of open calls, early answers and incomplete frames over all connections; above it, further
+/// ones are dropped and counted.
+pub const MAX_BUFFERED_BYTES: usize = 24 << 20;
 
 /// One call of `process`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Call {
-    /// When its last byte was seen, nanoseconds of Unix time.
+    /// Time of its last byte, in nanoseconds of Unix time.
     pub at: u64,
-    /// Connections are numbered as they first appear in the capture.
+    /// Connections are numbered in the order of their first appearance in the capture.
     pub connection: u32,
     pub seq: i32,
     pub fields: Vec<(String, String)>,
@@ -41,14 +41,14 @@
     }
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Honoured {
         body_length: usize,
         body_hash: u64,
     },
-    /// With the fields beside the answer.
+    /// Rejected; with the fields of the response.
     Dismissed {
         fields: Vec<(String, String)>,
     },
@@ -56,14 +56,14 @@
     Exception {
         code: i32,
     },
-    /// The connection ended, or its caller left it, before an answer.
+    /// The connection ended or the caller cancelled the call before an answer.
     Gone,
     /// The capture shows no answer, but there may have been one.
     None,
 }
 
 impl Outcome {
-    /// As the command line tells it.
+    /// The name in command-line output.
     pub fn word(&self) -> &'static str {
         match self {
             Outcome::Honoured { .. } => "honoured",
@@ -76,18 +76,18 @@
     }
 }
 
-/// A call with its end.
+/// A call with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     pub call: Call,
     pub outcome: Outcome,
-    /// When the answer's last byte was seen; none if there was none.
+    /// Time of the answer's last byte, in nanoseconds of Unix time; none if there is no answer.
     pub answered: Option<u64>,
-    /// When its caller gave it up.
+    /// When the caller cancelled it, in nanoseconds of Unix time.
     pub left: Option<u64>,
 }
 
-/// What the capture tells, in the order of its packets.
+/// The events of a capture, in packet order.
 #[derive(Debug)]
 pub enum Event<'e> {
     Opened {
@@ -95,22 +95,22 @@
         ends: [End; 2],
         at: u64,
     },
-    /// A call is whole; its body and its frame (without the length) are here only.
-    /// `side`: its caller's place among the connection's ends.
+    /// A complete call. Only this event has its body and its frame (without the length prefix).
+    /// `side` is the caller's index in the connection's `ends`.
     Call {
         call: &'e Call,
         body: &'e [u8],
         frame: &'e [u8],
         side: usize,
     },
-    /// An answer to some call is whole.
+    /// A complete answer.
     Answer {
         connection: u32,
         seq: i32,
         frame: &'e [u8],
         at: u64,
     },
-    /// A caller gave up an earlier call.
+    /// A caller cancelled an earlier call.
     Left {
         connection: u32,
         seq: i32,
@@ -119,7 +119,7 @@
     Ticket(Ticket),
     Closed {
         connection: u32,
-        how: Closed,
+        reason: CloseReason,
         at: u64,
     },
 }
@@ -128,53 +128,53 @@
 pub struct Counts {
     pub frames: u64,
     pub calls: u64,
-    /// Calls by what came of them.
+    /// Calls by outcome.
     pub honoured: u64,
     pub dismissed: u64,
     pub given_up: u64,
     pub exceptions: u64,
     pub gone: u64,
     pub none: u64,
-    /// Calls and answers that a hole touches.
+    /// Calls and answers truncated by a hole.
     pub cut_calls: u64,
     pub cut_answers: u64,
-    /// Frames that a hole touches and of which too little is left to say what they were.
+    /// Truncated frames with too few bytes to determine their kind.
     pub cut_others: u64,
-    /// Answers to calls that are not in the capture, or that a hole touches.
+    /// Answers to calls that are missing from the capture or truncated.
     pub answers_alone: u64,
-    /// Second answers to one call.
+    /// Duplicate answers to a call.
     pub answered_twice: u64,
-    /// Calls whose number was still open.
+    /// Calls that reuse the sequence number of an open call.
     pub repeated_numbers: u64,
     pub left: u64,
     pub probes: u64,
     pub shutdowns: u64,
-    /// Whole frames that are no message of the protocol.
+    /// Complete frames that are not a message of the protocol.
     pub unreadable: u64,
-    /// Directions not read, or not to their end, by reason, and the bytes in them.
+    /// Directions not parsed, or not to their end, by reason, and the unparsed bytes.
     pub lost_midway: u64,
     pub lost_hole: u64,
     pub lost_too_long: u64,
     pub lost_not_thrift: u64,
     pub unread_bytes: u64,
-    /// Calls told as unanswered, answers dropped and directions let go, for memory.
+    /// Calls reported as unanswered, answers dropped and directions stopped at the memory limit.
     pub let_go: u64,
 }
 
-/// A connection's frames and open calls.
-pub struct Paired {
+/// The frames and open calls of a connection.
+pub struct ConnectionState {
     number: u32,
-    halves: [Frames; 2],
-    /// Whether a direction has told a readable frame.
-    spoke: [bool; 2],
+    directions: [Frames; 2],
+    /// Whether a direction has had a readable frame.
+    has_readable_frame: [bool; 2],
     open: Vec<Open>,
-    /// Numbers of calls that a hole touches, and the last that were answered: an answer to one is known.
-    cut: Vec<i32>,
-    answered: Vec<i32>,
-    /// Answers that the capture has before their calls.
-    ahead: Vec<(i32, Outcome, u64)>,
-    /// Something of it is missing.
-    holes: bool,
+    /// Sequence numbers of truncated calls and of the last answered ones, to classify further answers.
+    truncated_seqs: Vec<i32>,
+    answered_seqs: Vec<i32>,
+    /// Answers captured before their calls: sequence number, outcome and time.
+    early_answers: Vec<(i32, Outcome, u64)>,
+    /// Whether bytes of the connection are missing.
+    has_holes: bool,
 }
 
 struct Open {
@@ -182,23 +182,23 @@
     left: Option<u64>,
 }
 
-/// Numbers that are remembered after their answer, to know a second one.
-const REMEMBERED: usize = 64;
+/// Limit of remembered answered sequence numbers, which detect duplicate answers, and of early answers.
+const MAX_REMEMBERED_ANSWERS: usize = 64;
 
-/// Takes the bytes of streams and tells events.
-pub struct Pairing<F> {
-    take: F,
+/// Parses the bytes of streams and emits events.
+pub struct CallMatcher<F> {
+    on_event: F,
     counts: Counts,
-    /// Sum of what [`MOST_HELD`] bounds.
-    held: usize,
+    /// Total that [`MAX_BUFFERED_BYTES`] limits.
+    buffered: usize,
 }
 
-impl<F: FnMut(Event<'_>)> Pairing<F> {
-    pub fn new(take: F) -> Self {
+impl<F: FnMut(Event<'_>)> CallMatcher<F> {
+    pub fn new(on_event: F) -> Self {
         Self {
-            take,
+            on_event,
             counts: Counts::default(),
-            held: 0,
+            buffered: 0,
         }
     }
 
@@ -206,7 +206,7 @@
         self.counts
     }
 
-    fn ticket(&mut self, open: Open, outcome: Outcome, answered: Option<u64>) {
+    fn complete_call(&mut self, open: Open, outcome: Outcome, answered: Option<u64>) {
         let count = match outcome {
             Outcome::Honoured { .. } => &mut self.counts.honoured,
             Outcome::Dismissed { .. } => &mut self.counts.dismissed,
@@ -216,7 +216,7 @@
             Outcome::None => &mut self.counts.none,
         };
         *count += 1;
-        (self.take)(Event::Ticket(Ticket {
+        (self.on_event)(Event::Ticket(Ticket {
             call: open.call,
             outcome,
             answered,
@@ -224,24 +224,34 @@
         }));
     }
 
-    /// One whole frame.
-    fn frame(&mut self, state: &mut Talk<'_>, frame: &[u8], at: u64) -> Result<(), Lost> {
+    /// Handles a complete frame.
+    fn frame(
+        &mut self,
+        state: &mut DirectionContext<'_>,
+        frame: &[u8],
+        at: u64,
+    ) -> Result<(), StopReason> {
         self.counts.frames += 1;
-        let good = match thrift::kind(frame) {
-            Some(thrift::CALL | thrift::ONEWAY) => self.asked(state, frame, at),
-            Some(_) => self.answered(state, frame, at),
+        let parsed = match thrift::kind(frame) {
+            Some(thrift::CALL | thrift::ONEWAY) => self.handle_request(state, frame, at),
+            Some(_) => self.handle_answer(state, frame, at),
             None => None,
         };
-        match good {
-            Some(()) => *state.spoke = true,
-            // What never said a readable word is another protocol.
-            None if !*state.spoke => return Err(Lost::NotThrift),
+        match parsed {
+            Some(()) => *state.has_readable_frame = true,
+            // A direction without any readable frame has another protocol.
+            None if !*state.has_readable_frame => return Err(StopReason::NotThrift),
             None => self.counts.unreadable += 1,
         }
         Ok(())
     }
 
-    fn asked(&mut self, state: &mut Talk<'_>, frame: &[u8], at: u64) -> Option<()> {
+    fn handle_request(
+        &mut self,
+        state: &mut DirectionContext<'_>,
+        frame: &[u8],
+        at: u64,
+    ) -> Option<()> {
         let message = thrift::message(frame).ok()?;
         match message.name {
             b"process" if !message.oneway => {
@@ -252,39 +262,49 @@
                     at,
                     connection: state.number,
                     seq: message.seq,
-                    fields: owned(fields.unwrap_or_default()),
+                    fields: to_owned_fields(fields.unwrap_or_default()),
                     body_length: body.len(),
                     body_hash: xxh3_64(body),
                 };
                 self.counts.calls += 1;
-                (self.take)(Event::Call {
+                (self.on_event)(Event::Call {
                     call: &call,
                     body,
                     frame,
                     side: state.side,
                 });
-                if let Some(twin) = state.open.iter().position(|open| open.call.seq == call.seq) {
+                if let Some(duplicate) =
+                    state.open.iter().position(|open| open.call.seq == call.seq)
+                {
                     self.counts.repeated_numbers += 1;
-                    let twin = state.open.remove(twin);
-                    self.held = self.held.saturating_sub(weight(&twin.call.fields));
-                    self.ticket(twin, Outcome::None, None);
+                    let duplicate = state.open.remove(duplicate);
+                    self.buffered = self
+                        .buffered
+                        .saturating_sub(open_call_bytes(&duplicate.call.fields));
+                    self.complete_call(duplicate, Outcome::None, None);
                 }
-                if state.open.len() >= MOST_OPEN {
+                if state.open.len() >= MAX_OPEN_CALLS {
                     let oldest = state.open.remove(0);
-                    self.held = self.held.saturating_sub(weight(&oldest.call.fields));
-                    self.ticket(oldest, Outcome::None, None);
+                    self.buffered = self
+                        .buffered
+                        .saturating_sub(open_call_bytes(&oldest.call.fields));
+                    self.complete_call(oldest, Outcome::None, None);
                 }
-                state.answered.retain(|seq| *seq != call.seq);
-                if let Some(ahead) = state.ahead.iter().position(|(seq, ..)| *seq == call.seq) {
-                    let (seq, outcome, at) = state.ahead.remove(ahead);
-                    state.remember(seq);
-                    self.ticket(Open { call, left: None }, outcome, Some(at));
-                    self.held = self.held.saturating_sub(AHEAD);
-                } else if self.held + weight(&call.fields) > MOST_HELD {
+                state.answered_seqs.retain(|seq| *seq != call.seq);
+                if let Some(index) = state
+                    .early_answers
+                    .iter()
+                    .position(|(seq, ..)| *seq == call.seq)
+                {
+                    let (seq, outcome, at) = state.early_answers.remove(index);
+                    state.remember_answered(seq);
+                    self.complete_call(Open { call, left: None }, outcome, Some(at));
+                    self.buffered = self.buffered.saturating_sub(EARLY_ANSWER_BYTES);
+                } else if self.buffered + open_call_bytes(&call.fields) > MAX_BUFFERED_BYTES {
                     self.counts.let_go += 1;
-                    self.ticket(Open { call, left: None }, Outcome::None, None);
+                    self.complete_call(Open { call, left: None }, Outcome::None, None);
                 } else {
-                    self.held += weight(&call.fields);
+                    self.buffered += open_call_bytes(&call.fields);
                     state.open.push(Open { call, left: None });
                 }
             }
@@ -294,7 +314,7 @@
                 if let Some(open) = state.open.iter_mut().find(|open| open.call.seq == seq) {
                     open.left.get_or_insert(at);
                 }
-                (self.take)(Event::Left {
+                (self.on_event)(Event::Left {
                     connection: state.number,
                     seq,
                     at,
@@ -310,59 +330,75 @@
         Some(())
     }
 
-    fn answered(&mut self, state: &mut Talk<'_>, frame: &[u8], at: u64) -> Option<()> {
-        let told = thrift::answered(frame).ok()?;
-        if told.name == b"probe" {
+    fn handle_answer(
+        &mut self,
+        state: &mut DirectionContext<'_>,
+        frame: &[u8],
+        at: u64,
+    ) -> Option<()> {
+        let answer = thrift::answered(frame).ok()?;
+        if answer.name == b"probe" {
             return Some(());
         }
-        (self.take)(Event::Answer {
+        (self.on_event)(Event::Answer {
             connection: state.number,
-            seq: told.seq,
+            seq: answer.seq,
             frame,
             at,
         });
-        let outcome = match told.what {
+        let outcome = match answer.what {
             What::Answer { body, .. } => Outcome::Honoured {
                 body_length: body.len(),
                 body_hash: xxh3_64(body),
             },
             What::Backoff(fields) => Outcome::Dismissed {
-                fields: owned(fields),
+                fields: to_owned_fields(fields),
             },
             What::Lost => Outcome::GivenUp,
             What::Exception { code, .. } => Outcome::Exception { code },
         };
-        if let Some(open) = state.open.iter().position(|open| open.call.seq == told.seq) {
+        if let Some(open) = state
+            .open
+            .iter()
+            .position(|open| open.call.seq == answer.seq)
+        {
             let open = state.open.remove(open);
-            self.held = self.held.saturating_sub(weight(&open.call.fields));
-            state.remember(told.seq);
-            self.ticket(open, outcome, Some(at));
-        } else if state.answered.contains(&told.seq)
-            || state.ahead.iter().any(|(seq, ..)| *seq == told.seq)
+            self.buffered = self
+                .buffered
+                .saturating_sub(open_call_bytes(&open.call.fields));
+            state.remember_answered(answer.seq);
+            self.complete_call(open, outcome, Some(at));
+        } else if state.answered_seqs.contains(&answer.seq)
+            || state
+                .early_answers
+                .iter()
+                .any(|(seq, ..)| *seq == answer.seq)
         {
             self.counts.answered_twice += 1;
-        } else if state.cut.contains(&told.seq) || state.ahead.len() >= REMEMBERED {
+        } else if state.truncated_seqs.contains(&answer.seq)
+            || state.early_answers.len() >= MAX_REMEMBERED_ANSWERS
+        {
             self.counts.answers_alone += 1;
-        } else if self.held + AHEAD > MOST_HELD {
+        } else if self.buffered + EARLY_ANSWER_BYTES > MAX_BUFFERED_BYTES {
             self.counts.let_go += 1;
             self.counts.answers_alone += 1;
         } else {
-            self.held += AHEAD;
-            // Its call may come yet: captures are out of order by a little.
-            state.ahead.push((told.seq, outcome, at));
+            self.buffered += EARLY_ANSWER_BYTES;
+            // Its call may follow: captures are slightly out of order.
+            state.early_answers.push((answer.seq, outcome, at));
         }
         Some(())
     }
 
-    fn cut(&mut self, cut: &mut Vec<i32>, frame: &[u8]) {
+    fn count_truncated(&mut self, truncated_seqs: &mut Vec<i32>, frame: &[u8]) {
         match thrift::kind(frame) {
             Some(thrift::CALL | thrift::ONEWAY) => {
                 self.counts.cut_calls += 1;
                 if let Ok(message) = thrift::message(frame) {
-                    if cut.len() >= MOST_OPEN {
-                        cut.remove(0);
+                    if truncated_seqs.len() >= MAX_OPEN_CALLS {
+                        truncated_seqs.remove(0);
                     }
-                    cut.push(message.seq);
+                    truncated_seqs.push(message.seq);
                 }
             }
             Some(_) => self.counts.cut_answers += 1,
@@ -370,49 +406,49 @@
         }
     }
 
-    fn lost(&mut self, lost: Option<Lost>) {
-        match lost {
+    fn count_stop_reason(&mut self, reason: Option<StopReason>) {
+        match reason {
             None => {}
-            Some(Lost::Midway) => self.counts.lost_midway += 1,
-            Some(Lost::Hole | Lost::Memory) => self.counts.lost_hole += 1,
-            Some(Lost::TooLong) => self.counts.lost_too_long += 1,
-            Some(Lost::NotThrift) => self.counts.lost_not_thrift += 1,
+            Some(StopReason::StartMissing) => self.counts.lost_midway += 1,
+            Some(StopReason::Hole | StopReason::MemoryLimit) => self.counts.lost_hole += 1,
+            Some(StopReason::FrameTooLong) => self.counts.lost_too_long += 1,
+            Some(StopReason::NotThrift) => self.counts.lost_not_thrift += 1,
         }
     }
 }
 
-/// What a frame may change of its connection, while its direction's bytes are lent out.
-struct Talk<'s> {
+/// The parts of [`ConnectionState`] that a frame may change while its direction's bytes are borrowed.
+struct DirectionContext<'s> {
     number: u32,
     side: usize,
-    spoke: &'s mut bool,
+    has_readable_frame: &'s mut bool,
     open: &'s mut Vec<Open>,
-    cut: &'s mut Vec<i32>,
-    answered: &'s mut Vec<i32>,
-    ahead: &'s mut Vec<(i32, Outcome, u64)>,
+    truncated_seqs: &'s mut Vec<i32>,
+    answered_seqs: &'s mut Vec<i32>,
+    early_answers: &'s mut Vec<(i32, Outcome, u64)>,
 }
 
-/// What an answer that waits for its call is counted as: a frame's most.
-const AHEAD: usize = 8 << 10;
+/// Bytes counted for an early answer: the maximum of a frame.
+const EARLY_ANSWER_BYTES: usize = 8 << 10;
 
-/// Bytes that an open call keeps, nearly.
-fn weight(fields: &[(String, String)]) -> usize {
+/// Approximate bytes that an open call occupies.
+fn open_call_bytes(fields: &[(String, String)]) -> usize {
     256 + fields
         .iter()
         .map(|(key, value)| 48 + key.len() + value.len())
         .sum::<usize>()
 }
 
-impl Talk<'_> {
-    fn remember(&mut self, seq: i32) {
-        if self.answered.len() >= REMEMBERED {
-            self.answered.remove(0);
+impl DirectionContext<'_> {
+    fn remember_answered(&mut self, seq: i32) {
+        if self.answered_seqs.len() >= MAX_REMEMBERED_ANSWERS {
+            self.answered_seqs.remove(0);
         }
-        self.answered.push(seq);
+        self.answered_seqs.push(seq);
     }
 }
 
-fn owned(fields: Vec<(&[u8], &[u8])>) -> Vec<(String, String)> {
+fn to_owned_fields(fields: Vec<(&[u8], &[u8])>) -> Vec<(String, String)> {
     let text = |bytes| String::from_utf8_lossy(bytes).into_owned();
     fields
         .into_iter()
@@ -420,124 +456,135 @@
         .collect()
 }
 
-impl<F: FnMut(Event<'_>)> Sink for Pairing<F> {
-    type State = Paired;
+impl<F: FnMut(Event<'_>)> Sink for CallMatcher<F> {
+    type State = ConnectionState;
 
-    fn opened(&mut self, number: u32, ends: [End; 2], at: u64) -> Paired {
-        (self.take)(Event::Opened {
+    fn opened(&mut self, number: u32, ends: [End; 2], at: u64) -> ConnectionState {
+        (self.on_event)(Event::Opened {
             connection: number,
             ends,
             at,
         });
-        let halves = [Frames::default(), Frames::default()];
-        Paired {
+        let directions = [Frames::default(), Frames::default()];
+        ConnectionState {
             number,
-            halves,
-            spoke: [false; 2],
+            directions,
+            has_readable_frame: [false; 2],
             open: Vec::new(),
-            cut: Vec::new(),
-            answered: Vec::new(),
-            ahead: Vec::new(),
-            holes: false,
+            truncated_seqs: Vec::new(),
+            answered_seqs: Vec::new(),
+            early_answers: Vec::new(),
+            has_holes: false,
         }
     }
 
-    fn bytes(&mut self, state: &mut Paired, side: usize, bytes: &[u8], at: u64) {
-        let Paired {
+    fn bytes(&mut self, state: &mut ConnectionState, side: usize, bytes: &[u8], at: u64) {
+        let ConnectionState {
             number,
-            halves,
-            spoke,
+            directions,
+            has_readable_frame,
             open,
-            cut,
-            answered,
-            ahead,
+            truncated_seqs,
+            answered_seqs,
+            early_answers,
             ..
         } = state;
-        let spoke = &mut spoke[side];
-        let before = halves[side].held();
-        halves[side].bytes(bytes, at, |told| {
-            let mut state = Talk {
+        let has_readable_frame = &mut has_readable_frame[side];
+        let before = directions[side].buffered_bytes();
+        directions[side].bytes(bytes, at, |frame_event| {
+            let mut state = DirectionContext {
                 number: *number,
                 side,
-                spoke,
+                has_readable_frame,
                 open,
-                cut,
-                answered,
-                ahead,
+                truncated_seqs,
+                answered_seqs,
+                early_answers,
             };
-            match told {
-                Told::Frame(frame, at) => self.frame(&mut state, frame, at),
-                Told::Cut(frame) => {
-                    self.cut(state.cut, frame);
+            match frame_event {
+                FrameEvent::Complete(frame, at) => self.frame(&mut state, frame, at),
+                FrameEvent::Truncated(frame) => {
+                    self.count_truncated(state.truncated_seqs, frame);
                     Ok(())
                 }
             }
         });
-        self.held = (self.held + halves[side].held()).saturating_sub(before);
-        if self.held > MOST_HELD && halves[side].held() > 0 {
+        self.buffered = (self.buffered + directions[side].buffered_bytes()).saturating_sub(before);
+        if self.buffered > MAX_BUFFERED_BYTES && directions[side].buffered_bytes() > 0 {
             self.counts.let_go += 1;
-            self.held -= halves[side].held().min(self.held);
-            halves[side].let_go(Lost::Memory);
+            self.buffered -= directions[side].buffered_bytes().min(self.buffered);
+            directions[side].stop(StopReason::MemoryLimit);
         }
     }
 
-    fn hole(&mut self, state: &mut Paired, side: usize, length: u64, _at: u64) {
-        let Paired {
-            halves, cut, holes, ..
+    fn hole(&mut self, state: &mut ConnectionState, side: usize, length: u64, _at: u64) {
+        let ConnectionState {
+            directions,
+            truncated_seqs,
+            has_holes,
+            ..
         } = state;
-        *holes = true;
-        let before = halves[side].held();
-        halves[side].hole(length, |told| {
-            if let Told::Cut(frame) = told {
-                self.cut(cut, frame);
+        *has_holes = true;
+        let before = directions[side].buffered_bytes();
+        directions[side].hole(length, |frame_event| {
+            if let FrameEvent::Truncated(frame) = frame_event {
+                self.count_truncated(truncated_seqs, frame);
             }
         });
-        self.held = (self.held + halves[side].held()).saturating_sub(before);
+        self.buffered = (self.buffered + directions[side].buffered_bytes()).saturating_sub(before);
     }
 
-    fn midway(&mut self, state: &mut Paired, side: usize, _at: u64) {
-        state.halves[side].let_go(Lost::Midway);
+    fn start_missing(&mut self, state: &mut ConnectionState, side: usize, _at: u64) {
+        state.directions[side].stop(StopReason::StartMissing);
     }
 
-    fn closed(&mut self, state: Paired, how: Closed, at: u64) {
-        let Paired {
+    fn closed(&mut self, state: ConnectionState, reason: CloseReason, at: u64) {
+        let ConnectionState {
             number,
-            mut halves,
-            spoke,
+            mut directions,
+            has_readable_frame,
             open,
-            mut cut,
-            ahead,
-            holes,
+            mut truncated_seqs,
+            early_answers,
+            has_holes,
             ..
         } = state;
-        self.counts.answers_alone += ahead.len() as u64;
-        let ahead_held = ahead.len() * AHEAD + halves.iter().map(Frames::held).sum::<usize>();
-        for half in &mut halves {
-            half.end(|told| {
-                if let Told::Cut(frame) = told {
-                    self.cut(&mut cut, frame);
+        self.counts.answers_alone += early_answers.len() as u64;
+        let released = early_answers.len() * EARLY_ANSWER_BYTES
+            + directions.iter().map(Frames::buffered_bytes).sum::<usize>();
+        for direction in &mut directions {
+            direction.end(|frame_event| {
+                if let FrameEvent::Truncated(frame) = frame_event {
+                    self.count_truncated(&mut truncated_seqs, frame);
                 }
             });
-            self.lost(half.lost);
-            self.counts.unread_bytes += half.unread;
+            self.count_stop_reason(direction.stopped);
+            self.counts.unread_bytes += direction.unread_bytes;
         }
-        // An answer may be in what was not read, or after the capture's end.
-        let answers_read = halves.iter().all(|half| half.lost.is_none())
-            && (spoke[0] && spoke[1] || how != Closed::CaptureEnded);
-        let known = answers_read && !holes && matches!(how, Closed::Finished | Closed::Reset);
-        self.held = self.held.saturating_sub(ahead_held);
+        // An answer may be in the unparsed bytes or after the end of the capture.
+        let answers_read = directions
+            .iter()
+            .all(|direction| direction.stopped.is_none())
+            && (has_readable_frame[0] && has_readable_frame[1]
+                || reason != CloseReason::CaptureEnded);
+        let unanswered = answers_read
+            && !has_holes
+            && matches!(reason, CloseReason::Finished | CloseReason::Reset);
+        self.buffered = self.buffered.saturating_sub(released);
         for open in open {
-            self.held = self.held.saturating_sub(weight(&open.call.fields));
-            let outcome = if known || open.left.is_some() {
+            self.buffered = self
+                .buffered
+                .saturating_sub(open_call_bytes(&open.call.fields));
+            let outcome = if unanswered || open.left.is_some() {
                 Outcome::Gone
             } else {
                 Outcome::None
             };
-            self.ticket(open, outcome, None);
+            self.complete_call(open, outcome, None);
         }
-        (self.take)(Event::Closed {
+        (self.on_event)(Event::Closed {
             connection: number,
-            how,
+            reason,
             at,
         });
     }
--- a/crates/capture/tests/scrambled.rs
+++ b/crates/capture/tests/scrambled.rs
@@ -213,7 +213,7 @@
     let (tickets, summary) = found(&file);
     assert_eq!((tickets.len(), summary.tickets.none), (5_000, 5_000));
     // What fits waits, the rest is let go and counted.
-    let fit = rainstand_capture::tickets::MOST_HELD / 7_000;
+    let fit = rainstand_capture::tickets::MAX_BUFFERED_BYTES / 7_000;
     assert!(
         (5_000 - fit as u64).abs_diff(summary.tickets.let_go) < 300,
         "{fit} {summary:?}"
