--- a/crates/capture/benches/read.rs
+++ b/crates/capture/benches/read.rs
@@ -1,5 +1,5 @@
-//! Bytes read a second from a generated file, and the most memory that reading takes.
-//! `cargo bench -p rainstand-capture` (1 GB in the folder for temporary files; `MB=100` for less).
+//! Throughput and peak memory of reading a generated file.
+//! `cargo bench -p rainstand-capture` writes 1 GB to the directory for temporary files; `MB=100` writes less.
 
 #![allow(
     missing_docs,
@@ -20,48 +20,50 @@
 
 const CONNECTIONS: usize = 200;
 
-/// Calls and answers of 200 connections side by side, bodies of up to 2 KiB; one packet in fifty is moved.
+/// Writes interleaved calls and answers of 200 connections, with bodies of up to 2 KiB; one packet in fifty
+/// is reordered. Returns the number of calls.
 fn generate(path: &Path, bytes: u64) -> u64 {
-    let mut chance = WyRand::new_seed(8);
+    let mut rng = WyRand::new_seed(8);
     let mut file = BufWriter::with_capacity(1 << 20, File::create(path).unwrap());
     let mut written = write::head("bench");
     let end = |n: usize, port: u16| End::new([10, 0, (n >> 8) as u8, n as u8].into(), port);
-    let mut talks: Vec<_> = (0..CONNECTIONS)
+    let mut conversations: Vec<_> = (0..CONNECTIONS)
         .map(|n| Conversation::new(end(n, 40_000), end(999, 5050), [7, 9]))
         .collect();
     let mut at = 1_764_576_000_000_000_000;
-    for talk in &mut talks {
-        talk.open()
+    for conversation in &mut conversations {
+        conversation
+            .open()
             .iter()
             .for_each(|packet| write::packet(&mut written, at, packet, packet.len()));
     }
     let (mut total, mut calls, mut seq) = (0u64, 0, 0);
     let body = [9u8; 2_048];
-    let mut late: Option<(u64, Vec<u8>)> = None;
+    let mut delayed: Option<(u64, Vec<u8>)> = None;
     while total < bytes {
         seq += 1;
-        for talk in &mut talks {
+        for conversation in &mut conversations {
             at += 20_000;
             calls += 1;
             let trace = format!("{calls:016x}");
-            let size = chance.generate_range(100..2_048usize);
+            let size = rng.generate_range(100..2_048usize);
             let call = thrift::process(
                 seq,
                 &[("route", "check"), ("trace", &trace), ("customer", "acme")],
                 &body[..size],
             );
-            let told = thrift::answer(b"process", seq, &body[..size], true);
-            let packets: Vec<_> = talk.data(0, &call).collect();
-            let answers: Vec<_> = talk.data(1, &told).collect();
+            let answer = thrift::answer(b"process", seq, &body[..size], true);
+            let packets: Vec<_> = conversation.data(0, &call).collect();
+            let answers: Vec<_> = conversation.data(1, &answer).collect();
             for packet in packets.into_iter().chain(answers) {
-                if late.is_none() && chance.generate_range(0..50u8) == 0 {
-                    late = Some((at, packet));
+                if delayed.is_none() && rng.generate_range(0..50u8) == 0 {
+                    delayed = Some((at, packet));
                     continue;
                 }
                 write::packet(&mut written, at, &packet, packet.len());
             }
-            if let Some((then, packet)) = late.take() {
-                write::packet(&mut written, then, &packet, packet.len());
+            if let Some((delayed_at, packet)) = delayed.take() {
+                write::packet(&mut written, delayed_at, &packet, packet.len());
             }
         }
         total += written.len() as u64;
@@ -72,8 +74,8 @@
     calls
 }
 
-/// The most memory this process ever had, in KiB.
-fn peak() -> u64 {
+/// Peak resident memory of this process, in KiB.
+fn peak_memory_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
         .lines()
@@ -94,7 +96,7 @@
     let path = std::env::temp_dir().join(format!("rainstand-bench-{}.pcapng", std::process::id()));
     let calls = generate(&path, mb * 1_000_000);
     let size = std::fs::metadata(&path).unwrap().len();
-    let before = peak();
+    let peak_before = peak_memory_kib();
     for _ in 0..3 {
         let start = Instant::now();
         let summary = read(File::open(&path).unwrap(), |_| {});
@@ -104,15 +106,15 @@
             (calls, 0)
         );
         println!(
-            "{} MB, {} packets, {} tickets in {:.2} s: {:.0} MB/s, {:.2} million packets a second; peak {} MiB (generating: {} MiB)",
+            "{} MB, {} packets, {} requests in {:.2} s: {:.0} MB/s, {:.2} million packets a second; peak {} MiB (generating: {} MiB)",
             size / 1_000_000,
             summary.file.packets,
             calls,
             took.as_secs_f64(),
             size as f64 / took.as_secs_f64() / 1e6,
             summary.file.packets as f64 / took.as_secs_f64() / 1e6,
-            peak() >> 10,
-            before >> 10
+            peak_memory_kib() >> 10,
+            peak_before >> 10
         );
     }
     std::fs::remove_file(&path).unwrap();
--- a/crates/capture/src/schedule.rs
+++ b/crates/capture/src/schedule.rs
@@ -1,43 +1,42 @@
-//! What a replay sends, when and on which connection: decided from the events of a capture, before
-//! anything is sent, so that a slow node cannot slow the arrivals.
+//! Plans what a replay sends, when and on which connection. The schedule is computed from the events of a
+//! capture before anything is sent, so that a slow node cannot delay arrivals.
 //!
-//! Invariants of a [`Schedule`]: sends are in order of time; a `Left` stands behind its call; no connection
-//! has more than [`MOST_TOGETHER`] calls open by the recording's own times, if connections are not as
-//! recorded.
+//! Invariants of a [`Schedule`]: sends are ordered by time; a `Left` follows its call; unless connections are
+//! used as recorded, no connection has more than [`MAX_OPEN_CALLS`] calls open at the recorded times.
 
 use crate::tickets::{Call, Event, Outcome, Ticket};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bytes of bodies and fields that a schedule keeps: past it a shorter stretch has to be chosen.
-pub const MOST_BYTES: usize = 512 << 20;
-/// Calls that the protocol allows open on a connection.
-const MOST_TOGETHER: usize = 32;
+/// Limit of bytes of bodies and fields in a schedule; a longer recording has to be replayed in sections.
+pub const MAX_BYTES: usize = 512 << 20;
+/// Maximum number of open calls per connection in the protocol.
+const MAX_OPEN_CALLS: usize = 32;
 
-/// One call as it was recorded.
+/// A recorded call.
 #[derive(Clone, Debug)]
 pub struct Recorded {
     pub call: Call,
     pub body: Vec<u8>,
-    /// None where the capture shows no end.
+    /// None if the capture does not show the outcome.
     pub outcome: Option<Outcome>,
-    /// From the call to its answer.
+    /// Time from the call to its answer.
     pub took: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum What {
     Call,
-    /// Its caller gives it up.
+    /// The caller cancels the call.
     Left,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Send {
-    /// From the replay's start.
+    /// Time since the start of the replay.
     pub after: Duration,
-    /// Into [`Schedule::calls`].
+    /// Index into [`Schedule::calls`].
     pub call: usize,
     pub what: What,
     pub connection: usize,
@@ -50,32 +49,32 @@
     pub connections: usize,
 }
 
-/// How connections are used.
+/// How calls are assigned to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
     AsRecorded,
-    /// So many, more only while all of them are full.
+    /// This number of connections; more are opened only while all of them are full.
     Number(usize),
 }
 
-/// What of a capture is replayed, and how fast.
+/// The section of a capture to replay, and the speed.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
-    /// From the capture's first call, in its own time.
+    /// Start of the section, as recorded time since the first call; `to` is its exclusive end.
     pub from: Duration,
     pub to: Option<Duration>,
-    /// 2.0: twice as fast.
+    /// Speed factor; 2.0 is twice as fast as recorded.
     pub speed: f64,
     pub connections: Connections,
 }
 
-/// Takes events and makes the schedule.
+/// Collects events and builds the schedule.
 pub struct Collector {
     calls: Vec<Recorded>,
-    lefts: Vec<(usize, u64)>,
+    cancellations: Vec<(usize, u64)>,
     open: HashMap<(u32, i32), usize>,
     bytes: usize,
-    /// Calls that were not kept for want of room.
+    /// Calls dropped because of [`MAX_BYTES`].
     pub left_out: u64,
 }
 
@@ -83,7 +82,7 @@
     fn default() -> Self {
         Self {
             calls: Vec::new(),
-            lefts: Vec::new(),
+            cancellations: Vec::new(),
             open: HashMap::new(),
             bytes: 0,
             left_out: 0,
@@ -101,7 +100,7 @@
                     .map(|(key, value)| key.len() + value.len() + 48)
                     .sum();
                 self.bytes += body.len() + fields + size_of::<Recorded>();
-                if self.bytes > MOST_BYTES {
+                if self.bytes > MAX_BYTES {
                     self.left_out += 1;
                     return;
                 }
@@ -121,7 +120,7 @@
                 at,
             } => {
                 if let Some(call) = self.open.get(&(*connection, *seq)) {
-                    self.lefts.push((*call, *at));
+                    self.cancellations.push((*call, *at));
                 }
             }
             Event::Ticket(Ticket {
@@ -130,66 +129,77 @@
                 answered,
                 ..
             }) => {
-                let Some(at) = self.open.remove(&(call.connection, call.seq)) else {
+                let Some(index) = self.open.remove(&(call.connection, call.seq)) else {
                     return;
                 };
                 let known = *outcome != Outcome::None;
-                self.calls[at].outcome = known.then(|| outcome.clone());
-                self.calls[at].took =
-                    answered.map(|then| Duration::from_nanos(then.saturating_sub(call.at)));
+                self.calls[index].outcome = known.then(|| outcome.clone());
+                self.calls[index].took = answered
+                    .map(|answered_at| Duration::from_nanos(answered_at.saturating_sub(call.at)));
             }
             _ => {}
         }
     }
 
-    /// The schedule of what is chosen.
+    /// Builds the schedule of the chosen section.
     pub fn schedule(self, choice: &Choice) -> Schedule {
         let Self {
-            mut calls, lefts, ..
+            mut calls,
+            cancellations,
+            ..
         } = self;
-        let first = calls.iter().map(|one| one.call.at).min().unwrap_or(0);
+        let first = calls
+            .iter()
+            .map(|recorded| recorded.call.at)
+            .min()
+            .unwrap_or(0);
         let offset = |at: u64| Duration::from_nanos(at.saturating_sub(first));
-        let chosen = |one: &Recorded| {
-            let at = offset(one.call.at);
+        let chosen = |recorded: &Recorded| {
+            let at = offset(recorded.call.at);
             at >= choice.from && choice.to.is_none_or(|to| at < to)
         };
-        // In order of time, which that of the capture's packets need not be; indices follow.
-        let mut order: Vec<usize> = (0..calls.len()).filter(|at| chosen(&calls[*at])).collect();
-        order.sort_by_key(|at| (calls[*at].call.at, *at));
-        let mut place = vec![usize::MAX; calls.len()];
+        // Sorted by time, since packets may be captured out of order; indices are remapped.
+        let mut order: Vec<usize> = (0..calls.len())
+            .filter(|index| chosen(&calls[*index]))
+            .collect();
+        order.sort_by_key(|index| (calls[*index].call.at, *index));
+        let mut new_index = vec![usize::MAX; calls.len()];
         order
             .iter()
             .enumerate()
-            .for_each(|(new, old)| place[*old] = new);
+            .for_each(|(new, old)| new_index[*old] = new);
         let after = |at: u64| offset(at).saturating_sub(choice.from).div_f64(choice.speed);
-        let mut kept: Vec<Option<Recorded>> = calls.drain(..).map(Some).collect();
-        let calls: Vec<Recorded> = order.iter().filter_map(|old| kept[*old].take()).collect();
-        let (on, connections) = match choice.connections {
-            Connections::AsRecorded => as_recorded(&calls),
-            Connections::Number(number) => on_number(&calls, number.max(1)),
+        let mut remaining: Vec<Option<Recorded>> = calls.drain(..).map(Some).collect();
+        let calls: Vec<Recorded> = order
+            .iter()
+            .filter_map(|old| remaining[*old].take())
+            .collect();
+        let (assigned, connections) = match choice.connections {
+            Connections::AsRecorded => assign_as_recorded(&calls),
+            Connections::Number(number) => assign_round_robin(&calls, number.max(1)),
         };
         let mut sends: Vec<Send> = calls
             .iter()
             .enumerate()
-            .map(|(k, one)| Send {
-                after: after(one.call.at),
+            .map(|(k, recorded)| Send {
+                after: after(recorded.call.at),
                 call: k,
                 what: What::Call,
-                connection: on[k],
+                connection: assigned[k],
             })
             .collect();
         sends.extend(
-            lefts
+            cancellations
                 .into_iter()
-                .filter(|(old, _)| place[*old] != usize::MAX)
+                .filter(|(old, _)| new_index[*old] != usize::MAX)
                 .map(|(old, at)| {
-                    let call = place[old];
+                    let call = new_index[old];
                     let at = at.max(calls[call].call.at);
                     Send {
                         after: after(at),
                         call,
                         what: What::Left,
-                        connection: on[call],
+                        connection: assigned[call],
                     }
                 }),
         );
@@ -202,49 +212,49 @@
     }
 }
 
-fn as_recorded(calls: &[Recorded]) -> (Vec<usize>, usize) {
+fn assign_as_recorded(calls: &[Recorded]) -> (Vec<usize>, usize) {
     let mut numbers: HashMap<u32, usize> = HashMap::new();
-    let on = calls.iter().map(|one| {
+    let assigned = calls.iter().map(|recorded| {
         let next = numbers.len();
-        *numbers.entry(one.call.connection).or_insert(next)
+        *numbers.entry(recorded.call.connection).or_insert(next)
     });
-    let on = on.collect();
-    (on, numbers.len())
+    let assigned = assigned.collect();
+    (assigned, numbers.len())
 }
 
-/// In turn over those that have room by the recording's own times.
-fn on_number(calls: &[Recorded], number: usize) -> (Vec<usize>, usize) {
-    // Of each connection, when its calls end, soonest first among those that are open.
+/// Assigns calls round robin to the connections that have capacity at the recorded times.
+fn assign_round_robin(calls: &[Recorded], number: usize) -> (Vec<usize>, usize) {
+    // Recorded end times of the open calls of each connection.
     let mut open: Vec<VecDeque<u64>> = vec![VecDeque::new(); number];
-    let mut turn = 0;
-    let mut on = Vec::with_capacity(calls.len());
-    for one in calls {
-        let at = one.call.at;
-        let end = one
+    let mut next = 0;
+    let mut assigned = Vec::with_capacity(calls.len());
+    for recorded in calls {
+        let at = recorded.call.at;
+        let end = recorded
             .took
             .map_or(u64::MAX, |took| at + took.as_nanos() as u64);
         for ends in &mut open {
             ends.retain(|end| *end > at);
         }
         let chosen = (0..open.len())
-            .map(|k| (turn + k) % open.len())
-            .find(|k| open[*k].len() < MOST_TOGETHER);
+            .map(|k| (next + k) % open.len())
+            .find(|k| open[*k].len() < MAX_OPEN_CALLS);
         let chosen = chosen.unwrap_or_else(|| {
             open.push(VecDeque::new());
             open.len() - 1
         });
         open[chosen].push_back(end);
-        turn = (chosen + 1) % open.len();
-        on.push(chosen);
+        next = (chosen + 1) % open.len();
+        assigned.push(chosen);
     }
-    (on, open.len())
+    (assigned, open.len())
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn collected(calls: &[(u64, u32, i32)], lefts: &[(u32, i32, u64)]) -> Collector {
+    fn collector_with(calls: &[(u64, u32, i32)], cancellations: &[(u32, i32, u64)]) -> Collector {
         let mut collector = Collector::default();
         for (ms, connection, seq) in calls {
             let call = Call {
@@ -260,7 +270,7 @@
                 side: 0,
             });
         }
-        for (connection, seq, ms) in lefts {
+        for (connection, seq, ms) in cancellations {
             collector.take(&Event::Left {
                 connection: *connection,
                 seq: *seq,
@@ -280,17 +290,17 @@
     }
 
     #[test]
-    fn times_are_the_recordings_at_the_stated_speed() {
+    fn sends_follow_recorded_times_scaled_by_the_speed() {
         let calls = [(1_000, 4, 1), (1_250, 9, 1), (1_100, 4, 2)];
-        let made =
-            collected(&calls, &[(4, 2, 1_400)]).schedule(&choice(2.0, Connections::AsRecorded));
-        let told: Vec<_> = made
+        let schedule = collector_with(&calls, &[(4, 2, 1_400)])
+            .schedule(&choice(2.0, Connections::AsRecorded));
+        let sends: Vec<_> = schedule
             .sends
             .iter()
             .map(|s| (s.after.as_millis(), s.call, s.what, s.connection))
             .collect();
         assert_eq!(
-            told,
+            sends,
             [
                 (0, 0, What::Call, 0),
                 (50, 1, What::Call, 0),
@@ -298,15 +308,16 @@
                 (200, 1, What::Left, 0)
             ]
         );
-        assert_eq!((made.connections, made.calls[1].call.seq), (2, 2));
+        assert_eq!((schedule.connections, schedule.calls[1].call.seq), (2, 2));
         let part = Choice {
             from: Duration::from_millis(50),
             to: Some(Duration::from_millis(200)),
             ..choice(1.0, Connections::AsRecorded)
         };
-        let made = collected(&calls, &[(4, 1, 1_120)]).schedule(&part);
+        let schedule = collector_with(&calls, &[(4, 1, 1_120)]).schedule(&part);
         assert_eq!(
-            made.sends
+            schedule
+                .sends
                 .iter()
                 .map(|s| s.after.as_millis())
                 .collect::<Vec<_>>(),
@@ -315,14 +326,25 @@
     }
 
     #[test]
-    fn a_number_of_connections_is_used_in_turn_and_never_over_full() {
+    fn calls_are_assigned_round_robin_within_the_open_call_limit() {
         let calls: Vec<_> = (0..100).map(|n| (n, 1, n as i32)).collect();
-        let made = collected(&calls, &[]).schedule(&choice(1.0, Connections::Number(2)));
-        // None of them has an end: two full connections, then more.
-        assert_eq!(made.connections, 4);
-        let mut per = [0; 4];
-        made.sends.iter().for_each(|send| per[send.connection] += 1);
-        assert!(per.iter().all(|count| *count <= MOST_TOGETHER), "{per:?}");
-        assert_eq!(made.sends[0].connection + made.sends[1].connection, 1);
+        let schedule = collector_with(&calls, &[]).schedule(&choice(1.0, Connections::Number(2)));
+        // No call has an end: both connections fill up, then further ones are opened.
+        assert_eq!(schedule.connections, 4);
+        let mut calls_per_connection = [0; 4];
+        schedule
+            .sends
+            .iter()
+            .for_each(|send| calls_per_connection[send.connection] += 1);
+        assert!(
+            calls_per_connection
+                .iter()
+                .all(|count| *count <= MAX_OPEN_CALLS),
+            "{calls_per_connection:?}"
+        );
+        assert_eq!(
+            schedule.sends[0].connection + schedule.sends[1].connection,
+            1
+        );
     }
 }
--- a/crates/capture/src/write.rs
+++ b/crates/capture/src/write.rs
@@ -1,43 +1,43 @@
-//! Streams back to packets, and packets to pcapng: made-up but correct TCP/IP, checksums and all.
+//! Writes streams as packets and packets as pcapng: synthetic but valid TCP/IP, including checksums.
 //!
-//! The file is a section, one interface (raw IP, nanoseconds), and a block a packet. Blocks are whole or
-//! not there: a reader of a file that ends in the middle of one reads up to the last whole block.
+//! The file has one section, one interface (raw IP, nanoseconds) and one block per packet. Readers accept only
+//! complete blocks: of a file that ends in the middle of a block, they read up to the last complete one.
 
 use crate::packet::End;
 use etherparse::PacketBuilder;
 use std::net::IpAddr;
 
-/// Bytes of a stream in one packet: what an Ethernet packet takes.
+/// Maximum payload bytes per packet: the TCP payload of an Ethernet packet.
 pub const SEGMENT: usize = 1_448;
 /// Link type "raw IP".
 const RAW_IP: u16 = 101;
-/// Hops, and a window that no test fills.
-const HOPS: u8 = 64;
-const WINDOW: u16 = 65_535;
+/// TTL or hop limit of IP, and a TCP window in bytes that no test fills.
+const TTL: u8 = 64;
+const WINDOW_BYTES: u16 = 65_535;
 
-/// The head of a file: its section and interface. `program` is told in it.
+/// The file header: the section block, which names `program`, and the interface block.
 pub fn head(program: &str) -> Vec<u8> {
     let mut file = Vec::new();
     let mut section = Vec::new();
     section.extend(0x1a2b_3c4du32.to_le_bytes());
     section.extend([1, 0, 0, 0]);
-    // The section's length is not known beforehand.
+    // The length of the section is not known in advance.
     section.extend(u64::MAX.to_le_bytes());
-    option(&mut section, 4, program.as_bytes());
-    option(&mut section, 0, &[]);
-    block(&mut file, 0x0a0d_0d0a, &section);
+    write_option(&mut section, 4, program.as_bytes());
+    write_option(&mut section, 0, &[]);
+    write_block(&mut file, 0x0a0d_0d0a, &section);
     let mut interface = Vec::new();
     interface.extend(RAW_IP.to_le_bytes());
     interface.extend([0, 0]);
     interface.extend(0u32.to_le_bytes());
     // if_tsresol: nanoseconds.
-    option(&mut interface, 9, &[9]);
-    option(&mut interface, 0, &[]);
-    block(&mut file, 1, &interface);
+    write_option(&mut interface, 9, &[9]);
+    write_option(&mut interface, 0, &[]);
+    write_block(&mut file, 1, &interface);
     file
 }
 
-/// Adds one packet's block; `length` is what it had on the wire.
+/// Appends a packet block; `at` is in nanoseconds of Unix time, `length` is the length on the wire.
 pub fn packet(file: &mut Vec<u8>, at: u64, bytes: &[u8], length: usize) {
     let padding = bytes.len().next_multiple_of(4) - bytes.len();
     let total = (32 + bytes.len() + padding) as u32;
@@ -58,14 +58,14 @@
     file.extend(total.to_le_bytes());
 }
 
-fn option(body: &mut Vec<u8>, code: u16, value: &[u8]) {
+fn write_option(body: &mut Vec<u8>, code: u16, value: &[u8]) {
     body.extend(code.to_le_bytes());
     body.extend((value.len() as u16).to_le_bytes());
     body.extend(value);
     body.resize(body.len().next_multiple_of(4), 0);
 }
 
-fn block(file: &mut Vec<u8>, kind: u32, body: &[u8]) {
+fn write_block(file: &mut Vec<u8>, kind: u32, body: &[u8]) {
     let total = 12 + body.len() as u32;
     file.extend(kind.to_le_bytes());
     file.extend(total.to_le_bytes());
@@ -73,7 +73,7 @@
     file.extend(total.to_le_bytes());
 }
 
-/// What a made-up segment says beside its bytes.
+/// Flags and acknowledgment number of a synthetic segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
     pub syn: bool,
@@ -82,13 +82,13 @@
     pub ack: Option<u32>,
 }
 
-/// One IP packet with a TCP segment. Both ends have one kind of address.
+/// An IP packet with one TCP segment. Both ends must have the same IP version.
 pub fn segment(from: End, to: End, seq: u32, flags: Flags, payload: &[u8]) -> Vec<u8> {
     let builder = match (from.ip(), to.ip()) {
-        (IpAddr::V4(from), IpAddr::V4(to)) => PacketBuilder::ipv4(from.octets(), to.octets(), HOPS),
-        (from, to) => PacketBuilder::ipv6(v6(from), v6(to), HOPS),
+        (IpAddr::V4(from), IpAddr::V4(to)) => PacketBuilder::ipv4(from.octets(), to.octets(), TTL),
+        (from, to) => PacketBuilder::ipv6(ipv6_octets(from), ipv6_octets(to), TTL),
     };
-    let mut tcp = builder.tcp(from.port, to.port, seq, WINDOW);
+    let mut tcp = builder.tcp(from.port, to.port, seq, WINDOW_BYTES);
     if flags.syn {
         tcp = tcp.syn();
     }
@@ -110,14 +110,14 @@
     packet
 }
 
-fn v6(ip: IpAddr) -> [u8; 16] {
+fn ipv6_octets(ip: IpAddr) -> [u8; 16] {
     match ip {
         IpAddr::V4(ip) => ip.to_ipv6_mapped().octets(),
         IpAddr::V6(ip) => ip.octets(),
     }
 }
 
-/// A connection as packets: what one end sends, the other has received at once.
+/// Generates the packets of a connection; each packet acknowledges everything sent so far by the other end.
 #[derive(Clone, Debug)]
 pub struct Conversation {
     ends: [End; 2],
@@ -126,7 +126,7 @@
 }
 
 impl Conversation {
-    /// From the end that opens it; `first` are both ends' initial sequence numbers.
+    /// `opener` is the end that opens the connection; `first` holds both initial sequence numbers.
     pub fn new(opener: End, other: End, first: [u32; 2]) -> Self {
         Self {
             ends: [opener, other],
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The three packets of the opening.
+    /// The three packets of the TCP handshake.
     pub fn open(&mut self) -> [Vec<u8>; 3] {
         let [opener, other] = self.ends;
         let [first, second] = self.next;
@@ -143,7 +143,7 @@
             syn: true,
             ..Flags::default()
         };
-        let both = Flags {
+        let syn_ack = Flags {
             syn: true,
             ack: Some(self.next[0]),
             ..Flags::default()
@@ -154,27 +154,27 @@
         };
         [
             segment(opener, other, first, syn, &[]),
-            segment(other, opener, second, both, &[]),
+            segment(other, opener, second, syn_ack, &[]),
             segment(opener, other, self.next[0], ack, &[]),
         ]
     }
 
-    /// Bytes of one end (0: who opened it), in segments.
+    /// The segments for `bytes` sent by one end (0 is the opener).
     pub fn data<'c>(
         &'c mut self,
         side: usize,
         bytes: &'c [u8],
     ) -> impl Iterator<Item = Vec<u8>> + 'c {
         bytes.chunks(SEGMENT).map(move |part| {
-            let packet = self.made(side, Flags::default(), part);
+            let packet = self.next_segment(side, Flags::default(), part);
             self.next[side] = self.next[side].wrapping_add(part.len() as u32);
             packet
         })
     }
 
-    /// An end says that it sends no more.
+    /// The FIN packet of one end.
     pub fn finish(&mut self, side: usize) -> Vec<u8> {
-        let packet = self.made(
+        let packet = self.next_segment(
             side,
             Flags {
                 fin: true,
@@ -187,7 +187,7 @@
     }
 
     pub fn reset(&mut self, side: usize) -> Vec<u8> {
-        self.made(
+        self.next_segment(
             side,
             Flags {
                 rst: true,
@@ -197,7 +197,7 @@
         )
     }
 
-    fn made(&self, side: usize, flags: Flags, payload: &[u8]) -> Vec<u8> {
+    fn next_segment(&self, side: usize, flags: Flags, payload: &[u8]) -> Vec<u8> {
         let flags = Flags {
             ack: Some(self.next[1 - side]),
             ..flags
--- a/crates/capture/tests/formats.rs
+++ b/crates/capture/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The same conversation in every file format and link that is read: the same tickets at the same times.
+//! Every supported file format and link type yields the same requests at the same times.
 
 #![allow(
     missing_docs,
@@ -13,47 +13,51 @@
 use rainstand_capture::{read, Summary};
 use rainstand_protocol::thrift;
 
-const START: u64 = 1_764_576_000_123_456_000;
+const START_NS: u64 = 1_764_576_000_123_456_000;
 
-/// Packets (raw IP) with their times: three calls, the last one large, each answered 2 ms later.
+/// Raw IP packets with timestamps (ns): three calls, the last one large, each answered after 2 ms.
 fn packets(v6: bool) -> Vec<(u64, Vec<u8>)> {
     let ip = |last: u8| match v6 {
         true => format!("fd00::{last}").parse().unwrap(),
         false => std::net::IpAddr::from([10, 0, 0, last]),
     };
-    let mut talk = Conversation::new(
+    let mut conversation = Conversation::new(
         End::new(ip(1), 40_000),
         End::new(ip(2), 5050),
         [3, u32::MAX - 100],
     );
-    let mut all: Vec<_> = talk
+    let mut all: Vec<_> = conversation
         .open()
         .into_iter()
-        .map(|packet| (START, packet))
+        .map(|packet| (START_NS, packet))
         .collect();
     for seq in 1..=3 {
-        let at = START + seq as u64 * 10_000_000;
+        let at = START_NS + seq as u64 * 10_000_000;
         let call = thrift::process(
             seq,
             &[("route", "check")],
             &vec![seq as u8; if seq == 3 { 4_000 } else { 20 }],
         );
-        all.extend(talk.data(0, &call).map(|packet| (at, packet)));
-        let told = thrift::answer(b"process", seq, b"result", true);
-        all.extend(talk.data(1, &told).map(|packet| (at + 2_000_000, packet)));
+        all.extend(conversation.data(0, &call).map(|packet| (at, packet)));
+        let answer = thrift::answer(b"process", seq, b"result", true);
+        all.extend(
+            conversation
+                .data(1, &answer)
+                .map(|packet| (at + 2_000_000, packet)),
+        );
     }
-    all.extend([0, 1].map(|side| (START + 40_000_000, talk.finish(side))));
+    all.extend([0, 1].map(|side| (START_NS + 40_000_000, conversation.finish(side))));
     all
 }
 
-/// `at` and `took` of each ticket, from the start, in us.
-fn found(file: &[u8]) -> (Vec<(u64, u64)>, Summary) {
+/// Start (since `START_NS`) and duration of each request, in us.
+fn read_requests(file: &[u8]) -> (Vec<(u64, u64)>, Summary) {
     let mut all = Vec::new();
     let summary = read(file, |event| {
         if let Event::Ticket(ticket) = event {
             let answered = ticket.answered.expect("an answer");
             all.push((
-                (ticket.call.at - START) / 1_000,
+                (ticket.call.at - START_NS) / 1_000,
                 (answered - ticket.call.at) / 1_000,
             ));
         }
@@ -61,33 +65,38 @@
     (all, summary)
 }
 
-const WANTED: [(u64, u64); 3] = [(10_000, 2_000), (20_000, 2_000), (30_000, 2_000)];
+const EXPECTED: [(u64, u64); 3] = [(10_000, 2_000), (20_000, 2_000), (30_000, 2_000)];
 
-fn classic(big: bool, nanoseconds: bool, link: u32, packets: &[(u64, Vec<u8>)]) -> Vec<u8> {
-    let word = |n: u32| {
-        if big {
+fn pcap_file(
+    big_endian: bool,
+    nanoseconds: bool,
+    link: u32,
+    packets: &[(u64, Vec<u8>)],
+) -> Vec<u8> {
+    let u32_bytes = |n: u32| {
+        if big_endian {
             n.to_be_bytes()
         } else {
             n.to_le_bytes()
         }
     };
-    let half = |n: u16| {
-        if big {
+    let u16_bytes = |n: u16| {
+        if big_endian {
             n.to_be_bytes()
         } else {
             n.to_le_bytes()
         }
     };
-    let mut file = word(if nanoseconds {
+    let mut file = u32_bytes(if nanoseconds {
         0xa1b2_3c4d
     } else {
         0xa1b2_c3d4
     })
     .to_vec();
-    file.extend(half(2));
-    file.extend(half(4));
+    file.extend(u16_bytes(2));
+    file.extend(u16_bytes(4));
     for n in [0, 0, 65_535, link] {
-        file.extend(word(n));
+        file.extend(u32_bytes(n));
     }
     for (at, packet) in packets {
         let part = (at % 1_000_000_000) / if nanoseconds { 1 } else { 1_000 };
@@ -97,21 +106,24 @@
             packet.len() as u32,
             packet.len() as u32,
         ] {
-            file.extend(word(n));
+            file.extend(u32_bytes(n));
         }
         file.extend(packet);
     }
     file
 }
 
-fn wrapped(packets: &[(u64, Vec<u8>)], wrap: impl Fn(&[u8]) -> Vec<u8>) -> Vec<(u64, Vec<u8>)> {
+fn with_link_headers(
+    packets: &[(u64, Vec<u8>)],
+    wrap: impl Fn(&[u8]) -> Vec<u8>,
+) -> Vec<(u64, Vec<u8>)> {
     packets
         .iter()
         .map(|(at, packet)| (*at, wrap(packet)))
         .collect()
 }
 
-fn kind(ip: &[u8]) -> [u8; 2] {
+fn ether_type(ip: &[u8]) -> [u8; 2] {
     if ip[0] >> 4 == 6 {
         [0x86, 0xdd]
     } else {
@@ -120,41 +132,48 @@
 }
 
 #[test]
-fn both_byte_orders_and_resolutions() {
-    for (big, ns) in [(false, false), (false, true), (true, false), (true, true)] {
-        let (tickets, summary) = found(&classic(big, ns, 101, &packets(false)));
+fn pcap_is_read_in_both_byte_orders_and_resolutions() {
+    for (big_endian, ns) in [(false, false), (false, true), (true, false), (true, true)] {
+        let (tickets, summary) = read_requests(&pcap_file(big_endian, ns, 101, &packets(false)));
         assert_eq!(
             (tickets.as_slice(), summary.file.format),
-            (&WANTED[..], "pcap"),
-            "{big} {ns}"
+            (&EXPECTED[..], "pcap"),
+            "{big_endian} {ns}"
         );
     }
 }
 
 #[test]
-fn every_link() {
+fn every_link_type_is_parsed() {
     for v6 in [false, true] {
         let raw = packets(v6);
         let mac = [2; 12];
-        let ethernet = |ip: &[u8]| [&mac[..], &kind(ip), ip].concat();
-        // Frames of an Ethernet are at least 60 bytes: padding is no payload.
+        let ethernet = |ip: &[u8]| [&mac[..], &ether_type(ip), ip].concat();
+        // Ethernet frames have at least 60 bytes: padding is not payload.
         let padded = |ip: &[u8]| {
             let mut frame = ethernet(ip);
             frame.resize(frame.len().max(60), 0xee);
             frame
         };
-        let vlan = |ip: &[u8]| [&mac[..], &[0x81, 0, 0, 7], &kind(ip), ip].concat();
-        let two =
-            |ip: &[u8]| [&mac[..], &[0x88, 0xa8, 0, 5, 0x81, 0, 0, 7], &kind(ip), ip].concat();
+        let vlan = |ip: &[u8]| [&mac[..], &[0x81, 0, 0, 7], &ether_type(ip), ip].concat();
+        let double_vlan = |ip: &[u8]| {
+            [
+                &mac[..],
+                &[0x88, 0xa8, 0, 5, 0x81, 0, 0, 7],
+                &ether_type(ip),
+                ip,
+            ]
+            .concat()
+        };
         let cooked = |ip: &[u8]| {
             [
                 &[0, 0, 0, 1, 0, 6, 2, 2, 2, 2, 2, 2, 0, 0][..],
-                &kind(ip),
+                &ether_type(ip),
                 ip,
             ]
             .concat()
         };
-        let cooked2 = |ip: &[u8]| [&kind(ip)[..], &[0; 18], ip].concat();
+        let cooked2 = |ip: &[u8]| [&ether_type(ip)[..], &[0; 18], ip].concat();
         let family = if v6 { [30, 0, 0, 0] } else { [2, 0, 0, 0] };
         let loopback = |ip: &[u8]| [&family[..], ip].concat();
         type Wrap<'w> = &'w dyn Fn(&[u8]) -> Vec<u8>;
@@ -162,18 +181,23 @@
             (1, &ethernet),
             (1, &padded),
             (1, &vlan),
-            (1, &two),
+            (1, &double_vlan),
             (113, &cooked),
             (276, &cooked2),
             (0, &loopback),
             (if v6 { 229 } else { 228 }, &|ip| ip.to_vec()),
         ];
         for (k, (link, wrap)) in links.into_iter().enumerate() {
-            let (tickets, summary) = found(&classic(false, true, link, &wrapped(&raw, wrap)));
-            assert_eq!(tickets, WANTED, "link {link}, {k}: {summary:?}");
+            let (tickets, summary) = read_requests(&pcap_file(
+                false,
+                true,
+                link,
+                &with_link_headers(&raw, wrap),
+            ));
+            assert_eq!(tickets, EXPECTED, "link {link}, {k}: {summary:?}");
         }
     }
-    let (tickets, summary) = found(&classic(false, true, 147, &packets(false)));
+    let (tickets, summary) = read_requests(&pcap_file(false, true, 147, &packets(false)));
     assert_eq!(
         (tickets.len(), summary.packets.not_ip),
         (0, summary.file.packets)
@@ -181,7 +205,7 @@
 }
 
 #[test]
-fn extension_headers_are_passed() {
+fn ipv6_extension_headers_are_skipped() {
     let with_options = |ip: &[u8]| {
         let mut packet = ip.to_vec();
         let length = u16::from_be_bytes([ip[4], ip[5]]) + 8;
@@ -191,22 +215,22 @@
         packet.splice(40..40, [6, 0, 1, 4, 0, 0, 0, 0]);
         packet
     };
-    let (tickets, _) = found(&classic(
+    let (tickets, _) = read_requests(&pcap_file(
         false,
         true,
         101,
-        &wrapped(&packets(true), with_options),
+        &with_link_headers(&packets(true), with_options),
     ));
-    assert_eq!(tickets, WANTED);
+    assert_eq!(tickets, EXPECTED);
 }
 
-/// IPv4 packets in fragments of at most 64 bytes, in the order that `order` gives them.
+/// Splits IPv4 packets into fragments of at most 64 payload bytes; `order` reorders those of each packet.
 fn fragments(packets: &[(u64, Vec<u8>)], order: impl Fn(&mut Vec<Vec<u8>>)) -> Vec<(u64, Vec<u8>)> {
     let mut all = Vec::new();
     for (id, (at, packet)) in packets.iter().enumerate() {
         let (header, payload) = packet.split_at(20);
         let parts: Vec<&[u8]> = payload.chunks(64).collect();
-        let mut made: Vec<Vec<u8>> = parts
+        let mut generated: Vec<Vec<u8>> = parts
             .iter()
             .enumerate()
             .map(|(k, part)| {
@@ -219,37 +243,38 @@
                 piece
             })
             .collect();
-        order(&mut made);
-        all.extend(made.into_iter().map(|piece| (*at, piece)));
+        order(&mut generated);
+        all.extend(generated.into_iter().map(|piece| (*at, piece)));
     }
     all
 }
 
 #[test]
-fn fragments_are_put_together_or_counted_as_lost() {
+fn fragments_are_reassembled_or_counted_as_lost() {
     let raw = packets(false);
     let orders: [fn(&mut Vec<Vec<u8>>); 3] = [
         |_| {},
         |all| all.reverse(),
         |all| {
-            let again = all.clone();
-            all.extend(again);
+            let copies = all.clone();
+            all.extend(copies);
         },
     ];
     for order in orders {
-        let (tickets, summary) = found(&classic(false, true, 101, &fragments(&raw, order)));
-        assert_eq!(tickets, WANTED, "{summary:?}");
+        let (tickets, summary) =
+            read_requests(&pcap_file(false, true, 101, &fragments(&raw, order)));
+        assert_eq!(tickets, EXPECTED, "{summary:?}");
         assert!(summary.packets.put_together >= 5, "{summary:?}");
     }
-    // One fragment of a large call is missing: that call is cut, its connection is read up to it.
+    // Without one fragment of the large call, that call is truncated and its direction is read up to it.
     let mut lost = false;
-    let mut cut = fragments(&raw, |_| {});
-    cut.retain(|(at, piece)| {
-        let drop = !lost && *at == START + 30_000_000 && piece.len() == 84;
+    let mut incomplete = fragments(&raw, |_| {});
+    incomplete.retain(|(at, piece)| {
+        let drop = !lost && *at == START_NS + 30_000_000 && piece.len() == 84;
         lost |= drop;
         !drop
     });
-    let summary = read(&classic(false, true, 101, &cut)[..], |_| {});
+    let summary = read(&pcap_file(false, true, 101, &incomplete)[..], |_| {});
     assert_eq!(
         (
             summary.tickets.calls,
@@ -262,7 +287,7 @@
 }
 
 #[test]
-fn interfaces_have_their_own_links_and_clocks() {
+fn each_interface_has_its_own_link_type_and_clock() {
     let raw = packets(false);
     let mut file = write::head("test");
     let mut block = |kind: u32, body: &[u8]| {
@@ -272,7 +297,7 @@
         file.extend(body);
         file.extend(total);
     };
-    // A second interface: Ethernet, 2^-20 s; and a third: microseconds by default, with an offset of a day.
+    // A second interface: Ethernet, 2^-20 s; a third one: default microseconds, with an offset of one day.
     let mut ethernet = vec![1, 0, 0, 0, 0, 0, 0, 0];
     ethernet.extend([9, 0, 1, 0, 0x94, 0, 0, 0, 0, 0, 0, 0]);
     block(1, &ethernet);
@@ -281,11 +306,11 @@
     offset.extend(86_400i64.to_le_bytes());
     offset.extend([0, 0, 0, 0]);
     block(1, &offset);
-    // Blocks that mean nothing here: a custom one and statistics.
+    // Blocks to be skipped: a custom block and interface statistics.
     block(0xbad, &[1, 2, 3, 4]);
     block(5, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
     for (k, (at, packet)) in raw.iter().enumerate() {
-        let (steps, bytes) = match k % 3 {
+        let (ticks, bytes) = match k % 3 {
             0 => (*at, packet.clone()),
             1 => (
                 (u128::from(*at) * (1 << 20) / 1_000_000_000) as u64,
@@ -296,8 +321,8 @@
         let mut body = Vec::new();
         for word in [
             (k % 3) as u32,
-            (steps >> 32) as u32,
-            steps as u32,
+            (ticks >> 32) as u32,
+            ticks as u32,
             bytes.len() as u32,
             bytes.len() as u32,
         ] {
@@ -307,48 +332,52 @@
         body.resize(body.len().next_multiple_of(4), 0);
         block(6, &body);
     }
-    let (tickets, summary) = found(&file);
+    let (tickets, summary) = read_requests(&file);
     assert_eq!(
         (tickets.len(), summary.file.passed_over, summary.cut_off),
         (3, 2, None)
     );
-    for ((at, took), (wanted_at, wanted_took)) in tickets.into_iter().zip(WANTED) {
-        // A step of the coarsest clock is a microsecond.
+    for ((at, took), (expected_at, expected_took)) in tickets.into_iter().zip(EXPECTED) {
+        // The coarsest clock has a resolution of one microsecond.
         assert!(
-            at.abs_diff(wanted_at) <= 2 && took.abs_diff(wanted_took) <= 2,
+            at.abs_diff(expected_at) <= 2 && took.abs_diff(expected_took) <= 2,
             "{at} {took}"
         );
     }
 }
 
 #[test]
-fn the_same_ports_again_are_another_connection() {
+fn reused_ports_are_a_new_connection() {
     let mut all = packets(false);
-    let again: Vec<_> = {
+    let reused: Vec<_> = {
         let ip = |last: u8| std::net::IpAddr::from([10, 0, 0, last]);
-        let mut talk = Conversation::new(
+        let mut conversation = Conversation::new(
             End::new(ip(1), 40_000),
             End::new(ip(2), 5050),
             [90_000, 70_000],
         );
-        let mut made: Vec<_> = talk.open().into_iter().collect();
-        made.extend(talk.data(0, &thrift::process(1, &[("route", "again")], b"")));
-        made.extend(talk.data(1, &thrift::lost(1)));
-        made.push(talk.reset(0));
-        made
+        let mut generated: Vec<_> = conversation.open().into_iter().collect();
+        generated.extend(conversation.data(0, &thrift::process(1, &[("route", "again")], b"")));
+        generated.extend(conversation.data(1, &thrift::lost(1)));
+        generated.push(conversation.reset(0));
+        generated
     };
-    all.extend(again.into_iter().map(|packet| (START + 50_000_000, packet)));
-    let mut kinds = Vec::new();
-    let summary = read(&classic(false, true, 101, &all)[..], |event| {
+    all.extend(
+        reused
+            .into_iter()
+            .map(|packet| (START_NS + 50_000_000, packet)),
+    );
+    let mut outcomes = Vec::new();
+    let summary = read(&pcap_file(false, true, 101, &all)[..], |event| {
         if let Event::Ticket(ticket) = event {
-            kinds.push((
+            outcomes.push((
                 ticket.call.connection,
                 ticket.call.seq,
                 ticket.outcome.word(),
             ));
         }
     });
-    assert_eq!(kinds[3], (1, 1, "given_up"), "{summary:?}");
+    assert_eq!(outcomes[3], (1, 1, "given_up"), "{summary:?}");
     assert_eq!(
         (summary.streams.connections, summary.tickets.answered_twice),
         (2, 0)
@@ -356,11 +385,11 @@
 }
 
 #[test]
-fn a_capture_that_begins_midway_invents_nothing() {
+fn capture_that_starts_mid_connection_yields_no_invented_calls() {
     let all = packets(false);
     for from in 1..all.len() {
-        let summary = read(&classic(false, true, 101, &all[from..])[..], |_| {});
-        // Without both openings nothing is proved of the caller's side.
+        let summary = read(&pcap_file(false, true, 101, &all[from..])[..], |_| {});
+        // Without both SYN packets, frame boundaries of the caller's direction are unknown.
         assert!(summary.tickets.calls <= 3);
         if from >= 2 {
             assert_eq!(summary.tickets.calls, 0, "{from}: {summary:?}");
--- a/crates/capture/tests/stand_ins/mod.rs
+++ b/crates/capture/tests/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the network and its recorder: known conversations, scrambled by a seed, and what an
-//! honest reader must find in the result. It counts bytes that are there, and shares no code with the reader.
+//! Generates captures: known conversations with seeded faults, and the calls that a correct reader finds in
+//! them. The expectation follows from the captured bytes alone and shares no code with the reader.
 
 use nanorand::{Rng, WyRand};
 use rainstand_capture::packet::End;
@@ -7,41 +7,42 @@
 use rainstand_protocol::thrift;
 use std::collections::BTreeMap;
 
-/// What may happen to a capture.
+/// Size of a generated capture and the faults in it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Faults {
     pub connections: usize,
     pub calls: usize,
-    /// Percent of packets that are left out, sent again, sent again cut otherwise, and bytes kept of a packet.
+    /// Percentage of packets that are dropped, duplicated, or retransmitted with other boundaries.
     pub dropped: u32,
     pub repeated: u32,
     pub overlapped: u32,
-    /// Places that a packet may move.
+    /// Maximum number of positions by which a packet is delayed.
     pub moved: usize,
-    /// Largest payload of a segment.
+    /// Maximum payload of a segment, in bytes.
     pub segment: usize,
+    /// Captured bytes per packet; none captures all.
     pub snap: Option<usize>,
-    /// Sequence numbers begin just before their end.
+    /// Initial sequence numbers are just below the wrap-around.
     pub wraps: bool,
     pub v6: bool,
 }
 
-/// A frame of one side: where its bytes are, and what it is.
+/// A frame of one side: its byte range and content.
 #[derive(Clone, Debug)]
 pub struct Frame {
     pub from: usize,
     pub to: usize,
     pub seq: i32,
-    /// The body of a call, or what an answer is.
-    pub said: Said,
+    /// The content of the call or answer.
+    pub message: Message,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Message {
     Call(Vec<u8>),
-    Honoured(Vec<u8>),
-    Dismissed,
-    GivenUp,
+    Served(Vec<u8>),
+    Rejected,
+    Failed,
     Exception,
     Other,
 }
@@ -50,27 +51,27 @@
     pub at: u64,
     connection: usize,
     side: usize,
-    /// Offset of the payload in its side's bytes, and its length; opening and closing have none.
+    /// Offset and length of the payload in the bytes of its side; SYN and FIN packets have none.
     from: usize,
     length: usize,
-    opens: bool,
+    is_opening: bool,
     pub bytes: Vec<u8>,
 }
 
-pub struct Scene {
+pub struct Scenario {
     pub packets: Vec<Packet>,
-    /// Frames and bytes of both sides of each connection; side 0 opened it.
+    /// Frames of both sides of each connection; side 0 is the opener.
     pub frames: Vec<[Vec<Frame>; 2]>,
     sizes: Vec<[usize; 2]>,
     snap: Option<usize>,
 }
 
-/// A body; some hold whole frames, so that guessing would find tickets that nobody sent.
-fn body(chance: &mut WyRand) -> Vec<u8> {
-    let mut bytes: Vec<u8> = (0..chance.generate_range(0..90usize))
-        .map(|_| chance.generate::<u8>())
+/// A random body; some contain complete frames, so that a reader that guesses boundaries finds calls never sent.
+fn body(rng: &mut WyRand) -> Vec<u8> {
+    let mut bytes: Vec<u8> = (0..rng.generate_range(0..90usize))
+        .map(|_| rng.generate::<u8>())
         .collect();
-    if chance.generate_range(0..3u8) == 0 {
+    if rng.generate_range(0..3u8) == 0 {
         bytes.extend(thrift::process(
             999,
             &[("route", "made-up"), ("trace", "ffffffffffffffff")],
@@ -81,25 +82,25 @@
     bytes
 }
 
-pub fn scene(seed: u64, trouble: &Trouble) -> Scene {
-    let mut chance = WyRand::new_seed(seed);
-    let mut scene = Scene {
+pub fn scenario(seed: u64, faults: &Faults) -> Scenario {
+    let mut rng = WyRand::new_seed(seed);
+    let mut scenario = Scenario {
         packets: vec![],
         frames: vec![],
         sizes: vec![],
-        snap: trouble.snap,
+        snap: faults.snap,
     };
-    for n in 0..trouble.connections {
-        connection(&mut scene, n, &mut chance, trouble);
+    for n in 0..faults.connections {
+        connection(&mut scenario, n, &mut rng, faults);
     }
-    // All connections side by side, by time.
-    scene.packets.sort_by_key(|packet| packet.at);
-    scramble(&mut scene, &mut chance, trouble);
-    scene
+    // Interleaves all connections by time.
+    scenario.packets.sort_by_key(|packet| packet.at);
+    apply_faults(&mut scenario, &mut rng, faults);
+    scenario
 }
 
-fn connection(scene: &mut Scene, n: usize, chance: &mut WyRand, trouble: &Trouble) {
-    let ip = |last: u8| match trouble.v6 {
+fn connection(scenario: &mut Scenario, n: usize, rng: &mut WyRand, faults: &Faults) {
+    let ip = |last: u8| match faults.v6 {
         true => format!("fd00::{last:x}").parse().unwrap(),
         false => std::net::IpAddr::from([10, 7, (n >> 8) as u8, last]),
     };
@@ -107,28 +108,28 @@
         End::new(ip(1 + (n % 200) as u8), 20_000 + n as u16),
         End::new(ip(250), 5050),
     ];
-    let first: [u32; 2] = match trouble.wraps {
+    let first: [u32; 2] = match faults.wraps {
         true => [
-            0u32.wrapping_sub(chance.generate_range(1..3_000u32)),
-            0u32.wrapping_sub(chance.generate_range(1..3_000u32)),
+            0u32.wrapping_sub(rng.generate_range(1..3_000u32)),
+            0u32.wrapping_sub(rng.generate_range(1..3_000u32)),
         ],
-        false => [chance.generate(), chance.generate()],
+        false => [rng.generate(), rng.generate()],
     };
     let (mut bytes, mut frames) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
-    let mut at = 1_764_576_000_000_000_000 + chance.generate_range(0..1_000_000u64);
+    let mut at = 1_764_576_000_000_000_000 + rng.generate_range(0..1_000_000u64);
     let mut packets = Vec::new();
     let mut push = |at: u64,
                     side: usize,
                     from: usize,
-                    opens: bool,
+                    is_opening: bool,
                     payload: &[u8],
                     flags: Flags,
                     ack: usize| {
         let seq = first[side]
-            .wrapping_add(u32::from(!opens))
+            .wrapping_add(u32::from(!is_opening))
             .wrapping_add(from as u32);
-        let ack =
-            (!opens || side == 1).then(|| first[1 - side].wrapping_add(1).wrapping_add(ack as u32));
+        let ack = (!is_opening || side == 1)
+            .then(|| first[1 - side].wrapping_add(1).wrapping_add(ack as u32));
         let packet = write::segment(
             ends[side],
             ends[1 - side],
@@ -142,7 +143,7 @@
             side,
             from,
             length: payload.len(),
-            opens,
+            is_opening,
             bytes: packet,
         });
     };
@@ -155,15 +156,15 @@
     at += 100_000;
     let mut open: Vec<i32> = Vec::new();
     let mut next = 1;
-    while next <= trouble.calls as i32 || !open.is_empty() {
-        at += chance.generate_range(1_000..2_000_000u64);
-        let asks =
-            next <= trouble.calls as i32 && (open.is_empty() || chance.generate_range(0..2u8) == 0);
-        let (side, seq, said, frame) = if asks {
-            let (seq, body) = (next, body(chance));
+    while next <= faults.calls as i32 || !open.is_empty() {
+        at += rng.generate_range(1_000..2_000_000u64);
+        let sends_call =
+            next <= faults.calls as i32 && (open.is_empty() || rng.generate_range(0..2u8) == 0);
+        let (side, seq, message, frame) = if sends_call {
+            let (seq, body) = (next, body(rng));
             next += 1;
             open.push(seq);
-            let trace = format!("{:016x}", chance.generate::<u64>());
+            let trace = format!("{:016x}", rng.generate::<u64>());
             let fields = [
                 ("route", "check"),
                 ("trace", trace.as_str()),
@@ -172,32 +173,32 @@
             (
                 0,
                 seq,
-                Said::Call(body.clone()),
+                Message::Call(body.clone()),
                 thrift::process(seq, &fields, &body),
             )
         } else {
-            let seq = open.swap_remove(chance.generate_range(0..open.len()));
-            match chance.generate_range(0..9u8) {
+            let seq = open.swap_remove(rng.generate_range(0..open.len()));
+            match rng.generate_range(0..9u8) {
                 0 => (
                     1,
                     seq,
-                    Said::Dismissed,
+                    Message::Rejected,
                     thrift::backoff(seq, &[("pause", "250")]),
                 ),
-                1 => (1, seq, Said::GivenUp, thrift::lost(seq)),
+                1 => (1, seq, Message::Failed, thrift::lost(seq)),
                 2 => (
                     1,
                     seq,
-                    Said::Exception,
+                    Message::Exception,
                     thrift::exception(b"process", seq, 6, "no"),
                 ),
-                3 => (0, seq, Said::Other, thrift::give_up(seq)),
+                3 => (0, seq, Message::Other, thrift::give_up(seq)),
                 _ => {
-                    let body = body(chance);
+                    let body = body(rng);
                     (
                         1,
                         seq,
-                        Said::Honoured(body.clone()),
+                        Message::Served(body.clone()),
                         thrift::answer(b"process", seq, &body, true),
                     )
                 }
@@ -209,12 +210,12 @@
             from,
             to: bytes[side].len(),
             seq,
-            said,
+            message,
         });
         let mut start = from;
         while start < bytes[side].len() {
-            let length = chance
-                .generate_range(1..=trouble.segment)
+            let length = rng
+                .generate_range(1..=faults.segment)
                 .min(bytes[side].len() - start);
             push(
                 at,
@@ -225,18 +226,18 @@
                 Flags::default(),
                 bytes[1 - side].len(),
             );
-            if chance.generate_range(0..100u32) < trouble.overlapped {
-                // Sent again, from somewhere before to somewhere within.
-                let (back, upto) = (
-                    start.saturating_sub(chance.generate_range(0..40usize)),
-                    start + chance.generate_range(1..=length),
+            if rng.generate_range(0..100u32) < faults.overlapped {
+                // Retransmits a range that starts before the segment and ends within it.
+                let (retransmit_from, retransmit_to) = (
+                    start.saturating_sub(rng.generate_range(0..40usize)),
+                    start + rng.generate_range(1..=length),
                 );
                 push(
                     at + 500,
                     side,
-                    back,
+                    retransmit_from,
                     false,
-                    &bytes[side][back..upto],
+                    &bytes[side][retransmit_from..retransmit_to],
                     Flags::default(),
                     bytes[1 - side].len(),
                 );
@@ -261,62 +262,62 @@
             ack,
         );
     }
-    scene.packets.extend(packets);
-    scene.frames.push(frames);
-    scene.sizes.push([bytes[0].len(), bytes[1].len()]);
+    scenario.packets.extend(packets);
+    scenario.frames.push(frames);
+    scenario.sizes.push([bytes[0].len(), bytes[1].len()]);
 }
 
-fn scramble(scene: &mut Scene, chance: &mut WyRand, trouble: &Trouble) {
-    let mut kept: Vec<Packet> = Vec::new();
-    for packet in scene.packets.drain(..) {
-        if chance.generate_range(0..100u32) < trouble.dropped {
+fn apply_faults(scenario: &mut Scenario, rng: &mut WyRand, faults: &Faults) {
+    let mut captured: Vec<Packet> = Vec::new();
+    for packet in scenario.packets.drain(..) {
+        if rng.generate_range(0..100u32) < faults.dropped {
             continue;
         }
-        if chance.generate_range(0..100u32) < trouble.repeated {
+        if rng.generate_range(0..100u32) < faults.repeated {
             let Packet {
                 at,
                 connection,
                 side,
                 from,
                 length,
-                opens,
+                is_opening,
                 ref bytes,
             } = packet;
-            kept.push(Packet {
+            captured.push(Packet {
                 at,
                 connection,
                 side,
                 from,
                 length,
-                opens,
+                is_opening,
                 bytes: bytes.clone(),
             });
         }
-        kept.push(packet);
+        captured.push(packet);
     }
-    if trouble.moved > 0 {
-        let mut keyed: Vec<(usize, Packet)> = kept
+    if faults.moved > 0 {
+        let mut keyed: Vec<(usize, Packet)> = captured
             .into_iter()
             .enumerate()
-            .map(|(k, packet)| (k + chance.generate_range(0..=trouble.moved), packet))
+            .map(|(k, packet)| (k + rng.generate_range(0..=faults.moved), packet))
             .collect();
         keyed.sort_by_key(|(place, _)| *place);
-        kept = keyed.into_iter().map(|(_, packet)| packet).collect();
+        captured = keyed.into_iter().map(|(_, packet)| packet).collect();
     }
-    scene.packets = kept;
+    scenario.packets = captured;
 }
 
-impl Scene {
-    /// The file, and where each packet's block ends in it.
+impl Scenario {
+    /// The file, and the end offset of each packet block.
     pub fn file(&self) -> (Vec<u8>, Vec<usize>) {
         let mut file = write::head("stand-in");
         let mut ends = Vec::new();
         for packet in &self.packets {
-            let kept = self.snap.unwrap_or(usize::MAX).min(packet.bytes.len());
+            let captured = self.snap.unwrap_or(usize::MAX).min(packet.bytes.len());
             write::packet(
                 &mut file,
                 packet.at,
-                &packet.bytes[..kept],
+                &packet.bytes[..captured],
                 packet.bytes.len(),
             );
             ends.push(file.len());
@@ -324,65 +325,71 @@
         (file, ends)
     }
 
-    /// What an honest reader of the first `packets` finds: calls with what came of them (none where the
-    /// answer is not there), by connection (as first seen) and number.
-    pub fn honest(&self, packets: usize) -> BTreeMap<(usize, i32), (Vec<u8>, Option<Said>)> {
-        let mut there: Vec<[Vec<bool>; 2]> = self
+    /// The calls that a correct reader finds in the first `packets`, by connection index and sequence number:
+    /// body and answer (none if the answer is not captured).
+    pub fn expected(&self, packets: usize) -> BTreeMap<(usize, i32), (Vec<u8>, Option<Message>)> {
+        let mut is_captured: Vec<[Vec<bool>; 2]> = self
             .sizes
             .iter()
-            .map(|s| [vec![false; s[0]], vec![false; s[1]]])
+            .map(|size| [vec![false; size[0]], vec![false; size[1]]])
             .collect();
         let mut opened = vec![[false; 2]; self.sizes.len()];
         for packet in &self.packets[..packets] {
-            if packet.opens {
-                // The answer to an opening tells where both sides begin.
+            if packet.is_opening {
+                // A SYN-ACK gives the initial sequence numbers of both sides.
                 opened[packet.connection][packet.side] = true;
                 opened[packet.connection][0] = true;
             }
             let header = packet.bytes.len() - packet.length;
-            let kept = self
+            let captured = self
                 .snap
                 .unwrap_or(usize::MAX)
                 .min(packet.bytes.len())
                 .saturating_sub(header);
-            there[packet.connection][packet.side]
-                [packet.from..packet.from + kept.min(packet.length)]
+            is_captured[packet.connection][packet.side]
+                [packet.from..packet.from + captured.min(packet.length)]
                 .fill(true);
         }
         let mut found = BTreeMap::new();
         for (connection, frames) in self.frames.iter().enumerate() {
-            let read = [0, 1].map(|side| {
-                let there = &there[connection][side];
-                let mut read = Vec::new();
+            let complete_frames = [0, 1].map(|side| {
+                let is_captured = &is_captured[connection][side];
+                let mut complete_frames = Vec::new();
                 for frame in frames[side].iter().filter(|_| opened[connection][side]) {
-                    if !there[frame.from..frame.from + 4].iter().all(|there| *there) {
+                    if !is_captured[frame.from..frame.from + 4]
+                        .iter()
+                        .all(|captured| *captured)
+                    {
                         break;
                     }
-                    if there[frame.from..frame.to].iter().all(|there| *there) {
-                        read.push(frame);
+                    if is_captured[frame.from..frame.to]
+                        .iter()
+                        .all(|captured| *captured)
+                    {
+                        complete_frames.push(frame);
                     }
                 }
-                read
+                complete_frames
             });
-            for call in &read[0] {
-                let Said::Call(body) = &call.said else {
+            for call in &complete_frames[0] {
+                let Message::Call(body) = &call.message else {
                     continue;
                 };
-                let answer = read[1]
+                let answer = complete_frames[1]
                     .iter()
                     .find(|answer| answer.seq == call.seq)
-                    .map(|answer| answer.said.clone());
+                    .map(|answer| answer.message.clone());
                 found.insert((connection, call.seq), (body.clone(), answer));
             }
         }
         found
     }
 
-    /// Connections in the order in which the first `packets` show them: a lone acknowledgement opens none.
+    /// Connections in order of first appearance in the first `packets`; a bare acknowledgement does not open one.
     pub fn order(&self, packets: usize) -> Vec<usize> {
         let mut order = Vec::new();
         for packet in &self.packets[..packets] {
-            if (packet.opens || packet.length > 0) && !order.contains(&packet.connection) {
+            if (packet.is_opening || packet.length > 0) && !order.contains(&packet.connection) {
                 order.push(packet.connection);
             }
         }
