--- a/crates/forwarder/src/admin/reports.rs
+++ b/crates/forwarder/src/admin/reports.rs
@@ -268,7 +268,7 @@
         .route
         .map(|index| &*configuration.routes[usize::from(index)].name);
     let mut line = DecisionLine {
-        age_ms: millis(now.saturating_sub(decision.at)),
+        age_ms: millis(now.saturating_sub(decision.time)),
         request_class: &configuration.types[usize::from(decision.request_class)].name,
         tenant,
         route,
@@ -283,18 +283,18 @@
         more_skipped: decision.more_skipped,
         ..DecisionLine::default()
     };
-    match decision.what {
+    match decision.outcome {
         DecisionOutcome::Dispatched {
             member,
             selected_by,
-            of,
+            candidates,
             open_attempts,
             attempt_number,
         } => {
             line.member = Some(member_name(member));
             line.selected_by = Some(selected_by.as_str());
             line.attempt_number = Some(attempt_number);
-            line.eligible_members = Some(of);
+            line.eligible_members = Some(candidates);
             line.open_attempts = Some(open_attempts);
         }
         DecisionOutcome::Rejected { reason, after } => {
--- a/crates/forwarder/src/context.rs
+++ b/crates/forwarder/src/context.rs
@@ -58,7 +58,7 @@
         zone: &str,
         seed: u64,
     ) -> Result<Rc<Self>, ConfigurationError> {
-        let fleet = Fleet::of(configuration, zone, seed, Duration::ZERO)?;
+        let fleet = Fleet::from_owned(configuration, zone, seed, Duration::ZERO)?;
         let metrics = Metrics::default();
         metrics.on_indices_changed(&fleet);
         Ok(Rc::new(Self {
--- a/crates/forwarder/src/observability/counters.rs
+++ b/crates/forwarder/src/observability/counters.rs
@@ -58,7 +58,7 @@
             ("dismissed", fleet.rejected),
             ("given_up", fleet.failed),
             ("nobody", fleet.caller_gone),
-            ("room", fleet.room),
+            ("room", fleet.over_tenant_share),
             ("accepted", sockets.accepted_connections.get()),
             ("refused_connections", sockets.refused_connections.get()),
             ("made_room", sockets.evicted_connections.get()),
--- a/crates/forwarder/tests/config_updates.rs
+++ b/crates/forwarder/tests/config_updates.rs
@@ -115,7 +115,7 @@
         let (mut initial, mut expected) = (state.configuration().unwrap(), after.clone());
         reduce(&mut initial, forwarder_number);
         reduce(&mut expected, forwarder_number);
-        let mut table = Table::of(initial).unwrap();
+        let mut table = Table::from_owned(initial).unwrap();
         let changes = table_changes(&state, &delta, forwarder_number).unwrap();
         table
             .apply(&changes)
--- a/crates/routing/src/adaptive_concurrency.rs
+++ b/crates/routing/src/adaptive_concurrency.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes over the state of `before`, within this limit's maximum.
-    pub fn carry(&mut self, before: &Self) {
+    pub fn carry_over_from(&mut self, before: &Self) {
         let max = self.max;
         *self = Self {
             limit: before.limit.min(max),
@@ -95,7 +95,7 @@
     }
 
     /// The member's part of the pool's capacity, in requests; may be less than 1.
-    pub fn places(&self) -> f64 {
+    pub fn fractional_limit(&self) -> f64 {
         self.limit
     }
 
--- a/crates/routing/src/decision_log.rs
+++ b/crates/routing/src/decision_log.rs
@@ -55,7 +55,7 @@
         /// How it was selected.
         selected_by: SelectionReason,
         /// Number of members that could take it.
-        of: u16,
+        candidates: u16,
         /// Attempts that were already in flight to the member.
         open_attempts: u32,
         /// Number of the attempt, from 1.
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decision {
     /// When it was made.
-    pub at: Duration,
+    pub time: Duration,
     /// Index of the request class.
     pub request_class: u16,
     /// Index of the tenant, if it is configured.
@@ -84,7 +84,7 @@
     /// Index of the pool, if one was selected.
     pub pool: Option<u16>,
     /// What was decided.
-    pub what: DecisionOutcome,
+    pub outcome: DecisionOutcome,
     /// The first members that were skipped.
     skipped: [(u16, Option<SkipReason>); MAX_SKIPPED_MEMBERS],
     /// How many further members were skipped.
@@ -94,18 +94,18 @@
 impl Decision {
     /// A decision without a route, a pool and skipped members.
     pub fn new(
-        at: Duration,
+        time: Duration,
         request_class: u16,
         tenant: Option<u16>,
-        what: DecisionOutcome,
+        outcome: DecisionOutcome,
     ) -> Self {
         Self {
-            at,
+            time,
             request_class,
             tenant,
             route: None,
             pool: None,
-            what,
+            outcome,
             skipped: [(0, None); MAX_SKIPPED_MEMBERS],
             more_skipped: 0,
         }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -181,21 +181,21 @@
         seed: u64,
         now: Duration,
     ) -> Result<Self, ConfigurationError> {
-        Self::of(configuration.clone(), zone, seed, now)
+        Self::from_owned(configuration.clone(), zone, seed, now)
     }
 
     /// As [`Fleet::new`], without a copy of the configuration.
     ///
     /// # Errors
-    /// As [`Router::of`].
-    pub fn of(
+    /// As [`Router::from_owned`].
+    pub fn from_owned(
         configuration: Configuration,
         zone: &str,
         seed: u64,
         now: Duration,
     ) -> Result<Self, ConfigurationError> {
         let mut phases = WyRand::new_seed(seed ^ PHASES_SEED);
-        let router = Router::of(configuration, seed)?;
+        let router = Router::from_owned(configuration, seed)?;
         let pools = new_pools(router.table().configuration(), zone, &mut phases, now);
         Ok(Self {
             retry_plans: retry_plans(router.table()).collect(),
@@ -354,7 +354,7 @@
         self.budget.on_first_attempt(plan.budget_share);
         let class = usize::from(request.request_class);
         let state = RequestState {
-            objective: decision.times.goal,
+            objective: decision.times.objective,
             decision,
             request_class: request.request_class,
             tenant: request.tenant,
@@ -384,29 +384,32 @@
     ) -> NextAction {
         let Rejected {
             reason: reject_reason,
-            mut after,
+            mut retry_after,
             route,
         } = rejected;
         let mut reason = OutcomeReason::Router(reject_reason);
         if let (RejectReason::NoPool, Some(route)) = (reject_reason, route) {
             if let Some(excess) = excess {
-                after = self.retry_after_excess(now, tenant_key, excess);
+                retry_after = self.retry_after_excess(now, tenant_key, excess);
                 reason = OutcomeReason::TenantOverShare;
-                self.counts.room += 1;
+                self.counts.over_tenant_share += 1;
             } else if let Some(earliest) = self.earliest_retry_on_route(route, tenant_key, now) {
-                after = earliest;
+                retry_after = earliest;
             }
-            after = with_jitter(after, &mut self.random);
-            after = clamp_to_configuration(self.table(), Some(route), None, after);
+            retry_after = with_jitter(retry_after, &mut self.random);
+            retry_after = clamp_to_configuration(self.table(), Some(route), None, retry_after);
         }
         self.counts.rejected += 1;
-        let rejected = DecisionOutcome::Rejected { reason, after };
+        let rejected = DecisionOutcome::Rejected {
+            reason,
+            after: retry_after,
+        };
         let mut decision = Decision::new(now, request.request_class, request.tenant, rejected);
         decision.route = route;
         self.decisions.push(decision);
         NextAction::Completed(Completed {
             outcome: RequestOutcome::Rejected {
-                after,
+                after: retry_after,
                 nowhere_else: false,
             },
             reason,
--- a/crates/routing/src/fleet/attempts.rs
+++ b/crates/routing/src/fleet/attempts.rs
@@ -89,7 +89,7 @@
         let mut decision = self.new_decision(now, &request, pool);
         let candidates = self.weigh_members(&request, pool, last, &mut decision);
         let weights = &self.weights;
-        let selected = member_selection::choose(
+        let selected = member_selection::select_member(
             &mut self.selection_policy,
             &mut self.pools[usize::from(pool)].members,
             now,
@@ -102,11 +102,11 @@
             return self.conclude(now, request, None, OutcomeReason::NoMember);
         };
         let timeout = self.next_timeout(now, pool, &mut request);
-        decision.what = DecisionOutcome::Dispatched {
+        decision.outcome = DecisionOutcome::Dispatched {
             member: member as u16,
             selected_by,
-            of: candidates,
-            open_attempts: self.pools[usize::from(pool)].members[member].open,
+            candidates,
+            open_attempts: self.pools[usize::from(pool)].members[member].in_flight,
             attempt_number: request.attempts,
         };
         self.decisions.push(decision);
@@ -149,7 +149,7 @@
         let eligibility = Eligibility {
             pools: &self.pools,
             pauses: &self.pauses,
-            now: decision.at,
+            now: decision.time,
             tenant: request.tenant_key,
         };
         let avoid_last = last.is_none() || eligibility.any_usable(pool, last);
@@ -202,8 +202,8 @@
         let pool = &mut self.pools[usize::from(to.pool)];
         let index = usize::from(to.member);
         let member = &mut pool.members[index];
-        member.open += 1;
-        if let Some(ramp) = &mut member.ramp {
+        member.in_flight += 1;
+        if let Some(ramp) = &mut member.warm_up_limiter {
             ramp.take(now);
         }
         pool.in_flight += 1;
@@ -242,7 +242,7 @@
                 pause,
                 nowhere_else,
             } => AttemptResult::Rejected {
-                pause,
+                retry_after: pause,
                 nowhere_else,
             },
             AttemptOutcome::Unreachable => AttemptResult::NotRun,
@@ -298,13 +298,13 @@
         let typical_duration = pool.typical_duration();
         let index = usize::from(member_ref.member);
         let member = &mut pool.members[index];
-        member.open = member.open.saturating_sub(1);
+        member.in_flight = member.in_flight.saturating_sub(1);
         pool.in_flight = pool.in_flight.saturating_sub(1);
         let lost = matches!(verdict, MemberVerdict::Bad | MemberVerdict::Alive);
         let duration = (verdict == MemberVerdict::Good).then_some(elapsed);
         pool.limits[index].on_completed(now, duration, lost);
         if verdict == MemberVerdict::Bad {
-            member.failed(attempt.sent_at, typical_duration);
+            member.on_failed_attempt(attempt.sent_at, typical_duration);
         }
         self.record_health(now, member_ref, elapsed, verdict);
         if let AttemptOutcome::Rejected { pause, .. } = outcome {
@@ -352,10 +352,10 @@
             MemberVerdict::Good => true,
             MemberVerdict::Bad => false,
             // A rejection proves that the member is alive, and overload is no failure.
-            MemberVerdict::Alive => return health.on_signal(member, now),
+            MemberVerdict::Alive => return health.on_neutral_response(member, now),
             MemberVerdict::None => return health.on_abandoned(member),
         };
-        let change = health.on_answer(member, now, elapsed, good);
+        let change = health.on_response(member, now, elapsed, good);
         if let Some(change) = change.filter(|_| self.status_changes.len() < MAX_STATUS_CHANGES) {
             self.status_changes.push(MemberStatusChange {
                 member: member_ref,
@@ -378,12 +378,12 @@
             return self.complete(now, request, RequestOutcome::Failed, reason);
         }
         let outcome = if let Some(AttemptResult::Rejected {
-            pause,
+            retry_after,
             nowhere_else,
         }) = result
         {
             RequestOutcome::Rejected {
-                after: pause,
+                after: retry_after,
                 nowhere_else,
             }
         } else {
--- a/crates/routing/src/fleet/eligibility.rs
+++ b/crates/routing/src/fleet/eligibility.rs
@@ -61,7 +61,7 @@
         if pool.in_flight >= pool.places || !pool.limits[member].has_capacity() {
             return skip(SkipReason::Full, self.now);
         }
-        let ramp = pool.members[member].ramp.as_ref();
+        let ramp = pool.members[member].warm_up_limiter.as_ref();
         if let Some(until) = ramp.and_then(|ramp| ramp.blocked_until(self.now)) {
             return skip(SkipReason::WarmingUp, until);
         }
@@ -89,7 +89,7 @@
             None => {
                 let health = self.pools[usize::from(member_ref.pool)].health.as_ref();
                 health.map_or(1.0, |health| {
-                    health.usable(usize::from(member_ref.member)) as f64 / ONE as f64
+                    health.traffic_fraction(usize::from(member_ref.member)) as f64 / ONE as f64
                 })
             }
         }
--- a/crates/routing/src/fleet/membership.rs
+++ b/crates/routing/src/fleet/membership.rs
@@ -33,7 +33,7 @@
             let index = usize::from(member_ref.member);
             let member = &mut pool.members[index];
             member.started = Some(now);
-            if let Some(ramp) = &mut member.ramp {
+            if let Some(ramp) = &mut member.warm_up_limiter {
                 ramp.on_connected(now, now);
             }
             pool.draining_until[index] = Duration::ZERO;
@@ -67,7 +67,7 @@
         for member_ref in self.members_at(address) {
             let member = &mut self.pools[usize::from(member_ref.pool)].members
                 [usize::from(member_ref.member)];
-            member.ramp.iter_mut().for_each(&update);
+            member.warm_up_limiter.iter_mut().for_each(&update);
         }
     }
 
@@ -124,7 +124,7 @@
         let addresses = pool.addresses.iter().enumerate();
         addresses.map(move |(member, address)| MemberSnapshot {
             address,
-            open: pool.members[member].open,
+            open: pool.members[member].in_flight,
             limit: pool.limits[member].limit(),
             status: status(member),
             near: pool.members[member].near,
--- a/crates/routing/src/fleet/pool.rs
+++ b/crates/routing/src/fleet/pool.rs
@@ -1,7 +1,7 @@
 //! The state of one pool: its members with their limits and health, its places and its fair shares.
 
 use crate::adaptive_concurrency::ConcurrencyLimit;
-use crate::health::{Health, HealthRules};
+use crate::health::{Health, OutlierDetectionSettings};
 use crate::member_selection::Member;
 use crate::tenant_fairness::FairShare;
 use crate::warm_up::{WarmUpLimiter, WarmUpRule};
@@ -72,13 +72,15 @@
                 continue;
             };
             let (member, old_member) = (&mut self.members[new], &before.members[old]);
-            member.open = old_member.open;
-            self.in_flight += old_member.open;
+            member.in_flight = old_member.in_flight;
+            self.in_flight += old_member.in_flight;
             member.started = old_member.started;
-            if let (Some(ramp), Some(old_ramp)) = (&mut member.ramp, &old_member.ramp) {
-                ramp.carry(old_ramp, now);
+            if let (Some(ramp), Some(old_ramp)) =
+                (&mut member.warm_up_limiter, &old_member.warm_up_limiter)
+            {
+                ramp.carry_over_from(old_ramp, now);
             }
-            self.limits[new].carry(&before.limits[old]);
+            self.limits[new].carry_over_from(&before.limits[old]);
             self.draining_until[new] = before.draining_until[old];
         }
         // Statuses are stored by index, so they are kept only if the members are unchanged.
@@ -96,11 +98,11 @@
         let in_service = |member: &usize| {
             self.health
                 .as_ref()
-                .is_none_or(|health| health.usable(*member) > 0)
+                .is_none_or(|health| health.traffic_fraction(*member) > 0)
         };
         let sum: f64 = (0..self.members.len())
             .filter(in_service)
-            .map(|member| self.limits[member].places())
+            .map(|member| self.limits[member].fractional_limit())
             .sum();
         self.places = (sum.ceil() as u32).max(1);
     }
@@ -109,7 +111,7 @@
     pub(super) fn typical_duration(&self) -> Duration {
         self.health
             .as_ref()
-            .and_then(Health::typical_duration)
+            .and_then(Health::median_response_time)
             .unwrap_or(DEFAULT_DURATION)
     }
 }
@@ -130,9 +132,11 @@
 
 /// Whether any member has a warm-up limit.
 pub(super) fn any_warm_up(pools: &[Pool]) -> bool {
-    pools
-        .iter()
-        .any(|pool| pool.members.iter().any(|member| member.ramp.is_some()))
+    pools.iter().any(|pool| {
+        pool.members
+            .iter()
+            .any(|member| member.warm_up_limiter.is_some())
+    })
 }
 
 fn new_member(
@@ -146,7 +150,7 @@
     let weight = member.weight as f64 / ONE as f64;
     let warm_up = Duration::from_nanos(member.warm_up_ns);
     let mut new = Member::new(name_hash(&member.address), weight, near, warm_up);
-    new.ramp = warm_up_rule(pool, member).map(|rule| {
+    new.warm_up_limiter = warm_up_rule(pool, member).map(|rule| {
         let phase = f64::from(phases.generate::<u32>()) / (f64::from(u32::MAX) + 1.0);
         WarmUpLimiter::new(rule, phase, now)
     });
@@ -176,10 +180,13 @@
         .filter(|max| *max > 0)
 }
 
-fn health_rules(pool: &schema::Pool, configuration: &Configuration) -> Option<HealthRules> {
+fn health_rules(
+    pool: &schema::Pool,
+    configuration: &Configuration,
+) -> Option<OutlierDetectionSettings> {
     configuration
         .health
         .iter()
         .find(|health| health.name == pool.health)
-        .map(HealthRules::from)
+        .map(OutlierDetectionSettings::from)
 }
--- a/crates/routing/src/fleet/types.rs
+++ b/crates/routing/src/fleet/types.rs
@@ -163,7 +163,7 @@
     /// Requests that ended as [`RequestOutcome::CallerGone`].
     pub caller_gone: u64,
     /// Requests rejected because their tenant had used its share of a scarce pool.
-    pub room: u64,
+    pub over_tenant_share: u64,
 }
 
 /// The state of a member, for display.
--- a/crates/routing/src/fleet/updates.rs
+++ b/crates/routing/src/fleet/updates.rs
@@ -84,11 +84,11 @@
         changes: &[TableChange],
         now: Duration,
     ) -> Result<u64, ConfigurationError> {
-        let routes_before = self.table().route_places(names(changes, EntryKind::Route));
+        let routes_before = self.table().route_indices(names(changes, EntryKind::Route));
         let number = self.router.apply(changes, now)?;
         self.update_shares(changes);
         let pools_changed = self.update_pools(changes, now);
-        let routes = self.table().route_places(names(changes, EntryKind::Route));
+        let routes = self.table().route_indices(names(changes, EntryKind::Route));
         let routes_moved = routes_before != routes;
         let plan_named = [EntryKind::Route, EntryKind::Attempts]
             .into_iter()
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -8,8 +8,8 @@
 //! up to a maximum. If more members would be ejected than the configuration allows, all of them are used: the cause is
 //! then not in the members.
 //!
-//! Invariants: [`Health::ejected_count`] is the number of members whose [`Health::usable`] is 0; `since` of a member is
-//! the time of its last status change.
+//! Invariants: [`Health::ejected_count`] is the number of members whose [`Health::traffic_fraction`] is 0; `since` of a
+//! member is the time of its last status change.
 
 use rainstand_config::schema;
 use rainstand_config::units::ONE;
@@ -98,7 +98,7 @@
 
 /// Outlier detection settings of one pool.
 #[derive(Clone, Copy, Debug)]
-pub struct HealthRules {
+pub struct OutlierDetectionSettings {
     /// Consecutive failures that eject a member; at least 1.
     pub max_consecutive_failures: u32,
     /// Failure rate that ejects a member, in millionths.
@@ -117,7 +117,7 @@
     pub min_in_service: u64,
 }
 
-impl From<&schema::Health> for HealthRules {
+impl From<&schema::Health> for OutlierDetectionSettings {
     fn from(health: &schema::Health) -> Self {
         Self {
             max_consecutive_failures: u32::try_from(health.out_after).unwrap_or(u32::MAX),
@@ -198,7 +198,7 @@
 /// Outlier detection state of all members of one pool.
 #[derive(Clone, Debug)]
 pub struct Health {
-    rules: HealthRules,
+    rules: OutlierDetectionSettings,
     members: Vec<Member>,
     /// Whether all members are used because more would be ejected than allowed.
     all_in_service: bool,
@@ -210,17 +210,17 @@
 
 impl Health {
     /// The current settings.
-    pub fn rules(&self) -> HealthRules {
+    pub fn rules(&self) -> OutlierDetectionSettings {
         self.rules
     }
 
     /// Replaces the settings; statuses are kept until the next evaluation.
-    pub fn set_rules(&mut self, rules: HealthRules) {
+    pub fn set_rules(&mut self, rules: OutlierDetectionSettings) {
         self.rules = rules;
     }
 
     /// Creates the state for `members` members, all healthy.
-    pub fn new(rules: HealthRules, members: usize, now: Duration) -> Self {
+    pub fn new(rules: OutlierDetectionSettings, members: usize, now: Duration) -> Self {
         let members = vec![Member::new(now); members];
         Self {
             rules,
@@ -242,7 +242,7 @@
 
     /// Records the response to a request, its response time and whether it succeeded; returns the status change that it
     /// caused.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         member: usize,
         now: Duration,
@@ -280,7 +280,7 @@
     }
 
     /// Records a response that says nothing about the member's health, except that it is responsive.
-    pub fn on_signal(&mut self, member: usize, now: Duration) {
+    pub fn on_neutral_response(&mut self, member: usize, now: Duration) {
         let state = &mut self.members[member];
         state.outstanding = state.outstanding.saturating_sub(1);
         state.silent_since = now;
@@ -414,12 +414,12 @@
     /// Number of ejected members; 0 while all are used because too many would be ejected.
     pub fn ejected_count(&self) -> usize {
         (0..self.members.len())
-            .filter(|member| self.usable(*member) == 0)
+            .filter(|member| self.traffic_fraction(*member) == 0)
             .count()
     }
 
     /// The fraction of its usual traffic that a member may get now, in millionths.
-    pub fn usable(&self, member: usize) -> u64 {
+    pub fn traffic_fraction(&self, member: usize) -> u64 {
         if self.all_in_service {
             return ONE;
         }
@@ -449,7 +449,7 @@
     }
 
     /// The median over the members of the mean time of successful responses, if it is known.
-    pub fn typical_duration(&self) -> Option<Duration> {
+    pub fn median_response_time(&self) -> Option<Duration> {
         self.median
             .and_then(|s| Duration::try_from_secs_f64(s).ok())
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -48,7 +48,7 @@
 //!     }
 //! }
 //! match router.on_arrival(now, &request, |_| true) {
-//!     Admission::Rejected(rejected) => assert_eq!(rejected.after, Duration::from_secs(1)),
+//!     Admission::Rejected(rejected) => assert_eq!(rejected.retry_after, Duration::from_secs(1)),
 //!     Admission::Admitted(_) => unreachable!("the third request exceeds the burst"),
 //! }
 //! decisions.into_iter().for_each(|decision| router.on_completed(decision));
--- a/crates/routing/src/member_selection.rs
+++ b/crates/routing/src/member_selection.rs
@@ -40,9 +40,9 @@
     /// When it last started; `None` if unknown or if it does not warm up.
     pub started: Option<Duration>,
     /// Limits the attempts to it while it is not known to be warm, if the pool has such a limit.
-    pub ramp: Option<WarmUpLimiter>,
+    pub warm_up_limiter: Option<WarmUpLimiter>,
     /// Attempts in flight to it.
-    pub open: u32,
+    pub in_flight: u32,
     /// When each recent failure stops to count as load, in ascending order.
     recent_failures: VecDeque<Duration>,
 }
@@ -56,14 +56,14 @@
             near,
             warm_up,
             started: None,
-            ramp: None,
-            open: 0,
+            warm_up_limiter: None,
+            in_flight: 0,
             recent_failures: VecDeque::new(),
         }
     }
 
     /// Records a failed attempt, which counts as load until `typical_duration` after it was sent.
-    pub fn failed(&mut self, sent: Duration, typical_duration: Duration) {
+    pub fn on_failed_attempt(&mut self, sent: Duration, typical_duration: Duration) {
         let until = sent + typical_duration;
         if self.recent_failures.len() >= MAX_RECENT_FAILURES {
             self.recent_failures.pop_front();
@@ -92,7 +92,7 @@
         {
             self.recent_failures.pop_front();
         }
-        f64::from(self.open) + self.recent_failures.len() as f64
+        f64::from(self.in_flight) + self.recent_failures.len() as f64
     }
 }
 
@@ -150,8 +150,8 @@
 /// Selects the member for a request; `None` if no member can take it.
 ///
 /// `traffic_fraction`: the fraction of its usual traffic that a member may get now, by its index; 0 for none
-/// ([`crate::health::Health::usable`] has it in millionths).
-pub fn choose(
+/// ([`crate::health::Health::traffic_fraction`] has it in millionths).
+pub fn select_member(
     policy: &mut SelectionPolicy,
     members: &mut [Member],
     now: Duration,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -29,7 +29,7 @@
     Rejected {
         /// The member's retry-after, from now; zero if it gave none. It does not delay a retry, which goes to another
         /// member if there is one. Without a retry it is sent to the caller.
-        pause: Duration,
+        retry_after: Duration,
         /// Whether the server asked not to try other members.
         nowhere_else: bool,
     },
--- a/crates/routing/src/retry_after.rs
+++ b/crates/routing/src/retry_after.rs
@@ -52,7 +52,7 @@
     pool: Option<u16>,
     retry_after: Duration,
 ) -> Duration {
-    let Some(bounds) = table.bounds(route, pool) else {
+    let Some(bounds) = table.retry_after_bounds(route, pool) else {
         return retry_after;
     };
     let min = Duration::from_nanos(bounds.least_ns);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -71,7 +71,7 @@
     /// Why it was rejected.
     pub reason: RejectReason,
     /// Retry-after: the delay from now.
-    pub after: Duration,
+    pub retry_after: Duration,
     /// The route that matched it.
     pub route: Option<u16>,
 }
@@ -153,16 +153,16 @@
     /// # Errors
     /// As [`Table::new`].
     pub fn new(configuration: &Configuration, seed: u64) -> Result<Self, ConfigurationError> {
-        Self::of(configuration.clone(), seed)
+        Self::from_owned(configuration.clone(), seed)
     }
 
     /// As [`Router::new`], without a copy of the configuration.
     ///
     /// # Errors
-    /// As [`Table::of`].
-    pub fn of(configuration: Configuration, seed: u64) -> Result<Self, ConfigurationError> {
+    /// As [`Table::from_owned`].
+    pub fn from_owned(configuration: Configuration, seed: u64) -> Result<Self, ConfigurationError> {
         Ok(Self {
-            table: Table::of(configuration)?,
+            table: Table::from_owned(configuration)?,
             versions: VecDeque::from([OpenVersion {
                 number: 1,
                 open_requests: 0,
@@ -199,7 +199,7 @@
     ) -> Result<u64, ConfigurationError> {
         let table = match self
             .check_version_capacity()
-            .and_then(|()| Table::of(configuration))
+            .and_then(|()| Table::from_owned(configuration))
         {
             Ok(table) => table,
             Err(error) => {
@@ -275,7 +275,7 @@
     }
 
     /// Lowers the maximum number of buckets below [`crate::token_buckets::MAX_BUCKETS`]. Buckets in use are kept.
-    pub fn bound_buckets(&mut self, max: usize) {
+    pub fn set_max_buckets(&mut self, max: usize) {
         self.buckets.set_max(max);
     }
 
@@ -402,7 +402,7 @@
         };
         Err(Rejected {
             reason,
-            after,
+            retry_after: after,
             route,
         })
     }
@@ -465,7 +465,7 @@
         let (route, pool) = (Some(placement.route), Some(placement.pool));
         Rejected {
             reason,
-            after: clamp_to_configuration(&self.table, route, pool, after),
+            retry_after: clamp_to_configuration(&self.table, route, pool, after),
             route,
         }
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -22,7 +22,7 @@
 
 use crate::rate_limit::LimitRule;
 use crate::time_budget::Times;
-use crate::weighted_split::{by_chance, by_entity};
+use crate::weighted_split::{select_at_random, select_by_entity};
 use foldhash::HashMap;
 use nanorand::WyRand;
 use rainstand_config::matching::Mismatch;
@@ -168,7 +168,7 @@
     }
 
     /// The number of routes, and the index of each of the named routes.
-    pub(crate) fn route_places<'n>(
+    pub(crate) fn route_indices<'n>(
         &self,
         names: impl Iterator<Item = &'n str>,
     ) -> (usize, Vec<Option<u16>>) {
@@ -321,9 +321,9 @@
         } else {
             // Requests without an entity can only be split at random.
             let chosen = if route.random_split || request.entity.is_empty() {
-                by_chance(to.iter().map(|t| t.share), rng, |k| usable(to[k].pool))
+                select_at_random(to.iter().map(|t| t.share), rng, |k| usable(to[k].pool))
             } else {
-                by_entity(to.iter().map(|t| (t.hash, t.share)), request.entity, |k| {
+                select_by_entity(to.iter().map(|t| (t.hash, t.share)), request.entity, |k| {
                     usable(to[k].pool)
                 })
             };
@@ -359,7 +359,7 @@
 
     /// The member of a pool that an entity is assigned to, among the usable ones.
     pub fn member(&self, pool: u16, entity: &str, usable: impl Fn(usize) -> bool) -> Option<usize> {
-        by_entity(
+        select_by_entity(
             self.pools[usize::from(pool)].members.iter().copied(),
             entity,
             usable,
@@ -405,7 +405,7 @@
     }
 
     /// The retry-after bounds of a request: the route's, or else the pool's.
-    pub(crate) fn bounds(
+    pub(crate) fn retry_after_bounds(
         &self,
         route: Option<u16>,
         pool: Option<u16>,
--- a/crates/routing/src/table/compile.rs
+++ b/crates/routing/src/table/compile.rs
@@ -44,12 +44,12 @@
 }
 
 impl Table {
-    /// As [`Table::of`], with a copy of the configuration.
+    /// As [`Table::from_owned`], with a copy of the configuration.
     ///
     /// # Errors
-    /// As [`Table::of`].
+    /// As [`Table::from_owned`].
     pub fn new(configuration: &Configuration) -> Result<Self, ConfigurationError> {
-        Self::of(configuration.clone())
+        Self::from_owned(configuration.clone())
     }
 
     /// Compiles a configuration. The configuration checker finds the same errors, but a configuration that arrives as a
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// If the configuration is invalid: a reference to a missing entry, a split without shares, too many rows.
-    pub fn of(configuration: Configuration) -> Result<Self, ConfigurationError> {
+    pub fn from_owned(configuration: Configuration) -> Result<Self, ConfigurationError> {
         let mut table = Self::without_pools_and_routes(configuration)?;
         let configuration = &table.configuration;
         table.pools = configuration
--- a/crates/routing/src/table_update.rs
+++ b/crates/routing/src/table_update.rs
@@ -114,7 +114,8 @@
     /// Applies all changes, or none of them.
     ///
     /// # Errors
-    /// As [`Table::of`]; also if two changes concern the same entry, or an entry is removed while another refers to it.
+    /// As [`Table::from_owned`]; also if two changes concern the same entry, or an entry is removed while another refers
+    /// to it.
     pub fn apply(&mut self, changes: &[TableChange]) -> Result<(), ConfigurationError> {
         let mut seen = HashSet::with_capacity(changes.len());
         if let Some(duplicate) = changes.iter().find(|change| !seen.insert(change.key())) {
--- a/crates/routing/src/time_budget.rs
+++ b/crates/routing/src/time_budget.rs
@@ -26,32 +26,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// The latency objective.
-    pub goal: Duration,
+    pub objective: Duration,
     /// The deadline of each stage, counted from the request's arrival.
     deadlines: [Duration; 5],
 }
 
 /// A share of a duration, rounded down. `share` is in millionths.
-pub fn part(total: Duration, share: u64) -> Duration {
+pub fn share_of(total: Duration, share: u64) -> Duration {
     let ns = total.as_nanos() * u128::from(share) / u128::from(ONE);
     Duration::from_nanos(u64::try_from(ns).unwrap_or(u64::MAX))
 }
 
 impl Times {
     /// Without a budget each stage may use the whole objective.
-    pub fn new(goal: Duration, budget: Option<&schema::Budget>) -> Self {
+    pub fn new(objective: Duration, budget: Option<&schema::Budget>) -> Self {
         let stages = budget.map_or([None; 5], |b| [b.forward, b.queue, b.run, b.call, b.answer]);
         let promised = stages.map(|stage| {
             stage.map_or(Duration::ZERO, |stage| match stage.fixed_ns {
-                0 => part(goal, stage.share),
+                0 => share_of(objective, stage.share),
                 fixed => Duration::from_nanos(fixed),
             })
         });
-        let mut deadlines = [goal; 5];
+        let mut deadlines = [objective; 5];
         for stage in (0..4).rev() {
             deadlines[stage] = deadlines[stage + 1].saturating_sub(promised[stage + 1]);
         }
-        Self { goal, deadlines }
+        Self {
+            objective,
+            deadlines,
+        }
     }
 
     /// Time left for a stage, `spent` after the request's arrival.
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -127,7 +127,7 @@
     }
 
     /// Takes over the state of a limiter with another rule, except for permits that are not used yet.
-    pub fn carry(&mut self, previous: &WarmUpLimiter, now: Duration) {
+    pub fn carry_over_from(&mut self, previous: &WarmUpLimiter, now: Duration) {
         self.connected_since = previous.connected_since;
         self.counted_from = now;
         self.used_or_expired = 0.0;
--- a/crates/routing/src/weighted_split.rs
+++ b/crates/routing/src/weighted_split.rs
@@ -22,7 +22,7 @@
 /// Selects the usable target with the highest score for an entity; of equal scores, the first.
 ///
 /// `targets`: name hash and weight of each; a target of weight 0 is never selected.
-pub fn by_entity(
+pub fn select_by_entity(
     targets: impl Iterator<Item = (u64, u64)>,
     entity: &str,
     usable: impl Fn(usize) -> bool,
@@ -41,7 +41,7 @@
 }
 
 /// Selects a usable target at random, with a probability in proportion to its weight.
-pub fn by_chance(
+pub fn select_at_random(
     weights: impl Iterator<Item = u64> + Clone,
     rng: &mut WyRand,
     usable: impl Fn(usize) -> bool,
--- a/crates/routing/tests/adaptive_concurrency.rs
+++ b/crates/routing/tests/adaptive_concurrency.rs
@@ -168,7 +168,7 @@
             now += Duration::from_millis(gap);
             (0..sent).for_each(|_| limit.on_sent());
             (0..sent).for_each(|_| limit.on_completed(now, time.map(Duration::from_millis), is_loss));
-            prop_assert!(limit.places() >= MIN_LIMIT && limit.places() <= max as f64);
+            prop_assert!(limit.fractional_limit() >= MIN_LIMIT && limit.fractional_limit() <= max as f64);
             prop_assert!(limit.limit() >= 1);
             prop_assert_eq!(limit.open(), 0);
         }
--- a/crates/routing/tests/decision_log.rs
+++ b/crates/routing/tests/decision_log.rs
@@ -26,7 +26,7 @@
     assert_eq!(log.all().count(), MAX_DECISIONS);
     let last = log.all().next_back().unwrap();
     assert_eq!(
-        (last.at, last.skipped_members().count(), last.more_skipped),
+        (last.time, last.skipped_members().count(), last.more_skipped),
         (Duration::from_millis(2_999), MAX_SKIPPED_MEMBERS, 3)
     );
 }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -590,7 +590,7 @@
     // Unknown tenants still get the rest of the capacity.
     let others = fleet.counts().served - u64::from(served);
     assert!(others > 10_000, "{others}");
-    assert!(fleet.pause_count() == 0 && fleet.counts().room > 100_000);
+    assert!(fleet.pause_count() == 0 && fleet.counts().over_tenant_share > 100_000);
 }
 
 /// A version that changes the indices of pools must not lose track of the places of requests in flight.
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -13,7 +13,7 @@
 use rainstand_routing::health::*;
 use std::time::Duration;
 
-const RULES: HealthRules = HealthRules {
+const RULES: OutlierDetectionSettings = OutlierDetectionSettings {
     max_consecutive_failures: 5,
     max_failure_rate: 500_000,
     slow_factor: 3 * ONE,
@@ -39,14 +39,14 @@
     let mut changes = Vec::new();
     for now_ms in (from_ms..to_ms).step_by(100) {
         for member in 0..health.member_count() {
-            if health.usable(member) == 0 {
+            if health.traffic_fraction(member) == 0 {
                 continue;
             }
             health.on_sent(member, ms(now_ms));
             if let Some((response_ms, succeeded)) = response_of(member) {
                 changes.extend(
                     health
-                        .on_answer(
+                        .on_response(
                             member,
                             ms(now_ms + response_ms.min(99)),
                             ms(response_ms),
@@ -95,7 +95,11 @@
             "{changes:?}"
         );
         assert_eq!(
-            (health.ejected_count(), health.usable(2), health.usable(1)),
+            (
+                health.ejected_count(),
+                health.traffic_fraction(2),
+                health.traffic_fraction(1)
+            ),
             (1, 0, ONE)
         );
     }
@@ -107,7 +111,7 @@
     let mut change = None;
     for t in 0..100u64 {
         health.on_sent(0, ms(t * 50));
-        change = change.or(health.on_answer(0, ms(t * 50 + 5), ms(5), t % 2 == 0));
+        change = change.or(health.on_response(0, ms(t * 50 + 5), ms(5), t % 2 == 0));
     }
     assert!(
         matches!(
@@ -150,7 +154,7 @@
     assert_eq!((health.ejected_count(), health.max_ejected()), (2, 2));
     run(&mut health, 3_000, 5_000, |_| Some((20, false)));
     assert_eq!(health.ejected_count(), 0, "all members are used again");
-    assert!((0..4).all(|member| health.usable(member) == ONE));
+    assert!((0..4).all(|member| health.traffic_fraction(member) == ONE));
     // A single member is never ejected.
     let mut alone = Health::new(RULES, 1, ms(0));
     run(&mut alone, 0, 5_000, |_| Some((20, false)));
@@ -170,7 +174,8 @@
                 usual
             };
             health.on_sent(member, ms(round * 10));
-            if let Some(change) = health.on_answer(member, ms(round * 10), ms(response_ms), true) {
+            if let Some(change) = health.on_response(member, ms(round * 10), ms(response_ms), true)
+            {
                 assert_eq!(change.member, 2);
                 return Some(round + 1 - before);
             }
@@ -215,14 +220,14 @@
         min_share in 0u64..=ONE,
         steps in proptest::collection::vec((0usize..9, 0u64..400, any::<bool>(), 0u64..3_000), 0..300),
     ) {
-        let mut health = Health::new(HealthRules { min_in_service: min_share, ..RULES }, members, ms(0));
+        let mut health = Health::new(OutlierDetectionSettings { min_in_service: min_share, ..RULES }, members, ms(0));
         let mut now = 0;
         for (member, response_ms, succeeded, gap_ms) in steps {
             let member = member % members;
             now += gap_ms / 10;
             health.on_sent(member, ms(now));
             if response_ms > 20 {
-                health.on_answer(member, ms(now + response_ms), ms(response_ms), succeeded);
+                health.on_response(member, ms(now + response_ms), ms(response_ms), succeeded);
             }
             health.tick(ms(now + response_ms));
             now += response_ms;
--- a/crates/routing/tests/member_selection.rs
+++ b/crates/routing/tests/member_selection.rs
@@ -36,7 +36,7 @@
     members[3].weight = 2.0;
     let mut rng = WyRand::new_seed(2);
     for _ in 0..1_100 {
-        let (k, reason) = choose(
+        let (k, reason) = select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
@@ -46,11 +46,15 @@
         )
         .unwrap();
         assert_eq!(reason, SelectionReason::Near);
-        members[k].open += 1;
+        members[k].in_flight += 1;
     }
     for (k, member) in members.iter().enumerate() {
         let expected = if k == 3 { 200 } else { 100 };
-        assert!(member.open.abs_diff(expected) <= 10, "{k}: {}", member.open);
+        assert!(
+            member.in_flight.abs_diff(expected) <= 10,
+            "{k}: {}",
+            member.in_flight
+        );
     }
 }
 
@@ -66,14 +70,14 @@
         open.retain(|(until_ms, k)| {
             let ended = *until_ms <= now_ms;
             if ended {
-                members[*k].open -= 1;
+                members[*k].in_flight -= 1;
                 if *k == 0 {
-                    members[0].failed(ms(*until_ms - 1), ms(50));
+                    members[0].on_failed_attempt(ms(*until_ms - 1), ms(50));
                 }
             }
             !ended
         });
-        let (k, _) = choose(
+        let (k, _) = select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(now_ms),
@@ -82,7 +86,7 @@
             |_| 1.0,
         )
         .unwrap();
-        members[k].open += 1;
+        members[k].in_flight += 1;
         counts[k] += 1;
         open.push((now_ms + if k == 0 { 1 } else { 50 }, k));
     }
@@ -94,19 +98,19 @@
 fn least_loaded_and_round_robin_select_as_documented() {
     let mut members = pool(4);
     members.iter_mut().for_each(|member| member.near = true);
-    members[2].open = 0;
-    [0, 1, 3].into_iter().for_each(|k| members[k].open = 5);
+    members[2].in_flight = 0;
+    [0, 1, 3].into_iter().for_each(|k| members[k].in_flight = 5);
     let mut rng = WyRand::new_seed(8);
     let mut policy = SelectionPolicy::LeastLoaded;
     assert_eq!(
-        choose(&mut policy, &mut members, ms(0), "", &mut rng, |_| 1.0)
+        select_member(&mut policy, &mut members, ms(0), "", &mut rng, |_| 1.0)
             .unwrap()
             .0,
         2
     );
     let mut round_robin = SelectionPolicy::RoundRobin(3);
     let mut select_next = |members: &mut Vec<Member>| {
-        choose(&mut round_robin, members, ms(0), "", &mut rng, |k| {
+        select_member(&mut round_robin, members, ms(0), "", &mut rng, |k| {
             f64::from(u8::from(k != 1))
         })
         .unwrap()
@@ -121,7 +125,7 @@
     let mut members = pool(4);
     let mut rng = WyRand::new_seed(4);
     for _ in 0..40 {
-        let (k, reason) = choose(
+        let (k, reason) = select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
@@ -130,20 +134,20 @@
             |_| 1.0,
         )
         .unwrap();
-        members[k].open += 1;
+        members[k].in_flight += 1;
         assert!(reason != SelectionReason::Near || members[k].near);
     }
     let near: u32 = members
         .iter()
         .filter(|member| member.near)
-        .map(|member| member.open)
+        .map(|member| member.in_flight)
         .sum();
     assert!(
         (28..=32).contains(&near),
         "three quarters of the requests: {near}"
     );
     // No near member is usable: a remote one is selected.
-    let (k, reason) = choose(
+    let (k, reason) = select_member(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
@@ -154,7 +158,7 @@
     .unwrap();
     assert_eq!((members[k].near, reason), (false, SelectionReason::Any));
     assert_eq!(
-        choose(
+        select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
@@ -170,7 +174,7 @@
 fn affinity_is_stable_and_overloads_no_member() {
     let mut members = pool(8);
     let mut rng = WyRand::new_seed(5);
-    let (preferred, reason) = choose(
+    let (preferred, reason) = select_member(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
@@ -181,7 +185,7 @@
     .unwrap();
     assert_eq!(reason, SelectionReason::Affinity);
     for _ in 0..400 {
-        let (k, _) = choose(
+        let (k, _) = select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
@@ -190,14 +194,14 @@
             |_| 1.0,
         )
         .unwrap();
-        members[k].open += 1;
+        members[k].in_flight += 1;
     }
-    let max_open = members.iter().map(|member| member.open).max().unwrap();
+    let max_open = members.iter().map(|member| member.in_flight).max().unwrap();
     assert!(max_open <= 64, "of 400 requests over 8 members: {max_open}");
-    assert!(members[preferred].open > 50);
-    members.iter_mut().for_each(|member| member.open = 0);
+    assert!(members[preferred].in_flight > 50);
+    members.iter_mut().for_each(|member| member.in_flight = 0);
     assert_eq!(
-        choose(
+        select_member(
             &mut SelectionPolicy::default(),
             &mut members,
             ms(0),
@@ -209,7 +213,7 @@
         .0,
         preferred
     );
-    let (other, _) = choose(
+    let (other, _) = select_member(
         &mut SelectionPolicy::default(),
         &mut members,
         ms(0),
@@ -233,7 +237,7 @@
         let mut rng = WyRand::new_seed(6);
         let mut count = 0;
         for _ in 0..4_000 {
-            let (k, _) = choose(
+            let (k, _) = select_member(
                 &mut SelectionPolicy::default(),
                 &mut members,
                 ms(now),
@@ -243,9 +247,9 @@
             )
             .unwrap();
             count += u32::from(k == 1);
-            members[k].open += 1;
+            members[k].in_flight += 1;
         }
-        members.iter_mut().for_each(|member| member.open = 0);
+        members.iter_mut().for_each(|member| member.in_flight = 0);
         count
     };
     let (cold, half_warm, warm) = (count_at(100_000), count_at(105_000), count_at(115_000));
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -40,7 +40,7 @@
 fn a_request_that_may_have_run_is_retried_only_if_its_class_and_policy_allow_it() {
     use {Proof::*, RepeatKind::*};
     let rejected = AttemptResult::Rejected {
-        pause: ms(100),
+        retry_after: ms(100),
         nowhere_else: false,
     };
     let table = [
@@ -82,7 +82,7 @@
 fn each_limit_prevents_a_retry_and_spends_no_budget() {
     let retryable = request(RepeatKind::Rerunnable);
     let rejected_everywhere = AttemptResult::Rejected {
-        pause: ms(1),
+        retry_after: ms(1),
         nowhere_else: true,
     };
     let table = [
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -96,7 +96,7 @@
 
 fn expect_rejected(admission: Admission) -> (RejectReason, Duration) {
     match admission {
-        Admission::Rejected(rejected) => (rejected.reason, rejected.after),
+        Admission::Rejected(rejected) => (rejected.reason, rejected.retry_after),
         Admission::Admitted(decision) => panic!("unexpectedly admitted: {decision:?}"),
     }
 }
--- a/crates/routing/tests/table_update.rs
+++ b/crates/routing/tests/table_update.rs
@@ -347,7 +347,7 @@
         Admission::Rejected(rejected) => {
             let route = rejected.route.map(|index| router.table().route_name(index));
             (
-                format!("{:?} {:?} {route:?}", rejected.reason, rejected.after),
+                format!("{:?} {:?} {route:?}", rejected.reason, rejected.retry_after),
                 None,
             )
         }
--- a/crates/routing/tests/time_budget.rs
+++ b/crates/routing/tests/time_budget.rs
@@ -38,7 +38,7 @@
         let mut spent = Duration::ZERO;
         for (index, stage) in [Stage::Forward, Stage::Queue, Stage::Run, Stage::Call, Stage::Answer].into_iter().enumerate() {
             let left = times.left(stage, spent);
-            let promised = stages[index].map_or(Duration::ZERO, |s| if s.fixed_ns > 0 { Duration::from_nanos(s.fixed_ns) } else { part(goal, s.share) });
+            let promised = stages[index].map_or(Duration::ZERO, |s| if s.fixed_ns > 0 { Duration::from_nanos(s.fixed_ns) } else { share_of(goal, s.share) });
             // Together the promises stay within the objective here: at most 5 * 20 % or 1.5 s of 3 s.
             prop_assert!(left >= promised || stages.iter().flatten().map(|s| s.fixed_ns + s.share * 3_000).sum::<u64>() > 3_000_000_000);
             spent += left * used[index] as u32 / 100;
--- a/crates/routing/tests/token_buckets.rs
+++ b/crates/routing/tests/token_buckets.rs
@@ -212,7 +212,7 @@
                         (Admission::Rejected(rejection), Err(after)) => {
                             rejected += 1;
                             assert_eq!(
-                                (rejection.reason, rejection.after),
+                                (rejection.reason, rejection.retry_after),
                                 (RejectReason::Limit(LimitScope::Route), after)
                             );
                         }
@@ -273,7 +273,7 @@
     });
     all.types[0].limits = "type".into();
     let mut router = Router::new(&all, 1).unwrap();
-    router.bound_buckets(MAX);
+    router.set_max_buckets(MAX);
     let mut decisions = Vec::new();
     for tenant in 0..MAX - 1 {
         match arrive(&mut router, ms(0), tenant, 0) {
@@ -289,7 +289,7 @@
         }
     );
     let rejection_of = |admission: Admission| match admission {
-        Admission::Rejected(rejection) => (rejection.reason, rejection.after),
+        Admission::Rejected(rejection) => (rejection.reason, rejection.retry_after),
         Admission::Admitted(decision) => panic!("{decision:?}"),
     };
     for tenant in MAX..1_000 {
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -598,7 +598,7 @@
                 let rule =
                     WarmUpRule::new(RATE, Duration::from_secs(1), 30, Duration::from_secs(10));
                 *limiter = WarmUpLimiter::new(rule, 0.99, ms(now));
-                limiter.carry(&before, ms(now));
+                limiter.carry_over_from(&before, ms(now));
             }
         }),
     ];
--- a/crates/routing/tests/weighted_split.rs
+++ b/crates/routing/tests/weighted_split.rs
@@ -24,8 +24,9 @@
     let (mut entity_counts, mut random_counts) = ([0u32; 3], [0u32; 3]);
     for n in 0..100_000 {
         let entity = format!("NO-{n}");
-        entity_counts[by_entity(targets.iter().copied(), &entity, |_| true).unwrap()] += 1;
-        random_counts[by_chance(targets.iter().map(|t| t.1), &mut rng, |_| true).unwrap()] += 1;
+        entity_counts[select_by_entity(targets.iter().copied(), &entity, |_| true).unwrap()] += 1;
+        random_counts
+            [select_at_random(targets.iter().map(|t| t.1), &mut rng, |_| true).unwrap()] += 1;
     }
     for counts in [entity_counts, random_counts] {
         for (count, share) in counts.into_iter().zip([60_000, 30_000, 10_000]) {
@@ -50,8 +51,9 @@
         let mut moved = 0u32;
         for n in 0..20_000 {
             let entity = format!("{n}");
-            let before = by_entity(targets.iter().copied(), &entity, |_| true).unwrap();
-            let after = by_entity(targets.iter().copied(), &entity, |k| k != removed).unwrap();
+            let before = select_by_entity(targets.iter().copied(), &entity, |_| true).unwrap();
+            let after =
+                select_by_entity(targets.iter().copied(), &entity, |k| k != removed).unwrap();
             assert!(
                 before == removed || before == after,
                 "an entity of a remaining target moved"
@@ -69,14 +71,17 @@
 #[test]
 fn no_target_is_selected_if_none_is_usable() {
     let targets = hash_targets(&[("a", 1), ("b", 0)]);
-    assert_eq!(by_entity(targets.iter().copied(), "x", |k| k == 1), None);
+    assert_eq!(
+        select_by_entity(targets.iter().copied(), "x", |k| k == 1),
+        None
+    );
     let mut rng = WyRand::new_seed(3);
     assert_eq!(
-        by_chance(targets.iter().map(|t| t.1), &mut rng, |k| k == 1),
+        select_at_random(targets.iter().map(|t| t.1), &mut rng, |k| k == 1),
         None
     );
     assert_eq!(
-        by_chance(targets.iter().map(|t| t.1), &mut rng, |_| true),
+        select_at_random(targets.iter().map(|t| t.1), &mut rng, |_| true),
         Some(0)
     );
 }
