--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -40,7 +40,7 @@
     /// The connection could not be opened.
     pub(super) const UNREACHABLE: &str = "agent_unreachable";
     /// A new configuration names another address.
-    pub(super) const MOVED: &str = "agent_moved";
+    pub(super) const ADDRESS_CHANGED: &str = "agent_moved";
     /// Reading or writing failed.
     pub(super) const RESET: &str = "agent_reset";
     /// The agent ended it.
@@ -76,8 +76,10 @@
         if started_at.elapsed() > MAX_RETRY_BACKOFF {
             backoff = MIN_RETRY_BACKOFF;
         }
-        if code != end_reason::MOVED {
-            let has_moved = timeout(backoff, link.moved.notified()).await.is_ok();
+        if code != end_reason::ADDRESS_CHANGED {
+            let has_moved = timeout(backoff, link.address_changed.notified())
+                .await
+                .is_ok();
             backoff = if has_moved {
                 MIN_RETRY_BACKOFF
             } else {
@@ -93,14 +95,17 @@
     let connect = descriptors::with_retry(context, "agent", || TcpStream::connect(address));
     let connected = tokio::select! {
         connected = timeout(REPLY_TIMEOUT, connect) => connected,
-        () = link.moved.notified() => return end_reason::MOVED,
+        () = link.address_changed.notified() => return end_reason::ADDRESS_CHANGED,
     };
     let Ok(Ok(stream)) = connected else {
         return end_reason::UNREACHABLE;
     };
     count(&context.counts.agent_links);
     let _ = stream.set_nodelay(true);
-    let recording = context.record.get().and_then(|record| record.link(&stream));
+    let recording = context
+        .recording
+        .get()
+        .and_then(|record| record.link(&stream));
     let was_up_before = context.core.borrow().controller.is_some();
     let greeting_timeout = if was_up_before {
         REPLY_TIMEOUT
@@ -129,7 +134,7 @@
             biased;
             ready = stream.readable() => {
                 match ready.and_then(|()| incoming.fill(stream)) {
-                    Ok(ReadOutcome::End) => return end_reason::CLOSED,
+                    Ok(ReadOutcome::EndOfStream) => return end_reason::CLOSED,
                     Ok(_) => {}
                     Err(_) => return end_reason::RESET,
                 }
@@ -139,7 +144,7 @@
             }
             _ = stream.writable(), if is_blocked => {}
             () = link.wakeup.notified() => {}
-            () = link.moved.notified() => return end_reason::MOVED,
+            () = link.address_changed.notified() => return end_reason::ADDRESS_CHANGED,
             () = sleep_until(deadline.unwrap_or_else(Instant::now).into()), if deadline.is_some() => {
                 return end_reason::SILENT;
             }
@@ -253,7 +258,7 @@
         .ok_or(end_reason::UNREADABLE)?;
     let table = &mut context.core.borrow_mut().table;
     table.gauges = context.gauges(load);
-    table.gauges_at = Some(Instant::now());
+    table.gauges_received_at = Some(Instant::now());
     link.sampled.notify_waiters();
     Ok(())
 }
--- a/crates/node/src/agent_link.rs
+++ b/crates/node/src/agent_link.rs
@@ -40,7 +40,7 @@
     /// Notifies tasks that wait for gauges.
     pub sampled: Notify,
     /// Notified when the agent's address changes: the link must be reopened there.
-    pub moved: Notify,
+    pub address_changed: Notify,
 }
 
 impl AgentLink {
--- a/crates/node/src/completion.rs
+++ b/crates/node/src/completion.rs
@@ -180,7 +180,7 @@
 }
 
 /// A downstream call ended. It is ignored unless the request at `index` still has the serial number `serial`.
-pub fn call_ended(
+pub fn on_call_ended(
     context: &NodeContext,
     index: usize,
     serial: u64,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -30,7 +30,7 @@
     /// The announce service, if there is one.
     pub announce: Option<SocketAddr>,
     /// The downstream tier; the last tier has none.
-    pub below: Option<SocketAddr>,
+    pub downstream: Option<SocketAddr>,
 }
 
 /// A configuration file.
@@ -47,13 +47,13 @@
     /// Time from the shutdown notice to the kill.
     pub stop_timeout: Duration,
     /// Descriptors that the node may have open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory limit in bytes; each of the node's caches and buffers is bounded by a fraction of it.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The policy's settings.
     pub settings: Fields,
     /// Unknown keys of the file, such as a misspelt one.
-    pub unknown: Vec<String>,
+    pub unknown_keys: Vec<String>,
 }
 
 /// Why a configuration file is invalid, in one line.
@@ -130,16 +130,16 @@
             peers: Peers {
                 agent: address(fields, "agent")?,
                 announce: optional_address(fields, "announce")?,
-                below: optional_address(fields, "db")?,
+                downstream: optional_address(fields, "db")?,
             },
             seed: u64::from_str_radix(seed, 16).map_err(ConfigError::Seed)?,
             stop_timeout: milliseconds(fields, "stop_ms")?,
-            sockets: limit("sockets")? as usize,
-            memory: (limit("memory_mb")? * f64::from(MEGABYTE)) as usize,
+            max_descriptors: limit("sockets")? as usize,
+            memory_bytes: (limit("memory_mb")? * f64::from(MEGABYTE)) as usize,
             settings: object(fields, "settings")
                 .map_err(ConfigError::Field)?
                 .clone(),
-            unknown: unknown_keys(fields),
+            unknown_keys: unknown_keys(fields),
         };
         if list(&config.settings, "requestClasses").is_empty() {
             return Err(ConfigError::NoClasses);
@@ -158,7 +158,7 @@
 
     /// Logs each unknown key in its own line.
     pub fn log_unknown_keys(&self) {
-        for key in &self.unknown {
+        for key in &self.unknown_keys {
             log_event!(
                 "config_key",
                 "config",
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -65,7 +65,7 @@
     /// Indices of unanswered requests, by sequence number.
     pub open_requests: RefCell<BTreeMap<i32, usize>>,
     /// Whether a probe or a request on it was ever answered with more than an error.
-    pub is_known: Cell<bool>,
+    pub has_served: Cell<bool>,
     /// Number of messages answered with an exception.
     pub exceptions: Cell<u64>,
     /// When bytes were last read or written.
@@ -95,7 +95,7 @@
             outgoing: RefCell::default(),
             wakeup: Notify::new(),
             open_requests: RefCell::default(),
-            is_known: Cell::new(false),
+            has_served: Cell::new(false),
             exceptions: Cell::new(0),
             last_activity: Cell::new(Instant::now()),
             shutdown_sent_at: Cell::new(None),
--- a/crates/node/src/connections/accept.rs
+++ b/crates/node/src/connections/accept.rs
@@ -110,7 +110,7 @@
         return;
     }
     let recording = context
-        .record
+        .recording
         .get()
         .map(|record| record.recorder.connection(peer, context.config.listen));
     let conn = Rc::new(Connection::new(id, peer, stream, recording));
--- a/crates/node/src/connections/capacity.rs
+++ b/crates/node/src/connections/capacity.rs
@@ -34,7 +34,7 @@
 
 /// Connections that may still be opened; negative if more are open than allowed.
 pub(super) fn remaining_capacity(context: &NodeContext) -> isize {
-    let calls = context.core.borrow().table.downstream.out.get();
+    let calls = context.core.borrow().table.downstream.in_flight.get();
     // A connection with a pending close request is not counted as open, or a second one would be evicted for the
     // same descriptor.
     let close_requested =
@@ -44,7 +44,7 @@
     let open = connections.len() - close_requested - closing_count(context).min(MAX_CLOSING);
     let sockets = context
         .config
-        .sockets
+        .max_descriptors
         .saturating_sub(context.reserved_descriptors.get());
     connection_capacity(sockets, calls) as isize - open as isize
 }
@@ -72,7 +72,7 @@
     let candidate = connections
         .values()
         .filter(is_evictable)
-        .min_by_key(|conn| (conn.is_known.get(), conn.last_activity.get()));
+        .min_by_key(|conn| (conn.has_served.get(), conn.last_activity.get()));
     let Some(conn) = candidate else {
         return false;
     };
@@ -93,9 +93,9 @@
         remaining_capacity(context) < 0 && evict_idle(context, close_reason::CAPACITY);
     // With few descriptors, the half that connections may always use is more than calls leave free.
     let open = context.connections.borrow().len();
-    let calls = context.core.borrow().table.downstream.out.get();
+    let calls = context.core.borrow().table.downstream.in_flight.get();
     let reserved = WORKING_DESCRIPTORS + context.reserved_descriptors.get();
-    if open + calls + reserved > context.config.sockets {
+    if open + calls + reserved > context.config.max_descriptors {
         evicted |= evict_for_descriptor(context);
     }
     if evicted {
--- a/crates/node/src/connections/exchange.rs
+++ b/crates/node/src/connections/exchange.rs
@@ -181,12 +181,12 @@
             ReadMode::WhenReady => self.incoming.fill(&conn.stream),
         };
         match outcome? {
-            ReadOutcome::Some => conn.last_activity.set(Instant::now()),
-            ReadOutcome::Nothing => {}
-            ReadOutcome::End if self.incoming.is_empty() => {
+            ReadOutcome::Bytes => conn.last_activity.set(Instant::now()),
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::EndOfStream if self.incoming.is_empty() => {
                 self.end_code = Some(close_reason::END_OF_STREAM);
             }
-            ReadOutcome::End => self.end_code = Some(close_reason::END_IN_FRAME),
+            ReadOutcome::EndOfStream => self.end_code = Some(close_reason::END_IN_FRAME),
         }
         let turn = if self.incoming.len() > MAX_BYTES_PER_TURN {
             Turn::Yield
@@ -282,7 +282,7 @@
 /// How an unused connection is closed. A graceful close holds its descriptor for a while, so that a flood of
 /// connections would exhaust them; a reset would discard an answer still in transit to a caller that was served.
 fn close_unused(context: &NodeContext, conn: &Connection, code: &'static str) -> ExchangeEnd {
-    let is_crowded = || !conn.is_known.get() || closing_count(context) >= MAX_CLOSING;
+    let is_crowded = || !conn.has_served.get() || closing_count(context) >= MAX_CLOSING;
     match code {
         close_reason::DESCRIPTORS => ExchangeEnd::immediate(code),
         close_reason::CAPACITY if is_crowded() => ExchangeEnd::immediate(code),
@@ -299,7 +299,7 @@
     let unread = conn.outgoing.borrow().len();
     let reads = reader.end_code.is_none() && unread < MAX_UNREAD_BYTES;
     let deadline = if reads {
-        reader.deadlines.frame_deadline(conn.is_known.get())
+        reader.deadlines.frame_deadline(conn.has_served.get())
     } else {
         reader.deadlines.answer_deadline()
     };
--- a/crates/node/src/connections/read_deadlines.rs
+++ b/crates/node/src/connections/read_deadlines.rs
@@ -31,11 +31,11 @@
         }
     }
 
-    /// When the next complete frame is due: the first one if nothing was served on the connection yet (`is_known`
+    /// When the next complete frame is due: the first one if nothing was served on the connection yet (`has_served`
     /// is false), else the partly received one, if any.
     #[must_use]
-    pub fn frame_deadline(&self, is_known: bool) -> Option<Instant> {
-        let since = if is_known {
+    pub fn frame_deadline(&self, has_served: bool) -> Option<Instant> {
+        let since = if has_served {
             self.partial_frame_since
         } else {
             Some(self.first_frame_since)
--- a/crates/node/src/connections/sweep.rs
+++ b/crates/node/src/connections/sweep.rs
@@ -40,7 +40,7 @@
 
 /// Closes stuck connections, and asks clients to close those that were unused for too long.
 fn close_unused(context: &NodeContext, now: Instant) {
-    let idle_limit = context.core.borrow().table.idle_limit;
+    let idle_limit = context.core.borrow().table.idle_timeout;
     let idle_timeout = context.idle_timeout.get();
     for conn in context.connections.borrow().values() {
         let quiet = now.duration_since(conn.last_activity.get());
@@ -75,7 +75,7 @@
     let connections = context.connections.borrow();
     let unread = |conn: &Rc<Connection>| conn.outgoing.borrow().len();
     let total: usize = connections.values().map(unread).sum();
-    if total <= context.config.memory / UNREAD_MEMORY_FRACTION {
+    if total <= context.config.memory_bytes / UNREAD_MEMORY_FRACTION {
         return;
     }
     if let Some(conn) = connections.values().max_by_key(|&conn| unread(conn)) {
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -50,7 +50,7 @@
     /// The link to the agent.
     pub link: Rc<AgentLink>,
     /// Records the node's traffic, if recording is on.
-    pub record: OnceCell<Rc<TrafficRecording>>,
+    pub recording: OnceCell<Rc<TrafficRecording>>,
     /// Names of the gauges, in the order of a sample's values.
     pub(crate) gauge_names: RefCell<Vec<String>>,
     /// How long callers cache an unused connection. A reload updates it, the next three fields and the policy's
@@ -80,13 +80,13 @@
     /// # Errors
     /// If the configuration's settings cannot be used.
     pub fn new(mut config: Config) -> Result<Rc<Self>, ConfigError> {
-        let configured = config.sockets;
-        config.sockets = clamp_to_system_limit(configured);
-        if config.sockets < configured {
+        let configured = config.max_descriptors;
+        config.max_descriptors = clamp_to_system_limit(configured);
+        if config.max_descriptors < configured {
             log_event!(
                 "descriptors_limited",
                 "descriptors",
-                given = config.sockets,
+                given = config.max_descriptors,
                 configured = configured
             );
         }
@@ -99,10 +99,10 @@
     fn with_settings(config: Config, start: Start, tasks: Weak<dyn NodeTasks>) -> Self {
         let counts = Rc::new(Counts::default());
         let link = Rc::new(AgentLink::default());
-        let pool = Rc::new(DownstreamPool::new(config.peers.below));
+        let pool = Rc::new(DownstreamPool::new(config.peers.downstream));
         let mut table = RequestTable::new(tasks, counts.clone(), link.clone(), pool);
         table.class_names = json_names(&start.classes);
-        table.result_cache = ResultCache::with_memory(config.memory);
+        table.result_cache = ResultCache::with_memory(config.memory_bytes);
         table.classes = start.classes;
         table.tenants = start.tenants;
         table.max_result_age = start.max_result_age;
@@ -121,7 +121,7 @@
             counts,
             ends: RefCell::default(),
             link,
-            record: OnceCell::new(),
+            recording: OnceCell::new(),
             gauge_names: RefCell::new(start.gauges),
             idle_timeout: Cell::new(start.idle_timeout),
             drain_grace: Cell::new(start.drain_grace),
@@ -147,7 +147,7 @@
         // A defect triggered by one request must not end the process with all its other requests.
         let drive = AssertUnwindSafe(|| {
             call(policy, now, table);
-            while let Some(FinishedRun { index, outcome }) = table.run_ends.pop_front() {
+            while let Some(FinishedRun { index, outcome }) = table.finished_runs.pop_front() {
                 policy.on_run_finished(now, table, index, outcome);
             }
         });
@@ -175,7 +175,7 @@
         for (code, count) in &*self.ends.borrow() {
             let _ = write!(ends, " {code}={count}");
         }
-        let record = self.record.get().map_or(String::new(), |record| {
+        let record = self.recording.get().map_or(String::new(), |record| {
             format!(" record[{}]", record.recorder.counters().line())
         });
         log::ignore_write_panic(|| {
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -71,7 +71,7 @@
     let slot = table.requests.get_mut(index).and_then(Option::as_mut);
     let Some(request) = slot else { return };
     let Some(call) = &mut request.call else {
-        table.run_ends.push_back(FinishedRun {
+        table.finished_runs.push_back(FinishedRun {
             index,
             outcome: Outcome::NeverStarted,
         });
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -50,7 +50,7 @@
     };
     let _ = stream.set_nodelay(true);
     let time_left = deadline.saturating_duration_since(Instant::now());
-    let recording = pool.record.get().and_then(|record| record.link(&stream));
+    let recording = pool.recording.get().and_then(|record| record.link(&stream));
     let request = encode_request(&order.trace, time_left, address, &order.body);
     let exchange = exchange(&stream, &request, recording.as_ref());
     match timeout(time_left + REPLY_GRACE, exchange).await {
@@ -107,7 +107,7 @@
     let mut incoming = Ring::default();
     loop {
         stream.readable().await?;
-        if incoming.fill(stream)? == ReadOutcome::End {
+        if incoming.fill(stream)? == ReadOutcome::EndOfStream {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let bytes = incoming.bytes();
--- a/crates/node/src/downstream_pool.rs
+++ b/crates/node/src/downstream_pool.rs
@@ -13,21 +13,21 @@
 pub struct DownstreamPool {
     address: Cell<Option<SocketAddr>>,
     /// Number of calls in flight; each uses a descriptor.
-    pub out: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// The recording of calls, if they are recorded.
-    pub record: OnceCell<Rc<TrafficRecording>>,
+    pub recording: OnceCell<Rc<TrafficRecording>>,
 }
 
 /// A slot for one call in flight; released when it is dropped, however the call ends.
 pub struct CallSlot<'a> {
     /// The address that is called.
     pub address: SocketAddr,
-    out: &'a Cell<usize>,
+    in_flight: &'a Cell<usize>,
 }
 
 impl Drop for CallSlot<'_> {
     fn drop(&mut self) {
-        self.out.set(self.out.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
     }
 }
 
@@ -36,21 +36,24 @@
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self {
             address: Cell::new(address),
-            out: Cell::new(0),
-            record: OnceCell::new(),
+            in_flight: Cell::new(0),
+            recording: OnceCell::new(),
         }
     }
 
     /// Sets the address of future calls; calls in flight keep their connections.
-    pub fn move_to(&self, address: Option<SocketAddr>) {
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         self.address.set(address);
     }
 
     /// A slot for one call; `None` without an address, or with [`MAX_CALLS`] in flight.
     pub fn acquire(&self) -> Option<CallSlot<'_>> {
-        let address = self.address.get().filter(|_| self.out.get() < MAX_CALLS)?;
-        self.out.set(self.out.get() + 1);
-        let out = &self.out;
-        Some(CallSlot { address, out })
+        let address = self
+            .address
+            .get()
+            .filter(|_| self.in_flight.get() < MAX_CALLS)?;
+        self.in_flight.set(self.in_flight.get() + 1);
+        let in_flight = &self.in_flight;
+        Some(CallSlot { address, in_flight })
     }
 }
--- a/crates/node/src/idempotency.rs
+++ b/crates/node/src/idempotency.rs
@@ -112,7 +112,7 @@
         claim.stage = next;
     }
     if perform(table, &group, index, action) == PolicyView::NeverRan {
-        table.run_ends.push_back(FinishedRun {
+        table.finished_runs.push_back(FinishedRun {
             index,
             outcome: Outcome::NeverStarted,
         });
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -89,7 +89,7 @@
         _ => send_exception(thrift::UNKNOWN_METHOD, "no such method"),
     }
     // A caller that keeps repeating the same invalid message would occupy the node.
-    if !conn.is_known.get() && conn.exceptions.get() >= MAX_EXCEPTIONS {
+    if !conn.has_served.get() && conn.exceptions.get() >= MAX_EXCEPTIONS {
         return Err("bad_input");
     }
     Ok(())
@@ -98,7 +98,7 @@
 /// Answers a health check.
 fn answer_probe(context: &NodeContext, conn: &Connection, message: &thrift::Message) {
     count(&context.counts.probes);
-    conn.is_known.set(true);
+    conn.has_served.set(true);
     let healthy = context.core.borrow().table.healthy;
     if !message.oneway {
         conn.send(&thrift::answer(b"probe", message.seq, &[], healthy));
@@ -383,7 +383,7 @@
         seq,
     };
     // Nothing of it ran, so the caller may retry elsewhere.
-    if !is_started || !identity.fits(table, parsed.body, context.config.memory, now) {
+    if !is_started || !identity.fits(table, parsed.body, context.config.memory_bytes, now) {
         let rejection = Rejection {
             retry_after: context.max_retry_after.get(),
             retry_elsewhere: RetryElsewhere::Allowed,
--- a/crates/node/src/node_tasks.rs
+++ b/crates/node/src/node_tasks.rs
@@ -13,7 +13,7 @@
     fn make_call(self: Rc<Self>, order: CallOrder) -> Pin<Box<dyn Future<Output = ()>>> {
         Box::pin(async move {
             let reply = downstream::call(&self, &order).await;
-            completion::call_ended(&self, order.index, order.serial, reply.outcome, reply.body);
+            completion::on_call_ended(&self, order.index, order.serial, reply.outcome, reply.body);
         })
     }
 
--- a/crates/node/src/pending_reply.rs
+++ b/crates/node/src/pending_reply.rs
@@ -18,7 +18,7 @@
     /// Answers with a result.
     pub fn serve(self, counts: &Counts, body: &[u8]) {
         count(&counts.honoured);
-        self.conn.is_known.set(true);
+        self.conn.has_served.set(true);
         let frame = thrift::answer(b"process", self.seq, body, true);
         self.send_final(&frame);
     }
@@ -26,7 +26,7 @@
     /// Answers that nothing ran, when to retry, and whether retrying elsewhere is discouraged.
     pub fn reject(self, counts: &Counts, rejection: Rejection) {
         count(&counts.dismissed);
-        self.conn.is_known.set(true);
+        self.conn.has_served.set(true);
         let pause = rejection.retry_after.as_millis().to_string();
         let terminal = rejection.retry_elsewhere == RetryElsewhere::Discouraged;
         let mut texts = vec![("pause", pause.as_str())];
--- a/crates/node/src/policy_host.rs
+++ b/crates/node/src/policy_host.rs
@@ -67,7 +67,7 @@
             self.finish(index, Outcome::Failed, &[]);
             Outcome::Failed
         };
-        self.run_ends.push_back(FinishedRun { index, outcome });
+        self.finished_runs.push_back(FinishedRun { index, outcome });
     }
 
     /// The cache has capacity for the key: that was checked before the request was handed to the policy.
@@ -134,7 +134,7 @@
     }
 
     fn close_idle_after(&mut self, timeout: Duration) {
-        self.idle_limit = timeout;
+        self.idle_timeout = timeout;
     }
 
     fn wake(&mut self, delay: Duration) {
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -56,7 +56,7 @@
         includes_links,
     });
     let pool = context.core.borrow().table.downstream.clone();
-    let _ = pool.record.set(record.clone());
-    let _ = context.record.set(record);
+    let _ = pool.recording.set(record.clone());
+    let _ = context.recording.set(record);
     Ok(())
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -99,14 +99,19 @@
         "reload",
         "reload",
         agent = new.agent,
-        db = text(new.below),
+        db = text(new.downstream),
         announce = text(new.announce)
     );
     if old.agent != new.agent {
-        context.link.moved.notify_one();
+        context.link.address_changed.notify_one();
     }
-    if old.below != new.below {
-        context.core.borrow().table.downstream.move_to(new.below);
+    if old.downstream != new.downstream {
+        context
+            .core
+            .borrow()
+            .table
+            .downstream
+            .set_address(new.downstream);
     }
     if old.announce != new.announce {
         context.report_wakeup.notify_one();
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -87,7 +87,7 @@
     /// Total length of the bodies of all requests in flight.
     pub body_bytes: usize,
     /// Runs that the node itself ended and has not reported to the policy yet.
-    pub run_ends: VecDeque<FinishedRun>,
+    pub finished_runs: VecDeque<FinishedRun>,
     /// The node's counters.
     pub counts: Rc<Counts>,
     /// Sends commands to the agent.
@@ -107,13 +107,13 @@
     /// The answer to health checks.
     pub healthy: bool,
     /// How long an unused connection may stay open.
-    pub idle_limit: Duration,
+    pub idle_timeout: Duration,
     /// When the policy requested to be woken.
     pub wake_at: Option<Instant>,
     /// The last gauges that the agent sent.
     pub gauges: Gauges,
     /// When they were received.
-    pub gauges_at: Option<Instant>,
+    pub gauges_received_at: Option<Instant>,
 }
 
 impl RequestTable {
@@ -137,7 +137,7 @@
             awaiting_commit: HashMap::new(),
             class_limits: Vec::new(),
             body_bytes: 0,
-            run_ends: VecDeque::new(),
+            finished_runs: VecDeque::new(),
             counts,
             agent,
             downstream,
@@ -147,10 +147,10 @@
             max_result_age: Duration::ZERO,
             can_pause: true,
             healthy: true,
-            idle_limit: Duration::MAX,
+            idle_timeout: Duration::MAX,
             wake_at: None,
             gauges: Gauges::default(),
-            gauges_at: None,
+            gauges_received_at: None,
         }
     }
 
@@ -250,7 +250,7 @@
             .is_some_and(|request| request.serial == waiter.serial)
         {
             self.finish(index, outcome, result);
-            self.run_ends.push_back(FinishedRun { index, outcome });
+            self.finished_runs.push_back(FinishedRun { index, outcome });
         }
     }
 
@@ -275,7 +275,7 @@
     }
 
     /// Indices of the unanswered requests that are past their deadline.
-    pub fn overdue(&self, now: Instant) -> Vec<usize> {
+    pub fn overdue_requests(&self, now: Instant) -> Vec<usize> {
         let is_overdue = |request: &Request| request.reply.is_some() && request.deadline <= now;
         self.requests
             .iter()
@@ -338,10 +338,10 @@
             count(|request| request.run == RunState::Launched && !request.is_awaiting_call()),
             count(|request| request.run == RunState::Paused),
             count(Request::is_awaiting_call),
-            self.downstream.out.get(),
+            self.downstream.in_flight.get(),
             self.body_bytes,
             self.result_cache.len(),
-            self.gauges_at.map_or(-1, |received_at| received_at.elapsed().as_millis() as i64),
+            self.gauges_received_at.map_or(-1, |received_at| received_at.elapsed().as_millis() as i64),
             self.gauges.runnable.unwrap_or(-1.0),
         )
     }
--- a/crates/node/src/socket_buffer.rs
+++ b/crates/node/src/socket_buffer.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// Bytes were read.
-    Some,
+    Bytes,
     /// No bytes are available now.
-    Nothing,
+    WouldBlock,
     /// The peer ended the connection.
-    End,
+    EndOfStream,
 }
 
 /// Non-blocking reads and writes.
@@ -68,12 +68,12 @@
 
 fn put(ring: &mut Ring, read: io::Result<usize>, chunk: &[u8]) -> io::Result<ReadOutcome> {
     match read {
-        Ok(0) => Ok(ReadOutcome::End),
+        Ok(0) => Ok(ReadOutcome::EndOfStream),
         Ok(len) => {
             ring.put(&chunk[..len]);
-            Ok(ReadOutcome::Some)
+            Ok(ReadOutcome::Bytes)
         }
-        Err(error) if is_retryable(&error) => Ok(ReadOutcome::Nothing),
+        Err(error) if is_retryable(&error) => Ok(ReadOutcome::WouldBlock),
         Err(error) => Err(error),
     }
 }
--- a/crates/node/src/ticker.rs
+++ b/crates/node/src/ticker.rs
@@ -100,7 +100,7 @@
 
 fn tick(context: &NodeContext) {
     context.drive_policy(|policy, now, table| {
-        let age = table.gauges_at.map(|at| at.elapsed());
+        let age = table.gauges_received_at.map(|at| at.elapsed());
         if age.is_none_or(|age| age > MAX_GAUGE_AGE) {
             count(&table.counts.stale_gauges);
         }
@@ -112,7 +112,7 @@
 /// Fails unanswered requests that are past their deadline: the policy may have lost them in a panic, and their callers
 /// must be answered nevertheless.
 fn fail_overdue(context: &NodeContext) {
-    let overdue = context.core.borrow().table.overdue(Instant::now());
+    let overdue = context.core.borrow().table.overdue_requests(Instant::now());
     for index in overdue {
         count(&context.counts.unsettled);
         context.drive_policy(|policy, now, table| {
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -232,7 +232,7 @@
             let mut idle = Caller::connect(world.addr).await;
             idle.probe().await;
             assert!(idle.next().await.is_some());
-            world.context.core.borrow_mut().table.idle_limit = Duration::from_millis(20);
+            world.context.core.borrow_mut().table.idle_timeout = Duration::from_millis(20);
             assert_eq!(idle.next().await, said(0, "shutdown", ""));
         },
     );
--- a/crates/node/tests/loopback.rs
+++ b/crates/node/tests/loopback.rs
@@ -632,10 +632,12 @@
             }
             let table = table();
             assert!(
-                table.by_trace.is_empty() && table.by_key.is_empty() && table.run_ends.is_empty()
+                table.by_trace.is_empty()
+                    && table.by_key.is_empty()
+                    && table.finished_runs.is_empty()
             );
             assert!(table.requests.len() < 50, "{}", table.requests.len());
-            assert_eq!((table.body_bytes, table.downstream.out.get()), (0, 0));
+            assert_eq!((table.body_bytes, table.downstream.in_flight.get()), (0, 0));
             assert_eq!(world.context.ends.borrow().values().sum::<u64>(), 200);
         },
     );
@@ -1299,7 +1301,7 @@
                 &world.context,
                 Peers {
                     agent: address_of(&agents),
-                    below: below_address,
+                    downstream: below_address,
                     announce: announce_address,
                 },
             );
@@ -1519,10 +1521,10 @@
     config["sede"] = json!("8c1f");
     config["two\nlines"] = json!(1);
     let parsed = Config::read(config.to_string().as_bytes()).unwrap();
-    assert_eq!(parsed.unknown, ["sede", "two\\nlines"]);
+    assert_eq!(parsed.unknown_keys, ["sede", "two\\nlines"]);
     assert!(Config::read(example().to_string().as_bytes())
         .unwrap()
-        .unknown
+        .unknown_keys
         .is_empty());
     for (argument, expected) in [
         ("--help", "ROUTER_CONFIG"),
