--- a/crates/node/tests/descriptors.rs
+++ b/crates/node/tests/descriptors.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use world::stand_ins::{Agent, Caller, Http};
-use world::{born, complete_request, example, run_with_timeout, said, NodeProcess};
+use world::{complete_request, example, reply, run_with_timeout, unix_time_ms, NodeProcess};
 
 /// Descriptor limit of the node.
 const LIMIT: usize = 160;
@@ -119,7 +119,7 @@
     async fn connect_idle_client(&self) -> Caller {
         let mut caller = self.caller().await;
         let probe = caller.probe().await;
-        assert_eq!(caller.next().await, said(probe, "probe", "good"));
+        assert_eq!(caller.next().await, reply(probe, "probe", "good"));
         caller
     }
 
@@ -175,7 +175,7 @@
 
     /// Closes the agent's link, and accepts the node's new one.
     async fn reconnect_agent(&mut self) {
-        self.agent.take().unwrap().hang_up();
+        self.agent.take().unwrap().disconnect();
         let mut agent = Agent::accept(&self.agents).await;
         agent.greet().await;
         self.agent = Some(agent);
@@ -203,7 +203,7 @@
         self.agent
             .as_mut()
             .unwrap()
-            .asks_call(notice, &req, b"c")
+            .request_call(notice, &req, b"c")
             .await;
         let mut http = Http::accept(&self.below).await;
         http.request().await.unwrap();
@@ -214,7 +214,7 @@
             .unwrap()
             .outcome(notice + 1, &req, "fine", b"r")
             .await;
-        assert_eq!(caller.next().await, said(1, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(1, "honoured", "r"));
     }
 
     /// Drains the node: it closes the idle connections, and the process exits.
@@ -245,7 +245,7 @@
 
 /// A request of a class that is worth nothing without its call.
 fn register_request(seq: i32, n: usize) -> Vec<u8> {
-    let (trace, born) = (format!("{n:016x}"), born());
+    let (trace, born) = (format!("{n:016x}"), unix_time_ms());
     let fields = [
         ("route", "register"),
         ("trace", &trace),
@@ -332,7 +332,7 @@
             while let Some(command) = agent.command().await {
                 notice += 1;
                 match command["cmd"].as_str().unwrap() {
-                    "launch" => agent.asks_call(notice, &command["req"], b"c").await,
+                    "launch" => agent.request_call(notice, &command["req"], b"c").await,
                     "deliver" => agent.outcome(notice, &command["req"], "fine", b"r").await,
                     _ => {}
                 }
@@ -344,7 +344,7 @@
             let mut http = Http::accept(&node.below).await;
             http.request().await.unwrap();
             http.reply("200 OK", b"row").await;
-            assert_eq!(caller.next().await, said(n as i32, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(n as i32, "honoured", "r"));
         }
         node.connect_idle_clients().await;
         let mut callers = Vec::new();
@@ -405,7 +405,7 @@
         }
         node.process.signal("-CONT");
         for caller in &mut clients {
-            assert_eq!(caller.next().await, said(1, "probe", "good"));
+            assert_eq!(caller.next().await, reply(1, "probe", "good"));
         }
         // A downstream call.
         node.set_descriptor_limit(LIMIT as u64);
@@ -436,7 +436,7 @@
         let addr = node.agents.local_addr().unwrap();
         // From here on the agent's address refuses connections.
         node.agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        node.agent.take().unwrap().hang_up();
+        node.agent.take().unwrap().disconnect();
         node.process
             .wait_for_line("end link=agent code=agent_unreachable")
             .await;
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -17,7 +17,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::yield_now;
 use world::stand_ins::{Agent, Caller, Http};
-use world::{born, complete_request, example, play, run_with_timeout, said, NodeProcess, HANGS};
+use world::{
+    complete_request, example, reply, run_with_node, run_with_timeout, unix_time_ms, NodeProcess,
+    TEST_TIMEOUT,
+};
 
 /// A configuration of a node whose only peer is this agent.
 fn config_with_agent(agent: &TcpListener) -> Value {
@@ -32,12 +35,12 @@
 #[test]
 fn request_unread_in_the_socket_at_a_close_is_answered() {
     for code in ["idle", "room", "drain"] {
-        play(
+        run_with_node(
             |_| {},
             |world| async move {
-                let (mut agent, mut caller) = world.up().await;
+                let (mut agent, mut caller) = world.connect_agent_and_caller().await;
                 let probe = caller.probe().await;
-                assert_eq!(caller.next().await, said(probe, "probe", "good"));
+                assert_eq!(caller.next().await, reply(probe, "probe", "good"));
                 let conn = world
                     .context
                     .connections
@@ -52,7 +55,7 @@
                 conn.close_with(code);
                 let req = world.expect(&mut agent, "launch").await;
                 agent.outcome(1, &req, "fine", b"r").await;
-                assert_eq!(caller.next().await, said(2, "honoured", "r"), "{code}");
+                assert_eq!(caller.next().await, reply(2, "honoured", "r"), "{code}");
             },
         );
     }
@@ -62,12 +65,12 @@
 /// between would discard it.
 #[test]
 fn answers_are_not_delayed_by_nagle() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (_agent, mut caller) = world.up().await;
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             assert!(world
                 .context
                 .connections
@@ -81,19 +84,19 @@
 /// Half a frame has arrived, and the node has nothing else to wait for.
 #[test]
 fn drain_waits_for_a_partially_read_frame() {
-    play(
+    run_with_node(
         |config| {
             config["stop_ms"] = json!(600_000);
             config["settings"]["obligations"]["drainGraceS"] = json!(0);
         },
         |mut world| async move {
-            let (_agent, mut caller) = world.up().await;
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             let request = complete_request(2, "00000000000000aa");
             caller.send(&request[..20]).await;
-            world.leave.notify_one();
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
             // Far longer than a drain with nothing pending, and shorter than the timeout of a partial frame.
             let early = tokio::time::timeout(Duration::from_millis(1_200), &mut world.node).await;
             assert!(
@@ -103,7 +106,7 @@
             caller
                 .send(&complete_request(2, "00000000000000aa")[20..])
                 .await;
-            assert_eq!(caller.next().await, said(2, "dismissed", "pause 1000"));
+            assert_eq!(caller.next().await, reply(2, "dismissed", "pause 1000"));
             assert_eq!(caller.next().await, None);
             drop(caller);
             world.node.await.unwrap();
@@ -115,7 +118,7 @@
 #[test]
 fn accept_backlog_is_served_after_end_of_listening() {
     const CONNECTIONS: usize = 100;
-    play(
+    run_with_node(
         |config| {
             config["stop_ms"] = json!(600_000);
             config["settings"]["obligations"]["drainGraceS"] = json!(0);
@@ -140,9 +143,9 @@
                 })
                 .collect();
             world.context.stop_listening.notify_one();
-            world.leave.notify_one();
+            world.send_shutdown_notice.notify_one();
             for stream in streams {
-                let mut caller = Caller::over(TcpStream::from_std(stream).unwrap());
+                let mut caller = Caller::from_stream(TcpStream::from_std(stream).unwrap());
                 let answer = loop {
                     match caller.next().await {
                         Some(reply) if reply.1 == "shutdown" => {}
@@ -162,14 +165,14 @@
 /// The policy panics in a tick before it requests the next one.
 #[test]
 fn request_is_answered_by_its_deadline_when_the_policy_panics_at_each_tick() {
-    play(
+    run_with_node(
         |config| {
             for class in config["settings"]["requestClasses"].as_array_mut().unwrap() {
                 (class["aimS"], class["deadlineS"]) = (json!(0.8), json!(1.0));
             }
         },
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             // A maximal clock value: from here on, additions to times overflow.
             world.context.drive_policy(|policy, _, table| {
                 policy.on_tick(Duration::MAX, table, rainstand::Gauges::default())
@@ -178,9 +181,9 @@
             assert!(panics > 0, "the policy must have panicked");
             // The next tick is late and adds to those times before it requests another one.
             std::thread::sleep(Duration::from_millis(80));
-            let seq = world.ask(&mut caller, "register", b"b").await;
+            let seq = world.send_request(&mut caller, "register", b"b").await;
             world.expect(&mut agent, "launch").await;
-            assert_eq!(caller.next().await, said(seq, "given up", ""));
+            assert_eq!(caller.next().await, reply(seq, "given up", ""));
             assert!(
                 world.context.counts.panics.get() > panics,
                 "the policy must panic again"
@@ -197,12 +200,12 @@
 /// A supervised task that panics is restarted; a connection whose task panics is closed and removed.
 #[test]
 fn panic_restarts_supervised_tasks_and_removes_the_connection() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (_agent, mut caller) = world.up().await;
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             {
                 // The connection sweep finds the connections borrowed and panics, repeatedly.
                 let _borrowed = world.context.connections.borrow_mut();
@@ -233,7 +236,7 @@
             idle.probe().await;
             assert!(idle.next().await.is_some());
             world.context.core.borrow_mut().table.idle_timeout = Duration::from_millis(20);
-            assert_eq!(idle.next().await, said(0, "shutdown", ""));
+            assert_eq!(idle.next().await, reply(0, "shutdown", ""));
         },
     );
 }
@@ -241,7 +244,7 @@
 /// The agent greets while the node already drains: requests that arrive late are not run.
 #[test]
 fn policy_started_after_the_shutdown_notice_is_notified() {
-    play(
+    run_with_node(
         |config| {
             config["stop_ms"] = json!(600_000);
             config["settings"]["obligations"]["drainGraceS"] = json!(0);
@@ -250,22 +253,22 @@
             let mut agent = Agent::accept(&world.agents).await;
             let mut caller = Caller::connect(world.addr).await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             // Half a frame keeps the connection open, and the node running, until the agent has greeted.
             let request = complete_request(2, "00000000000000aa");
             caller.send(&request[..20]).await;
-            world.leave.notify_one();
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
             agent.greet().await;
-            let noticed = born();
-            while world.context.core.borrow().controller.is_none() || born() == noticed {
+            let noticed = unix_time_ms();
+            while world.context.core.borrow().controller.is_none() || unix_time_ms() == noticed {
                 yield_now().await;
             }
             // The other half completes a request that was created after the notice.
             caller
                 .send(&complete_request(2, "00000000000000aa")[20..])
                 .await;
-            assert_eq!(caller.next().await, said(2, "dismissed", "pause 1000"));
+            assert_eq!(caller.next().await, reply(2, "dismissed", "pause 1000"));
             assert_eq!(world.context.counts.launched.get(), 0);
         },
     );
@@ -274,16 +277,16 @@
 /// An agent that was never up may be slow, but the node must not wait forever on a link that was lost silently.
 #[test]
 fn missing_first_greeting_leads_to_a_reconnect() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
             let mut silent = Agent::accept(&world.agents).await;
             assert_eq!(silent.command().await.unwrap()["cmd"], "subscribe");
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
@@ -305,20 +308,20 @@
 
 #[test]
 fn reordered_settings_are_applied_by_name_and_not_to_requests_in_flight() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             // Exclusive when it arrives; the later settings allow it to run again.
-            let first = world.ask(&mut caller, "register", b"b").await;
+            let first = world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            agent.asks_call(1, &req, b"c").await;
-            let mut http = Http::accept(&world.below).await;
+            agent.request_call(1, &req, b"c").await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
             reload::apply_settings(&world.context, reversed_settings(&world.context.config))
                 .unwrap();
             drop(http);
-            assert_eq!(caller.next().await, said(first, "given up", ""));
+            assert_eq!(caller.next().await, reply(first, "given up", ""));
             assert_eq!(
                 world.context.counts.calls.get(),
                 1,
@@ -326,31 +329,31 @@
             );
             agent.outcome(2, &req, "broken_off", b"").await;
             // A request after the reload runs under its own class, and its call is retried.
-            let second = world.ask(&mut caller, "register", b"b").await;
+            let second = world.send_request(&mut caller, "register", b"b").await;
             let launch = agent.command().await.unwrap();
             assert_eq!(
                 (&launch["cmd"], &launch["method"]),
                 (&json!("launch"), &json!("register"))
             );
-            agent.asks_call(3, &launch["req"], b"c").await;
-            let mut http = Http::accept(&world.below).await;
+            agent.request_call(3, &launch["req"], b"c").await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
             drop(http);
-            let mut http = Http::accept(&world.below).await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
             http.reply("200 OK", b"row").await;
             world.expect(&mut agent, "deliver").await;
             agent.outcome(4, &launch["req"], "fine", b"r").await;
-            assert_eq!(caller.next().await, said(second, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(second, "honoured", "r"));
             // The other class is exclusive now.
-            let third = world.ask(&mut caller, "check", b"b").await;
+            let third = world.send_request(&mut caller, "check", b"b").await;
             let launch = agent.command().await.unwrap();
             assert_eq!(launch["method"], "check");
-            agent.asks_call(5, &launch["req"], b"c").await;
-            let mut http = Http::accept(&world.below).await;
+            agent.request_call(5, &launch["req"], b"c").await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
             drop(http);
-            assert_eq!(caller.next().await, said(third, "given up", ""));
+            assert_eq!(caller.next().await, reply(third, "given up", ""));
             assert_eq!(world.context.counts.calls.get(), 4);
         },
     );
@@ -361,18 +364,18 @@
 fn cached_result_serves_retries_after_its_class_was_reconfigured() {
     let guard_class =
         |config: &mut Value| config["settings"]["requestClasses"][0]["effect"] = json!("guarded");
-    play(guard_class, |world| async move {
-        let (mut agent, mut caller) = world.up().await;
+    run_with_node(guard_class, |world| async move {
+        let (mut agent, mut caller) = world.connect_agent_and_caller().await;
         let own = [("route", "check"), ("nonce", "n1")];
-        let first = world.ask_with(&mut caller, &own, b"b").await;
+        let first = world.send_request_with(&mut caller, &own, b"b").await;
         let req = world.expect(&mut agent, "launch").await;
         agent.outcome(1, &req, "fine", b"r").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(first, "honoured", "r"));
         let mut exclusive = world.context.config.clone();
         exclusive.settings["requestClasses"][0]["effect"] = json!("single_shot");
         reload::apply_settings(&world.context, exclusive).unwrap();
-        let retry = world.ask_with(&mut caller, &own, b"b").await;
-        assert_eq!(caller.next().await, said(retry, "honoured", "r"));
+        let retry = world.send_request_with(&mut caller, &own, b"b").await;
+        assert_eq!(caller.next().await, reply(retry, "honoured", "r"));
         assert_eq!(world.context.counts.launched.get(), 1);
     });
 }
@@ -469,10 +472,10 @@
 /// number.
 #[test]
 fn cancellation_that_crosses_its_answer_affects_no_later_request() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             for round in 0..20u64 {
                 let trace = format!("{round:016x}");
                 caller.send(&complete_request(7, &trace)).await;
@@ -486,7 +489,7 @@
                 // Alternately the result and the cancellation arrive first.
                 if round % 2 == 0 {
                     agent.outcome(round + 1, &req, "fine", b"r").await;
-                    assert_eq!(caller.next().await, said(7, "honoured", "r"));
+                    assert_eq!(caller.next().await, reply(7, "honoured", "r"));
                     caller.give_up(7).await;
                 } else {
                     let left = world.context.counts.left.get();
@@ -497,7 +500,7 @@
                     agent.outcome(round + 1, &req, "fine", b"r").await;
                 }
                 let probe = caller.probe().await;
-                assert_eq!(caller.next().await, said(probe, "probe", "good"));
+                assert_eq!(caller.next().await, reply(probe, "probe", "good"));
                 while world
                     .context
                     .core
@@ -533,40 +536,40 @@
 fn waiting_retry_is_answered_at_its_deadline_and_when_the_first_attempt_is_cancelled() {
     let guard_class =
         |config: &mut Value| config["settings"]["requestClasses"][0]["effect"] = json!("guarded");
-    play(guard_class, |world| async move {
-        let (mut agent, mut caller) = world.up().await;
+    run_with_node(guard_class, |world| async move {
+        let (mut agent, mut caller) = world.connect_agent_and_caller().await;
         let fields = |nonce: &'static str, patience: &'static str| {
             vec![("route", "check"), ("nonce", nonce), ("patience", patience)]
         };
         // The retry's deadline passes before that of the first attempt; the result is then served to a third attempt.
         let first = world
-            .ask_with(&mut caller, &fields("n1", "60000"), b"b")
+            .send_request_with(&mut caller, &fields("n1", "60000"), b"b")
             .await;
         let req = world.expect(&mut agent, "launch").await;
         let retry = world
-            .ask_with(&mut caller, &fields("n1", "300"), b"b")
+            .send_request_with(&mut caller, &fields("n1", "300"), b"b")
             .await;
-        assert_eq!(caller.next().await, said(retry, "given up", ""));
+        assert_eq!(caller.next().await, reply(retry, "given up", ""));
         agent.outcome(1, &req, "fine", b"r").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(first, "honoured", "r"));
         let third = world
-            .ask_with(&mut caller, &fields("n1", "60000"), b"b")
+            .send_request_with(&mut caller, &fields("n1", "60000"), b"b")
             .await;
-        assert_eq!(caller.next().await, said(third, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(third, "honoured", "r"));
         // The first attempt's caller cancels and its run is stopped: the waiting retry fails immediately.
         let first = world
-            .ask_with(&mut caller, &fields("n2", "60000"), b"b")
+            .send_request_with(&mut caller, &fields("n2", "60000"), b"b")
             .await;
         let req = world.expect(&mut agent, "launch").await;
         let retry = world
-            .ask_with(&mut caller, &fields("n2", "60000"), b"b")
+            .send_request_with(&mut caller, &fields("n2", "60000"), b"b")
             .await;
         caller.give_up(first).await;
         assert_eq!(world.expect(&mut agent, "freeze").await, req);
         let started = Instant::now();
         agent.outcome(2, &req, "broken_off", b"").await;
-        assert_eq!(caller.next().await, said(retry, "given up", ""));
-        assert!(started.elapsed() < HANGS);
+        assert_eq!(caller.next().await, reply(retry, "given up", ""));
+        assert!(started.elapsed() < TEST_TIMEOUT);
         assert_eq!(world.context.core.borrow().table.pending_reply_count(), 0);
     });
 }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -12,12 +12,12 @@
 
 use rainstand_golden_files::{assert_text, read_bytes};
 use serde_json::{json, Value};
-use stand_ins::{packed, Caller};
+use stand_ins::{encode_base64, Caller};
 use std::fmt::Write as _;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpListener;
-use world::{play, stand_ins, World};
+use world::{run_with_node, stand_ins, World};
 
 const GOLDEN_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/conversation.txt");
 
@@ -140,13 +140,13 @@
     let mut caller = Caller::connect(world.addr).await;
 
     // A run that makes a downstream call and succeeds.
-    world.ask(&mut caller, "check", b"\0body").await;
+    world.send_request(&mut caller, "check", b"\0body").await;
     let req = agent.expect_command("launch", &mut log).await;
     agent
-        .send(json!({"cmd": "request", "offset": 1, "req": req, "payload": packed(b"call")}))
+        .send(json!({"cmd": "request", "offset": 1, "req": req, "payload": encode_base64(b"call")}))
         .await;
     serve_request(
-        &world.below,
+        &world.downstream,
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nrow",
         "below",
         &mut log,
@@ -154,12 +154,12 @@
     .await;
     agent.expect_command("deliver", &mut log).await;
     let succeeded = json!({"cmd": "outcome", "offset": 2, "req": req, "result": "fine", "elapsed_ms": 5,
-        "payload": packed(b"result")});
+        "payload": encode_base64(b"result")});
     agent.send(succeeded).await;
     log_next_frame(&mut caller, &mut log).await;
 
     // A run that fails, and one whose caller cancels.
-    world.ask(&mut caller, "register", b"b").await;
+    world.send_request(&mut caller, "register", b"b").await;
     let req = agent.expect_command("launch", &mut log).await;
     agent
         .send(
@@ -167,7 +167,7 @@
         )
         .await;
     log_next_frame(&mut caller, &mut log).await;
-    let seq = world.ask(&mut caller, "check", b"b").await;
+    let seq = world.send_request(&mut caller, "check", b"b").await;
     let req = agent.expect_command("launch", &mut log).await;
     caller.give_up(seq).await;
     agent.expect_command("freeze", &mut log).await;
@@ -181,14 +181,14 @@
     // A request with missing fields, and the shutdown of the node.
     caller.ask(&[("route", "check")], b"b").await;
     log_next_frame(&mut caller, &mut log).await;
-    world.leave.notify_one();
+    world.send_shutdown_notice.notify_one();
     log_next_frame(&mut caller, &mut log).await;
     assert_text(GOLDEN_FILE, &log);
 }
 
 #[test]
 fn recorded_conversation_is_unchanged() {
-    play(|_| {}, record_conversation);
+    run_with_node(|_| {}, record_conversation);
 }
 
 #[test]
--- a/crates/node/tests/loopback.rs
+++ b/crates/node/tests/loopback.rs
@@ -19,25 +19,25 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
-use world::stand_ins::{self, Agent, Caller, Http, Said};
-use world::{born, example, play, said, HANGS};
+use world::stand_ins::{self, Agent, Caller, Http, Reply};
+use world::{example, reply, run_with_node, unix_time_ms, TEST_TIMEOUT};
 
 #[test]
 fn request_with_a_downstream_call_gets_one_answer_with_bodies_unchanged() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let body: Vec<u8> = (0..=255).collect();
-            let seq = world.ask(&mut caller, "register", &body).await;
+            let seq = world.send_request(&mut caller, "register", &body).await;
             let launch = agent.command().await.unwrap();
             assert_eq!(
                 (&launch["cmd"], &launch["method"]),
                 (&json!("launch"), &json!("register"))
             );
-            assert_eq!(launch["payload"], stand_ins::packed(&body));
-            agent.asks_call(1, &launch["req"], b"\0call\r\n").await;
-            let mut http = Http::accept(&world.below).await;
+            assert_eq!(launch["payload"], stand_ins::encode_base64(&body));
+            agent.request_call(1, &launch["req"], b"\0call\r\n").await;
+            let mut http = Http::accept(&world.downstream).await;
             let (head, call) = http.request().await.unwrap();
             assert!(head.starts_with("POST /v1/exec HTTP/1.1\r\n") && call == b"\0call\r\n");
             assert!(head.contains(&format!(
@@ -48,15 +48,18 @@
             let deliver = agent.command().await.unwrap();
             assert_eq!(
                 (&deliver["cmd"], &deliver["payload"]),
-                (&json!("deliver"), &json!(stand_ins::packed(b"\xffrow")))
+                (
+                    &json!("deliver"),
+                    &json!(stand_ins::encode_base64(b"\xffrow"))
+                )
             );
             agent.outcome(2, &launch["req"], "fine", b"result").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "result"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "result"));
             // The same outcome once more, as after a replay, gives no second answer.
             agent.outcome(2, &launch["req"], "fine", b"result").await;
             agent.outcome(3, &launch["req"], "fine", b"result").await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             assert_eq!(world.context.counts.honoured.get(), 1);
         },
     );
@@ -64,10 +67,10 @@
 
 #[test]
 fn each_run_outcome_maps_to_its_answer() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let cases = [
                 ("fine", "honoured", "r"),
                 ("fault", "given up", ""),
@@ -76,17 +79,17 @@
                 ("no such end", "given up", ""),
             ];
             for (offset, (end, answer, body)) in cases.into_iter().enumerate() {
-                let seq = world.ask(&mut caller, "check", b"b").await;
+                let seq = world.send_request(&mut caller, "check", b"b").await;
                 let req = world.expect(&mut agent, "launch").await;
                 agent.outcome(offset as u64 + 1, &req, end, b"r").await;
-                assert_eq!(caller.next().await, said(seq, answer, body), "{end}");
+                assert_eq!(caller.next().await, reply(seq, answer, body), "{end}");
             }
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent
-                .tell(json!({"cmd": "refusal", "result": "launch", "req": req}))
+                .send(json!({"cmd": "refusal", "result": "launch", "req": req}))
                 .await;
-            assert_eq!(caller.next().await, said(seq, "given up", ""));
+            assert_eq!(caller.next().await, reply(seq, "given up", ""));
         },
     );
 }
@@ -103,38 +106,38 @@
         ("nonsense", false),
         ("", false),
     ];
-    for (reply, is_retried) in cases {
-        play(
+    for (http_reply, is_retried) in cases {
+        run_with_node(
             |_| {},
             |world| async move {
-                let (mut agent, mut caller) = world.up().await;
-                let seq = world.ask(&mut caller, "register", b"b").await;
+                let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+                let seq = world.send_request(&mut caller, "register", b"b").await;
                 let req = world.expect(&mut agent, "launch").await;
-                agent.asks_call(1, &req, b"c").await;
-                let mut http = Http::accept(&world.below).await;
+                agent.request_call(1, &req, b"c").await;
+                let mut http = Http::accept(&world.downstream).await;
                 http.request().await.unwrap();
-                if reply.is_empty() {
+                if http_reply.is_empty() {
                     drop(http);
                 } else {
-                    http.reply(reply, b"").await;
+                    http.reply(http_reply, b"").await;
                     if is_retried {
-                        http = Http::accept(&world.below).await;
-                        assert_eq!(http.request().await.unwrap().1, b"c", "{reply}");
+                        http = Http::accept(&world.downstream).await;
+                        assert_eq!(http.request().await.unwrap().1, b"c", "{http_reply}");
                         http.reply("200 OK", b"row").await;
                         world.expect(&mut agent, "deliver").await;
                         agent.outcome(2, &req, "fine", b"r").await;
                     }
                 }
                 let expected = if is_retried {
-                    said(seq, "honoured", "r")
+                    reply(seq, "honoured", "r")
                 } else {
-                    said(seq, "given up", "")
+                    reply(seq, "given up", "")
                 };
-                assert_eq!(caller.next().await, expected, "{reply}");
+                assert_eq!(caller.next().await, expected, "{http_reply}");
                 assert_eq!(
                     world.context.counts.calls.get(),
                     1 + u64::from(is_retried),
-                    "{reply}"
+                    "{http_reply}"
                 );
             },
         );
@@ -143,30 +146,30 @@
 
 #[test]
 fn unreachable_call_is_skipped_if_a_degraded_answer_has_value() {
-    play(
+    run_with_node(
         |config| config["db"] = Value::Null,
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            agent.asks_call(7, &req, b"c").await;
+            agent.request_call(7, &req, b"c").await;
             let forgo = agent.command().await.unwrap();
             assert_eq!(
                 (&forgo["cmd"], &forgo["offset"]),
                 (&json!("forgo"), &json!(7))
             );
             agent.outcome(8, &req, "fine", b"poorer").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "poorer"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "poorer"));
         },
     );
 }
 
 #[test]
 fn surplus_reply_bytes_are_not_read_as_the_reply_to_another_call() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let complete_reply = |body: &str| format!("200 OK\r\nContent-Length: 3\r\n\r\n{body}");
             let cases = [
                 format!("100 Continue\r\n\r\nHTTP/1.1 {}", complete_reply("ro1")),
@@ -179,24 +182,24 @@
                 complete_reply("ro4"),
             ];
             let mut open_connections = Vec::new();
-            for (index, reply) in cases.iter().enumerate() {
+            for (index, http_reply) in cases.iter().enumerate() {
                 let (offset, body) = (2 * index as u64, format!("ro{}", index + 1));
-                let seq = world.ask(&mut caller, "register", b"b").await;
+                let seq = world.send_request(&mut caller, "register", b"b").await;
                 let req = world.expect(&mut agent, "launch").await;
-                agent.asks_call(offset + 1, &req, b"c").await;
-                let mut http = Http::accept(&world.below).await;
+                agent.request_call(offset + 1, &req, b"c").await;
+                let mut http = Http::accept(&world.downstream).await;
                 http.request().await.unwrap();
-                http.raw(format!("HTTP/1.1 {reply}").as_bytes()).await;
+                http.raw(format!("HTTP/1.1 {http_reply}").as_bytes()).await;
                 let deliver = agent.command().await.unwrap();
                 assert_eq!(
                     (&deliver["cmd"], &deliver["payload"]),
                     (
                         &json!("deliver"),
-                        &json!(stand_ins::packed(body.as_bytes()))
+                        &json!(stand_ins::encode_base64(body.as_bytes()))
                     )
                 );
                 agent.outcome(offset + 2, &req, "fine", b"r").await;
-                assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+                assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
                 open_connections.push(http);
             }
         },
@@ -205,17 +208,17 @@
 
 #[test]
 fn call_is_aborted_with_its_run_and_its_connection_is_closed() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "register", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            agent.asks_call(1, &req, b"c").await;
-            let mut http = Http::accept(&world.below).await;
+            agent.request_call(1, &req, b"c").await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
             agent.outcome(2, &req, "fault", b"").await;
-            assert_eq!(caller.next().await, said(seq, "given up", ""));
+            assert_eq!(caller.next().await, reply(seq, "given up", ""));
             assert!(http.request().await.is_none());
         },
     );
@@ -223,24 +226,24 @@
 
 #[test]
 fn reconnect_applies_the_replay_and_resends_only_unconfirmed_commands() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let mut reqs = Vec::new();
             let mut seqs = Vec::new();
             for body in [b"ended", b"calls", b"fresh"] {
-                seqs.push(world.ask(&mut caller, "check", body).await);
+                seqs.push(world.send_request(&mut caller, "check", body).await);
                 reqs.push(world.expect(&mut agent, "launch").await);
             }
-            agent.asks_call(1, &reqs[1], b"c").await;
-            let mut http = Http::accept(&world.below).await;
+            agent.request_call(1, &reqs[1], b"c").await;
+            let mut http = Http::accept(&world.downstream).await;
             http.request().await.unwrap();
-            agent.hang_up();
+            agent.disconnect();
             // While there is no link, the call's reply and a new request arrive.
             let mut agent = Agent::accept(&world.agents).await;
             http.reply("200 OK", b"row").await;
-            seqs.push(world.ask(&mut caller, "check", b"meanwhile").await);
+            seqs.push(world.send_request(&mut caller, "check", b"meanwhile").await);
             while world.context.counts.launched.get() < 4
                 || world.context.counts.delivered.get() < 1
             {
@@ -248,13 +251,13 @@
             }
             assert_eq!(agent.greet().await, 1);
             agent.outcome(2, &reqs[0], "fine", b"r0").await;
-            assert_eq!(caller.next().await, said(seqs[0], "honoured", "r0"));
+            assert_eq!(caller.next().await, reply(seqs[0], "honoured", "r0"));
             assert_eq!(world.expect(&mut agent, "deliver").await, reqs[1]);
             assert_eq!(world.expect(&mut agent, "launch").await, reqs[2]);
             let req = world.expect(&mut agent, "launch").await;
             for (index, req) in [&reqs[1], &reqs[2], &req].into_iter().enumerate() {
                 agent.outcome(3 + index as u64, req, "fine", b"r").await;
-                assert_eq!(caller.next().await, said(seqs[index + 1], "honoured", "r"));
+                assert_eq!(caller.next().await, reply(seqs[index + 1], "honoured", "r"));
             }
         },
     );
@@ -262,32 +265,32 @@
 
 #[test]
 fn agent_that_was_up_and_does_not_greet_is_reconnected() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (agent, _) = world.up().await;
-            agent.hang_up();
+            let (agent, _) = world.connect_agent_and_caller().await;
+            agent.disconnect();
             let _silent = Agent::accept(&world.agents).await;
             let mut agent = Agent::accept(&world.agents).await;
             assert_eq!(agent.greet().await, 0);
             let mut caller = Caller::connect(world.addr).await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn request_cancelled_while_the_link_is_down_is_removed() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (agent, mut caller) = world.up().await;
-            agent.hang_up();
+            let (agent, mut caller) = world.connect_agent_and_caller().await;
+            agent.disconnect();
             let mut agent = Agent::accept(&world.agents).await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             caller.give_up(seq).await;
             while world.context.counts.frozen.get() == 0 {
                 tokio::task::yield_now().await;
@@ -315,11 +318,11 @@
 
 #[test]
 fn paused_run_is_resumed_with_thaw() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             let order =
                 |order: fn(&mut RequestTable)| order(&mut world.context.core.borrow_mut().table);
@@ -328,17 +331,17 @@
             order(|table| table.run(0));
             assert_eq!(world.expect(&mut agent, "thaw").await, req);
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn ticks_use_gauges_sampled_just_before() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (_agent, _caller) = world.up().await;
+            let (_agent, _caller) = world.connect_agent_and_caller().await;
             // If gauges were requested only after a wake-up, they would be one tick old at each following tick.
             while world.context.counts.beats.get() <= world.context.counts.stale_gauges.get() {
                 tokio::task::yield_now().await;
@@ -359,25 +362,25 @@
         b"",
         b"{\"cmd\":\"outcome\"}\n",
     ];
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             for bytes in cases {
                 agent.raw(bytes).await;
-                agent.hang_up();
+                agent.disconnect();
                 agent = Agent::accept(&world.agents).await;
                 assert_eq!(agent.greet().await, 0);
                 assert_eq!(world.expect(&mut agent, "launch").await, req);
             }
             agent
-                .tell(json!({"cmd": "aside", "offset": 1, "result": "no meaning"}))
+                .send(json!({"cmd": "aside", "offset": 1, "result": "no meaning"}))
                 .await;
             // A call with an unreadable body is not made with another body; its notice is requested again.
             agent
-                .tell(json!({"cmd": "request", "offset": 2, "req": req, "payload": "?"}))
+                .send(json!({"cmd": "request", "offset": 2, "req": req, "payload": "?"}))
                 .await;
             let mut agent = Agent::accept(&world.agents).await;
             assert_eq!(agent.greet().await, 1);
@@ -388,38 +391,38 @@
                 ),
                 (req.clone(), 0)
             );
-            agent.tell(json!({"cmd": "unknown command"})).await;
+            agent.send(json!({"cmd": "unknown command"})).await;
             agent.outcome(2, &json!("unknown"), "fine", b"").await;
             agent.outcome(3, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn notice_still_unreadable_after_the_replay_is_skipped_and_the_link_stays_open() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let failed_seq = world.ask(&mut caller, "register", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let failed_seq = world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             let unreadable = json!({"cmd": "request", "offset": 1, "req": req, "payload": "?"});
-            agent.tell(unreadable.clone()).await;
+            agent.send(unreadable.clone()).await;
             let mut agent = Agent::accept(&world.agents).await;
             assert_eq!(agent.greet().await, 0);
-            agent.tell(unreadable).await;
-            assert_eq!(caller.next().await, said(failed_seq, "given up", ""));
+            agent.send(unreadable).await;
+            assert_eq!(caller.next().await, reply(failed_seq, "given up", ""));
             while world.expect_any(&mut agent).await != ("freeze".into(), req.clone()) {}
             agent.outcome(2, &req, "broken_off", b"").await;
             agent.raw(b"odd\n").await;
             let mut agent = Agent::accept(&world.agents).await;
             assert_eq!(agent.greet().await, 2);
             agent.raw(b"odd\n").await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(3, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             assert_eq!(
                 (
                     world.context.counts.agent_odd.get(),
@@ -434,7 +437,7 @@
 #[test]
 fn invalid_input_gets_an_exception_or_ends_its_connection_after_pending_answers() {
     let trace = "00000000000000ff";
-    let born = born();
+    let born = unix_time_ms();
     let valid_fields = [
         ("route", "check"),
         ("trace", trace),
@@ -493,17 +496,17 @@
         b"\0\0\0\x0c\x80\x01\0\x02\0\0\0\0\0\0\0\x01",
         b"\0\0\0\x14\x80\x01\0\x01\0\0\0\x07process\0\0\0\x63\x0d",
     ];
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             for (name, value) in changes {
                 let fields = valid_fields
                     .iter()
                     .map(|f| if f.0 == name { (name, value) } else { *f });
                 let fields: Vec<_> = fields.filter(|f| !f.1.is_empty()).collect();
                 let seq = caller.ask(&fields, b"b").await;
-                let Some(Said(reply_seq, "exception", text)) = caller.next().await else {
+                let Some(Reply(reply_seq, "exception", text)) = caller.next().await else {
                     panic!("{name}={value}")
                 };
                 assert!(
@@ -522,16 +525,16 @@
             let seq = caller.ask(&valid_fields, &[0; 2049]).await;
             assert_eq!(
                 caller.next().await,
-                said(seq, "exception", "body: missing or too long")
+                reply(seq, "exception", "body: missing or too long")
             );
             caller
                 .send(b"\0\0\0\x12\x80\x01\0\x01\0\0\0\x05hello\0\0\0\x07\0")
                 .await;
-            assert_eq!(caller.next().await, said(7, "exception", "no such method"));
+            assert_eq!(caller.next().await, reply(7, "exception", "no such method"));
             let mut offset = 0;
             for input in closing_inputs {
                 let mut other = Caller::connect(world.addr).await;
-                let seq = world.ask(&mut other, "check", b"b").await;
+                let seq = world.send_request(&mut other, "check", b"b").await;
                 let req = world.expect(&mut agent, "launch").await;
                 other.send(input).await;
                 offset += 1;
@@ -541,25 +544,27 @@
                     replies.push(reply);
                 }
                 replies.retain(|reply| reply.1 != "exception");
-                assert_eq!(replies, [Said(seq, "honoured", "r".into())], "{input:?}");
+                assert_eq!(replies, [Reply(seq, "honoured", "r".into())], "{input:?}");
             }
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
         },
     );
 }
 
 #[test]
 fn silent_or_partial_frame_connection_is_closed_unless_an_answer_is_pending() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             let mut partial_sender = Caller::connect(world.addr).await;
-            let open_seq = world.ask(&mut partial_sender, "register", b"b").await;
-            let request_frame = partial_sender.ticket(&[], b"b");
+            let open_seq = world
+                .send_request(&mut partial_sender, "register", b"b")
+                .await;
+            let request_frame = partial_sender.encode_request(&[], b"b");
             partial_sender.send(&request_frame[..9]).await;
             // The last input cancels a request that was never sent.
             let cancel_of_unknown =
@@ -579,7 +584,7 @@
             loop {
                 repeating_caller.ask(&[("route", "check")], b"b").await;
                 match repeating_caller.next().await {
-                    Some(Said(_, "exception", _)) => exceptions += 1,
+                    Some(Reply(_, "exception", _)) => exceptions += 1,
                     other => {
                         assert_eq!((other, exceptions), (None, 64));
                         break;
@@ -587,26 +592,28 @@
                 }
             }
             // Requests still open on the closed connection fail, and their runs are taken off the cores.
-            assert_eq!(partial_sender.next().await, said(open_seq, "given up", ""));
+            assert_eq!(partial_sender.next().await, reply(open_seq, "given up", ""));
             assert_eq!(partial_sender.next().await, None);
             let cancelled = world.expect(&mut agent, "launch").await;
             assert_eq!(world.expect(&mut agent, "freeze").await, cancelled);
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn finished_requests_and_connections_leave_no_state_behind() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, _caller) = world.up().await;
+            let (mut agent, _caller) = world.connect_agent_and_caller().await;
             for round in 0..200u64 {
                 let mut caller = Caller::connect(world.addr).await;
                 let entity = format!("entity {round}");
-                let seq = world.ask_about(&mut caller, "check", &entity, b"b").await;
+                let seq = world
+                    .send_request_for_entity(&mut caller, "check", &entity, b"b")
+                    .await;
                 let req = world.expect(&mut agent, "launch").await;
                 match round % 4 {
                     0 => {
@@ -645,13 +652,13 @@
 
 #[test]
 fn run_whose_end_is_never_reported_is_removed_as_an_orphan() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             world.expect(&mut agent, "launch").await;
-            let waiting_seq = world.ask(&mut caller, "check", b"b").await;
+            let waiting_seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             caller.give_up(seq).await;
             world.expect(&mut agent, "freeze").await;
@@ -677,19 +684,19 @@
                 (1, 1)
             );
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(waiting_seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(waiting_seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn silent_connections_do_not_evict_a_used_connection() {
-    play(
+    run_with_node(
         |config| config["limits"]["sockets"] = json!(16),
         |world| async move {
-            let (_agent, mut used) = world.up().await;
+            let (_agent, mut used) = world.connect_agent_and_caller().await;
             used.probe().await;
-            assert_eq!(used.next().await, said(1, "probe", "good"));
+            assert_eq!(used.next().await, reply(1, "probe", "good"));
             let mut silent_callers = Vec::new();
             for _ in 0..40 {
                 silent_callers.push(Caller::connect(world.addr).await);
@@ -700,41 +707,41 @@
                 tokio::task::yield_now().await;
             }
             let probe = used.probe().await;
-            assert_eq!(used.next().await, said(probe, "probe", "good"));
+            assert_eq!(used.next().await, reply(probe, "probe", "good"));
         },
     );
 }
 
 #[test]
 fn request_bodies_stay_within_their_memory_fraction() {
-    play(
+    run_with_node(
         |config| config["limits"]["memory_mb"] = json!(0.01),
         |world| async move {
-            let (_agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", &[0; 2048]).await;
-            assert_eq!(caller.next().await, said(seq, "dismissed", "pause 1000"));
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", &[0; 2048]).await;
+            assert_eq!(caller.next().await, reply(seq, "dismissed", "pause 1000"));
         },
     );
 }
 
 #[test]
 fn refused_launch_is_answered_and_charged_to_no_tenant() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             for _ in 0..20 {
-                let seq = world.ask(&mut caller, "check", b"made up").await;
+                let seq = world.send_request(&mut caller, "check", b"made up").await;
                 let req = world.expect(&mut agent, "launch").await;
                 agent
-                    .tell(json!({"cmd": "refusal", "result": "launch", "req": req}))
+                    .send(json!({"cmd": "refusal", "result": "launch", "req": req}))
                     .await;
-                assert_eq!(caller.next().await, said(seq, "given up", ""));
+                assert_eq!(caller.next().await, reply(seq, "given up", ""));
             }
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             assert_eq!(world.context.counts.unsettled.get(), 0);
         },
     );
@@ -742,37 +749,39 @@
 
 #[test]
 fn duplicate_sequence_number_ends_the_connection_and_33rd_open_request_gets_an_exception() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (_agent, mut caller) = world.up().await;
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
             for _ in 0..32 {
-                world.ask(&mut caller, "check", b"b").await;
+                world.send_request(&mut caller, "check", b"b").await;
             }
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             assert_eq!(
                 caller.next().await,
-                said(seq, "exception", "too many open tickets on this connection")
+                reply(seq, "exception", "too many open tickets on this connection")
             );
             for seq in 1..=32 {
                 caller.give_up(seq).await;
             }
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             assert_eq!(world.context.counts.left.get(), 32);
         },
     );
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let repeated_frame = caller.ticket(&[], b"");
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let repeated_frame = caller.encode_request(&[], b"");
             let mut repeating_caller = Caller::connect(world.addr).await;
-            let seq = world.ask(&mut repeating_caller, "check", b"b").await;
+            let seq = world
+                .send_request(&mut repeating_caller, "check", b"b")
+                .await;
             let req = world.expect(&mut agent, "launch").await;
             repeating_caller.send(&repeated_frame).await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(repeating_caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(repeating_caller.next().await, reply(seq, "honoured", "r"));
             assert_eq!(repeating_caller.next().await, None);
         },
     );
@@ -780,11 +789,11 @@
 
 #[test]
 fn cancelled_request_gets_no_answer_and_frees_the_core() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             caller.give_up(seq).await;
             assert_eq!(world.expect(&mut agent, "freeze").await, req);
@@ -792,7 +801,7 @@
             caller.give_up(seq).await;
             caller.give_up(99).await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
             assert_eq!(
                 (
                     world.context.counts.left.get(),
@@ -807,14 +816,14 @@
 
 #[test]
 fn reset_connection_cancels_only_its_own_requests() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let mut reset_caller = Caller::connect(world.addr).await;
-            world.ask(&mut reset_caller, "check", b"b").await;
+            world.send_request(&mut reset_caller, "check", b"b").await;
             let cancelled_req = world.expect(&mut agent, "launch").await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let open_req = world.expect(&mut agent, "launch").await;
             socket2::SockRef::from(&reset_caller.stream)
                 .set_linger(Some(Duration::ZERO))
@@ -823,18 +832,18 @@
             assert_eq!(world.expect(&mut agent, "freeze").await, cancelled_req);
             agent.outcome(1, &cancelled_req, "broken_off", b"").await;
             agent.outcome(2, &open_req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
 
 #[test]
 fn request_received_byte_by_byte_is_answered_after_the_callers_eof() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let (born, trace) = (born(), "00000000000000aa");
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let (born, trace) = (unix_time_ms(), "00000000000000aa");
             let mut fields = vec![
                 ("route", "check"),
                 ("trace", trace),
@@ -842,7 +851,7 @@
                 ("size", "1"),
             ];
             fields.extend([("customer", "acme"), ("client", "1"), ("order", "0")]);
-            for byte in caller.ticket(&fields, b"slow") {
+            for byte in caller.encode_request(&fields, b"slow") {
                 caller.send(&[byte]).await;
                 tokio::task::yield_now().await;
             }
@@ -858,7 +867,7 @@
                 tokio::task::yield_now().await;
             }
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(1, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(1, "honoured", "r"));
             assert_eq!(caller.next().await, None);
         },
     );
@@ -866,11 +875,11 @@
 
 #[test]
 fn close_is_postponed_if_a_request_arrives_meanwhile() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "register", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             let conn = world
                 .context
@@ -883,10 +892,10 @@
             for code in ["idle", "room", "forsaken"] {
                 conn.close_with(code);
                 let probe = caller.probe().await;
-                assert_eq!(caller.next().await, said(probe, "probe", "good"), "{code}");
+                assert_eq!(caller.next().await, reply(probe, "probe", "good"), "{code}");
             }
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             conn.close_with("idle");
             assert_eq!(caller.next().await, None);
         },
@@ -895,10 +904,10 @@
 
 #[test]
 fn caller_that_never_reads_affects_no_other_caller() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let mut stalled_caller = Caller::connect(world.addr).await;
             socket2::SockRef::from(&stalled_caller.stream)
                 .set_recv_buffer_size(4096)
@@ -911,10 +920,10 @@
                 stalled_caller.send(&probes.repeat(50)),
             )
             .await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             let unread = world
                 .context
                 .connections
@@ -929,10 +938,10 @@
 
 #[test]
 fn unread_answers_stay_within_their_memory_fraction() {
-    play(
+    run_with_node(
         |config| config["limits"]["memory_mb"] = json!(0.5),
         |world| async move {
-            let (mut agent, _) = world.up().await;
+            let (mut agent, _) = world.connect_agent_and_caller().await;
             let mut stalled_caller = Caller::connect(world.addr).await;
             socket2::SockRef::from(&stalled_caller.stream)
                 .set_recv_buffer_size(4096)
@@ -947,10 +956,10 @@
                 tokio::task::yield_now().await;
             }
             let mut caller = Caller::connect(world.addr).await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             flood.abort();
         },
     );
@@ -958,11 +967,11 @@
 
 #[test]
 fn connections_beyond_the_capacity_evict_unused_ones() {
-    play(
+    run_with_node(
         |config| config["limits"]["sockets"] = json!(16),
         |world| async move {
-            let (mut agent, mut used) = world.up().await;
-            let seq = world.ask(&mut used, "check", b"b").await;
+            let (mut agent, mut used) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut used, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             let mut others = Vec::new();
             for _ in 0..20 {
@@ -975,7 +984,7 @@
                 }
             }
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(used.next().await, said(seq, "honoured", "r"));
+            assert_eq!(used.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
@@ -985,24 +994,34 @@
     let with_guarded_effect = |config: &mut Value| {
         config["settings"]["requestClasses"][0]["effect"] = json!("guarded");
     };
-    play(with_guarded_effect, |world| async move {
-        let (mut agent, mut caller) = world.up().await;
-        let first = world.ask_about(&mut caller, "check", "e1", b"b").await;
+    run_with_node(with_guarded_effect, |world| async move {
+        let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+        let first = world
+            .send_request_for_entity(&mut caller, "check", "e1", b"b")
+            .await;
         let req = world.expect(&mut agent, "launch").await;
-        let second = world.ask_about(&mut caller, "check", "e1", b"b").await;
-        let other = world.ask_about(&mut caller, "check", "e2", b"b").await;
+        let second = world
+            .send_request_for_entity(&mut caller, "check", "e1", b"b")
+            .await;
+        let other = world
+            .send_request_for_entity(&mut caller, "check", "e2", b"b")
+            .await;
         let failed = world.expect(&mut agent, "launch").await;
         agent.outcome(1, &req, "fine", b"r").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r"));
-        assert_eq!(caller.next().await, said(second, "honoured", "r"));
-        let third = world.ask_about(&mut caller, "check", "e1", b"b").await;
-        assert_eq!(caller.next().await, said(third, "honoured", "r"));
-        let fourth = world.ask_about(&mut caller, "check", "e2", b"b").await;
+        assert_eq!(caller.next().await, reply(first, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(second, "honoured", "r"));
+        let third = world
+            .send_request_for_entity(&mut caller, "check", "e1", b"b")
+            .await;
+        assert_eq!(caller.next().await, reply(third, "honoured", "r"));
+        let fourth = world
+            .send_request_for_entity(&mut caller, "check", "e2", b"b")
+            .await;
         let probe = caller.probe().await;
-        assert_eq!(caller.next().await, said(probe, "probe", "good"));
+        assert_eq!(caller.next().await, reply(probe, "probe", "good"));
         agent.outcome(2, &failed, "fault", b"").await;
-        assert_eq!(caller.next().await, said(other, "given up", ""));
-        assert_eq!(caller.next().await, said(fourth, "given up", ""));
+        assert_eq!(caller.next().await, reply(other, "given up", ""));
+        assert_eq!(caller.next().await, reply(fourth, "given up", ""));
         assert_eq!(
             (
                 world.context.counts.launched.get(),
@@ -1012,16 +1031,22 @@
         );
 
         // A waiting request is cancelled: the result is not given to the request that reuses its index.
-        let first = world.ask_about(&mut caller, "check", "e3", b"b").await;
+        let first = world
+            .send_request_for_entity(&mut caller, "check", "e3", b"b")
+            .await;
         let req = world.expect(&mut agent, "launch").await;
-        let cancelled_seq = world.ask_about(&mut caller, "check", "e3", b"b").await;
+        let cancelled_seq = world
+            .send_request_for_entity(&mut caller, "check", "e3", b"b")
+            .await;
         caller.give_up(cancelled_seq).await;
-        let next = world.ask_about(&mut caller, "check", "e4", b"b").await;
+        let next = world
+            .send_request_for_entity(&mut caller, "check", "e4", b"b")
+            .await;
         let other = world.expect(&mut agent, "launch").await;
         agent.outcome(3, &req, "fine", b"r3").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r3"));
+        assert_eq!(caller.next().await, reply(first, "honoured", "r3"));
         agent.outcome(4, &other, "fine", b"r4").await;
-        assert_eq!(caller.next().await, said(next, "honoured", "r4"));
+        assert_eq!(caller.next().await, reply(next, "honoured", "r4"));
     });
 }
 
@@ -1032,29 +1057,29 @@
     let with_guarded_effect = |config: &mut Value| {
         config["settings"]["requestClasses"][0]["effect"] = json!("guarded");
     };
-    play(with_guarded_effect, |world| async move {
-        let (mut agent, mut caller) = world.up().await;
+    run_with_node(with_guarded_effect, |world| async move {
+        let (mut agent, mut caller) = world.connect_agent_and_caller().await;
         let world = &world;
         let ask = |nonce: &'static str, customer: &'static str, body: &'static [u8]| {
             let fields = [("route", "check"), ("nonce", nonce), ("customer", customer)];
-            async move |caller: &mut Caller| world.ask_with(caller, &fields, body).await
+            async move |caller: &mut Caller| world.send_request_with(caller, &fields, body).await
         };
         // The second attempt is sent while the first one runs, the third one after it.
         let first = ask("n1", "acme", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         let second = ask("n1", "acme", b"b")(&mut caller).await;
         let probe = caller.probe().await;
-        assert_eq!(caller.next().await, said(probe, "probe", "good"));
+        assert_eq!(caller.next().await, reply(probe, "probe", "good"));
         agent.outcome(1, &req, "fine", b"r1").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r1"));
-        assert_eq!(caller.next().await, said(second, "honoured", "r1"));
+        assert_eq!(caller.next().await, reply(first, "honoured", "r1"));
+        assert_eq!(caller.next().await, reply(second, "honoured", "r1"));
         let third = ask("n1", "acme", b"b")(&mut caller).await;
-        assert_eq!(caller.next().await, said(third, "honoured", "r1"));
+        assert_eq!(caller.next().await, reply(third, "honoured", "r1"));
         // The same nonce with another body is refused; from another tenant it is another request.
         let other_body = ask("n1", "acme", b"other")(&mut caller).await;
         assert_eq!(
             caller.next().await,
-            said(
+            reply(
                 other_body,
                 "exception",
                 "nonce: that of a ticket with another body"
@@ -1063,31 +1088,31 @@
         let other_tenant = ask("n1", "globex", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         agent.outcome(2, &req, "fine", b"r2").await;
-        assert_eq!(caller.next().await, said(other_tenant, "honoured", "r2"));
+        assert_eq!(caller.next().await, reply(other_tenant, "honoured", "r2"));
         // A run that failed, and one that was stopped when its caller cancelled: both may have had their effect.
         let failed = ask("n2", "acme", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         agent.outcome(3, &req, "fault", b"").await;
-        assert_eq!(caller.next().await, said(failed, "given up", ""));
+        assert_eq!(caller.next().await, reply(failed, "given up", ""));
         let retry = ask("n2", "acme", b"b")(&mut caller).await;
-        assert_eq!(caller.next().await, said(retry, "given up", ""));
+        assert_eq!(caller.next().await, reply(retry, "given up", ""));
         let cancelled = ask("n3", "acme", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         caller.give_up(cancelled).await;
         assert_eq!(world.expect(&mut agent, "freeze").await, req);
         agent.outcome(4, &req, "broken_off", b"").await;
         let retry = ask("n3", "acme", b"b")(&mut caller).await;
-        assert_eq!(caller.next().await, said(retry, "given up", ""));
+        assert_eq!(caller.next().await, reply(retry, "given up", ""));
         assert_eq!(world.context.counts.launched.get(), 4);
         // A request of which the agent reports that nothing ran.
         let never_ran = ask("n4", "acme", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         agent.outcome(5, &req, "late", b"").await;
-        assert_eq!(caller.next().await, said(never_ran, "given up", ""));
+        assert_eq!(caller.next().await, reply(never_ran, "given up", ""));
         let retry = ask("n4", "acme", b"b")(&mut caller).await;
         let req = world.expect(&mut agent, "launch").await;
         agent.outcome(6, &req, "fine", b"r4").await;
-        assert_eq!(caller.next().await, said(retry, "honoured", "r4"));
+        assert_eq!(caller.next().await, reply(retry, "honoured", "r4"));
         assert_eq!(world.context.core.borrow().table.result_cache.len(), 5);
     });
 }
@@ -1095,19 +1120,19 @@
 /// If a request states how long its caller waits, it is answered by then, even before the deadline of its class.
 #[test]
 fn request_is_answered_before_its_caller_stops_waiting() {
-    play(
+    run_with_node(
         |config| {
             for class in config["settings"]["requestClasses"].as_array_mut().unwrap() {
                 (class["aimS"], class["deadlineS"]) = (json!(300.0), json!(600.0));
             }
         },
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let fields = [("route", "register"), ("patience", "600")];
             let started = std::time::Instant::now();
-            let seq = world.ask_with(&mut caller, &fields, b"b").await;
+            let seq = world.send_request_with(&mut caller, &fields, b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            assert_eq!(caller.next().await, said(seq, "given up", ""));
+            assert_eq!(caller.next().await, reply(seq, "given up", ""));
             assert!(
                 started.elapsed() < Duration::from_secs(60),
                 "the caller's timeout applies, not the deadline of the class"
@@ -1117,10 +1142,10 @@
             assert_eq!(world.context.counts.unsettled.get(), 0);
             // Without a stated timeout, the deadline of the class applies.
             let fields = [("route", "register"), ("patience", "0")];
-            let seq = world.ask_with(&mut caller, &fields, b"b").await;
+            let seq = world.send_request_with(&mut caller, &fields, b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
         },
     );
 }
@@ -1132,55 +1157,58 @@
         config["settings"]["requestClasses"][0]["effect"] = json!("guarded");
         config["limits"]["memory_mb"] = json!(0.002);
     };
-    play(with_guarded_effect, |world| async move {
-        let (mut agent, mut caller) = world.up().await;
+    run_with_node(with_guarded_effect, |world| async move {
+        let (mut agent, mut caller) = world.connect_agent_and_caller().await;
         let fields = [("route", "check"), ("nonce", "n1")];
-        let first = world.ask_with(&mut caller, &fields, b"b").await;
+        let first = world.send_request_with(&mut caller, &fields, b"b").await;
         let req = world.expect(&mut agent, "launch").await;
         let fields = [("route", "check"), ("nonce", "n2")];
-        let second = world.ask_with(&mut caller, &fields, b"b").await;
-        assert_eq!(caller.next().await, said(second, "dismissed", "pause 1000"));
+        let second = world.send_request_with(&mut caller, &fields, b"b").await;
+        assert_eq!(
+            caller.next().await,
+            reply(second, "dismissed", "pause 1000")
+        );
         agent.outcome(1, &req, "fine", b"r").await;
-        assert_eq!(caller.next().await, said(first, "honoured", "r"));
+        assert_eq!(caller.next().await, reply(first, "honoured", "r"));
     });
 }
 
 #[test]
 fn before_the_agent_is_up_probes_are_answered_and_requests_rejected() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
             let mut caller = Caller::connect(world.addr).await;
             let probe = caller.probe().await;
-            assert_eq!(caller.next().await, said(probe, "probe", "good"));
-            let seq = world.ask(&mut caller, "check", b"b").await;
-            assert_eq!(caller.next().await, said(seq, "dismissed", "pause 1000"));
+            assert_eq!(caller.next().await, reply(probe, "probe", "good"));
+            let seq = world.send_request(&mut caller, "check", b"b").await;
+            assert_eq!(caller.next().await, reply(seq, "dismissed", "pause 1000"));
         },
     );
 }
 
 #[test]
 fn drain_answers_every_request_that_was_read() {
-    play(
+    run_with_node(
         |config| config["stop_ms"] = json!(600_000),
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let mut idle = Caller::connect(world.addr).await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             idle.probe().await;
             assert!(idle.next().await.is_some());
-            world.leave.notify_one();
-            assert_eq!(idle.next().await, said(0, "shutdown", ""));
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(idle.next().await, reply(0, "shutdown", ""));
             drop(idle);
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
             // A request that crosses the shutdown notice is still served.
-            let late = world.ask(&mut caller, "check", b"late").await;
+            let late = world.send_request(&mut caller, "check", b"late").await;
             let late_req = world.expect(&mut agent, "launch").await;
             agent.outcome(1, &late_req, "fine", b"r2").await;
-            assert_eq!(caller.next().await, said(late, "honoured", "r2"));
+            assert_eq!(caller.next().await, reply(late, "honoured", "r2"));
             agent.outcome(2, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             drop(caller);
             world.node.await.unwrap();
             assert_eq!(
@@ -1196,12 +1224,12 @@
 
 #[test]
 fn connections_are_refused_after_the_drain_grace() {
-    play(
+    run_with_node(
         |config| config["settings"]["obligations"]["drainGraceS"] = json!(0),
         |world| async move {
-            let (_agent, mut caller) = world.up().await;
-            world.leave.notify_one();
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
+            let (_agent, mut caller) = world.connect_agent_and_caller().await;
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
             while TcpStream::connect(world.addr).await.is_ok() {
                 tokio::task::yield_now().await;
             }
@@ -1213,15 +1241,15 @@
 
 #[test]
 fn unfinished_requests_are_failed_before_the_stop_timeout() {
-    play(
+    run_with_node(
         |config| config["stop_ms"] = json!(1_000),
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "register", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "register", b"b").await;
             world.expect(&mut agent, "launch").await;
-            world.leave.notify_one();
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
-            assert_eq!(caller.next().await, said(seq, "given up", ""));
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
+            assert_eq!(caller.next().await, reply(seq, "given up", ""));
             world.node.await.unwrap();
         },
     );
@@ -1229,7 +1257,7 @@
 
 #[test]
 fn reports_continue_while_the_announce_service_fails_and_end_with_not_accepting() {
-    play(
+    run_with_node(
         |config| config["settings"]["familyInfo"]["readiness"] = json!(true),
         |world| async move {
             for reply in ["500 Down", "204 No Content", "nonsense", "204 No Content"] {
@@ -1243,7 +1271,7 @@
                     assert!(http.request().await.is_some());
                 }
             }
-            world.leave.notify_one();
+            world.send_shutdown_notice.notify_one();
             let mut http = Http::accept(&world.announce).await;
             assert_eq!(
                 http.request().await.unwrap().1,
@@ -1257,7 +1285,7 @@
 
 #[test]
 fn unanswered_report_is_counted_and_the_next_one_follows() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
             let mut silent = Http::accept(&world.announce).await;
@@ -1280,17 +1308,17 @@
 
 #[test]
 fn new_addresses_are_applied_with_requests_in_flight() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
             let mut report = Http::accept(&world.announce).await;
             report.request().await.unwrap();
             report.reply("204 No Content", b"").await;
-            let first = world.ask(&mut caller, "register", b"b").await;
+            let first = world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            agent.asks_call(1, &req, b"c").await;
-            let mut old = Http::accept(&world.below).await;
+            agent.request_call(1, &req, b"c").await;
+            let mut old = Http::accept(&world.downstream).await;
             old.request().await.unwrap();
             let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
             let (agents, below, announce) = (listen().await, listen().await, listen().await);
@@ -1311,14 +1339,14 @@
             old.reply("200 OK", b"row").await;
             assert_eq!(world.expect(&mut agent, "deliver").await, req);
             agent.outcome(2, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(first, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(first, "honoured", "r"));
             assert!(
                 old.request().await.is_none(),
                 "an idle connection to the old address stays open"
             );
-            world.ask(&mut caller, "register", b"b").await;
+            world.send_request(&mut caller, "register", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            agent.asks_call(3, &req, b"c").await;
+            agent.request_call(3, &req, b"c").await;
             assert!(Http::accept(&below).await.request().await.is_some());
             assert!(Http::accept(&announce).await.request().await.is_some());
         },
@@ -1327,14 +1355,14 @@
 
 #[test]
 fn new_addresses_are_applied_while_draining() {
-    play(
+    run_with_node(
         |config| config["stop_ms"] = json!(600_000),
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let seq = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let seq = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
-            world.leave.notify_one();
-            assert_eq!(caller.next().await, said(0, "shutdown", ""));
+            world.send_shutdown_notice.notify_one();
+            assert_eq!(caller.next().await, reply(0, "shutdown", ""));
             let agents = TcpListener::bind("127.0.0.1:0").await.unwrap();
             reload::apply_peers(
                 &world.context,
@@ -1346,7 +1374,7 @@
             let mut agent = Agent::accept(&agents).await;
             assert_eq!(agent.greet().await, 0);
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(seq, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(seq, "honoured", "r"));
             drop(caller);
             world.node.await.unwrap();
             assert_eq!(world.context.counts.unsettled.get(), 0);
@@ -1356,11 +1384,11 @@
 
 #[test]
 fn new_settings_are_applied_and_rolled_back_with_requests_in_flight() {
-    play(
+    run_with_node(
         |_| {},
         |world| async move {
-            let (mut agent, mut caller) = world.up().await;
-            let first = world.ask(&mut caller, "check", b"b").await;
+            let (mut agent, mut caller) = world.connect_agent_and_caller().await;
+            let first = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             // As in lakes-preview: one downstream store shared by all nodes, and runs that cannot be paused.
             let mut changed = world.context.config.clone();
@@ -1383,14 +1411,14 @@
             assert_eq!(world.context.max_retry_after.get(), Duration::from_secs(3));
             // A request that was read before the change continues, and is answered once.
             agent.outcome(1, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(first, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(first, "honoured", "r"));
             reload::apply_settings(&world.context, world.context.config.clone()).unwrap();
             assert!(world.context.core.borrow().table.can_pause);
             assert_eq!(world.context.max_retry_after.get(), Duration::from_secs(1));
-            let second = world.ask(&mut caller, "check", b"b").await;
+            let second = world.send_request(&mut caller, "check", b"b").await;
             let req = world.expect(&mut agent, "launch").await;
             agent.outcome(2, &req, "fine", b"r").await;
-            assert_eq!(caller.next().await, said(second, "honoured", "r"));
+            assert_eq!(caller.next().await, reply(second, "honoured", "r"));
             // The request table is indexed by traffic class, so classes change only at a start.
             let mut renamed = world.context.config.clone();
             renamed.settings["requestClasses"][0]["name"] = json!("renamed");
@@ -1461,8 +1489,9 @@
         node.kill().await.unwrap();
         std::fs::remove_file(&path).unwrap();
     };
-    let result =
-        LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, test).await });
+    let result = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(TEST_TIMEOUT, test).await
+    });
     result.expect("the test timed out");
 }
 
--- a/crates/node/tests/recording.rs
+++ b/crates/node/tests/recording.rs
@@ -18,7 +18,7 @@
 use rainstand_traffic_recorder::file_store::FileStore;
 use rainstand_traffic_recorder::Limits;
 use serde_json::{json, Value};
-use stand_ins::{Agent, Caller, Http, Said};
+use stand_ins::{Agent, Caller, Http, Reply};
 use std::io::{BufRead, Write};
 use std::path::Path;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 }
 
 /// Runs a node that records into `folder`.
-fn run_node(folder: &Path) -> Vec<(usize, Said)> {
+fn run_node(folder: &Path) -> Vec<(usize, Reply)> {
     run_node_with(|context| {
         let settings = Settings::read(&settings(folder)).unwrap();
         recording::start(context, &settings.recording.unwrap()).unwrap();
@@ -44,7 +44,7 @@
 
 /// Runs a node whose recording `start` configures, sends twenty requests on two connections, and returns the answers
 /// with the indices of their callers.
-fn run_node_with(start: impl FnOnce(&NodeContext)) -> Vec<(usize, Said)> {
+fn run_node_with(start: impl FnOnce(&NodeContext)) -> Vec<(usize, Reply)> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -109,7 +109,7 @@
                 let launch = agent.command().await.unwrap();
                 offset += 1;
                 if n == 0 {
-                    agent.asks_call(offset, &launch["req"], b"call").await;
+                    agent.request_call(offset, &launch["req"], b"call").await;
                     let mut http = Http::accept(&below).await;
                     http.request().await.unwrap();
                     http.reply("200 OK", b"row").await;
@@ -181,7 +181,7 @@
     // A call whose answer is in the next file is read without it, so only most of the requests are complete.
     assert_eq!(requests.len(), received.len());
     let mut complete = 0;
-    for (n, (request, (_, Said(seq, answer, _)))) in requests.iter().zip(&received).enumerate() {
+    for (n, (request, (_, Reply(seq, answer, _)))) in requests.iter().zip(&received).enumerate() {
         assert_eq!(
             (request.call.field("trace"), request.call.seq),
             (format!("{n:016x}").as_str(), *seq)
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -7,7 +7,7 @@
 
 use rainstand_node::{config::Config, run, thrift, NodeContext};
 use serde_json::{json, Value};
-use stand_ins::{Agent, Caller, Said};
+use stand_ins::{Agent, Caller, Reply};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,16 +22,16 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
 /// Time limit of a test: only catches tests that hang.
-pub const HANGS: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One node, with listeners for its peers.
 pub struct World {
     pub context: Rc<NodeContext>,
     pub addr: SocketAddr,
     pub agents: TcpListener,
-    pub below: TcpListener,
+    pub downstream: TcpListener,
     pub announce: TcpListener,
-    pub leave: Rc<Notify>,
+    pub send_shutdown_notice: Rc<Notify>,
     pub node: JoinHandle<()>,
     pub traces: Cell<u64>,
 }
@@ -41,7 +41,7 @@
 }
 
 /// Runs a test with a node whose configuration is modified by `change`.
-pub fn play<T: Future<Output = ()>>(
+pub fn run_with_node<T: Future<Output = ()>>(
     change: impl FnOnce(&mut Value),
     test: impl FnOnce(World) -> T,
 ) {
@@ -52,7 +52,7 @@
     let run_test = async {
         let mut config = example();
         let listen = || async { TcpListener::bind("127.0.0.1:0").await.unwrap() };
-        let (node, agents, below, announce) = (
+        let (node, agents, downstream, announce) = (
             listen().await,
             listen().await,
             listen().await,
@@ -61,7 +61,7 @@
         for (key, listener) in [
             ("listen", &node),
             ("agent", &agents),
-            ("db", &below),
+            ("db", &downstream),
             ("announce", &announce),
         ] {
             config[key] = json!(listener.local_addr().unwrap().to_string());
@@ -69,8 +69,8 @@
         change(&mut config);
         let context =
             NodeContext::new(Config::read(config.to_string().as_bytes()).unwrap()).unwrap();
-        let (addr, leave) = (node.local_addr().unwrap(), Rc::new(Notify::new()));
-        let shutdown = leave.clone();
+        let (addr, send_shutdown_notice) = (node.local_addr().unwrap(), Rc::new(Notify::new()));
+        let shutdown = send_shutdown_notice.clone();
         let node = spawn_local(run(context.clone(), node, async move {
             shutdown.notified().await
         }));
@@ -78,21 +78,21 @@
             context,
             addr,
             agents,
-            below,
+            downstream,
             announce,
-            leave,
+            send_shutdown_notice,
             node,
             traces: Cell::new(0),
         })
         .await;
     };
     let done = LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(HANGS, run_test).await
+        tokio::time::timeout(TEST_TIMEOUT, run_test).await
     });
     done.expect("the test ends within its time limit");
 }
 
-pub fn born() -> String {
+pub fn unix_time_ms() -> String {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap()
@@ -177,13 +177,14 @@
         .enable_all()
         .build()
         .unwrap();
-    let done =
-        LocalSet::new().block_on(&runtime, async { tokio::time::timeout(HANGS, test).await });
+    let done = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(TEST_TIMEOUT, test).await
+    });
     done.expect("the test ends within its time limit");
 }
 
 pub fn complete_request(seq: i32, trace: &str) -> Vec<u8> {
-    let born = born();
+    let born = unix_time_ms();
     let fields = [
         ("route", "check"),
         ("trace", trace),
@@ -203,7 +204,7 @@
 
 impl World {
     /// Accepts and greets the agent's link, and connects a caller.
-    pub async fn up(&self) -> (Agent, Caller) {
+    pub async fn connect_agent_and_caller(&self) -> (Agent, Caller) {
         let mut agent = Agent::accept(&self.agents).await;
         agent.greet().await;
         while self.context.core.borrow().controller.is_none() {
@@ -213,9 +214,14 @@
     }
 
     /// Sends a request with the default fields, overridden by `own`.
-    pub async fn ask_with(&self, caller: &mut Caller, own: &[(&str, &str)], body: &[u8]) -> i32 {
+    pub async fn send_request_with(
+        &self,
+        caller: &mut Caller,
+        own: &[(&str, &str)],
+        body: &[u8],
+    ) -> i32 {
         self.traces.set(self.traces.get() + 1);
-        let (trace, born) = (format!("{:016x}", self.traces.get()), born());
+        let (trace, born) = (format!("{:016x}", self.traces.get()), unix_time_ms());
         let mut fields = vec![
             ("trace", trace.as_str()),
             ("born", &born),
@@ -227,7 +233,7 @@
         caller.ask(&fields, body).await
     }
 
-    pub async fn ask_about(
+    pub async fn send_request_for_entity(
         &self,
         caller: &mut Caller,
         route: &str,
@@ -236,11 +242,11 @@
     ) -> i32 {
         let entity = (!entity.is_empty()).then_some(("entity", entity));
         let fields: Vec<_> = [("route", route)].into_iter().chain(entity).collect();
-        self.ask_with(caller, &fields, body).await
+        self.send_request_with(caller, &fields, body).await
     }
 
-    pub async fn ask(&self, caller: &mut Caller, route: &str, body: &[u8]) -> i32 {
-        self.ask_about(caller, route, "", body).await
+    pub async fn send_request(&self, caller: &mut Caller, route: &str, body: &[u8]) -> i32 {
+        self.send_request_for_entity(caller, route, "", body).await
     }
 
     pub async fn expect_any(&self, agent: &mut Agent) -> (String, Value) {
@@ -259,6 +265,6 @@
     }
 }
 
-pub fn said(seq: i32, what: &'static str, body: &str) -> Option<Said> {
-    Some(Said(seq, what, body.into()))
+pub fn reply(seq: i32, what: &'static str, body: &str) -> Option<Reply> {
+    Some(Reply(seq, what, body.into()))
 }
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -57,7 +57,7 @@
         println!("agent      <- {command}");
         offset += 1;
         match command["cmd"].as_str() {
-            Some("launch") => agent.asks_call(offset, &command["req"], b"select").await,
+            Some("launch") => agent.request_call(offset, &command["req"], b"select").await,
             Some("deliver" | "forgo") => {
                 agent
                     .outcome(offset, &command["req"], "fine", b"done")
--- a/examples/toy/stand_ins.rs
+++ b/examples/toy/stand_ins.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 
 /// Encodes bytes as in the agent protocol (Base64).
-pub fn packed(bytes: &[u8]) -> String {
+pub fn encode_base64(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
@@ -42,7 +42,7 @@
                 let command: Value = serde_json::from_str(&line).expect("a command is JSON");
                 if command["cmd"] == "sample" {
                     let token = &command["token"];
-                    tell(
+                    send(
                         &sample_writer,
                         json!({"cmd": "sampled", "token": token, "load": [0.1, 0, 0.1, 1]}),
                     );
@@ -58,7 +58,7 @@
     pub async fn greet(&mut self) -> Value {
         let subscribe = self.command().await.expect("the command subscribe");
         assert_eq!(subscribe["cmd"], "subscribe");
-        self.tell(json!({"cmd": "greeting", "result": "running", "elapsed_ms": 1000}))
+        self.send(json!({"cmd": "greeting", "result": "running", "elapsed_ms": 1000}))
             .await;
         subscribe["offset"].clone()
     }
@@ -73,8 +73,8 @@
         self.commands.try_recv().ok()
     }
 
-    pub async fn tell(&mut self, message: Value) {
-        tell(&self.write, message);
+    pub async fn send(&mut self, message: Value) {
+        send(&self.write, message);
     }
 
     pub async fn raw(&mut self, bytes: &[u8]) {
@@ -82,27 +82,27 @@
     }
 
     /// Closes the connection.
-    pub fn hang_up(self) {
+    pub fn disconnect(self) {
         self.write.take();
     }
 
     pub async fn outcome(&mut self, offset: u64, req: &Value, end: &str, result: &[u8]) {
-        let payload = packed(result);
+        let payload = encode_base64(result);
         let message = json!({"cmd": "outcome", "offset": offset, "req": req, "result": end,
             "elapsed_ms": 5, "payload": payload});
-        self.tell(message).await;
+        self.send(message).await;
     }
 
-    pub async fn asks_call(&mut self, offset: u64, req: &Value, body: &[u8]) {
+    pub async fn request_call(&mut self, offset: u64, req: &Value, body: &[u8]) {
         let message =
-            json!({"cmd": "request", "offset": offset, "req": req, "payload": packed(body)});
-        self.tell(message).await;
+            json!({"cmd": "request", "offset": offset, "req": req, "payload": encode_base64(body)});
+        self.send(message).await;
     }
 }
 
 type Writer = Rc<RefCell<Option<OwnedWriteHalf>>>;
 
-fn tell(writer: &Writer, message: Value) {
+fn send(writer: &Writer, message: Value) {
     write(writer, format!("{message}\n").as_bytes());
 }
 
@@ -160,7 +160,7 @@
 
 /// A message of a node: sequence number, kind, and the body or the texts.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Said(pub i32, pub &'static str, pub String);
+pub struct Reply(pub i32, pub &'static str, pub String);
 
 /// A caller's connection to a node.
 pub struct Caller {
@@ -179,7 +179,7 @@
     }
 
     /// Uses an open connection.
-    pub fn over(stream: TcpStream) -> Self {
+    pub fn from_stream(stream: TcpStream) -> Self {
         Self { stream, seq: 0 }
     }
 
@@ -188,13 +188,13 @@
     }
 
     /// Encodes a request without sending it.
-    pub fn ticket(&mut self, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    pub fn encode_request(&mut self, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
         self.seq += 1;
         thrift::process(self.seq, fields, body)
     }
 
     pub async fn ask(&mut self, fields: &[(&str, &str)], body: &[u8]) -> i32 {
-        let frame = self.ticket(fields, body);
+        let frame = self.encode_request(fields, body);
         self.send(&frame).await;
         self.seq
     }
@@ -210,7 +210,7 @@
     }
 
     /// The next message of the node; `None` after the connection has ended.
-    pub async fn next(&mut self) -> Option<Said> {
+    pub async fn next(&mut self) -> Option<Reply> {
         let len = self.stream.read_u32().await.ok()?;
         let mut frame = vec![0; len as usize];
         self.stream.read_exact(&mut frame).await.ok()?;
@@ -226,9 +226,9 @@
             String::from_utf8_lossy(&args[at + 4..at + 4 + len]).into_owned()
         };
         Some(match (kind, args[0], args.get(2)) {
-            (ONEWAY, ..) => Said(seq, "shutdown", String::new()),
-            (3, ..) => Said(seq, "exception", text(3)),
-            (_, _, Some(0)) if &frame[8..8 + name_len] == b"probe" => Said(
+            (ONEWAY, ..) => Reply(seq, "shutdown", String::new()),
+            (3, ..) => Reply(seq, "exception", text(3)),
+            (_, _, Some(0)) if &frame[8..8 + name_len] == b"probe" => Reply(
                 seq,
                 "probe",
                 if args[args.len() - 3] == 1 {
@@ -238,7 +238,7 @@
                 }
                 .into(),
             ),
-            (_, _, Some(0)) => Said(seq, "honoured", text(6)),
+            (_, _, Some(0)) => Reply(seq, "honoured", text(6)),
             (_, _, Some(1)) => {
                 let (mut at, mut texts, n) = (12, Vec::new(), args[11]);
                 assert_eq!(args[3], MAP);
@@ -246,9 +246,9 @@
                     texts.push(text(at));
                     at += 4 + texts.last().map_or(0, String::len);
                 }
-                Said(seq, "dismissed", texts.join(" "))
+                Reply(seq, "dismissed", texts.join(" "))
             }
-            _ => Said(seq, "given up", String::new()),
+            _ => Reply(seq, "given up", String::new()),
         })
     }
 }
