--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -337,7 +337,7 @@
         let has_ended = cached.is_some_and(|cached| cached.result != CachedResult::InProgress);
         self.open_request = table.by_key.get(key).copied();
         self.retry = match self.open_request {
-            _ if has_ended => RetryOf::Past,
+            _ if has_ended => RetryOf::Finished,
             Some(index) => RetryOf::Of(index),
             None => RetryOf::No,
         };
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -129,7 +129,7 @@
         rainstand_settings::align_names(&config.settings, &table.classes, &table.tenants)
             .map_err(ApplyError::NameMismatch)?;
     let start = config.start(Machine {
-        began: table.now(),
+        started: table.now(),
         ..Machine::default()
     })?;
     table.max_result_age = start.max_result_age;
--- a/crates/node/src/ticker.rs
+++ b/crates/node/src/ticker.rs
@@ -50,7 +50,7 @@
     let reloaded = context.reloaded_config.borrow();
     let config = reloaded.as_ref().unwrap_or(&context.config);
     let machine = Machine {
-        began: now.saturating_sub(uptime),
+        started: now.saturating_sub(uptime),
         is_cold,
         had_predecessor: uptime > FIRST_START_MAX_AGE,
     };
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -59,13 +59,13 @@
     },
     /// An unknown value for the repeatability of a request class.
     #[error("effect: {word} is not known")]
-    UnknownEffect {
+    UnknownRepeatability {
         /// The unknown value.
         word: String,
     },
     /// An unknown value for how runs can be cancelled.
     #[error("halt: {word} is not off, drop or pause")]
-    UnknownHalt {
+    UnknownCancellation {
         /// The unknown value.
         word: String,
     },
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
     /// When it started its work, on the controller's clock.
-    pub began: Duration,
+    pub started: Duration,
     /// Whether it was cold then, even if the settings do not say so.
     pub is_cold: bool,
     /// Whether an earlier process of this node may have run on it.
@@ -177,7 +177,7 @@
             keys::class::KEY_WINDOW,
         )?)),
         "single_shot" => Ok(Repeatability::NonIdempotent),
-        other => Err(SettingsError::UnknownEffect {
+        other => Err(SettingsError::UnknownRepeatability {
             word: other.to_owned(),
         }),
     }
@@ -203,7 +203,7 @@
         return Ok(None);
     }
     Ok(Some(ColdStart {
-        began: machine.began,
+        began: machine.started,
         initial_speed: number(bounds, keys::bounds::COLD_SPEED)?,
         warm_up: duration(bounds, keys::bounds::WARM_UP)?,
     }))
@@ -264,7 +264,7 @@
     match text_of(machine_info, keys::machine::CANCELLATION)? {
         "drop" | "pause" => Ok(true),
         "off" => Ok(false),
-        other => Err(SettingsError::UnknownHalt {
+        other => Err(SettingsError::UnknownCancellation {
             word: other.to_owned(),
         }),
     }
--- a/crates/simhost/src/node.rs
+++ b/crates/simhost/src/node.rs
@@ -30,7 +30,7 @@
         let seed = unsigned(fields, "entropy")?;
         let settings = object(fields, "facts")?;
         let machine = Machine {
-            began: now,
+            started: now,
             ..Machine::default()
         };
         let start = Start::read(settings, seed, machine)?;
@@ -104,7 +104,10 @@
         let class_index = self.classes.get(class).copied();
         let retry_of = match fields.get("prior").and_then(Value::as_u64).unwrap_or(0) {
             0 => RetryOf::No,
-            id => self.host.index_of(id).map_or(RetryOf::Past, RetryOf::Of),
+            id => self
+                .host
+                .index_of(id)
+                .map_or(RetryOf::Finished, RetryOf::Of),
         };
         let tenant = fields.get("billing").and_then(Value::as_str);
         Ok(Arrival {
--- a/src/host.rs
+++ b/src/host.rs
@@ -51,7 +51,7 @@
     /// A request that is still in flight, by its index.
     Of(usize),
     /// A request that is no longer in flight.
-    Past,
+    Finished,
 }
 
 /// A request that was read.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -771,7 +771,7 @@
     node.arrive(
         0,
         Arrival {
-            retry_of: rainstand::RetryOf::Past,
+            retry_of: rainstand::RetryOf::Finished,
             ..Arrival::default()
         },
     );
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -98,7 +98,7 @@
 #[test]
 fn a_repeat_of_a_keyed_request_never_runs_and_is_never_rejected() {
     let window = Repeatability::IdempotentWithKey(ms(3_000));
-    for repeat in [RetryOf::Of(0), RetryOf::Past] {
+    for repeat in [RetryOf::Of(0), RetryOf::Finished] {
         let mut node = TestNode::new(Settings {
             repeatability: window,
             ..Settings::default()
@@ -107,7 +107,7 @@
         node.arrive(0, arrival(None, 500));
         // Cached for the rest of the window, which starts when the request reached the machine.
         assert_eq!(node.take_orders()[1..], ["cache_result 0 2540", "run 0"]);
-        if repeat == RetryOf::Past {
+        if repeat == RetryOf::Finished {
             node.finish_run(0, Outcome::Succeeded);
             node.take_orders();
         }
