--- a/crates/forwarder/src/context.rs
+++ b/crates/forwarder/src/context.rs
@@ -118,8 +118,8 @@
     /// Updates all state that is stored by index, if this version changed indices.
     fn on_version_installed(&self, version: u64) {
         if self.fleet.borrow().indices_since() == version {
-            self.upstreams.remove_unconnected();
-            self.upstreams.report_connected(self);
+            self.upstreams.remove_unconnected_members();
+            self.upstreams.report_connected_members(self);
             self.metrics.on_indices_changed(&self.fleet.borrow());
         }
     }
--- a/crates/forwarder/src/request_table.rs
+++ b/crates/forwarder/src/request_table.rs
@@ -70,7 +70,7 @@
 pub struct RequestTable {
     by_id: RefCell<HashMap<u64, InFlightRequest>>,
     /// Notified when a request is added to the empty table.
-    filled: Notify,
+    became_nonempty: Notify,
     timers: AttemptTimers,
 }
 
@@ -106,14 +106,14 @@
         };
         let mut requests = self.by_id.borrow_mut();
         if requests.is_empty() {
-            self.filled.notify_one();
+            self.became_nonempty.notify_one();
         }
         requests.insert(request_id, request);
     }
 
     /// Completes when a request is added to the empty table.
-    pub(crate) async fn filled(&self) {
-        self.filled.notified().await;
+    pub(crate) async fn became_nonempty(&self) {
+        self.became_nonempty.notified().await;
     }
 
     fn remove(&self, request_id: u64) -> Option<InFlightRequest> {
--- a/crates/forwarder/src/server.rs
+++ b/crates/forwarder/src/server.rs
@@ -44,7 +44,7 @@
     loop {
         if context.requests.is_empty() {
             context.fleet.borrow_mut().on_idle();
-            context.requests.filled().await;
+            context.requests.became_nonempty().await;
         }
         sleep(TURN_INTERVAL).await;
         context.fleet.borrow_mut().on_turn(context.now());
--- a/crates/forwarder/src/upstream.rs
+++ b/crates/forwarder/src/upstream.rs
@@ -189,7 +189,7 @@
     }
 
     /// Reports to the routing since when each member is connected, as a new configuration version may add members.
-    pub(crate) fn report_connected(&self, context: &ForwarderContext) {
+    pub(crate) fn report_connected_members(&self, context: &ForwarderContext) {
         let (mut fleet, now) = (context.fleet.borrow_mut(), context.now());
         if !fleet.has_warm_up() {
             return;
@@ -202,7 +202,7 @@
     }
 
     /// Removes members without a connection, such as those of earlier configuration versions.
-    pub(crate) fn remove_unconnected(&self) {
+    pub(crate) fn remove_unconnected_members(&self) {
         self.upstreams
             .borrow_mut()
             .retain(|_, upstream| !upstream.connections.borrow().is_empty());
--- a/crates/forwarder/tests/ramp.rs
+++ b/crates/forwarder/tests/ramp.rs
@@ -94,7 +94,7 @@
 fn start_cold_member(address: Option<SocketAddr>) -> TestServer {
     TestServerOptions {
         address,
-        record_times: true,
+        record_arrival_times: true,
         ..TestServerOptions::default()
     }
     .start()
--- a/crates/test-servers/src/server.rs
+++ b/crates/test-servers/src/server.rs
@@ -96,7 +96,7 @@
     /// Disables counting runs by body, for benches with millions of calls.
     pub forget_runs: bool,
     /// Enables recording the arrival time of each call.
-    pub record_times: bool,
+    pub record_arrival_times: bool,
 }
 
 impl TestServerOptions {
@@ -121,7 +121,7 @@
             released: Notify::new(),
             killed: Notify::new(),
             records_runs: !self.forget_runs,
-            records_times: self.record_times,
+            records_times: self.record_arrival_times,
         });
         let context = ContextOptions {
             shared: shared.clone(),
