--- a/crates/node/src/ticker.rs
+++ b/crates/node/src/ticker.rs
@@ -50,7 +50,7 @@
     let reloaded = context.reloaded_config.borrow();
     let config = reloaded.as_ref().unwrap_or(&context.config);
     let machine = Machine {
-        began: now.saturating_sub(uptime),
+        started: now.saturating_sub(uptime),
         is_cold,
         had_predecessor: uptime > FIRST_START_MAX_AGE,
     };
@@ -100,7 +100,7 @@
 
 fn tick(context: &NodeContext) {
     context.drive_policy(|policy, now, table| {
-        let age = table.gauges_at.map(|at| at.elapsed());
+        let age = table.gauges_received_at.map(|at| at.elapsed());
         if age.is_none_or(|age| age > MAX_GAUGE_AGE) {
             count(&table.counts.stale_gauges);
         }
@@ -112,7 +112,7 @@
 /// Fails unanswered requests that are past their deadline: the policy may have lost them in a panic, and their callers
 /// must be answered nevertheless.
 fn fail_overdue(context: &NodeContext) {
-    let overdue = context.core.borrow().table.overdue(Instant::now());
+    let overdue = context.core.borrow().table.overdue_requests(Instant::now());
     for index in overdue {
         count(&context.counts.unsettled);
         context.drive_policy(|policy, now, table| {
