--- a/crates/traffic-recorder/src/counters.rs
+++ b/crates/traffic-recorder/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Counters since the start, readable at any time from any thread. What is lost is not in the files.
+/// Counters since the start of the recording, readable at any time from any thread. Files lack the lost messages.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Messages that the writer took from the queue.
@@ -13,16 +13,16 @@
     pub lost_disk: AtomicU64,
     /// Files created.
     pub files: AtomicU64,
-    /// Files removed because there were too many.
+    /// Files removed because the limit on the number of files was exceeded.
     pub removed: AtomicU64,
-    /// Failures of the disk.
+    /// Disk failures.
     pub errors: AtomicU64,
-    /// Bytes of the messages that wait in the queue.
+    /// Bytes of the messages in the queue.
     pub(crate) queued_bytes: AtomicUsize,
 }
 
 impl Counters {
-    /// All of them as the counters line of a program has them.
+    /// The public counters in the format of a program's counters line.
     pub fn line(&self) -> String {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         format!(
--- a/crates/traffic-recorder/src/file_store.rs
+++ b/crates/traffic-recorder/src/file_store.rs
@@ -1,34 +1,34 @@
-//! Where capture files are stored: a directory, or what a test puts in its place.
+//! Storage of capture files: a directory, or a fake in tests.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 use std::path::PathBuf;
 
-/// Bytes that are buffered for one write.
+/// Size of the write buffer.
 const WRITE_BUFFER_BYTES: usize = 64 << 10;
 
 /// Numbered capture files.
 pub trait FileStore {
-    /// Creates a file under a number that was not used before.
+    /// Creates the file with this number, which must not have been used before.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// Returns the operating system's error.
     fn create(&mut self, number: u64) -> io::Result<Box<dyn Write>>;
 
-    /// Removes the file of a number.
+    /// Removes the file with this number.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// Returns the operating system's error.
     fn remove(&mut self, number: u64) -> io::Result<()>;
 }
 
-/// Files `NAME-START-000001.pcapng` and so on in a directory; `START` tells starts of the program apart.
+/// Files `NAME-START-000001.pcapng` and so on in a directory; `START` distinguishes runs of the program.
 pub struct Directory {
     /// The directory; it must exist.
     pub path: PathBuf,
     /// The first part of each file name.
     pub name: String,
-    /// The second part: a number that no earlier start of the program used.
+    /// The second part of each file name: a number that no earlier run of the program used.
     pub start: u64,
 }
 
@@ -42,7 +42,7 @@
 
 impl FileStore for Directory {
     fn create(&mut self, number: u64) -> io::Result<Box<dyn Write>> {
-        // A directory that was removed may come back; it is not created here, lest a wrong path fills a disk.
+        // A missing directory is not created, because a wrong path could fill a disk; a removed one may be restored.
         let file = File::options()
             .write(true)
             .create_new(true)
--- a/crates/traffic-recorder/src/lib.rs
+++ b/crates/traffic-recorder/src/lib.rs
@@ -1,15 +1,15 @@
 //! Records a program's own traffic as pcapng files.
 //!
-//! A program hands over each message that passes a connection ([`ConnectionRecorder::record`]); a thread of the recorder's
-//! own makes packets of them and writes files. Between the two is a queue that is bounded in messages and bytes: where
-//! the disk is slow, full or gone, messages are lost and counted, and nobody waits.
+//! A program passes each message of a connection to [`ConnectionRecorder::record`]; the recorder's writer thread turns
+//! the messages into packets and writes them to files. The queue between them is bounded in messages and bytes: if the
+//! disk is slow, full or missing, messages are dropped and counted, and recording never blocks.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`rotation`] | decides, without I/O, what is written to which file |
-//! | [`file_store`] | the files, through a trait that tests make fail |
-//! | `writer` | the thread that carries out the decisions |
-//! | [`counters`] | what was written and what was lost |
+//! | [`file_store`] | access to the files, through a trait that lets tests inject failures |
+//! | `writer` | the thread that executes the decisions |
+//! | [`counters`] | counts of written and lost messages, files and errors |
 
 pub mod counters;
 pub mod file_store;
@@ -32,25 +32,25 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use writer::Writer;
 
-/// Messages that wait for the writer: some tenths of a second of a busy node.
+/// Maximum number of queued messages: a few tenths of a second of traffic at a busy node.
 pub(crate) const MAX_QUEUED_MESSAGES: usize = 8_192;
-/// Bytes that wait for the writer: an eighth of a node's memory.
+/// Maximum number of queued bytes: an eighth of a node's memory.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// How long the writer has at the end to write what is queued.
+/// How long dropping a [`Recorder`] waits for the writer to write the queued messages.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between polls for the writer's end.
+/// Interval at which dropping a [`Recorder`] checks whether the writer has finished.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How much of a recording is retained.
+/// Limits on the size and number of the files retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of one file, exceeded by one message at most.
+    /// Maximum bytes of one file, exceeded by at most one message.
     pub file_bytes: u64,
-    /// Files that are retained; the oldest is removed.
+    /// Maximum number of files; beyond it, the oldest is removed.
     pub files: u64,
 }
 
-/// A recording. Dropping it ends the recording; what is queued is written if the disk takes it within 500 ms.
+/// A recording. Dropping it ends the recording and allows 500 ms for the queued messages to be written.
 pub struct Recorder {
     queue: Option<SyncSender<RecordedMessage>>,
     writer: Option<JoinHandle<()>>,
@@ -59,10 +59,10 @@
 }
 
 impl Recorder {
-    /// Starts the writer; `program` is named in each file's header.
+    /// Starts the writer thread; each file's header contains the name `program`.
     ///
     /// # Errors
-    /// No thread could be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         store: impl FileStore + Send + 'static,
         limits: Limits,
@@ -72,9 +72,9 @@
         let counters = Arc::new(Counters::default());
         let writer_counters = counters.clone();
         let rotation = Rotation::new(limits, rainstand_capture::write::head(program));
-        let thread = std::thread::Builder::new().name("recorder".into());
+        let builder = std::thread::Builder::new().name("recorder".into());
         let writer =
-            thread.spawn(move || Writer::new(store, rotation, &writer_counters).run(&receiver))?;
+            builder.spawn(move || Writer::new(store, rotation, &writer_counters).run(&receiver))?;
         Ok(Rc::new(Self {
             queue: Some(sender),
             writer: Some(writer),
@@ -88,7 +88,7 @@
         &self.counters
     }
 
-    /// Begins the recording of one connection.
+    /// Starts recording one connection.
     pub fn connection(
         self: &Rc<Self>,
         client: SocketAddr,
@@ -132,29 +132,29 @@
         let Some(writer) = self.writer.take() else {
             return;
         };
-        // Guards against a disk that hangs at a program's end: what it does not take by then is lost.
+        // Keeps a hanging disk from blocking the program's exit: messages not written by the deadline are lost.
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         while !writer.is_finished() && Instant::now() < deadline {
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
         if writer.is_finished() {
-            // A writer that panicked has nothing more to report.
+            // The result is ignored: a writer that panicked has nothing more to report.
             let _ = writer.join();
         }
     }
 }
 
-/// The recording of one connection; dropping it records the connection's end.
+/// Records one connection; dropping it records the end of the connection.
 pub struct ConnectionRecorder {
     recorder: Rc<Recorder>,
     number: u64,
     ends: [End; 2],
-    /// Bytes of each side so far, lost ones included: a gap in the file is as long as what is missing.
+    /// Bytes sent by each side so far, including lost ones, so that a gap in the file has the length of the lost data.
     sent_bytes: [Cell<u64>; 2],
 }
 
 impl ConnectionRecorder {
-    /// Records a complete message of one side, as it passed the socket.
+    /// Records a complete message sent by one side, with the bytes as sent on the socket.
     pub fn record(&self, side: Side, bytes: &[u8]) {
         let sent = &self.sent_bytes[side as usize];
         let offset = sent.replace(sent.get() + bytes.len() as u64);
@@ -166,7 +166,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         self.recorder.enqueue(RecordedMessage {
-            at_ns: since_epoch.as_nanos() as u64,
+            timestamp_ns: since_epoch.as_nanos() as u64,
             connection: self.number,
             ends: self.ends,
             side,
--- a/crates/traffic-recorder/src/rotation.rs
+++ b/crates/traffic-recorder/src/rotation.rs
@@ -1,18 +1,18 @@
-//! Decides, without I/O, what is written to which file: openings of connections, gaps, full files, files to remove.
+//! Decides, without I/O, what is written to which file: handshakes, gaps, rotation of full files, removal of old ones.
 //!
-//! Each file can be read alone: a connection that continues in a new file is opened there again, at the offset that it
-//! has reached. Where messages were lost the connection is opened again too, since a reader could prove no message
-//! boundary behind the gap; requests that were open then read as unanswered, not as disconnected.
+//! Each file is readable on its own: a connection that continues in a new file starts there with a new handshake at its
+//! current offset. A handshake is also written after lost messages, because a reader cannot determine a message boundary
+//! after a gap; requests in flight at that point are read as unanswered, not as disconnected.
 //!
-//! Invariants: a connection in `connections` was opened in the current file, with the offsets of what follows; files are
-//! numbered upwards without gaps, and at most [`Limits::files`] of them exist.
+//! Invariants: each connection in `connections` has a handshake in the current file, and its entry holds the offsets of
+//! the next bytes; file numbers ascend without gaps, and at most [`Limits::files`] files exist.
 
 use crate::Limits;
 use rainstand_capture::packet::End;
 use rainstand_capture::write::{self, Flags, SEGMENT};
 use std::collections::BTreeMap;
 
-/// Bits of the sequence numbers in which each opening of a connection differs from the one before.
+/// Position of the lowest sequence number bit that differs between successive handshakes of a connection.
 const REOPENING_SHIFT: u32 = 28;
 
 /// One of the two ends of a recorded connection.
@@ -25,7 +25,7 @@
 }
 
 impl Side {
-    /// Both, the client first.
+    /// Both sides, the client first.
     const BOTH: [Self; 2] = [Self::Client, Self::Server];
 
     fn other(self) -> Self {
@@ -39,19 +39,19 @@
 /// One message of one side of a connection, or the connection's end.
 #[derive(Clone, Debug)]
 pub struct RecordedMessage {
-    /// Nanoseconds of Unix time.
-    pub at_ns: u64,
+    /// Unix time in nanoseconds.
+    pub timestamp_ns: u64,
     /// Number of the connection, unique within a recording.
     pub connection: u64,
     /// Addresses of the client and the server.
     pub ends: [End; 2],
-    /// Who sent it.
+    /// The side that sent the message.
     pub side: Side,
-    /// Bytes that this side sent before it.
+    /// Number of bytes that this side sent before the message.
     pub offset: u64,
-    /// The message; empty at the connection's end.
+    /// The message; empty at the end of the connection.
     pub bytes: Box<[u8]>,
-    /// Whether the connection is over.
+    /// Whether this marks the end of the connection.
     pub is_end: bool,
 }
 
@@ -61,14 +61,14 @@
     }
 }
 
-/// The number of a file, from 1.
+/// The number of a file, starting at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileNumber(pub u64);
 
-/// What the writer does next.
+/// An operation for the writer to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileAction {
-    /// Create this file; from here on it is the current one.
+    /// Create this file and make it the current one.
     Open(FileNumber),
     /// Remove this file.
     Remove(FileNumber),
@@ -81,7 +81,7 @@
     written_bytes: u64,
 }
 
-/// The decisions of a recording, see the module's head.
+/// Decides what the writer does with each message; see the module documentation.
 pub struct Rotation {
     limits: Limits,
     file_header: Vec<u8>,
@@ -92,32 +92,32 @@
     connections: BTreeMap<u64, Progress>,
 }
 
-/// How far a connection has come in the current file.
+/// Position of a connection in the current file.
 #[derive(Clone, Copy, Default)]
 struct Progress {
-    /// For each side, the offset of what follows.
+    /// For each side, the offset of the next byte.
     next_offset: [u64; 2],
-    /// How often it was opened again: each opening has sequence numbers of its own, so that none reads as a
-    /// retransmission of an earlier one.
+    /// Number of handshakes after the first: each uses a separate range of sequence numbers, so that a reader does not
+    /// take it for a retransmission of an earlier one.
     reopenings: u32,
 }
 
 impl Progress {
-    /// The sequence number of a side's next byte; the opening before its first byte counts as one.
+    /// The sequence number of a side's next byte; the SYN before its first byte counts as one.
     fn sequence_number(&self, side: Side) -> u32 {
         (self.next_offset[side as usize] as u32)
             .wrapping_add(2)
             .wrapping_add(self.reopenings << REOPENING_SHIFT)
     }
 
-    /// Whether this message follows directly on what is in the current file.
+    /// Whether the message directly follows the data in the current file.
     fn is_continued_by(&self, message: &RecordedMessage) -> bool {
         message.is_end || self.next_offset[message.side as usize] == message.offset
     }
 }
 
 impl Rotation {
-    /// `file_header`: the bytes that each file begins with.
+    /// Creates the state of a recording without files; each file starts with `file_header`.
     pub fn new(limits: Limits, file_header: Vec<u8>) -> Self {
         Self {
             limits,
@@ -129,11 +129,11 @@
         }
     }
 
-    /// What one message asks for, in this order.
+    /// Returns the actions that record one message, in the order of execution.
     pub fn on_message(&mut self, message: &RecordedMessage) -> Vec<FileAction> {
         let mut actions = Vec::new();
         if message.is_end && !self.connections.contains_key(&message.connection) {
-            // Nothing of the connection is in this file.
+            // The current file has no data of this connection.
             return actions;
         }
         if self.needs_new_file() {
@@ -147,7 +147,7 @@
         actions
     }
 
-    /// The current file cannot be written further: what comes next goes to a new one.
+    /// Abandons the current file after a failure; the next message is written to a new file.
     pub fn on_failure(&mut self) {
         self.current = None;
         self.connections.clear();
@@ -160,7 +160,7 @@
             .is_none_or(|current| current.written_bytes >= max_bytes)
     }
 
-    /// Opens a new file; the oldest ones are removed if there are too many.
+    /// Opens a new file and removes the oldest ones beyond the limit.
     fn open_next_file(&mut self, actions: &mut Vec<FileAction>) {
         let number = self.next_number;
         self.next_number += 1;
@@ -176,7 +176,7 @@
         actions.push(FileAction::Write(self.file_header.clone()));
     }
 
-    /// The packets of a message, with an opening before them where the current file has none that it continues.
+    /// The packets of a message, preceded by a handshake unless the message continues data in the current file.
     fn packets(&mut self, message: &RecordedMessage) -> Vec<u8> {
         let mut bytes = Vec::new();
         let known = self.connections.get(&message.connection).copied();
@@ -186,11 +186,11 @@
             progress.next_offset[message.side as usize] = message.offset;
             let reopenings = u32::from(known.is_some());
             progress.reopenings = progress.reopenings.wrapping_add(reopenings);
-            write_opening(&mut bytes, message, &progress);
+            write_handshake(&mut bytes, message, &progress);
         }
         write_payload(&mut bytes, message, &mut progress);
         if message.is_end {
-            write_end(&mut bytes, message, &progress);
+            write_fins(&mut bytes, message, &progress);
             self.connections.remove(&message.connection);
         } else {
             self.connections.insert(message.connection, progress);
@@ -211,11 +211,11 @@
     let from = message.address(side);
     let to = message.address(side.other());
     let packet = write::segment(from, to, sequence_number, flags, payload);
-    write::packet(bytes, message.at_ns, &packet, packet.len());
+    write::packet(bytes, message.timestamp_ns, &packet, packet.len());
 }
 
-/// The handshake that a reader takes a connection's offsets from.
-fn write_opening(bytes: &mut Vec<u8>, message: &RecordedMessage, progress: &Progress) {
+/// Appends the handshake from which a reader derives the connection's offsets.
+fn write_handshake(bytes: &mut Vec<u8>, message: &RecordedMessage, progress: &Progress) {
     let syn = Flags {
         syn: true,
         ..Flags::default()
@@ -230,6 +230,7 @@
     }
 }
 
+/// Appends the message as data packets and advances `progress`.
 fn write_payload(bytes: &mut Vec<u8>, message: &RecordedMessage, progress: &mut Progress) {
     let side = message.side;
     for part in message.bytes.chunks(SEGMENT) {
@@ -243,8 +244,8 @@
     }
 }
 
-/// Both sides' end of stream.
-fn write_end(bytes: &mut Vec<u8>, message: &RecordedMessage, progress: &Progress) {
+/// Appends a FIN packet from each side.
+fn write_fins(bytes: &mut Vec<u8>, message: &RecordedMessage, progress: &Progress) {
     for side in Side::BOTH {
         let flags = Flags {
             fin: true,
--- a/crates/traffic-recorder/src/writer.rs
+++ b/crates/traffic-recorder/src/writer.rs
@@ -1,7 +1,7 @@
-//! The writer thread: takes messages from the queue and carries out what [`Rotation`] decides, one file at a time.
+//! The writer thread: takes messages from the queue and executes the actions of [`Rotation`], one file at a time.
 //!
-//! A failure of the disk costs records, never the program: the current file is left, and after [`DISK_BACKOFF`] the next
-//! message begins a new one.
+//! A disk failure loses messages but does not affect the program: the current file is abandoned, and after
+//! [`DISK_BACKOFF`] the next message starts a new one.
 
 use crate::counters::Counters;
 use crate::file_store::FileStore;
@@ -12,15 +12,15 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::{Duration, Instant};
 
-/// Between polls of an empty queue: a wake-up for each message would slow down every request.
+/// Interval between polls of an empty queue; waking the writer for each message would slow down every request.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The same after a poll that found at least [`BUSY_BATCH`] messages.
+/// Interval after a poll that found at least [`BUSY_BATCH`] messages.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Messages in one poll from which the queue counts as busy.
+/// Minimum number of messages in one poll for the queue to count as busy.
 const BUSY_BATCH: usize = MAX_QUEUED_MESSAGES / 8;
-/// Between flushes of the current file.
+/// Minimum interval between flushes of the current file.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
-/// After a failure of the disk, until it is used again.
+/// Delay after a disk failure before the disk is used again.
 const DISK_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The state of the writer thread.
@@ -34,7 +34,7 @@
 }
 
 impl<'counters, S: FileStore> Writer<'counters, S> {
-    /// A writer that has created no file yet.
+    /// Creates a writer without a file.
     pub(crate) fn new(store: S, rotation: Rotation, counters: &'counters Counters) -> Self {
         Self {
             store,
@@ -68,12 +68,12 @@
             }
         }
         if let Some(mut file) = self.file {
-            // What the disk does not take at the very end is lost.
+            // Data that cannot be flushed at the end of the recording is lost.
             let _ = file.flush();
         }
     }
 
-    /// Writes one message; whether the disk was used, and not left alone after a failure.
+    /// Writes one message. Returns `false` if the message was dropped during the backoff after a disk failure.
     fn on_message(&mut self, message: &RecordedMessage) -> bool {
         let counters = self.counters;
         counters
@@ -86,17 +86,17 @@
         }
         self.retry_at = None;
         let actions = self.rotation.on_message(message);
-        let done = actions
+        let result = actions
             .into_iter()
-            .try_for_each(|action| self.carry_out(action));
-        if done.is_err() {
+            .try_for_each(|action| self.execute(action));
+        if result.is_err() {
             counters.lost_disk.fetch_add(1, Ordering::Relaxed);
             self.on_failure();
         }
         true
     }
 
-    fn carry_out(&mut self, action: FileAction) -> io::Result<()> {
+    fn execute(&mut self, action: FileAction) -> io::Result<()> {
         match action {
             FileAction::Open(FileNumber(number)) => {
                 self.file = Some(self.store.create(number)?);
@@ -104,7 +104,7 @@
                 Ok(())
             }
             FileAction::Remove(FileNumber(number)) => {
-                // One that is gone already is no failure of the recording.
+                // A file that was already removed is not an error.
                 if self.store.remove(number).is_ok() {
                     self.counters.removed.fetch_add(1, Ordering::Relaxed);
                 }
@@ -135,7 +135,7 @@
     }
 }
 
-/// How long the queue rests after a poll that found `batch` messages.
+/// Delay before the next poll, after one that found `batch` messages.
 fn poll_interval(batch: usize) -> Duration {
     if batch >= BUSY_BATCH {
         BUSY_POLL_INTERVAL
--- a/crates/traffic-recorder/tests/recording.rs
+++ b/crates/traffic-recorder/tests/recording.rs
@@ -1,4 +1,4 @@
-//! What was said is in the files, each file readable alone; a disk that fails costs records only.
+//! Recorded messages are in the files, each file is readable on its own, and a disk failure loses only messages.
 
 #![allow(
     missing_docs,
@@ -33,7 +33,7 @@
     let end = |port| rainstand_capture::packet::End::new([127, 0, 0, 1].into(), port);
     let ends = [end(40_000 + connection as u16), end(5050)];
     RecordedMessage {
-        at_ns: 1_700_000_000_000_000_000 + offset,
+        timestamp_ns: 1_700_000_000_000_000_000 + offset,
         connection,
         ends,
         side,
@@ -43,46 +43,46 @@
     }
 }
 
-/// Runs messages through the rotation into files in memory.
-fn files(limits: Limits, messages: &[RecordedMessage]) -> Vec<(u64, Vec<u8>)> {
+/// Passes messages through the rotation and returns the retained files with their numbers.
+fn rotated_files(limits: Limits, messages: &[RecordedMessage]) -> Vec<(u64, Vec<u8>)> {
     let mut rotation = Rotation::new(limits, rainstand_capture::write::head("test"));
-    let mut kept: Vec<(u64, Vec<u8>)> = Vec::new();
+    let mut files: Vec<(u64, Vec<u8>)> = Vec::new();
     for message in messages {
         for action in rotation.on_message(message) {
             match action {
-                FileAction::Open(FileNumber(number)) => kept.push((number, Vec::new())),
-                FileAction::Remove(FileNumber(number)) => kept.retain(|(one, _)| *one != number),
-                FileAction::Write(bytes) => kept.last_mut().unwrap().1.extend(bytes),
+                FileAction::Open(FileNumber(number)) => files.push((number, Vec::new())),
+                FileAction::Remove(FileNumber(number)) => files.retain(|(n, _)| *n != number),
+                FileAction::Write(bytes) => files.last_mut().unwrap().1.extend(bytes),
             }
         }
     }
-    kept
+    files
 }
 
-/// Calls and answers on some connections: `lost` leaves messages out.
-fn talk(
+/// Calls and answers on several connections without the messages that `lost` drops, and the number of calls left.
+fn generate_messages(
     seed: u64,
     connections: u64,
     calls: i32,
     lost: impl Fn(&mut WyRand) -> bool,
 ) -> (Vec<RecordedMessage>, usize) {
-    let mut chance = WyRand::new_seed(seed);
-    let mut said = vec![[0u64; 2]; connections as usize];
-    let (mut messages, mut kept_calls) = (Vec::new(), 0);
+    let mut rng = WyRand::new_seed(seed);
+    let mut sent_bytes = vec![[0u64; 2]; connections as usize];
+    let (mut messages, mut recorded_calls) = (Vec::new(), 0);
     for seq in 1..=calls {
         for connection in 0..connections {
-            let body: Vec<u8> = (0..chance.generate_range(0..3_000usize))
-                .map(|_| chance.generate())
+            let body: Vec<u8> = (0..rng.generate_range(0..3_000usize))
+                .map(|_| rng.generate())
                 .collect();
             let frames = [
                 thrift::process(seq, &[("route", "check")], &body),
                 thrift::answer(b"process", seq, &body, true),
             ];
             for (side, frame) in [Side::Client, Side::Server].into_iter().zip(&frames) {
-                let offset = &mut said[connection as usize][side as usize];
-                if !lost(&mut chance) {
+                let offset = &mut sent_bytes[connection as usize][side as usize];
+                if !lost(&mut rng) {
                     messages.push(message(connection, side, *offset, frame, false));
-                    kept_calls += usize::from(side == Side::Client);
+                    recorded_calls += usize::from(side == Side::Client);
                 }
                 *offset += frame.len() as u64;
             }
@@ -92,18 +92,18 @@
         message(
             connection,
             Side::Client,
-            said[connection as usize][0],
+            sent_bytes[connection as usize][0],
             b"",
             true,
         )
     }));
-    (messages, kept_calls)
+    (messages, recorded_calls)
 }
 
 #[test]
-fn every_file_can_be_read_alone() {
-    let (messages, calls) = talk(1, 7, 60, |_| false);
-    let all = files(
+fn each_file_is_readable_on_its_own() {
+    let (messages, calls) = generate_messages(1, 7, 60, |_| false);
+    let all = rotated_files(
         Limits {
             file_bytes: 60_000,
             files: 1_000,
@@ -111,7 +111,7 @@
         &messages,
     );
     assert!(all.len() > 10, "{} files", all.len());
-    let (mut found, mut alone, mut honoured) = (0, 0, 0);
+    let (mut found, mut unmatched_answers, mut served) = (0, 0, 0);
     for (_, file) in &all {
         assert!(file.len() < 70_000);
         let summary = read(&file[..], |_| {});
@@ -125,36 +125,37 @@
         );
         assert_eq!(summary.cut_off, None);
         found += summary.tickets.calls as usize;
-        honoured += summary.tickets.honoured as usize;
-        alone += summary.tickets.answers_alone as usize;
+        served += summary.tickets.honoured as usize;
+        unmatched_answers += summary.tickets.answers_alone as usize;
     }
-    // A call in one file may have its answer in the next.
-    assert_eq!((found, honoured + alone), (calls, calls));
-    let few = files(
+    // The answer to a call may be in the file after the call.
+    assert_eq!((found, served + unmatched_answers), (calls, calls));
+    let newest = rotated_files(
         Limits {
             file_bytes: 60_000,
             files: 3,
         },
         &messages,
     );
-    assert_eq!(few, all[all.len() - 3..]);
+    assert_eq!(newest, all[all.len() - 3..]);
 }
 
 #[test]
-fn lost_messages_cost_their_own_requests_only() {
+fn lost_messages_affect_only_their_own_requests() {
     for seed in 0..40 {
-        let (messages, calls) = talk(seed, 3, 40, |chance| chance.generate_range(0..6u8) == 0);
-        let all = files(
+        let (messages, calls) =
+            generate_messages(seed, 3, 40, |rng| rng.generate_range(0..6u8) == 0);
+        let all = rotated_files(
             Limits {
                 file_bytes: u64::MAX,
                 files: 1,
             },
             &messages,
         );
-        let mut gone = 0;
+        let mut disconnected = 0;
         let summary = read(&all[0].1[..], |event| {
             if let Event::Ticket(ticket) = event {
-                gone += u64::from(ticket.outcome == Outcome::Gone);
+                disconnected += u64::from(ticket.outcome == Outcome::Gone);
             }
         });
         assert_eq!(
@@ -171,9 +172,9 @@
 }
 
 #[test]
-fn a_file_that_ends_anywhere_reads_up_to_its_last_whole_block() {
-    let (messages, _) = talk(3, 2, 3, |_| false);
-    let (_, file) = files(
+fn truncated_file_is_readable_up_to_its_last_complete_block() {
+    let (messages, _) = generate_messages(3, 2, 3, |_| false);
+    let (_, file) = rotated_files(
         Limits {
             file_bytes: u64::MAX,
             files: 1,
@@ -181,40 +182,42 @@
         &messages,
     )
     .remove(0);
-    let mut before = 0;
+    let mut previous_calls = 0;
     for cut in (0..=file.len()).step_by(7) {
         let calls = read(&file[..cut], |_| {}).tickets.calls;
-        assert!(calls >= before);
-        before = calls;
+        assert!(calls >= previous_calls);
+        previous_calls = calls;
     }
     assert_eq!(read(&file[..], |_| {}).tickets.honoured, 6);
 }
 
-/// A disk that fails as told: no file, no room after some bytes, or writes that hang.
+/// A fake store with injected faults: file creation fails, the free space runs out, or writes hang.
 #[derive(Clone, Default)]
-struct Faulty {
-    no_file: Arc<AtomicBool>,
-    room: Arc<AtomicUsize>,
-    hangs: Arc<AtomicBool>,
+struct FaultyStore {
+    create_fails: Arc<AtomicBool>,
+    free_bytes: Arc<AtomicUsize>,
+    writes_hang: Arc<AtomicBool>,
     files: Arc<Mutex<Vec<Vec<u8>>>>,
 }
 
-struct FaultyFile(Faulty, usize);
+struct FaultyFile(FaultyStore, usize);
 
 impl Write for FaultyFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        while self.0.hangs.load(Ordering::Relaxed) {
+        while self.0.writes_hang.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(1));
         }
-        let room = self.0.room.load(Ordering::Relaxed);
-        if room == 0 {
+        let free_bytes = self.0.free_bytes.load(Ordering::Relaxed);
+        if free_bytes == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        // A full disk takes a part of what it is given.
-        let taken = bytes.len().min(room);
-        self.0.room.store(room - taken, Ordering::Relaxed);
-        self.0.files.lock().unwrap()[self.1].extend(&bytes[..taken]);
-        Ok(taken)
+        // A disk that fills up writes only part of the buffer.
+        let written_bytes = bytes.len().min(free_bytes);
+        self.0
+            .free_bytes
+            .store(free_bytes - written_bytes, Ordering::Relaxed);
+        self.0.files.lock().unwrap()[self.1].extend(&bytes[..written_bytes]);
+        Ok(written_bytes)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -222,9 +225,9 @@
     }
 }
 
-impl FileStore for Faulty {
+impl FileStore for FaultyStore {
     fn create(&mut self, _: u64) -> io::Result<Box<dyn Write>> {
-        if self.no_file.load(Ordering::Relaxed) {
+        if self.create_fails.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::NotFound.into());
         }
         let mut files = self.files.lock().unwrap();
@@ -237,71 +240,71 @@
     }
 }
 
-const WIDE: Limits = Limits {
+const LARGE_LIMITS: Limits = Limits {
     file_bytes: 1 << 40,
     files: 4,
 };
 
 #[test]
-fn a_disk_that_fails_costs_records_and_is_tried_again() {
-    let disk = Faulty::default();
-    disk.room.store(5_000, Ordering::Relaxed);
-    let recorder = Recorder::start(disk.clone(), WIDE, "test").unwrap();
+fn recording_resumes_after_a_disk_failure() {
+    let disk = FaultyStore::default();
+    disk.free_bytes.store(5_000, Ordering::Relaxed);
+    let recorder = Recorder::start(disk.clone(), LARGE_LIMITS, "test").unwrap();
     let frame = thrift::process(1, &[("route", "check")], &[7; 700]);
     let connection = recorder.connection(address(40_000), address(5050));
-    let of = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
-    let (mut handed, mut round) = (0u64, 0);
-    // Full after some messages; then there is room again, and later ones are in a file of their own.
-    while of(&recorder.counters().files) < 2 || of(&recorder.counters().errors) < 1 {
+    let value = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
+    let (mut recorded, mut iterations) = (0u64, 0);
+    // The disk is full after a few messages; once it has free space again, later messages are in a new file.
+    while value(&recorder.counters().files) < 2 || value(&recorder.counters().errors) < 1 {
         connection.record(Side::Client, &frame);
-        handed += 1;
-        round += 1;
-        if of(&recorder.counters().errors) > 0 {
-            disk.room.store(1 << 30, Ordering::Relaxed);
+        recorded += 1;
+        iterations += 1;
+        if value(&recorder.counters().errors) > 0 {
+            disk.free_bytes.store(1 << 30, Ordering::Relaxed);
         }
         std::thread::sleep(Duration::from_millis(5));
         assert!(
-            round < 4_000,
-            "it is not tried again: {}",
+            iterations < 4_000,
+            "recording did not resume after the disk failure: {}",
             recorder.counters().line()
         );
     }
     drop(connection);
     let counters = recorder.counters();
     assert!(
-        of(&counters.lost_disk) > 0 && of(&counters.lost_queue) == 0,
+        value(&counters.lost_disk) > 0 && value(&counters.lost_queue) == 0,
         "{}",
         counters.line()
     );
-    let lost = of(&counters.lost_disk);
+    let lost = value(&counters.lost_disk);
     drop(recorder);
     let files = disk.files.lock().unwrap();
     let found: u64 = files
         .iter()
         .map(|file| read(&file[..], |_| {}).tickets.calls)
         .sum();
-    // What is not counted as lost is there, but for what the failing write itself took along.
+    // Messages not counted as lost are in the files, except those lost in the failed write itself.
     assert!(
-        found <= handed && found + lost + 1 >= handed.saturating_sub(8),
-        "{found} {lost} {handed}"
+        found <= recorded && found + lost + 1 >= recorded.saturating_sub(8),
+        "{found} {lost} {recorded}"
     );
 }
 
 #[test]
-fn a_disk_that_hangs_never_holds_up_who_hands_over() {
-    let disk = Faulty::default();
-    disk.room.store(1 << 30, Ordering::Relaxed);
-    disk.hangs.store(true, Ordering::Relaxed);
-    let recorder = Recorder::start(disk.clone(), WIDE, "test").unwrap();
+fn recording_does_not_block_while_the_disk_hangs() {
+    let disk = FaultyStore::default();
+    disk.free_bytes.store(1 << 30, Ordering::Relaxed);
+    disk.writes_hang.store(true, Ordering::Relaxed);
+    let recorder = Recorder::start(disk.clone(), LARGE_LIMITS, "test").unwrap();
     let connection = recorder.connection(address(40_000), address(5050));
     let frame = thrift::process(1, &[("route", "check")], &[7; 700]);
-    // Far more than the queue holds; with a disk that never answers this would never end if it waited.
+    // Far more messages than the queue holds: if `record` waited for the hanging disk, the loop would never end.
     for _ in 0..50_000 {
         connection.record(Side::Client, &frame);
     }
     let lost = recorder.counters().lost_queue.load(Ordering::Relaxed);
     assert!(lost > 40_000, "{}", recorder.counters().line());
-    disk.hangs.store(false, Ordering::Relaxed);
+    disk.writes_hang.store(false, Ordering::Relaxed);
     drop(connection);
     drop(recorder);
     let files = disk.files.lock().unwrap();
@@ -309,12 +312,12 @@
 }
 
 #[test]
-fn files_in_a_folder_and_a_folder_that_goes() {
-    let folder = tempfile::tempdir().unwrap();
-    let inner = folder.path().join("records");
-    std::fs::create_dir(&inner).unwrap();
+fn oldest_files_are_removed_and_a_missing_directory_counts_as_an_error() {
+    let temp_dir = tempfile::tempdir().unwrap();
+    let capture_dir = temp_dir.path().join("records");
+    std::fs::create_dir(&capture_dir).unwrap();
     let directory = Directory {
-        path: inner.clone(),
+        path: capture_dir.clone(),
         name: "n1".into(),
         start: 9,
     };
@@ -336,9 +339,9 @@
     }
     drop(connection);
     drop(recorder);
-    let mut names: Vec<_> = std::fs::read_dir(&inner)
+    let mut names: Vec<_> = std::fs::read_dir(&capture_dir)
         .unwrap()
-        .map(|e| e.unwrap().file_name().into_string().unwrap())
+        .map(|entry| entry.unwrap().file_name().into_string().unwrap())
         .collect();
     names.sort();
     assert_eq!(names.len(), 2, "{names:?}");
@@ -348,13 +351,13 @@
             .all(|name| name.starts_with("n1-9-0000") && name.ends_with(".pcapng")),
         "{names:?}"
     );
-    std::fs::remove_dir_all(&inner).unwrap();
+    std::fs::remove_dir_all(&capture_dir).unwrap();
     let directory = Directory {
-        path: inner,
+        path: capture_dir,
         name: "n1".into(),
         start: 10,
     };
-    let recorder = Recorder::start(directory, WIDE, "test").unwrap();
+    let recorder = Recorder::start(directory, LARGE_LIMITS, "test").unwrap();
     let connection = recorder.connection(address(40_000), address(5050));
     connection.record(Side::Client, b"lost");
     drop(connection);
