--- a/crates/storage/src/atomic_file.rs
+++ b/crates/storage/src/atomic_file.rs
@@ -1,17 +1,17 @@
-//! Files that are there completely or not at all.
+//! Atomic file writes: after a crash a file has its old or its new contents, never a part.
 
 use crate::disk::Disk;
 use std::io;
 
-/// Ends the names of files that are being written. After a crash they are worth nothing and can be removed.
+/// Suffix of files that are being written. After a crash they are incomplete and can be removed.
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// Whether a file was being written when the program ended.
+/// Whether the name is that of a file whose write was not completed.
 pub(crate) fn is_temporary(name: &str) -> bool {
     name.ends_with(TEMPORARY_SUFFIX)
 }
 
-/// Writes a file, durably. After a crash it holds all bytes, or what it held before.
+/// Writes a file durably. After a crash it has either the new contents or the previous ones.
 pub(crate) fn write_atomically(disk: &mut impl Disk, name: &str, bytes: &[u8]) -> io::Result<()> {
     let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     disk.append(&temporary, bytes)?;
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,21 +1,21 @@
-//! The operations that a store needs of a folder of files, and a folder of the file system.
+//! The file operations that a store needs, and their implementation on a folder of the file system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Bound on the quarantine folders that are retained: beyond it the oldest ones are removed.
+/// Maximum number of quarantine folders; the oldest ones are removed first.
 const MAX_QUARANTINED: usize = 3;
-/// Begins the names of quarantine folders; a number follows.
+/// Prefix of the names of quarantine folders; a number follows.
 const QUARANTINE_PREFIX: &str = "aside-";
-/// The file that is locked against a second process.
+/// The file whose lock excludes a second process.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of files, by plain file names. Appended bytes are durable once [`Disk::flush`] returns; a file's name is
+/// A folder of files, addressed by plain file names. Appended bytes are durable once [`Disk::flush`] returns; a file's name is
 /// durable once the first `flush` of the file or its [`Disk::rename`] returns.
 pub trait Disk {
-    /// The names of all files, in order.
+    /// The names of all files, sorted.
     ///
     /// # Errors
     /// If the folder cannot be read.
@@ -27,48 +27,48 @@
     /// If the file does not exist or cannot be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Appends bytes to a file, which is created if it does not exist. They are not durable when this returns.
+    /// Appends bytes to a file and creates it if needed. The bytes are durable only after a [`Disk::flush`].
     ///
     /// # Errors
-    /// If the bytes cannot be written; some of them may have been.
+    /// If the bytes cannot be written; a part of them may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes all bytes that were appended to a file durable.
     ///
     /// # Errors
-    /// If they cannot be flushed; what was appended since the last flush may be there or not.
+    /// If the flush fails; bytes appended since the last flush may or may not be stored.
     fn flush(&mut self, name: &str) -> io::Result<()>;
 
-    /// Shortens a file to `len` bytes, durably.
+    /// Truncates a file to `len` bytes, durably.
     ///
     /// # Errors
-    /// If the file does not exist or cannot be shortened.
+    /// If the file does not exist or cannot be truncated.
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
 
-    /// Renames a file, durably and atomically, in place of a file of the new name.
+    /// Renames a file durably and atomically, replacing any file of the new name.
     ///
     /// # Errors
     /// If the file does not exist or cannot be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. After a crash it may be back.
+    /// Removes a file. The removal is not durable: the file may exist again after a crash.
     ///
     /// # Errors
     /// If the file does not exist or cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Moves all files to a place where a person can inspect them. The folder is empty afterwards.
+    /// Moves all files to a quarantine folder for manual inspection. The store's folder is empty afterwards.
     ///
     /// # Errors
     /// If a file cannot be moved.
     fn quarantine(&mut self) -> io::Result<()>;
 }
 
-/// Injects faults into a [`FolderDisk`], in tests of the whole program. It is called before each flush, and may block or
-/// return the error with which the flush fails.
+/// Injects faults into a [`FolderDisk`] in end-to-end tests. It is called before each flush, and may block or return the
+/// error with which the flush fails.
 pub type FaultHook = std::sync::Arc<dyn Fn() -> io::Result<()> + Send + Sync>;
 
-/// A folder of the file system, locked against a second process.
+/// A folder of the file system, locked so that no second process can open it.
 pub struct FolderDisk {
     path: PathBuf,
     /// Files that are open for appending, by name.
@@ -84,7 +84,7 @@
 }
 
 impl FolderDisk {
-    /// Opens a folder, which is created if it does not exist.
+    /// Opens a folder and creates it if needed.
     ///
     /// # Errors
     /// If it cannot be created or read, or another process holds its lock.
@@ -98,7 +98,10 @@
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                let text = format!("{}: another process has this folder", path.display());
+                let text = format!(
+                    "{}: the folder is locked by another process",
+                    path.display()
+                );
                 return Err(io::Error::new(io::ErrorKind::ResourceBusy, text));
             }
             Err(TryLockError::Error(error)) => return Err(error),
@@ -111,7 +114,7 @@
         })
     }
 
-    /// Injects faults from now on.
+    /// Sets the hook that injects faults.
     #[must_use]
     pub fn with_fault_hook(mut self, fault_hook: FaultHook) -> Self {
         self.fault_hook = Some(fault_hook);
@@ -124,12 +127,12 @@
             .map_or(Ok(()), |fault_hook| fault_hook())
     }
 
-    /// Makes the names in the folder durable.
+    /// Makes the folder's file names durable.
     fn sync_folder(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
-    /// The file of a name, opened for appending or created.
+    /// Returns the file, opened for appending and created if needed.
     fn append_file(&mut self, name: &str) -> io::Result<AppendFile<'_>> {
         let path = self.path.join(name);
         let is_open = self.open_files.contains_key(name);
@@ -145,7 +148,7 @@
         Ok(AppendFile { file, is_new })
     }
 
-    /// Numbers of the quarantine folders, in order.
+    /// Numbers of the quarantine folders, ascending.
     fn quarantine_numbers(&self) -> io::Result<Vec<u64>> {
         let mut numbers: Vec<u64> = Vec::new();
         for entry in fs::read_dir(&self.path)? {
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,16 +1,16 @@
-//! Why a store cannot be opened.
+//! Errors of opening, recovering and repairing a store.
 
 use std::io;
 
-/// A place in a file that cannot be read or contradicts other files.
+/// A position in a file whose contents are unreadable or contradict other files.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file} at byte {offset}: {reason}")]
 pub struct Damage {
     /// Name of the file in the store's folder.
     pub file: String,
-    /// Position of the first byte that is affected.
+    /// Offset of the first affected byte.
     pub offset: u64,
-    /// What is wrong there.
+    /// Description of the damage.
     pub reason: String,
 }
 
@@ -27,7 +27,7 @@
 /// Why a store cannot be opened, recovered or repaired.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The disk failed.
+    /// A disk operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The files are damaged.
--- a/crates/storage/src/faulty_disk.rs
+++ b/crates/storage/src/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A folder in memory for tests: it retains what was flushed, and of the rest what a crash is to leave; and it fails on
+//! An in-memory disk for tests. A crash keeps flushed bytes and a chosen part of the unflushed ones; operations fail on
 //! demand.
 
 use crate::disk::Disk;
@@ -7,27 +7,27 @@
 use std::io;
 use std::rc::Rc;
 
-/// What a crash leaves of bytes that were appended and not flushed.
+/// The unflushed bytes that survive a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashOutcome {
-    /// The first bytes, in the order in which they were written; the rest is lost.
+    /// This many bytes survive, in write order; the rest is lost.
     First(usize),
-    /// All of them, with zeros in place of the first ones: later sectors reached the disk before earlier ones.
+    /// All bytes survive, but this many of the first ones read as zeros: later sectors reached the disk before earlier ones.
     AllBut(usize),
 }
 
-/// The faults of a disk.
+/// The injected faults of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each fault is there or not, whatever the others are"
+    reason = "the faults are independent of each other"
 )]
 pub struct DiskFaults {
     /// Flushes fail, and the unflushed bytes are lost.
     pub flush_fails: bool,
     /// Appends write half of their bytes and fail.
     pub full: bool,
-    /// Nothing can be read or written.
+    /// All reads, writes and flushes fail.
     pub unavailable: bool,
     /// Flushes return without effect.
     pub ignores_flushes: bool,
@@ -36,26 +36,26 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// How many of the bytes were flushed.
+    /// Number of leading bytes that are flushed.
     flushed: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 struct State {
     files: BTreeMap<String, File>,
-    /// Files with bytes that are not flushed, in the order of their first such byte.
+    /// Files with unflushed bytes, ordered by when the first of these bytes was written.
     unflushed: Vec<String>,
     faults: DiskFaults,
     quarantines: usize,
     flushes: u64,
 }
 
-/// The folder. Its clones share the files, so that a test can keep one and make it crash; see also [`FaultyDisk::copy`].
+/// An in-memory disk. Clones share its files, so that a test can hold one and crash it; see also [`FaultyDisk::copy`].
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Rc<RefCell<State>>);
 
 impl FaultyDisk {
-    /// A copy that shares nothing with this one.
+    /// An independent copy.
     #[must_use]
     pub fn copy(&self) -> Self {
         Self(Rc::new(RefCell::new(self.0.borrow().clone())))
@@ -76,17 +76,17 @@
             .sum()
     }
 
-    /// How often [`Disk::flush`] was called.
+    /// Number of calls of [`Disk::flush`].
     pub fn flushes(&self) -> u64 {
         self.0.borrow().flushes
     }
 
-    /// How often the files were quarantined.
+    /// Number of calls of [`Disk::quarantine`].
     pub fn quarantine_count(&self) -> usize {
         self.0.borrow().quarantines
     }
 
-    /// Crashes: of the unflushed bytes the outcome is left. All faults end.
+    /// Simulates a crash: unflushed bytes survive as `outcome` says. All faults are cleared.
     pub fn crash(&self, outcome: CrashOutcome) {
         let mut state = self.0.borrow_mut();
         let names = std::mem::take(&mut state.unflushed);
@@ -112,13 +112,13 @@
     /// Flips one bit of a stored byte.
     ///
     /// # Panics
-    /// If there is no such byte.
+    /// If the file or the byte does not exist.
     pub fn flip(&self, name: &str, byte: usize, bit: u8) {
         let mut state = self.0.borrow_mut();
         state.files.get_mut(name).expect("a file").bytes[byte] ^= 1 << (bit % 8);
     }
 
-    /// Bytes of a file; 0 if it does not exist.
+    /// Size of a file in bytes; 0 if it does not exist.
     pub fn size(&self, name: &str) -> usize {
         self.0
             .borrow()
@@ -169,7 +169,7 @@
             .or_default()
             .bytes
             .extend_from_slice(written);
-        if !state.unflushed.iter().any(|one| one == name) {
+        if !state.unflushed.iter().any(|unflushed| unflushed == name) {
             state.unflushed.push(name.to_owned());
         }
         if is_full {
@@ -188,13 +188,13 @@
         let fails = state.faults.flush_fails;
         let file = state.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         if fails {
-            // As some kernels do: the pages are marked clean though their data was not written.
+            // Some kernels mark pages clean after a failed flush although their data was not written.
             file.bytes.truncate(file.flushed);
-            state.unflushed.retain(|one| one != name);
+            state.unflushed.retain(|unflushed| unflushed != name);
             return Err(io::Error::other("flush failed"));
         }
         file.flushed = file.bytes.len();
-        state.unflushed.retain(|one| one != name);
+        state.unflushed.retain(|unflushed| unflushed != name);
         Ok(())
     }
 
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a store: which disk it is, and how often it was opened.
+//! The identity of a store: its disk id, and how often it was opened.
 
 use crate::atomic_file::write_atomically;
 use crate::disk::Disk;
@@ -6,26 +6,26 @@
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// Format of all files of a store; another one is refused.
+/// Format version of all files of a store; any other version is rejected.
 pub const FORMAT: u32 = 1;
-/// Name of the file.
+/// Name of the identity file.
 const IDENTITY_FILE: &str = "identity";
 
-/// Which store this is, and which of its starts.
+/// Identifies a store and one of its starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// [`FORMAT`].
     pub format: u32,
-    /// Drawn when the store was created; never changes while its files are there.
+    /// Random id, drawn when the store is created; constant as long as its files exist.
     pub disk: u64,
-    /// How often the store was opened, this time included.
+    /// Number of times the store was opened, including this one.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// Drawn at each start: tells two starts under one number apart, as after a backup was restored.
+    /// Drawn at each start: distinguishes starts with the same incarnation, as after restoring a backup.
     pub nonce: u64,
 }
 
-/// Random numbers for the identity of a store. No other start anywhere should have drawn the same ones.
+/// Random numbers for the identity of a store, which should be unique among all starts of all stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdentitySeed {
     /// Becomes [`Identity::disk`] if the store is new.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The stored identity, if the store has one. `names`: all files.
+    /// Reads the stored identity, if there is one. `names`: all files.
     pub(crate) fn read(
         disk: &mut impl Disk,
         names: &[String],
@@ -58,7 +58,7 @@
             .map_err(|error| Damage::new(IDENTITY_FILE, 0, error.to_string()))?;
         if identity.format != FORMAT {
             let reason = format!(
-                "format {}; this program knows format {FORMAT}",
+                "format {}; this program supports format {FORMAT}",
                 identity.format
             );
             return Err(Damage::new(IDENTITY_FILE, 0, reason).into());
@@ -72,9 +72,9 @@
         write_atomically(disk, IDENTITY_FILE, &bytes)
     }
 
-    /// The damage of a store that has a log and no identity.
+    /// The damage of a store that has a log but no identity.
     pub(crate) fn missing() -> Damage {
-        let reason = "there is a log, and nothing says which disk it is";
+        let reason = "the identity file is missing, but there is a log";
         Damage::new(IDENTITY_FILE, 0, reason)
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,21 +1,21 @@
-//! A log on disk that survives crashes.
+//! A crash-safe log on disk.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`disk`] | the operations that a store needs of a folder, and the folder itself |
-//! | [`faulty_disk`] | a folder in memory that crashes, fills up and fails on demand, for tests |
-//! | [`record`] | records as bytes, with their checksums |
+//! | [`disk`] | the file operations that a store needs, and their implementation on a folder |
+//! | [`faulty_disk`] | an in-memory disk for tests that crashes, fills up and fails on demand |
+//! | [`record`] | the encoding of records, with checksums |
 //! | [`store`] | the store: segments, snapshots, identity |
-//! | [`recovery`] | what a store's files hold |
-//! | [`writer`] | the thread that writes and flushes for a program that may not block |
+//! | [`recovery`] | reading the contents of a store's files |
+//! | [`writer`] | a thread that writes and flushes for a program that must not block |
 //!
 //! Guarantees (`docs/design/copies.md` weighs the alternatives):
 //!
-//! - What a flush confirmed is there after a crash, complete and in order; of what it did not confirm, a prefix is.
+//! - After a crash, all confirmed writes are present, complete and in order, and a prefix of the unconfirmed ones.
 //! - A write that a crash cut short, at the end of the newest segment, is removed. Anything else that cannot be read is
 //!   damage: it is reported with file and offset, and the store is not opened until it is repaired or quarantined.
-//! - After a write or flush that failed, nothing more is written and nothing is confirmed: what the disk holds is not
-//!   known until it is read again.
+//! - After a failed write or flush, nothing more is written or confirmed: the contents of the disk are unknown until
+//!   they are read again.
 
 mod atomic_file;
 pub mod disk;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,4 +1,4 @@
-//! Records as bytes.
+//! The encoding of records.
 //!
 //! | bytes | contents |
 //! | --- | --- |
@@ -11,13 +11,13 @@
 
 use twox_hash::XxHash3_64;
 
-/// Largest length of what follows the checksum, in bytes: a batch of the largest results, many times over.
+/// Maximum length of what follows the checksum, in bytes: many times a batch of the largest results.
 pub const MAX_RECORD_BYTES: usize = 16 << 20;
-/// Bytes of length and checksum.
+/// Bytes of the length and the checksum.
 pub const RECORD_HEADER_BYTES: usize = LENGTH_BYTES + 8;
 
 const LENGTH_BYTES: usize = 4;
-/// Bytes of kind and shard: the shortest possible rest of a record.
+/// Bytes of the kind and the shard: the minimum length of what follows the checksum.
 const KIND_AND_SHARD_BYTES: usize = 3;
 const INDEX_BYTES: usize = 8;
 
@@ -26,16 +26,16 @@
 const KIND_SNAPSHOT_MARKER: u8 = 3;
 const KIND_METADATA: u8 = 4;
 
-/// What becomes of the entries behind a new snapshot.
+/// How to treat the entries after a new snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogSuffix {
-    /// They follow the snapshot and stay.
+    /// They continue the snapshot and are retained.
     Retain,
-    /// They belong to another history and go.
+    /// They belong to a different history and are discarded.
     Discard,
 }
 
-/// What a log holds. The store does not interpret the data.
+/// A record of the log. The store does not interpret the data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// Replaces the hard state of its shard.
@@ -60,22 +60,22 @@
         shard: u16,
         /// Index of the last entry in the snapshot.
         index: u64,
-        /// What becomes of the entries behind it.
+        /// How to treat the entries after it.
         suffix: LogSuffix,
     },
-    /// Replaces the metadata of its number.
+    /// Replaces the metadata that has this number.
     Metadata {
-        /// Which metadata.
+        /// Identifies the metadata.
         number: u16,
         /// The metadata.
         data: Vec<u8>,
     },
 }
 
-/// Why bytes are no record.
+/// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordFault {
-    /// The length is impossible.
+    /// The length is outside the valid range.
     #[error("length")]
     Length,
     /// The checksum does not match.
@@ -86,25 +86,25 @@
     Kind,
 }
 
-/// What stands at the beginning of some bytes.
+/// The result of reading a record at the beginning of some bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// A record.
+    /// A complete record.
     Complete {
         /// The record.
         record: Record,
-        /// Bytes that it takes.
+        /// Encoded length, in bytes.
         len: usize,
     },
-    /// The beginning of a record, or nothing but zeros: a write that was cut short.
+    /// The beginning of a record, or only zeros: an incomplete write.
     Truncated,
-    /// No record.
+    /// Not a valid record.
     Corrupt(RecordFault),
     /// There are no bytes.
     Empty,
 }
 
-/// The parts that records of all kinds have.
+/// The fields of an encoded record, common to all kinds.
 struct RecordParts<'a> {
     kind: u8,
     shard_or_number: u16,
@@ -113,7 +113,7 @@
 }
 
 impl Record {
-    /// Appends the record to some bytes.
+    /// Appends the encoded record to `out`.
     pub fn encode_into(&self, out: &mut Vec<u8>) {
         let parts = self.parts();
         let start = out.len();
@@ -131,7 +131,7 @@
         out[start + LENGTH_BYTES..body_start].copy_from_slice(&checksum.to_le_bytes());
     }
 
-    /// Bytes that the record takes when it is encoded.
+    /// Encoded length of the record, in bytes.
     pub fn encoded_len(&self) -> usize {
         let parts = self.parts();
         let index_bytes = parts.index.map_or(0, |_| INDEX_BYTES);
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: what a store's files hold. It only reads.
+//! Recovery: reads the contents of a store's files. It writes nothing.
 
 use crate::disk::Disk;
 use crate::error::{Damage, OpenError};
@@ -26,24 +26,24 @@
     pub data: Vec<u8>,
 }
 
-/// What a recovery found of one shard.
+/// The recovered state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredShard {
     /// The newest term and vote.
     pub hard_state: Option<Vec<u8>>,
     /// The newest snapshot.
     pub snapshot: Option<StoredSnapshot>,
-    /// The entries behind the snapshot, without a gap.
+    /// The entries after the snapshot, without gaps.
     pub entries: Vec<StoredEntry>,
 }
 
 impl RecoveredShard {
-    /// Index up to which the shard is in its snapshot; 0 without one.
+    /// Index of the last entry in the snapshot; 0 without a snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
 
-    /// Index of the last entry, or that of the snapshot.
+    /// Index of the last entry, or of the snapshot if there are no entries.
     pub fn last_index(&self) -> u64 {
         self.entries
             .last()
@@ -51,14 +51,14 @@
     }
 }
 
-/// What a recovery found in the log and the snapshots.
+/// The recovered contents of the log and the snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// By number of the shard.
+    /// By shard number.
     pub shards: BTreeMap<u16, RecoveredShard>,
     /// The newest metadata of each number.
     pub metadata: BTreeMap<u16, Vec<u8>>,
-    /// A write that a crash cut short; [`Store::open`](crate::Store::open) removes it.
+    /// A write that a crash interrupted; [`Store::open`](crate::Store::open) removes it.
     pub truncated_tail: Option<TruncatedTail>,
     /// Number of segments.
     pub segments: usize,
@@ -66,7 +66,7 @@
     pub bytes: u64,
 }
 
-/// What a store's files hold.
+/// The contents of a store's files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreContents {
     /// As of the last start; `None` if the store was never opened.
@@ -75,7 +75,7 @@
     pub recovered: Recovered,
 }
 
-/// Reads everything that is there and changes nothing.
+/// Reads all files and changes nothing.
 ///
 /// # Errors
 /// If the disk fails or a file is damaged.
@@ -88,7 +88,7 @@
     })
 }
 
-/// What all files of a store hold, each read once.
+/// The contents of all files of a store, each read once.
 pub(crate) struct StoreFiles {
     pub(crate) identity: Option<Identity>,
     pub(crate) log: LogContents,
@@ -104,7 +104,7 @@
     Ok(StoreFiles { identity, log })
 }
 
-/// The log as a store needs it to go on.
+/// The log, as a store needs it to continue writing.
 pub(crate) struct LogContents {
     pub(crate) recovered: Recovered,
     pub(crate) segments: Vec<Segment>,
@@ -118,7 +118,7 @@
     records: Vec<LocatedRecord>,
 }
 
-/// Reads all segments, and the snapshots that they name. `names`: all files, in order.
+/// Reads all segments, and the snapshots that they refer to. `names`: all files, in order.
 fn read_log(disk: &mut impl Disk, names: &[String]) -> Result<LogContents, OpenError> {
     let mut recovered = Recovered::default();
     let mut segments: Vec<Segment> = Vec::new();
@@ -126,7 +126,7 @@
     for file in SegmentFile::list(names) {
         let previous = segments.last();
         if previous.is_some_and(|previous| file.number != previous.number + 1) {
-            return Err(file.damage(0, "the segment before it is missing").into());
+            return Err(file.damage(0, "the previous segment is missing").into());
         }
         let contents = file.decode(&disk.read(&file.name)?)?;
         recovered.bytes += contents.bytes;
@@ -153,8 +153,8 @@
     })
 }
 
-/// Index of the newest snapshot of each shard. They have to be known before entries are applied: entries that a
-/// snapshot replaces may have gaps, as segments are removed.
+/// Index of the newest snapshot of each shard. It must be known before entries are applied: entries that a snapshot
+/// replaces may have gaps, because segments are removed.
 fn newest_snapshots(segments: &[SegmentRecords]) -> BTreeMap<u16, u64> {
     let mut indexes: BTreeMap<u16, u64> = BTreeMap::new();
     for located in segments.iter().flat_map(|segment| &segment.records) {
@@ -166,9 +166,9 @@
     indexes
 }
 
-/// An entry that does not follow the one before it.
+/// An entry whose index does not follow that of the previous entry.
 #[derive(Debug, thiserror::Error)]
-#[error("entry {index} of shard {shard} where {expected} was to come")]
+#[error("entry {index} of shard {shard} where entry {expected} was expected")]
 struct EntryGap {
     shard: u16,
     index: u64,
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-/// Adds an entry, in place of those from its index on.
+/// Adds an entry, replacing all entries from its index on.
 fn place_entry(
     entries: &mut Vec<StoredEntry>,
     snapshot_index: u64,
--- a/crates/storage/src/repair.rs
+++ b/crates/storage/src/repair.rs
@@ -1,14 +1,14 @@
-//! Repair of a damaged store by hand.
+//! Manual repair of a damaged store.
 
 use crate::disk::Disk;
 use crate::error::{Damage, OpenError};
 use crate::recovery::recover;
 use crate::segment::is_segment_name;
 
-/// Removes what cannot be read at the end of the newest segment, after copies of all files were quarantined; returns
-/// what was damaged. `None` if nothing was.
+/// Quarantines copies of all files, then removes the unreadable end of the newest segment. Returns the damage, or
+/// `None` if there was none.
 ///
-/// Entries that a flush confirmed may be lost: the member has to be rebuilt as a new one, or stay away.
+/// Confirmed entries may be lost: the member must be rebuilt as a new one, or stay out of its group.
 ///
 /// # Errors
 /// If the disk fails, or if the damage is in an older segment, a snapshot or the identity, where nothing can be removed.
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,8 +1,8 @@
-//! Segments: the files of the log, by number.
+//! Segments: the numbered files of the log.
 //!
 //! A segment begins with a header: a magic number, the length of the header's records, and these records, which repeat
-//! the newest hard states, metadata and snapshot markers. So an older segment can be removed once its entries are in
-//! snapshots. Only the newest segment is written to, and only its end may be missing after a crash.
+//! the newest hard states, metadata and snapshot markers. An older segment can therefore be removed once its entries
+//! are in snapshots. Only the newest segment is written to, and only its end may be missing after a crash.
 
 use crate::error::Damage;
 use crate::record::{read_record, ReadOutcome, Record};
@@ -10,18 +10,18 @@
 
 /// First bytes of a segment.
 const SEGMENT_MAGIC: &[u8; 8] = b"RSLOG\0\0\x01";
-/// Bytes of the length of the header's records.
+/// Bytes of the header's length field.
 const HEADER_LENGTH_BYTES: usize = 4;
-/// Position of the first record of a segment.
+/// Offset of the first record of a segment, in bytes.
 const FIRST_RECORD_OFFSET: usize = SEGMENT_MAGIC.len() + HEADER_LENGTH_BYTES;
 const NAME_PREFIX: &str = "log-";
 
-/// A write that a crash cut short, at the end of the newest segment. No flush confirmed it.
+/// An unconfirmed write that a crash interrupted, at the end of the newest segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TruncatedTail {
     /// Name of the segment's file.
     pub file: String,
-    /// Bytes of the segment up to the tail, all of them complete records.
+    /// Bytes of the segment before the tail; these are complete.
     pub offset: u64,
     /// Bytes of the tail.
     pub bytes: u64,
@@ -49,13 +49,13 @@
         format!("{NAME_PREFIX}{:010}", self.number)
     }
 
-    /// Notes that the segment holds an entry.
+    /// Records that the segment holds an entry.
     pub(crate) fn record_entry(&mut self, shard: u16, index: u64) {
         let last_index = self.last_indexes.entry(shard).or_default();
         *last_index = (*last_index).max(index);
     }
 
-    /// Shards with entries in this segment that are not in their snapshot yet.
+    /// Shards with entries in this segment that their snapshots do not cover yet.
     pub(crate) fn unsaved_shards<'a>(
         &'a self,
         snapshot_indexes: &'a BTreeMap<u16, u64>,
@@ -82,7 +82,7 @@
     bytes
 }
 
-/// A segment's file, and its place among the others.
+/// A segment's file, and its position among the segments.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentFile {
     pub(crate) number: u64,
@@ -91,13 +91,13 @@
     pub(crate) is_newest: bool,
 }
 
-/// A record, and the position of its first byte.
+/// A record, and the offset of its first byte.
 pub(crate) struct LocatedRecord {
     pub(crate) offset: usize,
     pub(crate) record: Record,
 }
 
-/// What a segment's file holds.
+/// The contents of a segment's file.
 pub(crate) struct SegmentContents {
     /// Bytes of the complete records and the header.
     pub(crate) bytes: u64,
@@ -105,13 +105,13 @@
     pub(crate) truncated_tail: Option<TruncatedTail>,
 }
 
-/// Whether a file name is that of a segment.
+/// Whether the file name is that of a segment.
 pub(crate) fn is_segment_name(name: &str) -> bool {
     name.starts_with(NAME_PREFIX)
 }
 
 impl SegmentFile {
-    /// The segments among some files. `names` is in order, and so the segments are.
+    /// The segments among some files, in the order of `names`, which is sorted.
     pub(crate) fn list(names: &[String]) -> Vec<SegmentFile> {
         let mut files: Vec<SegmentFile> = names
             .iter()
@@ -133,7 +133,7 @@
         files
     }
 
-    /// Reads the records of the segment from its bytes.
+    /// Decodes the records of the segment.
     pub(crate) fn decode(&self, bytes: &[u8]) -> Result<SegmentContents, Damage> {
         let Some(header_end) = header_end(bytes) else {
             return self.decode_truncated_header(bytes);
@@ -163,14 +163,15 @@
         })
     }
 
-    /// A segment whose header did not reach the disk: it was just created, unless it is the only one left.
+    /// Handles a segment whose header did not reach the disk: valid only if it was just created and no older segments
+    /// were removed.
     fn decode_truncated_header(&self, bytes: &[u8]) -> Result<SegmentContents, Damage> {
         let magic_bytes = bytes.len().min(SEGMENT_MAGIC.len());
         let is_beginning =
             bytes.len() < FIRST_RECORD_OFFSET && SEGMENT_MAGIC.starts_with(&bytes[..magic_bytes]);
         let is_plausible = is_beginning || bytes.iter().all(|byte| *byte == 0);
         if !self.is_newest || self.follows_removed_segments() || !is_plausible {
-            return Err(self.damage(0, "no log of this format"));
+            return Err(self.damage(0, "not a log segment of this format"));
         }
         Ok(SegmentContents {
             bytes: 0,
@@ -179,12 +180,12 @@
         })
     }
 
-    /// Whether older segments were removed, so that this one's header is all that tells what they held.
+    /// Whether older segments were removed, so that only this one's header holds their hard states, metadata and markers.
     fn follows_removed_segments(&self) -> bool {
         self.is_oldest && self.number > 1
     }
 
-    /// Whether an incomplete record can be the end of a write that a crash cut short.
+    /// Returns an error unless the incomplete record can be the end of a write that a crash interrupted.
     fn check_truncation(
         &self,
         bytes: &[u8],
@@ -192,14 +193,17 @@
         header_end: usize,
     ) -> Result<(), Damage> {
         if !self.is_newest {
-            return Err(self.damage(offset, "cut short, and not the newest"));
+            return Err(self.damage(
+                offset,
+                "incomplete record in a segment that is not the newest",
+            ));
         }
         if holds_record(&bytes[offset + 1..]) {
-            return Err(self.damage(offset, "no whole record, and whole ones behind it"));
+            return Err(self.damage(offset, "incomplete record followed by complete records"));
         }
         // The header was flushed before any older segment was removed.
         if self.follows_removed_segments() && offset < header_end {
-            return Err(self.damage(offset, "cut short in its head"));
+            return Err(self.damage(offset, "incomplete segment header"));
         }
         Ok(())
     }
@@ -217,7 +221,7 @@
     }
 }
 
-/// Position behind the records of a segment's header; `None` if the magic number or the length is not there.
+/// Offset of the end of a segment's header; `None` if the magic number or the length is missing.
 fn header_end(bytes: &[u8]) -> Option<usize> {
     let length = bytes
         .strip_prefix(SEGMENT_MAGIC)?
@@ -225,7 +229,7 @@
     Some(FIRST_RECORD_OFFSET + u32::from_le_bytes(*length) as usize)
 }
 
-/// Whether a complete record begins anywhere in these bytes: then what stands before it was not cut short by a crash.
+/// Whether a complete record begins anywhere in these bytes: then the data before it is damaged, not interrupted.
 fn holds_record(bytes: &[u8]) -> bool {
     // No record has length 0. Skipping such positions keeps long runs of zeros cheap.
     let may_begin = |offset: usize| {
--- a/crates/storage/src/snapshot_file.rs
+++ b/crates/storage/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshots as files: a magic number, a checksum, the data. One file for each shard, named by shard and index.
+//! Snapshot files: a magic number, a checksum and the data. Each shard has one file, named by shard and index.
 
 use crate::atomic_file::write_atomically;
 use crate::disk::Disk;
@@ -8,11 +8,11 @@
 
 /// First bytes of a snapshot file.
 const SNAPSHOT_MAGIC: &[u8; 8] = b"RSSNAP\0\x01";
-/// Bytes of the checksum behind the magic number.
+/// Bytes of the checksum that follows the magic number.
 const CHECKSUM_BYTES: usize = 8;
 const NAME_PREFIX: &str = "snap-";
 
-/// What the name of a snapshot file says.
+/// The fields of a snapshot file's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SnapshotName {
     pub(crate) shard: u16,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes a snapshot, durably; a crash leaves the complete file or none.
+/// Writes a snapshot durably and atomically.
 pub(crate) fn write_snapshot(
     disk: &mut impl Disk,
     name: SnapshotName,
@@ -46,15 +46,15 @@
     write_atomically(disk, &name.file_name(), &bytes)
 }
 
-/// The data of a snapshot file with these bytes.
+/// Decodes and verifies the data of a snapshot file.
 pub(crate) fn decode_snapshot(file_name: &str, bytes: &[u8]) -> Result<Vec<u8>, Damage> {
     let damage = |offset, reason: &str| Damage::new(file_name, offset, reason);
     let rest = bytes
         .strip_prefix(SNAPSHOT_MAGIC)
-        .ok_or_else(|| damage(0, "no snapshot of this format"))?;
+        .ok_or_else(|| damage(0, "not a snapshot of this format"))?;
     let (checksum, data) = rest
         .split_first_chunk::<CHECKSUM_BYTES>()
-        .ok_or_else(|| damage(SNAPSHOT_MAGIC.len(), "cut short"))?;
+        .ok_or_else(|| damage(SNAPSHOT_MAGIC.len(), "incomplete checksum"))?;
     if XxHash3_64::oneshot(data) != u64::from_le_bytes(*checksum) {
         let data_offset = SNAPSHOT_MAGIC.len() + CHECKSUM_BYTES;
         return Err(damage(data_offset, "checksum"));
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,8 +1,8 @@
 //! The store: a log of several shards in segments, with snapshots, on one disk.
 //!
 //! Files: `identity`, `log-N` (segments), `snap-SHARD-INDEX` (snapshots), `*.new` (being written, removed at the next
-//! start). Invariant: `hard_states`, `metadata`, `snapshot_indexes` and `last_indexes` are what a recovery of all that
-//! was appended would find.
+//! start). Invariant: `hard_states`, `metadata`, `snapshot_indexes` and `last_indexes` equal what a recovery of all appended
+//! records would yield.
 
 use crate::atomic_file::is_temporary;
 use crate::disk::Disk;
@@ -18,9 +18,9 @@
 /// Bounds on the size of a store's files.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Bytes of a segment from which on a new one is begun.
+    /// Size in bytes at which a new segment is started.
     pub segment_bytes: u64,
-    /// Bytes of all segments from which on [`Store::needs_compaction`] names shards.
+    /// Total size of all segments in bytes at which [`Store::needs_compaction`] returns shards.
     pub log_bytes: u64,
 }
 
@@ -33,20 +33,20 @@
     }
 }
 
-/// An open store. After a write or flush that failed it writes nothing more, as what the disk holds is not known until
-/// it is read again.
+/// An open store. After a failed write or flush it writes nothing more, because the contents of the disk are unknown
+/// until they are read again.
 pub struct Store<D: Disk> {
     disk: D,
     limits: StoreLimits,
     identity: Identity,
-    /// In order of number; the last one is written to.
+    /// Ascending by number; the last one is written to.
     segments: Vec<Segment>,
     hard_states: BTreeMap<u16, Vec<u8>>,
     metadata: BTreeMap<u16, Vec<u8>>,
     /// Index of the newest snapshot of each shard.
     snapshot_indexes: BTreeMap<u16, u64>,
     last_indexes: BTreeMap<u16, u64>,
-    /// Records that wait for the next flush, encoded.
+    /// Encoded records that the next flush writes.
     write_buffer: Vec<u8>,
     /// The first error of the disk; nothing is written after it.
     failure: Option<String>,
@@ -54,11 +54,11 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a store, or creates one if the disk is empty. A write that a crash cut short is removed, as are files that
-    /// were not completed.
+    /// Opens a store, or creates one if the disk is empty. Removes a write that a crash interrupted, and files that were
+    /// not completed.
     ///
     /// # Errors
-    /// If the disk fails, or a file is damaged; in the latter case nothing was changed.
+    /// If the disk fails, or a file is damaged; in the latter case nothing is changed.
     pub fn open(
         mut disk: D,
         limits: StoreLimits,
@@ -103,17 +103,17 @@
         Ok((store, recovered))
     }
 
-    /// Which disk this is, and which start.
+    /// The identity of this disk and this start.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// The error after which nothing is written any more.
+    /// The first disk error, after which nothing more is written.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_deref()
     }
 
-    /// Bytes of all segments, those included that wait for the next flush.
+    /// Bytes of all segments, including unflushed ones.
     pub fn log_bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
@@ -123,12 +123,12 @@
         self.last_indexes.get(&shard).copied().unwrap_or(0)
     }
 
-    /// How often records were flushed since the store was opened.
+    /// Number of flushes of records since the store was opened.
     pub fn flushes(&self) -> u64 {
         self.flushes
     }
 
-    /// Takes a record, to be written with the next [`Store::flush`]. It is not durable when this returns.
+    /// Buffers a record for the next [`Store::flush`]. It is not durable when this returns.
     pub fn append(&mut self, record: &Record) {
         let Some(segment) = self.segments.last_mut() else {
             return;
@@ -164,7 +164,7 @@
     /// Writes the appended records. All of them are durable when this returns `Ok`.
     ///
     /// # Errors
-    /// If the disk fails, or failed before; records that were not flushed may be on the disk or not.
+    /// If the disk fails, or failed before; unflushed records may or may not be on the disk.
     pub fn flush(&mut self) -> io::Result<()> {
         self.unless_failed(Self::write_buffered)
     }
@@ -188,8 +188,8 @@
         Ok(())
     }
 
-    /// Stores a snapshot of a shard up to an index, in place of its entries. It is durable, with all records appended
-    /// before, when this returns `Ok`. A snapshot that is not newer than the stored one is ignored.
+    /// Stores a snapshot of a shard up to an index, replacing its entries. The snapshot and all records appended before
+    /// are durable when this returns `Ok`. A snapshot that is not newer than the stored one is ignored.
     ///
     /// # Errors
     /// As with [`Store::flush`].
@@ -221,8 +221,8 @@
         })
     }
 
-    /// Shards that should be snapshotted: the log is over its bound, and they are why its oldest segment cannot be
-    /// removed.
+    /// Shards that should be snapshotted: the log exceeds its limit, and their entries prevent the removal of its oldest
+    /// segment.
     pub fn needs_compaction(&self) -> Vec<u16> {
         if self.log_bytes() < self.limits.log_bytes {
             return Vec::new();
@@ -233,7 +233,7 @@
         oldest.unsaved_shards(&self.snapshot_indexes).collect()
     }
 
-    /// Quarantines all files and begins again as another, empty disk.
+    /// Quarantines all files and reopens the store as a new, empty disk.
     ///
     /// # Errors
     /// If the disk fails.
@@ -245,7 +245,7 @@
         Store::open(disk, limits, seed).map(|(store, _)| store)
     }
 
-    /// Begins the next segment. The one before it was flushed, so that only the newest one can be cut short.
+    /// Starts the next segment. The previous one is flushed already, so only the newest one can be incomplete.
     fn begin_segment(&mut self) -> io::Result<()> {
         let number = self.segments.last().map_or(1, |last| last.number + 1);
         let header = encode_header(self.header_records());
@@ -281,7 +281,7 @@
         hard_states.chain(metadata).chain(markers)
     }
 
-    /// Removes segments whose entries are all in snapshots, the oldest first.
+    /// Removes segments whose entries are all in snapshots, oldest first.
     fn remove_obsolete_segments(&mut self) -> io::Result<()> {
         while self.segments.len() > 1 {
             let mut unsaved = self.segments[0].unsaved_shards(&self.snapshot_indexes);
@@ -295,10 +295,12 @@
         Ok(())
     }
 
-    /// Runs a write unless one failed before; remembers its failure.
+    /// Runs a write unless an earlier one failed; stores its error.
     fn unless_failed(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) -> io::Result<()> {
         if let Some(reason) = &self.failure {
-            return Err(io::Error::other(format!("failed before: {reason}")));
+            return Err(io::Error::other(format!(
+                "an earlier write failed: {reason}"
+            )));
         }
         let result = write(self);
         if let Err(error) = &result {
@@ -308,8 +310,8 @@
     }
 }
 
-/// Removes snapshots that the log does not name: a crash came between the snapshot and the record that names it, or
-/// before its removal.
+/// Removes snapshots that the log does not refer to: a crash came before the snapshot's marker was written, or before an
+/// old snapshot was removed.
 fn remove_stale_snapshots(
     disk: &mut impl Disk,
     names: &[String],
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,7 +1,7 @@
-//! The thread that writes and flushes, for a program that may not block on a disk.
+//! A thread that writes and flushes, for a program that must not block on a disk.
 //!
-//! Jobs are carried out in order. Those that arrive within the batch delay of the first one share its flush. The outcome
-//! of each flush is reported through a callback, which wakes the program's own loop.
+//! Jobs run in order. Those that arrive within the batch delay of the first one share its flush. The outcome of each
+//! flush is reported through a callback, which wakes the program's event loop.
 
 use crate::disk::Disk;
 use crate::record::{LogSuffix, Record};
@@ -13,17 +13,17 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Bound on the jobs of one flush, and so on how long the first of them waits.
+/// Maximum number of jobs in one flush, which limits how long the first of them waits.
 const MAX_BATCH_JOBS: usize = 4_096;
 
-/// A write. The numbers of consecutive jobs never go down.
+/// A write. Job numbers never decrease.
 #[derive(Debug)]
 pub enum WriteJob {
     /// Append records.
     Write {
         /// Number of the job.
         number: u64,
-        /// To be appended in this order.
+        /// Records to append, in order.
         records: Vec<Record>,
     },
     /// Install a snapshot: see [`Store::install_snapshot`].
@@ -36,7 +36,7 @@
         index: u64,
         /// The snapshot.
         data: Vec<u8>,
-        /// What becomes of the entries behind it.
+        /// How to treat the entries after it.
         suffix: LogSuffix,
     },
 }
@@ -54,17 +54,17 @@
 pub enum WriteOutcome {
     /// All jobs up to a number are durable.
     Durable {
-        /// Number of the last of them.
+        /// Number of the last durable job.
         up_to: u64,
         /// Shards that should be snapshotted: see [`Store::needs_compaction`].
         needs_compaction: Vec<u16>,
     },
-    /// The disk failed, for this reason. Nothing more is written; jobs that were not reported as durable may be on the
-    /// disk or not.
+    /// The disk failed, with this error. Nothing more is written; jobs that were not reported as durable may or may not
+    /// be on the disk.
     Failed(String),
 }
 
-/// Hands jobs to the thread.
+/// Submits jobs to the writer thread.
 pub struct Writer {
     jobs: Option<Sender<WriteJob>>,
     pending_jobs: Arc<AtomicUsize>,
@@ -72,8 +72,8 @@
 }
 
 impl Writer {
-    /// Starts the thread. `open` runs on it and makes the store; `on_flushed` runs on it after each flush, and no more
-    /// after a failure. A flush waits `batch_delay` for further jobs.
+    /// Starts the thread. `open` runs on it and returns the store; `on_flushed` runs on it after each flush, and is not
+    /// called again after a failure. A flush waits `batch_delay` for more jobs.
     pub fn start<D: Disk + 'static>(
         open: impl FnOnce() -> Store<D> + Send + 'static,
         batch_delay: Duration,
@@ -92,21 +92,21 @@
         }
     }
 
-    /// Number of jobs that are not durable yet. The caller bounds it: the queue itself is unbounded.
+    /// Number of jobs that are not durable yet. The caller must limit it: the queue itself is unbounded.
     pub fn pending_jobs(&self) -> usize {
         self.pending_jobs.load(Ordering::Relaxed)
     }
 
-    /// Hands a job to the thread, without blocking. After a failure it is dropped.
+    /// Submits a job without blocking. After a failure jobs are dropped.
     pub fn submit(&self, job: WriteJob) {
         self.pending_jobs.fetch_add(1, Ordering::Relaxed);
         if let Some(jobs) = &self.jobs {
-            // A thread that ended has reported its failure.
+            // Sending fails only after the thread has ended, and it has reported its failure.
             let _ = jobs.send(job);
         }
     }
 
-    /// Blocks until all submitted jobs are carried out and the thread has ended.
+    /// Blocks until all submitted jobs are done and the thread has ended.
     pub fn shut_down(mut self) {
         self.jobs.take();
         if let Some(thread) = self.thread.take() {
@@ -115,7 +115,7 @@
     }
 }
 
-/// The thread: ends when the [`Writer`] is gone, or after a failure.
+/// Main loop of the thread: ends when the [`Writer`] is dropped, or after a failure.
 fn write_batches<D: Disk>(
     mut store: Store<D>,
     jobs: &Receiver<WriteJob>,
@@ -156,7 +156,7 @@
     batch
 }
 
-/// Carries out all jobs of a batch and flushes; returns the first error.
+/// Runs all jobs of a batch and flushes; returns the first error.
 fn write_batch<D: Disk>(store: &mut Store<D>, batch: Vec<WriteJob>) -> io::Result<()> {
     let mut result = Ok(());
     for job in batch {
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! A scripted history of writes with a crash at every byte: recovery finds a prefix of what was written, with all that
-//! a flush confirmed.
+//! Crashes at every byte of a scripted series of writes: recovery yields a prefix of the written records that includes
+//! all confirmed ones.
 
 #![allow(
     missing_docs,
@@ -15,7 +15,7 @@
     StoredEntry, StoredSnapshot,
 };
 
-const SMALL: StoreLimits = StoreLimits {
+const SMALL_LIMITS: StoreLimits = StoreLimits {
     segment_bytes: 600,
     log_bytes: 2_000,
 };
@@ -32,7 +32,7 @@
     }
 }
 
-fn hard(shard: u16, text: &str) -> Record {
+fn hard_state(shard: u16, text: &str) -> Record {
     Record::HardState {
         shard,
         data: text.as_bytes().to_vec(),
@@ -47,10 +47,10 @@
 }
 
 /// Two shards, a suffix that is replaced, snapshots, metadata.
-fn script() -> Vec<Step> {
+fn scripted_steps() -> Vec<Step> {
     use Step::*;
     let mut steps = vec![
-        Append(hard(0, "t1")),
+        Append(hard_state(0, "t1")),
         Append(entry(0, 1, "a")),
         Append(entry(1, 1, "x")),
         Flush,
@@ -60,7 +60,7 @@
         Append(entry(0, 3, "c")),
         Flush,
         Append(entry(0, 2, "B")),
-        Append(hard(0, "t2")),
+        Append(hard_state(0, "t2")),
         Flush,
     ]);
     steps.extend((3..9).flat_map(|n| [Append(entry(0, n, &"long ".repeat(n as usize))), Flush]));
@@ -84,8 +84,8 @@
     steps
 }
 
-/// What a recovery should find after these steps.
-fn expected(steps: &[Step]) -> Recovered {
+/// The contents that a recovery should yield after these steps.
+fn expected_contents(steps: &[Step]) -> Recovered {
     let mut found = Recovered::default();
     for step in steps {
         match step {
@@ -119,7 +119,7 @@
     found
 }
 
-fn play(store: &mut Store<FaultyDisk>, step: &Step) -> std::io::Result<()> {
+fn run_step(store: &mut Store<FaultyDisk>, step: &Step) -> std::io::Result<()> {
     match step {
         Step::Append(record) => {
             store.append(record);
@@ -135,8 +135,8 @@
     }
 }
 
-fn same(found: &Recovered, expected: &Recovered) -> bool {
-    // A shard of which nothing was written is one that is not there.
+fn is_same(found: &Recovered, expected: &Recovered) -> bool {
+    // A shard without records is absent.
     found.metadata == expected.metadata
         && found
             .shards
@@ -145,7 +145,7 @@
         && found.shards.len() == expected.shards.len()
 }
 
-/// A folder that crashes by itself once so many bytes and operations reached it.
+/// A disk that fails once `left` is used up: each appended byte, flush, rename and removal counts as 1.
 struct CrashingDisk {
     disk: FaultyDisk,
     left: usize,
@@ -208,16 +208,16 @@
 
 #[test]
 fn a_crash_at_any_byte_recovers_a_prefix_with_all_confirmed_writes() {
-    let steps = script();
-    let (mut at, mut crashes, mut ends) = (1, 0, false);
+    let steps = scripted_steps();
+    let (mut crash_after, mut crashes, mut ends) = (1, 0, false);
     while !ends {
         let disk = FaultyDisk::default();
         let opened = Store::open(
             CrashingDisk {
                 disk: disk.clone(),
-                left: at,
+                left: crash_after,
             },
-            SMALL,
+            SMALL_LIMITS,
             seed(7, 1),
         );
         let mut confirmed = 0;
@@ -249,27 +249,35 @@
         } else {
             ends = false;
         }
-        // Everything that reached the disk stays, or nothing that was not flushed.
-        for leaves in [CrashOutcome::First(usize::MAX), CrashOutcome::First(0)] {
+        // Either all bytes that reached the disk survive, or only the flushed ones.
+        for outcome in [CrashOutcome::First(usize::MAX), CrashOutcome::First(0)] {
             let left = disk.copy();
-            left.crash(leaves);
-            let contents =
-                recover(&mut left.clone()).unwrap_or_else(|why| panic!("byte {at}: {why}"));
+            left.crash(outcome);
+            let contents = recover(&mut left.clone())
+                .unwrap_or_else(|error| panic!("byte {crash_after}: {error}"));
             let (identity, found) = (contents.identity, contents.recovered);
-            let fits = (confirmed..=steps.len()).any(|n| same(&found, &expected(&steps[..n])));
-            assert!(fits, "byte {at}, confirmed {confirmed}: {found:#?}");
-            // And it goes on from there, as the same disk.
+            let fits =
+                (confirmed..=steps.len()).any(|n| is_same(&found, &expected_contents(&steps[..n])));
+            assert!(
+                fits,
+                "byte {crash_after}, confirmed {confirmed}: {found:#?}"
+            );
+            // The store reopens with these contents and keeps its disk id.
             let starts = identity.map_or(0, |identity| identity.incarnation);
-            let (store, again) = Store::open(left, SMALL, seed(8, 2)).unwrap();
-            assert!(same(&again, &found), "byte {at}");
-            assert_eq!(store.identity().incarnation, starts + 1, "byte {at}");
+            let (store, again) = Store::open(left, SMALL_LIMITS, seed(8, 2)).unwrap();
+            assert!(is_same(&again, &found), "byte {crash_after}");
+            assert_eq!(
+                store.identity().incarnation,
+                starts + 1,
+                "byte {crash_after}"
+            );
             assert_eq!(
                 store.identity().disk,
                 if starts > 0 { 7 } else { 8 },
-                "byte {at}"
+                "byte {crash_after}"
             );
         }
-        at += 1;
+        crash_after += 1;
         crashes += 1;
     }
     assert!(crashes > 1_000, "{crashes}");
@@ -277,21 +285,21 @@
 
 #[test]
 fn reordered_writes_are_damage_or_a_prefix() {
-    let steps = script();
+    let steps = scripted_steps();
     let mut damaged = 0;
     for zeros in (1..200).step_by(3) {
         let disk = FaultyDisk::default();
         let (mut store, _) = Store::open(disk.clone(), StoreLimits::default(), seed(7, 1)).unwrap();
         steps[..10]
             .iter()
-            .for_each(|step| play(&mut store, step).unwrap());
+            .for_each(|step| run_step(&mut store, step).unwrap());
         disk.set_faults(DiskFaults {
             ignores_flushes: true,
             ..DiskFaults::default()
         });
         steps[10..16]
             .iter()
-            .for_each(|step| play(&mut store, step).unwrap());
+            .for_each(|step| run_step(&mut store, step).unwrap());
         disk.crash(CrashOutcome::AllBut(zeros));
         match recover(&mut disk.clone()) {
             Err(OpenError::Damaged(damage)) => {
@@ -299,50 +307,54 @@
                 assert!(damage.file.starts_with("log-"), "{damage}");
             }
             Ok(contents) => {
-                assert!((10..=16).any(|n| same(&contents.recovered, &expected(&steps[..n]))))
+                assert!((10..=16)
+                    .any(|n| is_same(&contents.recovered, &expected_contents(&steps[..n]))))
             }
-            Err(why) => panic!("{why}"),
+            Err(error) => panic!("{error}"),
         }
     }
     assert!(damaged > 10, "{damaged}");
 }
 
-/// One bit turned over anywhere in what was flushed is named, or is in bytes that nothing needs any more.
+/// A flipped bit in flushed data is reported as damage unless recovery does not need the byte.
 #[test]
 fn a_flipped_bit_is_reported_and_never_accepted() {
-    let (steps, mut chance) = (script(), WyRand::new_seed(3));
+    let (steps, mut rng) = (scripted_steps(), WyRand::new_seed(3));
     let disk = FaultyDisk::default();
-    let (mut store, _) = Store::open(disk.clone(), SMALL, seed(7, 1)).unwrap();
+    let (mut store, _) = Store::open(disk.clone(), SMALL_LIMITS, seed(7, 1)).unwrap();
     steps
         .iter()
-        .for_each(|step| play(&mut store, step).unwrap());
-    let whole = expected(&steps);
+        .for_each(|step| run_step(&mut store, step).unwrap());
+    let complete = expected_contents(&steps);
     let names: Vec<String> = disk.clone().list().unwrap();
     let mut named = 0;
     for _ in 0..2_000 {
-        let name = &names[chance.generate_range(0..names.len() as u64) as usize];
+        let name = &names[rng.generate_range(0..names.len() as u64) as usize];
         let (byte, bit) = (
-            chance.generate_range(0..disk.size(name) as u64) as usize,
-            chance.generate_range(0..8u8),
+            rng.generate_range(0..disk.size(name) as u64) as usize,
+            rng.generate_range(0..8u8),
         );
         let bad = disk.copy();
         bad.flip(name, byte, bit);
         match recover(&mut bad.clone()) {
             Err(OpenError::Damaged(_)) => named += 1,
-            // A length that grew looks like a write cut short, if it is the newest segment's: a beginning is left.
+            // A larger length in the newest segment looks like an interrupted write: a prefix is recovered.
             Ok(contents) if contents.recovered.truncated_tail.is_some() => {
                 let found = &contents.recovered;
                 assert!(
-                    (0..=steps.len()).any(|n| same(found, &expected(&steps[..n]))),
+                    (0..=steps.len()).any(|n| is_same(found, &expected_contents(&steps[..n]))),
                     "{name} {byte}"
                 );
             }
             Ok(contents) => {
                 let (identity, found) = (contents.identity, contents.recovered);
-                assert!(same(&found, &whole), "{name} {byte} {bit}: {found:#?}");
+                assert!(
+                    is_same(&found, &complete),
+                    "{name} {byte} {bit}: {found:#?}"
+                );
                 assert!(name == "identity" || identity.is_some_and(|identity| identity.disk == 7));
             }
-            Err(why) => panic!("{why}"),
+            Err(error) => panic!("{error}"),
         }
     }
     assert!(named > 1_500, "{named}");
@@ -365,7 +377,7 @@
         },
     ] {
         let disk = FaultyDisk::default();
-        let (mut store, _) = Store::open(disk.clone(), SMALL, seed(7, 1)).unwrap();
+        let (mut store, _) = Store::open(disk.clone(), SMALL_LIMITS, seed(7, 1)).unwrap();
         store.append(&entry(0, 1, "kept"));
         store.flush().unwrap();
         disk.set_faults(faults);
@@ -374,7 +386,7 @@
             store.flush().is_err() && store.failure().is_some(),
             "{faults:?}"
         );
-        // The disk is well again, and still nothing is confirmed: what it holds is not known.
+        // The faults are cleared, but nothing is confirmed: the contents of the disk are unknown.
         disk.set_faults(DiskFaults::default());
         store.append(&entry(0, 3, "never"));
         assert!(
@@ -401,9 +413,9 @@
 #[test]
 fn segments_in_snapshots_are_removed_and_idle_shards_need_compaction() {
     let disk = FaultyDisk::default();
-    let (mut store, _) = Store::open(disk.clone(), SMALL, seed(7, 1)).unwrap();
+    let (mut store, _) = Store::open(disk.clone(), SMALL_LIMITS, seed(7, 1)).unwrap();
     store.append(&entry(5, 1, "idle"));
-    let mut pressed = false;
+    let mut compaction_needed = false;
     for n in 1..400 {
         store.append(&entry(0, n, &"z".repeat(50)));
         store.flush().unwrap();
@@ -413,16 +425,16 @@
                 .unwrap();
         }
         if store.needs_compaction().contains(&5) {
-            pressed = true;
+            compaction_needed = true;
             store
                 .install_snapshot(5, 1, b"idle", LogSuffix::Retain)
                 .unwrap();
         }
         assert!(store.log_bytes() < 6_000, "{n}: {}", store.log_bytes());
     }
-    assert!(pressed);
+    assert!(compaction_needed);
     drop(store);
-    let (store, found) = Store::open(disk.clone(), SMALL, seed(9, 2)).unwrap();
+    let (store, found) = Store::open(disk.clone(), SMALL_LIMITS, seed(9, 2)).unwrap();
     assert_eq!(
         found.shards[&0].entries.last().map(|entry| entry.index),
         Some(399)
@@ -469,7 +481,7 @@
     let open = |draw| {
         Store::open(
             rainstand_storage::FolderDisk::open(&path).unwrap(),
-            SMALL,
+            SMALL_LIMITS,
             seed(draw, draw),
         )
     };
