--- a/crates/storage/benches/commit.rs
+++ b/crates/storage/benches/commit.rs
@@ -1,5 +1,5 @@
-//! Commits a second of this log and of two stores of the crates' registry, all with a flush for each commit: so many
-//! entries of 200 bytes each. Figures stand in `docs/design/copies.md`.
+//! Commits per second of this log, redb and fjall, each with one flush per commit, by the number of 200-byte entries
+//! per commit. Results are in `docs/design/copies.md`.
 
 #![allow(
     missing_docs,
@@ -11,16 +11,16 @@
 use rainstand_storage::{FolderDisk, IdentitySeed, Record, Store, StoreLimits};
 use std::time::{Duration, Instant};
 
-const LASTS: Duration = Duration::from_millis(1_500);
+const MEASUREMENT_TIME: Duration = Duration::from_millis(1_500);
 const TABLE: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("log");
 
-fn rate(mut commit: impl FnMut(u64)) -> f64 {
-    let (begun, mut n) = (Instant::now(), 0);
-    while begun.elapsed() < LASTS {
+fn commits_per_second(mut commit: impl FnMut(u64)) -> f64 {
+    let (started_at, mut n) = (Instant::now(), 0);
+    while started_at.elapsed() < MEASUREMENT_TIME {
         commit(n);
         n += 1;
     }
-    n as f64 / begun.elapsed().as_secs_f64()
+    n as f64 / started_at.elapsed().as_secs_f64()
 }
 
 fn main() {
@@ -38,7 +38,7 @@
             IdentitySeed { disk: 1, nonce: 2 },
         )
         .expect("a store");
-        let own = rate(|n| {
+        let own = commits_per_second(|n| {
             for k in 0..group {
                 store.append(&Record::Entry {
                     shard: 0,
@@ -49,25 +49,25 @@
             store.flush().expect("a flush");
         });
         let db = redb::Database::create(folder.path().join("redb")).expect("redb");
-        let redb = rate(|n| {
-            let write = db.begin_write().expect("a transaction");
+        let redb = commits_per_second(|n| {
+            let transaction = db.begin_write().expect("a transaction");
             {
-                let mut table = write.open_table(TABLE).expect("a table");
+                let mut table = transaction.open_table(TABLE).expect("a table");
                 for k in 0..group {
                     table.insert(n * group + k, &data[..]).expect("an entry");
                 }
             }
-            write.commit().expect("a commit");
+            transaction.commit().expect("a commit");
         });
         let db = fjall::Database::builder(folder.path().join("fjall"))
             .open()
             .expect("fjall");
-        let space = db
+        let keyspace = db
             .keyspace("log", fjall::KeyspaceCreateOptions::default)
             .expect("a space");
-        let fjall = rate(|n| {
+        let fjall = commits_per_second(|n| {
             for k in 0..group {
-                space
+                keyspace
                     .insert((n * group + k).to_be_bytes(), &data[..])
                     .expect("an entry");
             }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -12,8 +12,8 @@
 /// The file whose lock excludes a second process.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of files, addressed by plain file names. Appended bytes are durable once [`Disk::flush`] returns; a file's name is
-/// durable once the first `flush` of the file or its [`Disk::rename`] returns.
+/// A folder of files, addressed by plain file names. Appended bytes are durable once [`Disk::flush`] returns; a file's
+/// name is durable once the first `flush` of the file or its [`Disk::rename`] returns.
 pub trait Disk {
     /// The names of all files, sorted.
     ///
@@ -64,8 +64,8 @@
     fn quarantine(&mut self) -> io::Result<()>;
 }
 
-/// Injects faults into a [`FolderDisk`] in end-to-end tests. It is called before each flush, and may block or return the
-/// error with which the flush fails.
+/// Injects faults into a [`FolderDisk`] in end-to-end tests. It is called before each flush, and may block or return
+/// the error with which the flush fails.
 pub type FaultHook = std::sync::Arc<dyn Fn() -> io::Result<()> + Send + Sync>;
 
 /// A folder of the file system, locked so that no second process can open it.
--- a/crates/storage/src/faulty_disk.rs
+++ b/crates/storage/src/faulty_disk.rs
@@ -12,7 +12,8 @@
 pub enum CrashOutcome {
     /// This many bytes survive, in write order; the rest is lost.
     First(usize),
-    /// All bytes survive, but this many of the first ones read as zeros: later sectors reached the disk before earlier ones.
+    /// All bytes survive, but this many of the first ones read as zeros: later sectors reached the disk before earlier
+    /// ones.
     AllBut(usize),
 }
 
--- a/crates/storage/src/repair.rs
+++ b/crates/storage/src/repair.rs
@@ -11,7 +11,8 @@
 /// Confirmed entries may be lost: the member must be rebuilt as a new one, or stay out of its group.
 ///
 /// # Errors
-/// If the disk fails, or if the damage is in an older segment, a snapshot or the identity, where nothing can be removed.
+/// If the disk fails, or if the damage is in an older segment, a snapshot or the identity, where nothing can be
+/// removed.
 pub fn repair(disk: &mut impl Disk) -> Result<Option<Damage>, OpenError> {
     let damage = match recover(disk) {
         Ok(_) => return Ok(None),
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -180,7 +180,8 @@
         })
     }
 
-    /// Whether older segments were removed, so that only this one's header holds their hard states, metadata and markers.
+    /// Whether older segments were removed, so that only this one's header holds their hard states, metadata and
+    /// markers.
     fn follows_removed_segments(&self) -> bool {
         self.is_oldest && self.number > 1
     }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,8 +1,8 @@
 //! The store: a log of several shards in segments, with snapshots, on one disk.
 //!
 //! Files: `identity`, `log-N` (segments), `snap-SHARD-INDEX` (snapshots), `*.new` (being written, removed at the next
-//! start). Invariant: `hard_states`, `metadata`, `snapshot_indexes` and `last_indexes` equal what a recovery of all appended
-//! records would yield.
+//! start). Invariant: `hard_states`, `metadata`, `snapshot_indexes` and `last_indexes` equal what a recovery of all
+//! appended records would yield.
 
 use crate::atomic_file::is_temporary;
 use crate::disk::Disk;
@@ -54,8 +54,8 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a store, or creates one if the disk is empty. Removes a write that a crash interrupted, and files that were
-    /// not completed.
+    /// Opens a store, or creates one if the disk is empty. Removes a write that a crash interrupted, and files that
+    /// were not completed.
     ///
     /// # Errors
     /// If the disk fails, or a file is damaged; in the latter case nothing is changed.
@@ -221,8 +221,8 @@
         })
     }
 
-    /// Shards that should be snapshotted: the log exceeds its limit, and their entries prevent the removal of its oldest
-    /// segment.
+    /// Shards that should be snapshotted: the log exceeds its limit, and their entries prevent the removal of its
+    /// oldest segment.
     pub fn needs_compaction(&self) -> Vec<u16> {
         if self.log_bytes() < self.limits.log_bytes {
             return Vec::new();
@@ -310,8 +310,8 @@
     }
 }
 
-/// Removes snapshots that the log does not refer to: a crash came before the snapshot's marker was written, or before an
-/// old snapshot was removed.
+/// Removes snapshots that the log does not refer to: a crash came before the snapshot's marker was written, or before
+/// an old snapshot was removed.
 fn remove_stale_snapshots(
     disk: &mut impl Disk,
     names: &[String],
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn hard_state(shard: u16, text: &str) -> Record {
+fn hard_state_record(shard: u16, text: &str) -> Record {
     Record::HardState {
         shard,
         data: text.as_bytes().to_vec(),
@@ -50,7 +50,7 @@
 fn scripted_steps() -> Vec<Step> {
     use Step::*;
     let mut steps = vec![
-        Append(hard_state(0, "t1")),
+        Append(hard_state_record(0, "t1")),
         Append(entry(0, 1, "a")),
         Append(entry(1, 1, "x")),
         Flush,
@@ -60,7 +60,7 @@
         Append(entry(0, 3, "c")),
         Flush,
         Append(entry(0, 2, "B")),
-        Append(hard_state(0, "t2")),
+        Append(hard_state_record(0, "t2")),
         Flush,
     ]);
     steps.extend((3..9).flat_map(|n| [Append(entry(0, n, &"long ".repeat(n as usize))), Flush]));
@@ -145,21 +145,21 @@
         && found.shards.len() == expected.shards.len()
 }
 
-/// A disk that fails once `left` is used up: each appended byte, flush, rename and removal counts as 1.
+/// A disk that fails once `remaining` is used up: each appended byte, flush, rename and removal counts as 1.
 struct CrashingDisk {
     disk: FaultyDisk,
-    left: usize,
+    remaining: usize,
 }
 
 impl CrashingDisk {
     fn spend(&mut self, n: usize) -> std::io::Result<usize> {
-        let taken = n.min(self.left);
-        self.left -= taken;
+        let taken = n.min(self.remaining);
+        self.remaining -= taken;
         Ok(taken)
     }
 
     fn ensure_running(&self) -> std::io::Result<()> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return Err(std::io::Error::other("crashed"));
         }
         Ok(())
@@ -207,23 +207,23 @@
 }
 
 #[test]
-fn a_crash_at_any_byte_recovers_a_prefix_with_all_confirmed_writes() {
+fn crash_at_any_byte_recovers_a_prefix_with_all_confirmed_writes() {
     let steps = scripted_steps();
-    let (mut crash_after, mut crashes, mut ends) = (1, 0, false);
-    while !ends {
+    let (mut crash_after, mut crashes, mut completed) = (1, 0, false);
+    while !completed {
         let disk = FaultyDisk::default();
         let opened = Store::open(
             CrashingDisk {
                 disk: disk.clone(),
-                left: crash_after,
+                remaining: crash_after,
             },
             SMALL_LIMITS,
             seed(7, 1),
         );
         let mut confirmed = 0;
-        ends = true;
+        completed = true;
         if let Ok((mut store, _)) = opened {
-            for (k, step) in steps.iter().enumerate() {
+            for (step_index, step) in steps.iter().enumerate() {
                 let done = match step {
                     Step::Append(record) => {
                         store.append(record);
@@ -238,22 +238,22 @@
                     ),
                 };
                 match done {
-                    Ok(()) if !matches!(step, Step::Append(_)) => confirmed = k + 1,
+                    Ok(()) if !matches!(step, Step::Append(_)) => confirmed = step_index + 1,
                     Ok(()) => {}
                     Err(_) => {
-                        ends = false;
+                        completed = false;
                         break;
                     }
                 }
             }
         } else {
-            ends = false;
+            completed = false;
         }
         // Either all bytes that reached the disk survive, or only the flushed ones.
         for outcome in [CrashOutcome::First(usize::MAX), CrashOutcome::First(0)] {
-            let left = disk.copy();
-            left.crash(outcome);
-            let contents = recover(&mut left.clone())
+            let crashed = disk.copy();
+            crashed.crash(outcome);
+            let contents = recover(&mut crashed.clone())
                 .unwrap_or_else(|error| panic!("byte {crash_after}: {error}"));
             let (identity, found) = (contents.identity, contents.recovered);
             let fits =
@@ -264,7 +264,7 @@
             );
             // The store reopens with these contents and keeps its disk id.
             let starts = identity.map_or(0, |identity| identity.incarnation);
-            let (store, again) = Store::open(left, SMALL_LIMITS, seed(8, 2)).unwrap();
+            let (store, again) = Store::open(crashed, SMALL_LIMITS, seed(8, 2)).unwrap();
             assert!(is_same(&again, &found), "byte {crash_after}");
             assert_eq!(
                 store.identity().incarnation,
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn reordered_writes_are_damage_or_a_prefix() {
+fn reordered_writes_are_reported_as_damage_or_recover_a_prefix() {
     let steps = scripted_steps();
     let mut damaged = 0;
     for zeros in (1..200).step_by(3) {
@@ -316,9 +316,10 @@
     assert!(damaged > 10, "{damaged}");
 }
 
-/// A flipped bit in flushed data is reported as damage unless recovery does not need the byte.
+/// A flipped bit in the log or a snapshot is reported, as damage or a truncated tail, unless recovery does not need the
+/// byte. The identity file has no checksum.
 #[test]
-fn a_flipped_bit_is_reported_and_never_accepted() {
+fn flipped_bit_is_reported_or_recovers_a_prefix() {
     let (steps, mut rng) = (scripted_steps(), WyRand::new_seed(3));
     let disk = FaultyDisk::default();
     let (mut store, _) = Store::open(disk.clone(), SMALL_LIMITS, seed(7, 1)).unwrap();
@@ -475,7 +476,7 @@
 }
 
 #[test]
-fn a_folder_is_locked_and_retains_three_quarantines() {
+fn folder_is_locked_and_retains_three_quarantine_folders() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("disk");
     let open = |draw| {
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Records and files of a store, byte for byte as the version that introduced each wrote them.
+//! The encoding of records and files of a store is unchanged, byte for byte, from the version that introduced each.
 
 #![allow(
     missing_docs,
@@ -16,7 +16,7 @@
 use std::path::Path;
 
 const RECORDS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/records.hex");
-const FILES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/files.hex");
+const STORE_FILES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/files.hex");
 
 fn records() -> Vec<(&'static str, Record)> {
     vec![
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn records_are_written_as_before_and_read_back() {
+fn record_encoding_is_unchanged_and_decodes() {
     let written = records().into_iter().map(|(name, record)| {
         let mut bytes = Vec::new();
         record.encode_into(&mut bytes);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Two starts of a store with entries of two shards, notes, and a snapshot of one.
+/// Opens a store twice and writes hard states, entries of two shards, metadata, and a snapshot of one shard.
 fn write_store(folder: &Path) {
     let open = |disk, nonce| {
         Store::open(
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn files_are_written_as_before() {
+fn file_encoding_is_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     write_store(folder.path());
     let mut disk = FolderDisk::open(folder.path()).unwrap();
@@ -144,19 +144,19 @@
         let bytes = disk.read(&name).unwrap();
         NamedBytes::new(name, bytes)
     });
-    assert_bytes(FILES, &files.collect::<Vec<_>>());
+    assert_bytes(STORE_FILES, &files.collect::<Vec<_>>());
 }
 
 #[test]
-fn files_of_before_are_recovered() {
-    let (before, now) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-    for NamedBytes { name, bytes } in read_bytes(FILES) {
-        std::fs::write(before.path().join(name), bytes).unwrap();
+fn files_of_earlier_versions_are_recovered() {
+    let (earlier, current) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
+    for NamedBytes { name, bytes } in read_bytes(STORE_FILES) {
+        std::fs::write(earlier.path().join(name), bytes).unwrap();
     }
-    write_store(now.path());
+    write_store(current.path());
     let recovered = |folder: &Path| recover(&mut FolderDisk::open(folder).unwrap()).unwrap();
-    let contents = recovered(before.path());
-    assert_eq!(contents, recovered(now.path()));
+    let contents = recovered(earlier.path());
+    assert_eq!(contents, recovered(current.path()));
     let (identity, found) = (contents.identity.unwrap(), contents.recovered);
     assert_eq!(
         (identity.disk, identity.incarnation, identity.nonce),
--- a/crates/storage/tests/recovery_reads.rs
+++ b/crates/storage/tests/recovery_reads.rs
@@ -1,4 +1,4 @@
-//! How much a start reads.
+//! Number of file reads when a store is opened.
 
 #![allow(
     missing_docs,
@@ -63,10 +63,10 @@
     Store::open(disk, limits, seed).unwrap().0
 }
 
-/// What happened: a member's start read its whole log twice, so that a large disk took twice as long to open. Why: the
-/// check of all files and the reading of what they hold each went through them.
+/// Guards against reading the log twice at start, which doubled the time to open a large disk: the check of all files
+/// and the recovery of their contents each read them.
 #[test]
-fn a_start_reads_each_file_once() {
+fn opening_a_store_reads_each_file_once() {
     let mut disk = CountingDisk::default();
     let mut store = open(&mut disk);
     for index in 1..=40 {
