--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -76,7 +76,7 @@
 ) -> Result<ClaimOutcome, &'static str> {
     let rejected = |reason: &'static str| Ok(ClaimOutcome::Rejected(reason.into()));
     if member.config_server().is_none() {
-        return rejected("this member is not a config server");
+        return rejected("this member is no control machine");
     }
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -99,11 +99,13 @@
         .request(command, COMMIT_TIMEOUT, Rc::new(reply))
         .is_none()
     {
-        return rejected("this member accepts no requests now");
+        return rejected("this member takes no questions now");
     }
-    let outcome = receiver.await.ok().flatten().ok_or(
-        "no majority answered in time: the version may still be committed, check `versions`",
-    )?;
+    let outcome = receiver
+        .await
+        .ok()
+        .flatten()
+        .ok_or("no majority answered in time: it may be committed yet, see the versions")?;
     // The leader applies a version before its followers do. Wait until the local replica has it, so that the client
     // can read it here after the answer. If the read is not confirmed in time, the version is committed nevertheless,
     // and the next read here waits for it.
@@ -170,7 +172,7 @@
 fn unknown_question(name: &str) -> Value {
     json!({
         "error": format!(
-            "unknown question {name:.40}; known: status, members, why KEY, versions, whole, metrics"
+            "{name:.40} is no question: status, members, why KEY, versions, whole, metrics"
         )
     })
 }
--- a/crates/cluster/src/status/report.rs
+++ b/crates/cluster/src/status/report.rs
@@ -281,11 +281,11 @@
 
 fn explanation(has_replica: bool, has_key: bool, outcome: ReadOutcome) -> &'static str {
     match (has_replica, outcome, has_key) {
-        (false, ..) => "this member holds no replica of the shard",
+        (false, ..) => "this member holds no copy of the shard",
         (true, ReadOutcome::Unconfirmed, _) => {
-            "unconfirmed: no majority confirmed the read; the local replica may be behind"
+            "not known: no majority confirms the copy here, it may be behind"
         }
-        (true, ReadOutcome::Confirmed, false) => "not found: never requested, or expired",
-        (true, ReadOutcome::Confirmed, true) => "as of the last entry applied by the local replica",
+        (true, ReadOutcome::Confirmed, false) => "not there: never asked, or aged out",
+        (true, ReadOutcome::Confirmed, true) => "as of the entry applied here",
     }
 }
--- a/crates/cluster/src/status/rollout.rs
+++ b/crates/cluster/src/status/rollout.rs
@@ -11,7 +11,7 @@
 /// Reports the published versions. `outcome` is the outcome of the preceding read of the versions.
 pub(super) fn answer(member: &ClusterMember, max_versions: usize, outcome: ReadOutcome) -> Value {
     let Some(server) = member.config_server() else {
-        return json!({"error": "this member is not a config server"});
+        return json!({"error": "this member is no control machine"});
     };
     let members: Vec<Value> = member
         .members()
